--- a/control/shards.go
+++ b/control/shards.go
@@ -35,6 +35,7 @@
 	table  *hostlist.Table
 	limits *quota.Owner
 	since  time.Duration // when it was taken over
+	lostAt time.Duration // when it was seen to be lost
 	began  bool          // its limits have got their start amounts
 	whole  *wire.Message // the whole table as it was last sent
 }
@@ -51,7 +52,7 @@
 }
 
 func newShard(number uint32, self string, life uint64, now time.Duration) *shard {
-	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now)}
+	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now), lostAt: -quota.LongestDelay}
 }
 
 // rank is the place of this node in the shard's order of candidates.
@@ -81,14 +82,15 @@
 	}
 }
 
-// newLimits makes the buckets of a shard that this node takes over. A lease that has run out, or was given up, is granted
-// anew only once the delays of what its holder granted are over; one that is granted at once, as all processes have
-// restarted, may be not.
-func (n *Node) newLimits(now time.Duration) *quota.Owner {
+// newLimits makes the buckets of a shard that this node takes over. They begin to fill once the delays of what was granted
+// before are over. Another member gets a lease only after as long; but this one may get it again at once, after it has lost
+// it or begun a new life, and any one where all processes have restarted.
+func (n *Node) newLimits(s *shard, now time.Duration) *quota.Owner {
+	since := max(now, quota.LongestDelay, s.lostAt+quota.LongestDelay)
 	if n.resumed && now < n.resumedAt+lease.Duration {
-		now += quota.LongestDelay
+		since = max(since, now+quota.LongestDelay)
 	}
-	return quota.NewOwner(now)
+	return quota.NewOwner(since)
 }
 
 // longTenure is how long an owner has to have been in office for the next one to begin with a start amount in its buckets.
@@ -150,12 +152,13 @@
 		s.since = now
 		s.term, s.table = s.holder.Term(), hostlist.NewTable(s.number, s.holder.Term())
 		if s.limits == nil { // else it is held on under a higher term
-			s.limits, s.began = n.newLimits(now), false
+			s.limits, s.began = n.newLimits(s, now), false
 		}
 		n.readAt = now
 		n.log.Info("owns shard", "shard", s.number, "term", s.term)
 	case !holds && s.table != nil:
 		s.term, s.table, s.limits, s.whole = 0, nil, nil, nil
+		s.lostAt = now
 		n.log.Info("no longer owns shard", "shard", s.number)
 	}
 	enough := func(has func(string) bool) bool { return replica.Quorum(n.replica.Members(), has) }
