--- a/cmd/ivybank/daily_test.go
+++ b/cmd/ivybank/daily_test.go
@@ -197,8 +197,8 @@
 		})
 	}
 	conn, in := p.dial(t)
+	before := h.seen() + 1 // before it is sent: it may be there at once
 	_, _ = io.WriteString(conn, call("POST", "slow", "once", ""))
-	before := h.seen() + 1
 	eventually(t, "the open req is at the host", func() bool { return h.seen() == before })
 	// The name comes back with another effect: what is open must still not go again.
 	p.hup(t, strings.Replace(edit(`"Effect":"fragile"`, `"Effect":"retryable"`), `"Name":"again"`, `"Name":"added"`, 1))
--- a/cmd/ivybank/helpers_test.go
+++ b/cmd/ivybank/helpers_test.go
@@ -227,8 +227,14 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	cmd := p.Cmd
-	t.Cleanup(func() { _ = cmd.Process.Kill(); _ = cmd.Wait() })
+	cmd, out := p.Cmd, p.out
+	t.Cleanup(func() {
+		_ = cmd.Process.Kill()
+		err := cmd.Wait()
+		if t.Failed() {
+			t.Logf("the program at %s and %s ended with %v and wrote:\n%s", p.addr, p.admin, err, out)
+		}
+	})
 	eventually(t, "the program is ready", func() bool { return p.operate(t, "GET", "/healthcheck") == 200 })
 }
 
--- a/rehearse/soak/soak_test.go
+++ b/rehearse/soak/soak_test.go
@@ -10,6 +10,7 @@
 	"os/exec"
 	"slices"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -141,7 +142,7 @@
 func (f *fleet) thaw() {
 	for _, m := range append(f.alive(true), f.alive(false)...) {
 		for _, p := range m.processes {
-			p.signal(18) // SIGCONT
+			p.signal(syscall.SIGCONT)
 		}
 	}
 }
