--- a/router/forward.go
+++ b/router/forward.go
@@ -64,8 +64,8 @@
 	body     []byte
 	key      string
 	arrived  time.Time
-	deadline time.Time // of the route or the client, whichever is earlier
-	tried    map[string]bool
+	deadline time.Time     // of the route or the client, whichever is earlier
+	tried    []string      // ids of hosts
 	charge   *limit.Charge // of the tenant's limit; nil without one
 	limited  bool          // the limit has nothing left for a further run
 	sent     int           // hosts that it was sent to
@@ -79,7 +79,7 @@
 	if r.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &exchange{router: r, w: w, in: in, arrived: time.Now(), tried: map[string]bool{}}
+	x := &exchange{router: r, w: w, in: in, arrived: time.Now()}
 	r.awaitStart(in.Context())
 	x.table = r.table.Load()
 	if !x.admit() {
@@ -200,12 +200,12 @@
 			x.giveUp()
 			return
 		}
-		attempt, ok := x.service.Begin(x.key, func(id string) bool { return x.tried[id] }, x.router.now())
+		attempt, ok := x.service.Begin(x.key, x.tried, x.router.now())
 		if !ok {
 			x.giveUp()
 			return
 		}
-		x.tried[attempt.Host.ID] = true
+		x.tried = append(x.tried, attempt.Host.ID)
 		done, err := x.attempt(attempt)
 		if done {
 			return
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -4,10 +4,6 @@
 package policy
 
 import (
-	"cmp"
-	"math"
-	"slices"
-	"strconv"
 	"sync"
 	"time"
 
@@ -47,11 +43,13 @@
 type state struct {
 	Host
 	outlier.Record
+	hash      draw.IDHash // of its id
 	inflight  int
 	oldest    map[uint64]time.Duration // start of each attempt that is out
 	heard     time.Duration            // last byte from it
 	fullUntil time.Duration
 	gone      bool
+	healthy   bool // scratch of one choice
 }
 
 // Attempt is one request that is out at a host.
@@ -66,6 +64,7 @@
 	mu     sync.Mutex
 	dice   draw.Dice
 	hosts  map[string]*state
+	listed []*state // those of hosts that are not gone, in no order
 	next   uint64
 	onEjec func(id string, health float64, until time.Duration)
 }
@@ -86,7 +85,7 @@
 	for _, l := range listed {
 		h := s.hosts[l.ID]
 		if h == nil {
-			h = &state{Record: outlier.Record{Health: mean}, oldest: map[uint64]time.Duration{}}
+			h = &state{hash: draw.HashID(l.ID), Record: outlier.Record{Health: mean}, oldest: map[uint64]time.Duration{}}
 			s.hosts[l.ID] = h
 		}
 		l.Draining = l.Draining || h.Draining
@@ -97,27 +96,36 @@
 			delete(s.hosts, id)
 		}
 	}
+	s.relist()
 }
 
-func (s *Service) meanHealth() float64 {
-	sum, n := 0.0, 0
+// relist makes the list of hosts that are not gone anew.
+func (s *Service) relist() {
+	s.listed = s.listed[:0]
 	for _, h := range s.hosts {
 		if !h.gone {
-			sum += h.Health
-			n++
+			s.listed = append(s.listed, h)
 		}
 	}
-	if n == 0 {
+}
+
+func (s *Service) meanHealth() float64 {
+	if len(s.listed) == 0 {
 		return 1
 	}
-	return sum / float64(n)
+	sum := 0.0
+	for _, h := range s.listed {
+		sum += h.Health
+	}
+	return sum / float64(len(s.listed))
 }
 
-// Begin chooses a host and counts the attempt in flight. It reports false where no host may be sent to.
-func (s *Service) Begin(key string, tried func(id string) bool, now time.Duration) (*Attempt, bool) {
+// Begin chooses a host and counts the attempt in flight. It reports false where no host may be sent to. tried are the ids
+// of hosts that the request was sent to before.
+func (s *Service) Begin(key string, tried []string, now time.Duration) (*Attempt, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.pick(key, tried, now)
+	h := s.pick(s.keyHash(key), tried, now)
 	if h == nil {
 		return nil, false
 	}
@@ -127,53 +135,6 @@
 	return &Attempt{Host: h.Host, id: s.next, state: h}, true
 }
 
-func (s *Service) pick(key string, tried func(id string) bool, now time.Duration) *state {
-	if key == "" {
-		key = strconv.FormatUint(uint64(s.dice.Next()*(1<<53)), 36)
-	}
-	var ready, healthy []*state
-	inflight := 0
-	for _, h := range s.hosts {
-		if h.gone || h.Draining {
-			continue
-		}
-		inflight += h.inflight
-		if tried(h.ID) {
-			continue
-		}
-		ready = append(ready, h)
-		if !h.Out(now) && !(h.Trial(now) && h.inflight > 0) && !h.silent(now) {
-			healthy = append(healthy, h)
-		}
-	}
-	if len(healthy) == 0 {
-		return best(ready, func(h *state) float64 { return score(1, key, h.ID) })
-	}
-	mean := float64(inflight) / float64(len(healthy))
-	fits := func(h *state) bool {
-		return now >= h.fullUntil && float64(h.inflight) <= skipOver*mean+skipSlack
-	}
-	order := slices.SortedFunc(slices.Values(healthy), func(a, b *state) int {
-		return cmp.Compare(score(b.Health, key, b.ID), score(a.Health, key, a.ID))
-	})
-	for _, h := range order {
-		if fits(h) {
-			return h
-		}
-	}
-	return order[0]
-}
-
-// score is the weight of a host for a key in weighted rendezvous hashing; the highest wins.
-func score(weight float64, key, id string) float64 { return -weight / math.Log(draw.Hash(key, id)) }
-
-func best(hosts []*state, score func(*state) float64) *state {
-	if len(hosts) == 0 {
-		return nil
-	}
-	return slices.MaxFunc(hosts, func(a, b *state) int { return cmp.Compare(score(a), score(b)) })
-}
-
 // silent says whether attempts wait at the host and it has answered nothing since the oldest was sent.
 func (h *state) silent(now time.Duration) bool {
 	for _, sent := range h.oldest {
@@ -227,6 +188,7 @@
 		h.heard, h.fullUntil = now, now+fullPause
 	case Misplaced:
 		h.gone = true
+		s.relist()
 	}
 	if h.gone && h.inflight == 0 && s.hosts[h.ID] == h && o != Misplaced {
 		delete(s.hosts, h.ID)
--- a/router/policy/policy_test.go
+++ b/router/policy/policy_test.go
@@ -16,8 +16,6 @@
 	return all
 }
 
-func none(string) bool { return false }
-
 func service(n int) *Service {
 	s := NewService(1, nil)
 	s.SetHosts(hosts(n))
@@ -27,7 +25,7 @@
 // send begins an attempt and ends it at once.
 func send(t *testing.T, s *Service, key string, o Outcome, now time.Duration) string {
 	t.Helper()
-	a, ok := s.Begin(key, none, now)
+	a, ok := s.Begin(key, nil, now)
 	assert.Assert(t, ok)
 	s.End(a, o, now)
 	return a.Host.ID
@@ -53,7 +51,7 @@
 
 func TestConsecutiveFailuresEjectWithGrowingBackoff(t *testing.T) {
 	s := service(3)
-	others := func(id string) bool { return id != "host-0" }
+	others := []string{"host-1", "host-2"}
 	fail := func(now time.Duration) {
 		a, ok := s.Begin("key", others, now)
 		assert.Assert(t, ok)
@@ -77,7 +75,7 @@
 	now := 2 * time.Second
 	trials := 0
 	for i := range 40 {
-		if a, _ := s.Begin(fmt.Sprint(i), none, now); a.Host.ID == "host-0" {
+		if a, _ := s.Begin(fmt.Sprint(i), nil, now); a.Host.ID == "host-0" {
 			trials++
 		}
 	}
@@ -112,11 +110,11 @@
 
 func TestSilentHostIsPassedOver(t *testing.T) {
 	s := service(2)
-	a, _ := s.Begin("key", none, 0)
-	b, _ := s.Begin("key", none, silentAfter+time.Millisecond)
+	a, _ := s.Begin("key", nil, 0)
+	b, _ := s.Begin("key", nil, silentAfter+time.Millisecond)
 	assert.Assert(t, a.Host.ID != b.Host.ID)
 	s.Heard(a, silentAfter+2*time.Millisecond)
-	c, _ := s.Begin("key", none, silentAfter+3*time.Millisecond)
+	c, _ := s.Begin("key", nil, silentAfter+3*time.Millisecond)
 	assert.Equal(t, c.Host.ID, a.Host.ID)
 }
 
@@ -131,7 +129,7 @@
 func TestHostFarOverTheMeanIsSkipped(t *testing.T) {
 	s, count := service(4), map[string]int{}
 	for range 40 {
-		a, _ := s.Begin("hot", none, 0)
+		a, _ := s.Begin("hot", nil, 0)
 		count[a.Host.ID]++
 	}
 	for id, n := range count {
--- a/router/stream.go
+++ b/router/stream.go
@@ -154,11 +154,11 @@
 
 // open has one more host go on behind the last event; nil where it doesn't.
 func (x *exchange) open(last string) *source {
-	a, ok := x.service.Begin(x.key, func(id string) bool { return x.tried[id] }, x.router.now())
+	a, ok := x.service.Begin(x.key, x.tried, x.router.now())
 	if !ok {
 		return nil
 	}
-	x.tried[a.Host.ID] = true
+	x.tried = append(x.tried, a.Host.ID)
 	fail := func(o policy.Outcome) *source {
 		x.service.End(a, o, x.router.now())
 		return nil
