--- a/router/crossing_test.go
+++ b/router/crossing_test.go
@@ -149,7 +149,7 @@
 const crossingConfig = `{"revision":1,"services":[{"name":"s"}],"limits":{},"routes":[
 {"name":"u","hostname":"a.example","path_prefix":"/unsafe/","route_type":"unsafe","timeout_ms":1500,"target_ms":400,"backend":"s","max_attempts":3,"public":true},
 {"name":"i","hostname":"a.example","path_prefix":"/idempotent/","route_type":"idempotent","timeout_ms":1500,"target_ms":400,"backend":"s","max_attempts":3,"public":true},
-{"name":"r","hostname":"a.example","path_prefix":"/stream/","route_type":"streaming","timeout_ms":4000,"target_ms":400,"gap_aim_ms":400,"backend":"s","max_attempts":3,"public":true,"resumable":true}]}`
+{"name":"r","hostname":"a.example","path_prefix":"/stream/","route_type":"streaming","timeout_ms":4000,"target_ms":400,"gap_aim_ms":100,"backend":"s","max_attempts":3,"public":true,"resumable":true}]}`
 
 // requestsBefore have earned what a test needs for requests that are sent again.
 const requestsBefore = 200
@@ -180,11 +180,20 @@
 }
 
 func post(t *testing.T, ctx context.Context, server *httptest.Server, path, id string, body []byte) reply {
+	t.Helper()
+	return postWith(t, ctx, server, path, id, body, nil)
+}
+
+// postWith posts a request that has further headers.
+func postWith(t *testing.T, ctx context.Context, server *httptest.Server, path, id string, body []byte, headers map[string]string) reply {
 	t.Helper()
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, server.URL+path, bytes.NewReader(body))
 	assert.NilError(t, err)
 	q.Host = "a.example"
 	q.Header.Set("Request-Id", id)
+	for name, value := range headers {
+		q.Header.Set(name, value)
+	}
 	answer, err := server.Client().Do(q)
 	if err != nil {
 		return reply{broken: true}
@@ -483,7 +492,8 @@
 // A host begins its answer just as the watch gives it up, and no other one takes the request: the client gets a whole
 // answer or an error in its place, but never the beginning of one.
 func TestAnswerThatBeginsAsItsHostIsGivenUp(t *testing.T) {
-	const routers, requests = 64, 10
+	// Few requests a router: it waits for longer once it knows how long answers take.
+	const routers, requests = 214, 3
 	var all sync.WaitGroup
 	for router := range routers {
 		var turns atomic.Int64
@@ -493,7 +503,7 @@
 				return true
 			}
 			// About when the watch ends, which is 250 ms after the request.
-			time.Sleep(250*time.Millisecond + time.Duration(router-routers/2)*20*time.Microsecond)
+			time.Sleep(250*time.Millisecond + time.Duration(router-routers/2)*6*time.Microsecond)
 			q.write(fmt.Sprintf(streamHead, q.id(), q.host.id))
 			time.Sleep(5 * time.Millisecond)
 			q.write(chunk(eventsFrom(1, 7)) + "0\r\n\r\n")
--- a/router/forward.go
+++ b/router/forward.go
@@ -63,6 +63,7 @@
 	service  *policy.Service
 	body     []byte
 	key      string
+	prompt   float64 // tokens
 	arrived  time.Time
 	deadline time.Time     // of the route or the client, whichever is earlier
 	tried    []string      // ids of hosts
@@ -125,6 +126,7 @@
 		return false
 	}
 	x.key = promptKey(x.in.Header.Get(prefixHeader))
+	x.prompt, _, _ = limit.Tokens(x.in.Header.Get(tokensHeader))
 	patience := defaultDeadline
 	if ms, err := strconv.ParseFloat(x.in.Header.Get(deadlineHeader), 64); err == nil && ms > 0 {
 		patience = min(patience, time.Duration(ms*float64(time.Millisecond)))
@@ -265,6 +267,7 @@
 		conn.Close()
 		return false, errBeyondLimit
 	}
+	sent := x.router.now()
 	stopWatch := x.watchHead(a, conn)
 	answer, err := conn.Do(x.outgoing(a), x.deadline)
 	if !stopWatch() && err == nil {
@@ -289,6 +292,9 @@
 		}
 		return false, &upstream.Error{Verdict: upstream.NotRun, Err: errors.New("refused by the host: " + answer.Status)}
 	}
+	if answer.StatusCode == http.StatusOK {
+		x.service.Began(x.router.now()-sent, x.prompt)
+	}
 	if strings.HasPrefix(answer.Header.Get(contentTypeHeader), eventStream) && answer.StatusCode == http.StatusOK {
 		outcome = x.stream(source{a, conn, answer})
 		return true, nil
--- a/router/limit/cost.go
+++ b/router/limit/cost.go
@@ -13,11 +13,21 @@
 	if t.Unit != config.TokenUnit {
 		return 1
 	}
+	prompt, answer, ok := Tokens(tokenUsage)
+	if !ok {
+		return max(1, t.PlainTokens)
+	}
+	return prompt + answer
+}
+
+// Tokens reads what a client told of its request: the tokens of the prompt, and the most to go out. It reports false, and
+// zeros, for what is no pair of whole numbers.
+func Tokens(tokenUsage string) (prompt, answer float64, ok bool) {
 	in, out, ok := strings.Cut(tokenUsage, ",")
-	prompt, errIn := strconv.ParseUint(strings.TrimSpace(in), 10, 53)
-	answer, errOut := strconv.ParseUint(strings.TrimSpace(out), 10, 53)
+	promptTokens, errIn := strconv.ParseUint(strings.TrimSpace(in), 10, 53)
+	answerTokens, errOut := strconv.ParseUint(strings.TrimSpace(out), 10, 53)
 	if !ok || errIn != nil || errOut != nil {
-		return max(1, t.PlainTokens)
+		return 0, 0, false
 	}
-	return float64(prompt) + float64(answer)
+	return float64(promptTokens), float64(answerTokens), true
 }
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -61,12 +61,13 @@
 
 // Service chooses among the hosts of one service. It is safe for concurrent use.
 type Service struct {
-	mu     sync.Mutex
-	dice   draw.Dice
-	hosts  map[string]*state
-	listed []*state // those of hosts that are not gone, in no order
-	next   uint64
-	onEjec func(id string, health float64, until time.Duration)
+	mu      sync.Mutex
+	dice    draw.Dice
+	hosts   map[string]*state
+	listed  []*state // those of hosts that are not gone, in no order
+	next    uint64
+	latency latency
+	onEjec  func(id string, health float64, until time.Duration)
 }
 
 // NewService makes a service without hosts. ejected is told of each ejection.
--- a/router/watchdog.go
+++ b/router/watchdog.go
@@ -9,9 +9,14 @@
 )
 
 const (
-	// silenceShare is the part of a route's aim, for the first event or between events, after which the silence of a
-	// host has another one tried for a request that may run twice.
-	silenceShare    = 0.6
+	// headSilenceShare is the part of a route's aim for the first event before which no other host is tried: after it, one
+	// that has the prompt's shared parts may still answer within the aim.
+	headSilenceShare = 0.6
+	// unknownSilenceShare is used in its place while too little is known of how long answers take to begin.
+	unknownSilenceShare = 2.0
+	// gapSilenceShare is the part of the aim between events after which another host takes a stream over. It has to read the
+	// prompt first, so it can't keep the aim, and a host that reads prompts of others in between is silent for longer than that.
+	gapSilenceShare = 2.5
 	shortestSilence = 250 * time.Millisecond
 )
 
@@ -20,8 +25,18 @@
 	return x.repeatable() && x.sent+1 < x.route.MaxAttempts && x.router.retries.has(x.backend)
 }
 
-func silenceLimit(aimMS float64) time.Duration {
-	return max(shortestSilence, time.Duration(silenceShare*aimMS*float64(time.Millisecond)))
+// headSilence is how long a host may be silent before it has begun its answer: as long as answers to prompts of that size
+// usually take, by what this router saw of late. A long prompt is read for long, and another host would read it anew.
+func (x *exchange) headSilence() time.Duration {
+	usual := x.service.UsualWait(x.prompt)
+	if usual == 0 && x.prompt > 0 {
+		return silenceLimit(unknownSilenceShare, x.route.TargetMS)
+	}
+	return max(usual, silenceLimit(headSilenceShare, x.route.TargetMS))
+}
+
+func silenceLimit(share, aimMS float64) time.Duration {
+	return max(shortestSilence, time.Duration(share*aimMS*float64(time.Millisecond)))
 }
 
 // onSilence calls act once a host has been silent for the limit towards this router altogether: one that answers other
@@ -64,7 +79,7 @@
 	if !x.mayMove() {
 		return func() bool { return true }
 	}
-	return x.onSilence(a, silenceLimit(x.route.TargetMS), conn.Close)
+	return x.onSilence(a, x.headSilence(), conn.Close)
 }
 
 // successor is the host that takes a stream over, once one is needed.
@@ -80,7 +95,7 @@
 	if !x.repeatable() || x.sent >= x.route.MaxAttempts {
 		return s
 	}
-	s.stop = x.onSilence(from.attempt, silenceLimit(x.route.GapAimMS), func() {
+	s.stop = x.onSilence(from.attempt, silenceLimit(gapSilenceShare, x.route.GapAimMS), func() {
 		if !x.again() {
 			s.ready <- nil
 			return
