--- a/agent/agent.go
+++ b/agent/agent.go
@@ -166,6 +166,8 @@
 		a.onHosts(ip, link, m.Hosts)
 	case m.QuotaGrant != nil:
 		a.onQuotaGrant(m)
+	case m.SlowHosts != nil:
+		a.onSlowHosts(m)
 	}
 }
 
@@ -274,6 +276,8 @@
 		a.feedRouter(router, m.Subscribe)
 	case m.QuotaRequest != nil:
 		a.onQuotaRequest(m)
+	case m.Paces != nil:
+		a.onPaces(m)
 	}
 }
 
--- /dev/null
+++ b/control/paces.go
@@ -0,0 +1,46 @@
+package control
+
+import (
+	"time"
+
+	"ivybank/control/pace"
+	"ivybank/wire"
+)
+
+// slowInterval is how often the owner of a shard tells which hosts are slow, while some are.
+const slowInterval = 250 * time.Millisecond
+
+// paces is what the owner of a shard knows of how fast its hosts stream. It is lost with the lease.
+type paces struct {
+	table  *pace.Table
+	toldAt time.Duration
+	told   bool // some hosts were slow when it was told last
+}
+
+// onPaces takes what a router saw, while this node owns the shard.
+func (n *Node) onPaces(p *wire.Paces) {
+	if int(p.Shard) >= len(n.shards) {
+		return
+	}
+	s, now := n.shards[p.Shard], n.now()
+	if s.table == nil || !s.holder.Holds(now) {
+		return
+	}
+	for _, h := range p.Hosts {
+		s.paces.table.Observe(p.Service, h.Host, time.Duration(h.Microsecond)*time.Microsecond, now)
+	}
+}
+
+// publishSlow feeds which hosts are slow, as long as any are, and once more when none is left.
+func (n *Node) publishSlow(s *shard, now time.Duration) {
+	if s.table == nil || !s.holder.Holds(now) || now < s.paces.toldAt+slowInterval {
+		return
+	}
+	s.paces.toldAt = now
+	slow := s.paces.table.Slow(now)
+	if len(slow) == 0 && !s.paces.told {
+		return
+	}
+	s.paces.told = len(slow) > 0
+	n.publish(&wire.Message{SlowHosts: &wire.SlowHosts{Shard: s.number, Term: s.term, Hosts: slow}})
+}
--- a/control/shards.go
+++ b/control/shards.go
@@ -9,6 +9,7 @@
 
 	"ivybank/control/hostlist"
 	"ivybank/control/lease"
+	"ivybank/control/pace"
 	"ivybank/control/quota"
 	"ivybank/control/replica"
 	"ivybank/settings"
@@ -34,6 +35,7 @@
 	term   uint64 // fencing number under which table is kept
 	table  *hostlist.Table
 	limits *quota.Owner
+	paces  paces         // of its hosts
 	since  time.Duration // when it was taken over
 	lostAt time.Duration // when it was seen to be lost
 	began  bool          // its limits have got their start amounts
@@ -73,6 +75,7 @@
 			}
 		}
 		n.followOwnership(s, now)
+		n.publishSlow(s, now)
 		owns = owns || s.holder.Holds(now)
 	}
 	if owns && !n.reading && now >= n.readAt {
@@ -151,6 +154,7 @@
 		n.replica.JoinedLease()
 		s.since = now
 		s.term, s.table = s.holder.Term(), hostlist.NewTable(s.number, s.holder.Term())
+		s.paces = paces{table: pace.NewTable()}
 		if s.limits == nil { // else it is held on under a higher term
 			s.limits, s.began = n.newLimits(s, now), false
 		}
--- a/router/forward.go
+++ b/router/forward.go
@@ -64,6 +64,7 @@
 	body     []byte
 	key      string
 	prompt   float64 // tokens
+	shared   float64 // of these, tokens of parts that other requests share
 	arrived  time.Time
 	deadline time.Time     // of the route or the client, whichever is earlier
 	tried    []string      // ids of hosts
@@ -125,7 +126,7 @@
 		x.refuse(retryAfterFull)
 		return false
 	}
-	x.key = promptKey(x.in.Header.Get(prefixHeader))
+	x.key, x.shared = promptKey(x.in.Header.Get(prefixHeader))
 	x.prompt, _, _ = limit.Tokens(x.in.Header.Get(tokensHeader))
 	patience := defaultDeadline
 	if ms, err := strconv.ParseFloat(x.in.Header.Get(deadlineHeader), 64); err == nil && ms > 0 {
@@ -180,13 +181,21 @@
 	return false
 }
 
-// promptKey gives the key by which requests with the same shared prompt meet at one host: the last part that is shared.
-// The last part of all belongs to the request itself.
-func promptKey(header string) string {
+// promptKey gives the key by which requests with the same shared prompt meet at one host: the last part that is shared; and
+// the tokens of all that are. The last part of all belongs to the request itself.
+func promptKey(header string) (key string, shared float64) {
 	parts := strings.Split(header, ",")
-	at := max(0, len(parts)-2)
-	id, _, _ := strings.Cut(strings.TrimSpace(parts[at]), ":")
-	return id
+	own := len(parts) - 1
+	for i, part := range parts {
+		id, size, _ := strings.Cut(strings.TrimSpace(part), ":")
+		if i < own || own == 0 {
+			key = id
+		}
+		if tokens, err := strconv.ParseUint(size, 10, 53); err == nil && i < own {
+			shared += float64(tokens)
+		}
+	}
+	return key, shared
 }
 
 // serve sends the request to hosts until one answers or nothing more may be done.
@@ -202,7 +211,7 @@
 			x.giveUp()
 			return
 		}
-		attempt, ok := x.service.Begin(x.key, x.tried, x.router.now())
+		attempt, ok := x.service.Begin(x.request(), x.router.now())
 		if !ok {
 			x.giveUp()
 			return
@@ -239,6 +248,11 @@
 	}
 }
 
+// request is what the choice of a host needs to know.
+func (x *exchange) request() policy.Request {
+	return policy.Request{Key: x.key, Tokens: x.prompt, Shared: x.shared, Tried: x.tried}
+}
+
 // again says whether the request may go to one more host, and counts it if so.
 func (x *exchange) again() bool {
 	if x.sent >= max(1, x.route.MaxAttempts) {
@@ -267,7 +281,6 @@
 		conn.Close()
 		return false, errBeyondLimit
 	}
-	sent := x.router.now()
 	stopWatch := x.watchHead(a, conn)
 	answer, err := conn.Do(x.outgoing(a), x.deadline)
 	if !stopWatch() && err == nil {
@@ -293,7 +306,7 @@
 		return false, &upstream.Error{Verdict: upstream.NotRun, Err: errors.New("refused by the host: " + answer.Status)}
 	}
 	if answer.StatusCode == http.StatusOK {
-		x.service.Began(x.router.now()-sent, x.prompt)
+		x.service.Began(a, x.router.now())
 	}
 	if strings.HasPrefix(answer.Header.Get(contentTypeHeader), eventStream) && answer.StatusCode == http.StatusOK {
 		outcome = x.stream(source{a, conn, answer})
--- a/router/front.go
+++ b/router/front.go
@@ -35,6 +35,7 @@
 	go r.followAgent(background)
 	go r.pool.Sweep(background)
 	go r.limits.Report(background, r.log)
+	go r.reportPaces(background)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+readyPath, r.handleReady)
 	go func() { _ = (&http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}).Serve(ready) }()
--- a/router/policy/choice.go
+++ b/router/policy/choice.go
@@ -17,23 +17,29 @@
 }
 
 // pick is the choice of the design: weighted rendezvous among the healthy hosts that are not crowded; among all healthy
-// ones where all are crowded; and an even spread over the ready hosts where none is healthy. It goes over the hosts twice
-// and allocates nothing, as a fleet may have a thousand of them and a router a fifth of a core.
-func (s *Service) pick(key draw.KeyHash, tried []string, now time.Duration) *state {
-	inflight, healthy := 0, 0
+// ones where all are crowded; and an even spread over the ready hosts where none is healthy. Hosts that the request avoids
+// as they are slow count as crowded. It goes over the hosts twice and allocates nothing, as a fleet may have a thousand of
+// them and a router a fifth of a core.
+func (s *Service) pick(q *Request, now time.Duration) *state {
+	key := s.keyHash(q.Key)
+	inflight, healthy, slow := 0, 0, 0
 	for _, h := range s.listed {
 		if h.Draining {
 			continue
 		}
 		inflight += h.inflight
-		if h.healthy = h.isHealthy(now) && !slices.Contains(tried, h.ID); h.healthy {
+		if h.healthy = h.isHealthy(now) && !slices.Contains(q.Tried, h.ID); h.healthy {
 			healthy++
+			if h.slownessAt(now) > 1 {
+				slow++
+			}
 		}
 	}
 	if healthy == 0 {
-		return s.spreadEvenly(key, tried)
+		return s.spreadEvenly(key, q.Tried)
 	}
 	crowded := skipOver*float64(inflight)/float64(healthy) + skipSlack
+	someSlow := slow > 0 && float64(slow) <= mostSlow*float64(healthy)
 	var best, bestOfAll contest
 	for _, h := range s.listed {
 		if h.Draining || !h.healthy {
@@ -41,7 +47,8 @@
 		}
 		number := key.With(h.hash)
 		bestOfAll.enter(h, h.Health, number)
-		if now >= h.fullUntil && float64(h.inflight) <= crowded {
+		fits := now >= h.fullUntil && float64(h.inflight) <= crowded
+		if fits && !(someSlow && q.avoids(h.slownessAt(now))) {
 			best.enter(h, h.Health, number)
 		}
 	}
--- a/router/policy/choice_test.go
+++ b/router/policy/choice_test.go
@@ -14,7 +14,7 @@
 			s := service(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				a, _ := s.Begin("key", nil, 0)
+				a, _ := s.Begin(Request{Key: "key"}, 0)
 				s.End(a, Served, 0)
 			}
 		})
@@ -25,7 +25,7 @@
 func TestChoiceAllocatesNothingForHosts(t *testing.T) {
 	s := service(900)
 	allocations := testing.AllocsPerRun(100, func() {
-		a, _ := s.Begin("key", nil, 0)
+		a, _ := s.Begin(Request{Key: "key"}, 0)
 		s.End(a, Served, 0)
 	})
 	assert.Assert(t, allocations <= 2, "%v", allocations) // the attempt, and its place among those that are out
@@ -36,9 +36,9 @@
 	s := service(3)
 	tried := []string{"host-0", "host-2"}
 	for i := range 50 {
-		a, ok := s.Begin(fmt.Sprint(i), tried, 0)
+		a, ok := s.Begin(Request{Key: fmt.Sprint(i), Tried: tried}, 0)
 		assert.Assert(t, ok && a.Host.ID == "host-1")
 	}
-	_, ok := s.Begin("key", append(tried, "host-1"), 0)
+	_, ok := s.Begin(Request{Key: "key", Tried: append(tried, "host-1")}, 0)
 	assert.Assert(t, !ok)
 }
--- a/router/policy/latency.go
+++ b/router/policy/latency.go
@@ -41,11 +41,11 @@
 	return time.Duration((l.mean + deviations*l.deviation) * max(leastTokens, tokens) * float64(time.Second))
 }
 
-// Began tells how long an attempt's host took until its answer began, for a prompt of so many tokens.
-func (s *Service) Began(took time.Duration, tokens float64) {
+// Began tells that the answer of an attempt's host has begun.
+func (s *Service) Began(a *Attempt, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.latency.observe(took, tokens)
+	s.latency.observe(now-a.sent, a.tokens)
 }
 
 // UsualWait is how long an answer may take to begin at a host that is well, by what the service's hosts took of late; 0
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -45,18 +45,32 @@
 	outlier.Record
 	hash      draw.IDHash // of its id
 	inflight  int
-	oldest    map[uint64]time.Duration // start of each attempt that is out
-	heard     time.Duration            // last byte from it
+	out       map[uint64]*Attempt // attempts
+	heard     time.Duration       // last byte from it
 	fullUntil time.Duration
+	pace      paceSum
+	slowness  float64 // how many times as slow as usual it is, until slowTill
+	slowTill  time.Duration
 	gone      bool
 	healthy   bool // scratch of one choice
 }
 
+// Request is what the choice of a host needs to know of a request.
+type Request struct {
+	Key    string   // of its prompt; empty where it has none
+	Tokens float64  // of its prompt
+	Shared float64  // of these, tokens of parts that other requests share
+	Tried  []string // ids of hosts that it was sent to before
+}
+
 // Attempt is one request that is out at a host.
 type Attempt struct {
-	Host  Host
-	id    uint64
-	state *state
+	Host   Host
+	id     uint64
+	state  *state
+	tokens float64
+	sent   time.Duration
+	stride stride
 }
 
 // Service chooses among the hosts of one service. It is safe for concurrent use.
@@ -86,7 +100,7 @@
 	for _, l := range listed {
 		h := s.hosts[l.ID]
 		if h == nil {
-			h = &state{hash: draw.HashID(l.ID), Record: outlier.Record{Health: mean}, oldest: map[uint64]time.Duration{}}
+			h = &state{hash: draw.HashID(l.ID), Record: outlier.Record{Health: mean}, out: map[uint64]*Attempt{}}
 			s.hosts[l.ID] = h
 		}
 		l.Draining = l.Draining || h.Draining
@@ -121,25 +135,25 @@
 	return sum / float64(len(s.listed))
 }
 
-// Begin chooses a host and counts the attempt in flight. It reports false where no host may be sent to. tried are the ids
-// of hosts that the request was sent to before.
-func (s *Service) Begin(key string, tried []string, now time.Duration) (*Attempt, bool) {
+// Begin chooses a host and counts the attempt in flight. It reports false where no host may be sent to.
+func (s *Service) Begin(q Request, now time.Duration) (*Attempt, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.pick(s.keyHash(key), tried, now)
+	h := s.pick(&q, now)
 	if h == nil {
 		return nil, false
 	}
 	s.next++
 	h.inflight++
-	h.oldest[s.next] = now
-	return &Attempt{Host: h.Host, id: s.next, state: h}, true
+	a := &Attempt{Host: h.Host, id: s.next, state: h, tokens: q.Tokens, sent: now}
+	h.out[a.id] = a
+	return a, true
 }
 
 // silent says whether attempts wait at the host and it has answered nothing since the oldest was sent.
 func (h *state) silent(now time.Duration) bool {
-	for _, sent := range h.oldest {
-		if now > max(sent, h.heard)+silentAfter {
+	for _, a := range h.out {
+		if now > max(a.sent, h.heard)+silentAfter {
 			return true
 		}
 	}
@@ -164,7 +178,7 @@
 func (s *Service) SilentSince(a *Attempt) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(a.state.heard, a.state.oldest[a.id])
+	return max(a.state.heard, a.sent)
 }
 
 // End takes the outcome of an attempt.
@@ -172,10 +186,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := a.state
-	if _, out := h.oldest[a.id]; !out {
+	if h.out[a.id] == nil {
 		return
 	}
-	delete(h.oldest, a.id)
+	delete(h.out, a.id)
 	h.inflight--
 	switch o {
 	case Served:
--- a/router/policy/policy_test.go
+++ b/router/policy/policy_test.go
@@ -25,7 +25,7 @@
 // send begins an attempt and ends it at once.
 func send(t *testing.T, s *Service, key string, o Outcome, now time.Duration) string {
 	t.Helper()
-	a, ok := s.Begin(key, nil, now)
+	a, ok := s.Begin(Request{Key: key}, now)
 	assert.Assert(t, ok)
 	s.End(a, o, now)
 	return a.Host.ID
@@ -53,7 +53,7 @@
 	s := service(3)
 	others := []string{"host-1", "host-2"}
 	fail := func(now time.Duration) {
-		a, ok := s.Begin("key", others, now)
+		a, ok := s.Begin(Request{Key: "key", Tried: others}, now)
 		assert.Assert(t, ok)
 		s.End(a, Failed, now)
 	}
@@ -75,7 +75,7 @@
 	now := 2 * time.Second
 	trials := 0
 	for i := range 40 {
-		if a, _ := s.Begin(fmt.Sprint(i), nil, now); a.Host.ID == "host-0" {
+		if a, _ := s.Begin(Request{Key: fmt.Sprint(i)}, now); a.Host.ID == "host-0" {
 			trials++
 		}
 	}
@@ -110,11 +110,11 @@
 
 func TestSilentHostIsPassedOver(t *testing.T) {
 	s := service(2)
-	a, _ := s.Begin("key", nil, 0)
-	b, _ := s.Begin("key", nil, silentAfter+time.Millisecond)
+	a, _ := s.Begin(Request{Key: "key"}, 0)
+	b, _ := s.Begin(Request{Key: "key"}, silentAfter+time.Millisecond)
 	assert.Assert(t, a.Host.ID != b.Host.ID)
 	s.Heard(a, silentAfter+2*time.Millisecond)
-	c, _ := s.Begin("key", nil, silentAfter+3*time.Millisecond)
+	c, _ := s.Begin(Request{Key: "key"}, silentAfter+3*time.Millisecond)
 	assert.Equal(t, c.Host.ID, a.Host.ID)
 }
 
@@ -129,7 +129,7 @@
 func TestHostFarOverTheMeanIsSkipped(t *testing.T) {
 	s, count := service(4), map[string]int{}
 	for range 40 {
-		a, _ := s.Begin("hot", nil, 0)
+		a, _ := s.Begin(Request{Key: "hot"}, 0)
 		count[a.Host.ID]++
 	}
 	for id, n := range count {
--- a/router/router.go
+++ b/router/router.go
@@ -79,6 +79,8 @@
 		}
 	case m.QuotaGrant != nil:
 		r.limits.Granted(m.QuotaGrant)
+	case m.SlowHosts != nil:
+		r.takeSlowHosts(m.SlowHosts)
 	}
 }
 
--- a/router/stream.go
+++ b/router/stream.go
@@ -136,7 +136,7 @@
 		if err != nil {
 			return err
 		}
-		x.service.Heard(from.attempt, x.router.now())
+		x.service.Event(from.attempt, x.router.now())
 		if e.id != "" && !after(e.id, last.get()) {
 			continue // an event that the client has
 		}
@@ -154,7 +154,7 @@
 
 // open has one more host go on behind the last event; nil where it doesn't.
 func (x *exchange) open(last string) *source {
-	a, ok := x.service.Begin(x.key, x.tried, x.router.now())
+	a, ok := x.service.Begin(x.request(), x.router.now())
 	if !ok {
 		return nil
 	}
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -35,6 +35,8 @@
 	QuotaGrant   *QuotaGrant   `cbor:"14,keyasint,omitempty"`
 	LeaveReply   *LeaveReply   `cbor:"15,keyasint,omitempty"`
 	Transfer     *Transfer     `cbor:"16,keyasint,omitempty"`
+	Paces        *Paces        `cbor:"17,keyasint,omitempty"`
+	SlowHosts    *SlowHosts    `cbor:"18,keyasint,omitempty"`
 
 	frame *[]byte // the message as it goes over a connection, once it is prepared
 }
@@ -247,5 +249,32 @@
 	ReplyTo string  `cbor:"8,keyasint,omitempty"`
 }
 
+// Paces tells the owner of a service's shard how fast its hosts stream, as one router saw it of late.
+type Paces struct {
+	Shard   uint32 `cbor:"1,keyasint"`
+	Service string `cbor:"2,keyasint"`
+	Hosts   []Pace `cbor:"3,keyasint"`
+}
+
+// Pace is that of one host.
+type Pace struct {
+	Host        string `cbor:"1,keyasint"`
+	Microsecond int64  `cbor:"2,keyasint"` // usually between two events of a stream
+}
+
+// SlowHosts names all hosts of a shard that stream much more slowly than others. It replaces the one before and holds for a
+// short while.
+type SlowHosts struct {
+	Shard uint32     `cbor:"1,keyasint"`
+	Term  uint64     `cbor:"2,keyasint"` // fencing number of the owner
+	Hosts []SlowHost `cbor:"3,keyasint,omitempty"`
+}
+
+// SlowHost is one of them.
+type SlowHost struct {
+	ID    string  `cbor:"1,keyasint"`
+	Ratio float64 `cbor:"2,keyasint"` // how many times as much time as usual passes between its events
+}
+
 // CeilMS gives a time in whole milliseconds that is no shorter.
 func CeilMS(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
