--- a/control/quota/owner.go
+++ b/control/quota/owner.go
@@ -35,7 +35,6 @@
 	Delay  time.Duration // before which the amount may not be used, from when the answer is made
 	Valid  time.Duration // for which it may be used then, counted from the question and the delay
 	Empty  time.Duration // until the bucket holds enough for a request like this one, where nothing was granted
-	Wait   time.Duration // and until it may have served those that were refused before
 }
 
 type bucket struct {
@@ -44,7 +43,6 @@
 	spare   float64 // likewise, of what routers may use while no owner answers
 	at      time.Duration
 	largest float64 // request of late
-	refused float64 // amount of those refused that the rate has not filled since
 }
 
 // Owner keeps the buckets of one shard's limits.
@@ -75,15 +73,12 @@
 // let in by what the largest ones of late need, so that small ones don't keep the bucket too empty for them.
 func (o *Owner) Take(name string, l Limit, ask Ask, now time.Duration) Grant {
 	if !(ask.Need >= 0 && ask.Need <= l.Capacity) { // not a number, or more than there ever is
-		return Grant{Empty: longestWait, Wait: longestWait}
+		return Grant{Empty: longestWait}
 	}
 	b := o.bucket(name, l, now)
 	b.largest = max(min(ask.Need, l.Capacity/2), b.largest)
 	if enough := l.enough(max(ask.Need, b.largest)); b.level < enough {
-		missing := enough - b.level
-		grant := Grant{Empty: l.wait(missing), Wait: l.wait(missing + b.refused)}
-		b.refused = min(b.refused+ask.Need, l.Rate*longestWait.Seconds())
-		return grant
+		return Grant{Empty: l.wait(enough - b.level)}
 	}
 	ahead := max(0, min(ask.Want-ask.Need, (b.level-ask.Need)*aheadPart))
 	amount := ask.Need + ahead
@@ -124,7 +119,6 @@
 	passed := max(0, (now - b.at).Seconds())
 	b.level = min(b.level+l.Rate*passed, l.Capacity)
 	b.spare = min(b.spare+l.SpareRate*passed, l.SpareCapacity)
-	b.refused = max(0, b.refused-l.Rate*passed)
 	b.largest = min(b.largest*math.Exp(-passed/costMemory.Seconds()), l.Capacity/2)
 	b.at, b.limit = max(b.at, now), l
 	return b
--- a/control/shards.go
+++ b/control/shards.go
@@ -216,7 +216,7 @@
 	grant := s.limits.Take(name, limit, quota.Ask{Need: q.Need, Want: q.Want}, now)
 	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, ReplyTo: q.ReplyTo,
 		Granted: grant.Amount, Spare: grant.Spare, ValidMS: grant.Valid.Milliseconds(),
-		DelayMS: wire.CeilMS(grant.Delay), EmptyMS: grant.Empty.Milliseconds(), WaitMS: grant.Wait.Milliseconds()}})
+		DelayMS: wire.CeilMS(grant.Delay), EmptyMS: grant.Empty.Milliseconds()}})
 }
 
 // limitOf gives the limit that a request draws from, by the committed configuration, and its bucket's name.
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -198,8 +198,8 @@
 	if grant.Granted < q.message.Need {
 		f.RefusedOwner++
 		a.ahead.Add(q.held, q.until, aheadGrain)
-		a.emptyTill = now + time.Duration(grant.EmptyMS)*time.Millisecond
-		wait = time.Duration(grant.WaitMS) * time.Millisecond
+		wait = time.Duration(grant.EmptyMS) * time.Millisecond
+		a.emptyTill = now + wait
 		return nil, min(max(wait, shortestRetry), longestRetry), false
 	}
 	delay := time.Duration(grant.DelayMS) * time.Millisecond
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -241,7 +241,6 @@
 	Number  uint64  `cbor:"2,keyasint"`
 	Granted float64 `cbor:"3,keyasint"`           // 0, or at least what was needed
 	EmptyMS int64   `cbor:"9,keyasint,omitempty"` // until there is enough for such a request, where nothing was granted
-	WaitMS  int64   `cbor:"4,keyasint,omitempty"` // and until it is worth to come back
 	Life    uint64  `cbor:"5,keyasint"`
 	DelayMS int64   `cbor:"10,keyasint,omitempty"` // before which it may not be used, from the answer on
 	ValidMS int64   `cbor:"6,keyasint,omitempty"`  // for which it may be used, from the question and the delay on
