--- a/router/forward.go
+++ b/router/forward.go
@@ -107,23 +107,23 @@
 // admit checks the request against the configuration and reads its body. It reports false once it has answered.
 func (x *exchange) admit() bool {
 	if x.table == nil || !x.router.isServing() {
-		x.refuse(max(retryAfterStart, usualStart-x.router.now()))
+		x.refuse(groundStarting, max(retryAfterStart, usualStart-x.router.now()))
 		return false
 	}
 	if x.route = x.table.Route(x.in.Host, x.in.URL.Path); x.route == nil {
-		x.answer(http.StatusNotFound, "no such route")
+		x.answer(groundNoRoute, http.StatusNotFound, "no such route")
 		return false
 	}
 	if x.table.NeedsKey(x.route) {
 		if x.tenant = x.table.Tenant(x.in.Header.Get(authorization)); x.tenant == nil {
-			x.answer(http.StatusUnauthorized, "unknown key")
+			x.answer(groundUnknownKey, http.StatusUnauthorized, "unknown key")
 			return false
 		}
 	}
 	x.backend = x.table.Service(x.route, rand.Float64())
 	x.service = x.router.service(x.backend)
 	if x.service == nil {
-		x.refuse(retryAfterFull)
+		x.refuse(groundNoService, retryAfterFull)
 		return false
 	}
 	x.key, x.shared = promptKey(x.in.Header.Get(prefixHeader))
@@ -155,7 +155,7 @@
 // refuseBeyondLimit promises that a request beyond its tenant's limit has not run.
 func (x *exchange) refuseBeyondLimit(wait time.Duration) {
 	x.setRetryAfter(wait)
-	x.answer(http.StatusTooManyRequests, "limit used up")
+	x.answer(groundOverLimit, http.StatusTooManyRequests, "limit used up")
 }
 
 func (x *exchange) readBody() bool {
@@ -173,11 +173,11 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		x.answer(http.StatusRequestEntityTooLarge, "body too large")
+		x.answer(groundBody, http.StatusRequestEntityTooLarge, "body too large")
 		return false
 	}
 	x.w.Header().Set("Connection", "close")
-	x.answer(http.StatusBadRequest, "body not read whole")
+	x.answer(groundBody, http.StatusBadRequest, "body not read whole")
 	return false
 }
 
@@ -269,7 +269,7 @@
 // attempt sends the request to one host. It reports true once the client has its answer; else the error says why not.
 func (x *exchange) attempt(a *policy.Attempt) (bool, error) {
 	outcome := policy.Withdrawn
-	defer func() { x.service.End(a, outcome, x.router.now()) }()
+	defer func() { x.end(a, outcome) }()
 	conn, err := x.connect(a)
 	if err != nil {
 		if x.in.Context().Err() == nil {
@@ -307,6 +307,7 @@
 	}
 	if answer.StatusCode == http.StatusOK {
 		x.service.Began(a, x.router.now())
+		x.router.decisions.began(time.Since(x.arrived))
 	}
 	if strings.HasPrefix(answer.Header.Get(contentTypeHeader), eventStream) && answer.StatusCode == http.StatusOK {
 		outcome = x.stream(source{a, conn, answer})
@@ -330,6 +331,13 @@
 	return true, nil
 }
 
+// end takes and counts the outcome of an attempt.
+func (x *exchange) end(a *policy.Attempt, outcome policy.Outcome) {
+	if x.service.End(a, outcome, x.router.now()) {
+		x.router.decisions.attempts[outcome].Inc()
+	}
+}
+
 // useCharge is called right before each send, and reports false where the tenant's limit doesn't allow it.
 func (x *exchange) useCharge() bool {
 	x.limited = !x.charge.Use(x.in.Context())
@@ -416,27 +424,33 @@
 			x.refuseBeyondLimit(retryAfterFull)
 			return
 		}
-		x.refuse(retryAfterFull)
+		g := groundNoHost
+		if x.sent > 0 {
+			g = groundNoBudget
+		}
+		x.refuse(g, retryAfterFull)
 		return
 	}
 	if !time.Now().Before(x.deadline) {
-		x.answer(http.StatusGatewayTimeout, "no answer in time")
+		x.answer(groundDeadline, http.StatusGatewayTimeout, "no answer in time")
 		return
 	}
-	x.answer(http.StatusBadGateway, "no answer from a host")
+	x.answer(groundHostFailed, http.StatusBadGateway, "no answer from a host")
 }
 
 // refuse promises that the request has not run and says when to come back.
-func (x *exchange) refuse(after time.Duration) {
+func (x *exchange) refuse(g ground, after time.Duration) {
 	x.setRetryAfter(after)
-	x.answer(http.StatusServiceUnavailable, "not run, come back")
+	x.answer(g, http.StatusServiceUnavailable, "not run, come back")
 }
 
 func (x *exchange) setRetryAfter(after time.Duration) {
 	x.w.Header().Set(retryAfterHeader, strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 }
 
-func (x *exchange) answer(status int, text string) {
+// answer ends the request with an answer of this router's own.
+func (x *exchange) answer(g ground, status int, text string) {
+	x.router.decisions.ended[g].Inc()
 	header := x.w.Header()
 	header.Set(contentTypeHeader, "text/plain; charset=utf-8")
 	header.Set("Content-Length", strconv.Itoa(len(text)))
--- a/router/front.go
+++ b/router/front.go
@@ -36,6 +36,13 @@
 	go r.pool.Sweep(background)
 	go r.limits.Report(background, r.log)
 	go r.reportPaces(background)
+	if r.settings.Metrics != "" {
+		figures, err := r.serveMetrics(r.settings)
+		if err != nil {
+			return err
+		}
+		defer figures.Close()
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+readyPath, r.handleReady)
 	go func() { _ = (&http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}).Serve(ready) }()
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -49,18 +49,19 @@
 
 // Limiter keeps tenants' limits at this router. It is safe for concurrent use.
 type Limiter struct {
-	router   string
-	life     uint64 // of this process; answers to an earlier one are dropped
-	start    time.Time
-	send     atomic.Pointer[func(*wire.Message) bool]
-	mu       sync.Mutex
-	dropped  int64 // answers to an earlier life, and those that nobody waits for any more
-	accounts map[subject]*account
-	sweepAt  int // number of accounts
-	waiting  map[uint64]chan *wire.QuotaGrant
-	number   uint64
-	shards   [hostlist.Shards]shardState
-	figures  map[subject]*figures // since they were taken last
+	router                        string
+	life                          uint64 // of this process; answers to an earlier one are dropped
+	start                         time.Time
+	send                          atomic.Pointer[func(*wire.Message) bool]
+	mu                            sync.Mutex
+	refusedByOwner, refusedAbsent int64 // requests, since the start
+	dropped                       int64 // answers to an earlier life, and those that nobody waits for any more
+	accounts                      map[subject]*account
+	sweepAt                       int // number of accounts
+	waiting                       map[uint64]chan *wire.QuotaGrant
+	number                        uint64
+	shards                        [hostlist.Shards]shardState
+	figures                       map[subject]*figures // since they were taken last
 }
 
 // New makes the limiter of a router that has just started. It has nothing.
@@ -145,6 +146,7 @@
 	}
 	if now < a.emptyTill {
 		f.RefusedOwner++
+		l.refusedByOwner++
 		return nil, nil, min(max(a.emptyTill-now, shortestRetry), longestRetry)
 	}
 	shard := hostlist.ShardOf(d.subject.String())
@@ -197,6 +199,7 @@
 	l.shards[q.shard].absentFrom = 0
 	if grant.Granted < q.message.Need {
 		f.RefusedOwner++
+		l.refusedByOwner++
 		a.ahead.Add(q.held, q.until, aheadGrain)
 		wait = time.Duration(grant.EmptyMS) * time.Millisecond
 		a.emptyTill = now + wait
@@ -238,6 +241,7 @@
 	until, ok := a.spare.Take(d.cost)
 	if !ok {
 		f.RefusedAbsent++
+		l.refusedAbsent++
 		return nil, l.absenceRetry(d, now)
 	}
 	f.LocalUse += d.cost
@@ -267,6 +271,13 @@
 	answer <- g
 }
 
+// Refused says how many requests were refused since the start, by owners' answers and for want of an owner.
+func (l *Limiter) Refused() (byOwner, absent int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.refusedByOwner, l.refusedAbsent
+}
+
 // giveBack returns what a request took that has not run, as old as it is.
 func (l *Limiter) giveBack(c *Charge) {
 	l.mu.Lock()
--- a/router/policy/pace.go
+++ b/router/policy/pace.go
@@ -46,15 +46,19 @@
 	n    int
 }
 
-// Event tells that a whole event of an attempt's stream has come.
-func (s *Service) Event(a *Attempt, now time.Duration) {
+// Event tells that a whole event of an attempt's stream has come. It gives the time since the one before; 0 for the first.
+func (s *Service) Event(a *Attempt, now time.Duration) (gap time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.state.heard = now
+	if a.stride.last > 0 {
+		gap = now - a.stride.last
+	}
 	if pace, ok := a.stride.event(now); ok && pace > 0 {
 		a.state.pace.logs += math.Log(pace.Seconds())
 		a.state.pace.n++
 	}
+	return gap
 }
 
 // TakePaces gives, for each host that has streamed since it was called last, the time that usually passed between two events.
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -181,13 +181,13 @@
 	return max(a.state.heard, a.sent)
 }
 
-// End takes the outcome of an attempt.
-func (s *Service) End(a *Attempt, o Outcome, now time.Duration) {
+// End takes the outcome of an attempt. It reports false for one that has ended before.
+func (s *Service) End(a *Attempt, o Outcome, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := a.state
 	if h.out[a.id] == nil {
-		return
+		return false
 	}
 	delete(h.out, a.id)
 	h.inflight--
@@ -208,4 +208,5 @@
 	if h.gone && h.inflight == 0 && s.hosts[h.ID] == h && o != Misplaced {
 		delete(s.hosts, h.ID)
 	}
+	return true
 }
--- a/router/router.go
+++ b/router/router.go
@@ -25,18 +25,19 @@
 
 // Router is one router process.
 type Router struct {
-	settings *settings.Settings
-	log      hclog.Logger
-	start    time.Time
-	pool     *upstream.Pool
-	table    atomic.Pointer[table.Table]
-	services atomic.Pointer[map[string]*policy.Service]
-	serving  chan struct{} // closed once a configuration and the hosts of its services have come
-	stopping atomic.Bool
-	active   atomic.Int64 // requests that are being served
-	limits   *limit.Limiter
-	retries  *retryBudgets
-	agent    atomic.Pointer[wire.Link]
+	settings  *settings.Settings
+	log       hclog.Logger
+	start     time.Time
+	pool      *upstream.Pool
+	table     atomic.Pointer[table.Table]
+	services  atomic.Pointer[map[string]*policy.Service]
+	serving   chan struct{} // closed once a configuration and the hosts of its services have come
+	stopping  atomic.Bool
+	active    atomic.Int64 // requests that are being served
+	limits    *limit.Limiter
+	retries   *retryBudgets
+	decisions *decisions
+	agent     atomic.Pointer[wire.Link]
 
 	feed  sync.Mutex // guards what follows
 	hosts [hostlist.Shards]hostlist.Replica
@@ -44,7 +45,9 @@
 
 // New makes a router.
 func New(s *settings.Settings, log hclog.Logger) *Router {
-	r := &Router{settings: s, log: log, start: time.Now(), serving: make(chan struct{}), pool: upstream.NewPool(), limits: limit.New(s.NodeName)}
+	r := &Router{settings: s, log: log, start: time.Now(), serving: make(chan struct{}), pool: upstream.NewPool(), limits: limit.New(s.NodeName),
+		decisions: newDecisions()}
+	r.decisions.addLimits(r.limits.Refused)
 	r.retries = newRetryBudgets(s.Bounds, r.now)
 	r.services.Store(&map[string]*policy.Service{})
 	return r
@@ -142,6 +145,7 @@
 }
 
 func (r *Router) logEjection(id string, health float64, until time.Duration) {
+	r.decisions.ejections.Inc()
 	r.log.Info("host ejected", "host", id, "health", health, "for", (until - r.now()).Round(time.Millisecond))
 }
 
--- a/router/stream.go
+++ b/router/stream.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"time"
 
 	"ivybank/router/policy"
 	"ivybank/router/upstream"
@@ -102,7 +103,7 @@
 			if from.attempt == first {
 				return policy.Served
 			}
-			x.service.End(from.attempt, policy.Served, x.router.now())
+			x.end(from.attempt, policy.Served)
 			return policy.Withdrawn // the first host's outcome has been told
 		}
 		from.conn.Close()
@@ -113,11 +114,12 @@
 			}
 			panic(http.ErrAbortHandler)
 		}
-		x.service.End(from.attempt, x.blame(from.attempt), x.router.now())
+		x.end(from.attempt, x.blame(from.attempt))
 		for successor == nil && !x.limited && x.repeatable() && x.again() {
 			successor = x.open(last.get())
 		}
 		if successor == nil {
+			x.router.decisions.ended[groundBroken].Inc()
 			panic(http.ErrAbortHandler) // the client sees that the answer is not whole
 		}
 		from = *successor
@@ -128,6 +130,7 @@
 func (x *exchange) pass(from source, last *position) error {
 	control := http.NewResponseController(x.w)
 	reader := eventReader{bufio.NewReaderSize(from.answer.Body, eventBuffer)}
+	aim := time.Duration(x.route.GapAimMS * float64(time.Millisecond))
 	for {
 		e, err := reader.next()
 		if errors.Is(err, io.EOF) {
@@ -136,7 +139,9 @@
 		if err != nil {
 			return err
 		}
-		x.service.Event(from.attempt, x.router.now())
+		if gap := x.service.Event(from.attempt, x.router.now()); aim > 0 && gap > aim {
+			x.router.decisions.lateGaps.Inc()
+		}
 		if e.id != "" && !after(e.id, last.get()) {
 			continue // an event that the client has
 		}
@@ -160,7 +165,7 @@
 	}
 	x.tried = append(x.tried, a.Host.ID)
 	fail := func(o policy.Outcome) *source {
-		x.service.End(a, o, x.router.now())
+		x.end(a, o)
 		return nil
 	}
 	conn, err := x.router.pool.Get(x.in.Context(), a.Host.Address)
--- a/router/watchdog.go
+++ b/router/watchdog.go
@@ -79,7 +79,10 @@
 	if !x.mayMove() {
 		return func() bool { return true }
 	}
-	return x.onSilence(a, x.headSilence(), conn.Close)
+	return x.onSilence(a, x.headSilence(), func() {
+		x.router.decisions.moved[moveHeadSilence].Inc()
+		conn.Close()
+	})
 }
 
 // successor is the host that takes a stream over, once one is needed.
@@ -102,6 +105,7 @@
 		}
 		next := x.open(last.get())
 		if next != nil {
+			x.router.decisions.moved[moveGapSilence].Inc()
 			from.conn.Close() // before it could be given back, and serve another request
 		}
 		s.ready <- next
@@ -125,5 +129,5 @@
 // drop ends a source that is no longer wanted.
 func (x *exchange) drop(s *source) {
 	s.conn.Close()
-	x.service.End(s.attempt, policy.Withdrawn, x.router.now())
+	x.end(s.attempt, policy.Withdrawn)
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"net/netip"
 	"os"
+	"strconv"
+	"strings"
 
 	"github.com/pelletier/go-toml/v2"
 )
@@ -28,6 +30,7 @@
 	Seeds     []string          `toml:"seeds"`
 	Bootstrap bool              `toml:"bootstrap"`
 	DataDir   string            `toml:"data_dir"`
+	Metrics   string            `toml:"metrics"` // PORT/PATH of the figures; empty for none
 	Zones     map[string]string `toml:"zones"`
 	Listen    Listen            `toml:"listen"`
 	Limits    Limits            `toml:"limits"`
@@ -125,6 +128,9 @@
 	if s.PortRange[0] < 1 || s.PortRange[1] < s.PortRange[0]+1 || s.PortRange[1] > 65535 {
 		return fmt.Errorf("port_range: %v is no range of two ports or more", s.PortRange)
 	}
+	if err := checkMetrics(s.Metrics); err != nil {
+		return err
+	}
 	for _, address := range append([]string{s.Listen.Front, s.Listen.Ready, s.Listen.Control, s.Cloud.Address}, s.Seeds...) {
 		if address == "" {
 			continue
@@ -136,6 +142,18 @@
 	return nil
 }
 
+// checkMetrics checks where figures are to be told: PORT/PATH.
+func checkMetrics(at string) error {
+	if at == "" {
+		return nil
+	}
+	port, path, ok := strings.Cut(at, "/")
+	if number, err := strconv.ParseUint(port, 10, 16); !ok || err != nil || number == 0 || strings.ContainsAny(path, " {}") {
+		return fmt.Errorf("metrics: %q is not PORT/PATH", at)
+	}
+	return nil
+}
+
 // InternalPort is the port on which control processes and agents of other machines are reached.
 func (s *Settings) InternalPort() int { return s.PortRange[0] }
 
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -46,15 +46,18 @@
 
 func TestUnsoundSettingsNameTheCause(t *testing.T) {
 	for name, one := range map[string]struct{ from, to, want string }{
-		"no name":          {`node_name = "core-1"`, ``, "node_name is missing"},
-		"no address":       {`ip = "10.1.0.26"`, `ip = "ten"`, "ip:"},
-		"one port":         {`[7680,7695]`, `[7680,7680]`, "port_range"},
-		"port 0":           {`[7680,7695]`, `[0,7]`, "port_range"},
-		"port too high":    {`[7680,7695]`, `[7680,70000]`, "port_range"},
-		"seed without one": {`"10.1.0.29:8665"`, `"10.1.0.29"`, "10.1.0.29"},
-		"name for address": {`control = "10.1.0.26:8665"`, `control = "host:8665"`, "host:8665"},
-		"no TOML":          {`ip = "10.1.0.26"`, `ip = `, "line 3"},
-		"wrong type":       {`bootstrap = true`, `bootstrap = "yes"`, "line 7"},
+		"no name":           {`node_name = "core-1"`, ``, "node_name is missing"},
+		"no address":        {`ip = "10.1.0.26"`, `ip = "ten"`, "ip:"},
+		"one port":          {`[7680,7695]`, `[7680,7680]`, "port_range"},
+		"port 0":            {`[7680,7695]`, `[0,7]`, "port_range"},
+		"port too high":     {`[7680,7695]`, `[7680,70000]`, "port_range"},
+		"seed without one":  {`"10.1.0.29:8665"`, `"10.1.0.29"`, "10.1.0.29"},
+		"name for address":  {`control = "10.1.0.26:8665"`, `control = "host:8665"`, "host:8665"},
+		"figures nowhere":   {`zone = "north"`, `metrics = "/figures"`, "PORT/PATH"},
+		"figures at a host": {`zone = "north"`, `metrics = "core-1:9100/figures"`, "PORT/PATH"},
+		"no path":           {`zone = "north"`, `metrics = "9100"`, "PORT/PATH"},
+		"no TOML":           {`ip = "10.1.0.26"`, `ip = `, "line 3"},
+		"wrong type":        {`bootstrap = true`, `bootstrap = "yes"`, "line 7"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(sound, one.from, one.to, 1)
