--- a/router/policy/choice.go
+++ b/router/policy/choice.go
@@ -47,8 +47,7 @@
 		}
 		number := key.With(h.hash)
 		bestOfAll.enter(h, h.Health, number)
-		fits := now >= h.fullUntil && float64(h.inflight) <= crowded
-		if fits && !(someSlow && q.avoids(h.slownessAt(now))) {
+		if float64(h.inflight) <= crowded && !(someSlow && q.avoids(h.slownessAt(now))) {
 			best.enter(h, h.Health, number)
 		}
 	}
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -16,7 +16,6 @@
 	skipSlack    = 4.0 // and this many attempts more
 	firstBackoff = 2 * time.Second
 	silentAfter  = 700 * time.Millisecond // without a byte, with an attempt out: nothing new is sent there
-	fullPause    = 100 * time.Millisecond // for which a host that refused is passed over
 )
 
 // Host is what the list says of one host.
@@ -47,7 +46,6 @@
 	inflight  int
 	out       map[uint64]*Attempt // attempts
 	heard     time.Duration       // last byte from it
-	fullUntil time.Duration
 	pace      paceSum
 	slowness  float64 // how many times as slow as usual it is, until slowTill
 	slowTill  time.Duration
@@ -200,7 +198,7 @@
 			s.onEjec(h.ID, h.Health, h.Until)
 		}
 	case Refused:
-		h.heard, h.fullUntil = now, now+fullPause
+		h.heard = now
 	case Misplaced:
 		h.gone = true
 		s.relist()
