--- a/cmd/ivybank/helpers_test.go
+++ b/cmd/ivybank/helpers_test.go
@@ -197,15 +197,25 @@
 	out          *output
 }
 
+// givenAddrs are the addresses that freeAddr has given to a test of this run.
+var givenAddrs sync.Map
+
+// freeAddr gives an address that is free and that no other test has been given: tests run side by side, and a program takes
+// its address only some time after it was found free.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	// No connection goes out from this address, so that none takes the port before the program does.
-	l, err := net.Listen("tcp", "127.0.0.3:0")
-	if err != nil {
-		t.Fatal(err)
+	for {
+		// No connection goes out from this address, so that none takes the port before the program does.
+		l, err := net.Listen("tcp", "127.0.0.3:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		addr := l.Addr().String()
+		_ = l.Close()
+		if _, given := givenAddrs.LoadOrStore(addr, true); !given {
+			return addr
+		}
 	}
-	defer l.Close()
-	return l.Addr().String()
 }
 
 // begin starts a proxy that knows the entries, and waits until it is ready.
