--- /dev/null
+++ b/control/paces_test.go
@@ -0,0 +1,64 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"ivybank/wire"
+)
+
+// tellPaces has the router of a machine tell how fast six hosts stream, the last of them so many times as slowly, for a while.
+func tellPaces(w *world, m *machine, slowness int64, span time.Duration) {
+	for end := w.now + span; w.now < end; {
+		told := &wire.Paces{Shard: 0, Service: "service-0"}
+		for i := range int64(6) {
+			pace := wire.Pace{Host: fmt.Sprint("h", i), Microsecond: 28_000}
+			if i == 5 {
+				pace.Microsecond *= slowness
+			}
+			told.Hosts = append(told.Hosts, pace)
+		}
+		m.agent.agent.OnRouterMessage(m.agent.router, &wire.Message{Paces: told})
+		w.playUntil(w.now + 200*time.Millisecond)
+	}
+}
+
+// What one machine's router saw of a slow host reaches the routers of all, by way of the shard's owner, and is taken back.
+func TestSlowHostsAreToldToAllRouters(t *testing.T) {
+	w := settledWorld(t, 5, 1)
+	var agents []*machine
+	for _, m := range w.machines {
+		if m.agent != nil {
+			agents = append(agents, m)
+		}
+	}
+	assert.Assert(t, len(agents) > 1)
+	tellPaces(w, agents[0], 3, 2*time.Second)
+	for _, m := range agents {
+		slow := m.agent.router.slow
+		assert.Assert(t, slow != nil && len(slow.Hosts) == 1, "%+v", slow)
+		assert.Equal(t, slow.Hosts[0].ID, "h5")
+		assert.Assert(t, slow.Hosts[0].Ratio > 2.5 && slow.Hosts[0].Ratio < 3.5)
+	}
+	tellPaces(w, agents[0], 1, 3*time.Second)
+	for _, m := range agents {
+		assert.Equal(t, len(m.agent.router.slow.Hosts), 0)
+	}
+}
+
+// A process that owns no shard takes nothing, and tells nothing.
+func TestPacesAreTakenByTheOwnerAlone(t *testing.T) {
+	w := settledWorld(t, 6, 1)
+	for _, m := range w.machines {
+		if m.node == nil {
+			continue
+		}
+		n := m.node.node
+		n.onPaces(&wire.Paces{Shard: 99})
+		n.onPaces(&wire.Paces{Shard: 0, Service: "service-0", Hosts: []wire.Pace{{Host: "h", Microsecond: 1}}})
+		assert.Equal(t, n.shards[0].paces.table != nil, n.shards[0].holder.Holds(m.node.Now()))
+	}
+}
--- a/control/world_callers_test.go
+++ b/control/world_callers_test.go
@@ -314,6 +314,7 @@
 	revision int64
 	hosts    [hostlist.Shards]wire.HostsOffset
 	ackedAt  int64 // newest revision that was acknowledged when the agent started
+	slow     *wire.SlowHosts
 }
 
 type grantTaken struct {
@@ -352,6 +353,9 @@
 
 // Send takes what the agent feeds.
 func (r *routerStub) Send(m *wire.Message) bool {
+	if m.SlowHosts != nil {
+		r.slow = m.SlowHosts
+	}
 	w := r.agent.world
 	switch {
 	case m.Config != nil:
--- a/router/policy/choice_test.go
+++ b/router/policy/choice_test.go
@@ -31,7 +31,7 @@
 	assert.Assert(t, allocations <= 2, "%v", allocations) // the attempt, and its place among those that are out
 }
 
-// What was tried is chosen only where nothing else is left, and then not at all.
+// What was tried gets the request no more; where nothing else is left, nobody does.
 func TestTriedHostsGetNothing(t *testing.T) {
 	s := service(3)
 	tried := []string{"host-0", "host-2"}
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -42,15 +42,15 @@
 type state struct {
 	Host
 	outlier.Record
-	hash      draw.IDHash // of its id
-	inflight  int
-	out       map[uint64]*Attempt // attempts
-	heard     time.Duration       // last byte from it
-	pace      paceSum
-	slowness  float64 // how many times as slow as usual it is, until slowTill
-	slowTill  time.Duration
-	gone      bool
-	healthy   bool // scratch of one choice
+	hash     draw.IDHash // of its id
+	inflight int
+	out      map[uint64]*Attempt // attempts
+	heard    time.Duration       // last byte from it
+	pace     paceSum
+	slowness float64 // how many times as slow as usual it is, until slowTill
+	slowTill time.Duration
+	gone     bool
+	healthy  bool // scratch of one choice
 }
 
 // Request is what the choice of a host needs to know of a request.
