--- a/router/decisions.go
+++ b/router/decisions.go
@@ -57,7 +57,7 @@
 	attempts  map[policy.Outcome]*metrics.Counter
 	ejections *metrics.Counter
 	lateGaps  *metrics.Counter
-	firstByte *metrics.Histogram
+	firstByte *metrics.PrometheusHistogram
 }
 
 func newDecisions() *decisions {
@@ -74,7 +74,7 @@
 	}
 	d.ejections = d.set.NewCounter("ivybank_router_ejections_total")
 	d.lateGaps = d.set.NewCounter("ivybank_router_events_beyond_aim_total")
-	d.firstByte = d.set.NewHistogram("ivybank_router_answer_begins_seconds")
+	d.firstByte = d.set.NewPrometheusHistogram("ivybank_router_answer_begins_seconds")
 	return d
 }
 
@@ -100,9 +100,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("router: metrics: %w", err)
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /"+path, r.decisions.handler)
-	go func() { _ = (&http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}).Serve(listener) }()
+	handler := func(w http.ResponseWriter, q *http.Request) {
+		if q.URL.Path != "/"+path {
+			http.NotFound(w, q)
+			return
+		}
+		r.decisions.handler(w, q)
+	}
+	go func() {
+		_ = (&http.Server{Handler: http.HandlerFunc(handler), ReadHeaderTimeout: headerTimeout}).Serve(listener)
+	}()
 	return listener, nil
 }
 
