--- a/router/admission.go
+++ b/router/admission.go
@@ -14,71 +14,76 @@
 )
 
 const (
-	defaultDeadline  = 30 * time.Second
-	retryAfterStart  = 250 * time.Millisecond
-	startPatience    = 80 * time.Millisecond
-	usualStart       = 1200 * time.Millisecond // until a router has all it needs, also where the whole fleet starts
-	defaultBodyBytes = 4 << 20
-	bodyReadTimeout  = 10 * time.Second
-	finishReserve    = 20 * time.Millisecond // of the deadline, for the answer's way back
+	defaultDeadline      = 30 * time.Second
+	minStartupRetryAfter = 250 * time.Millisecond
+	startupWait          = 80 * time.Millisecond
+	// typicalStartupTime is the time until a router has its configuration and hosts, also when the whole fleet starts.
+	typicalStartupTime  = 1200 * time.Millisecond
+	defaultMaxBodyBytes = 4 << 20
+	bodyReadTimeout     = 10 * time.Second
+	// responseReserve is the part of the deadline that is kept for sending the response back to the client.
+	responseReserve = 20 * time.Millisecond
 )
 
-// awaitStart waits a moment for what a router needs that has just started, as most of the time it comes at once.
-func (r *Router) awaitStart(ctx context.Context) {
+// awaitServing waits briefly for the configuration and hosts of a router that has just started: they usually arrive
+// within that time.
+func (r *Router) awaitServing(ctx context.Context) {
 	if r.isServing() {
 		return
 	}
-	patience := time.NewTimer(startPatience)
-	defer patience.Stop()
+	timer := time.NewTimer(startupWait)
+	defer timer.Stop()
 	select {
 	case <-r.serving:
-	case <-patience.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// admit checks the request against the configuration and reads its body. It reports false once it has answered.
+// admit checks the request against the configuration, reads its body and charges its tenant's limit. It reports false
+// if it has responded to the client itself.
 func (x *exchange) admit() bool {
 	if x.table == nil || !x.router.isServing() {
-		x.refuse(groundStarting, max(retryAfterStart, usualStart-x.router.now()))
+		x.respondUnavailable(reasonStarting, max(minStartupRetryAfter, typicalStartupTime-x.router.now()))
 		return false
 	}
-	if x.route = x.table.Route(x.in.Host, x.in.URL.Path); x.route == nil {
-		x.answer(groundNoRoute, http.StatusNotFound, "no such route")
+	if x.route = x.table.Route(x.req.Host, x.req.URL.Path); x.route == nil {
+		x.respond(reasonNoRoute, http.StatusNotFound, "no such route")
 		return false
 	}
 	if x.table.NeedsKey(x.route) {
-		if x.tenant = x.table.Tenant(x.in.Header.Get(authorization)); x.tenant == nil {
-			x.answer(groundUnknownKey, http.StatusUnauthorized, "unknown key")
+		if x.tenant = x.table.Tenant(x.req.Header.Get(authorizationHeader)); x.tenant == nil {
+			x.respond(reasonUnknownKey, http.StatusUnauthorized, "unknown key")
 			return false
 		}
 	}
-	x.backend = x.table.Service(x.route, rand.Float64())
-	x.service = x.router.service(x.backend)
+	x.serviceName = x.table.Service(x.route, rand.Float64())
+	x.service = x.router.service(x.serviceName)
 	if x.service == nil {
-		x.refuse(groundNoService, retryAfterFull)
+		x.respondUnavailable(reasonNoService, retryAfterNoHost)
 		return false
 	}
-	x.key, x.shared = promptKey(x.in.Header.Get(prefixHeader))
-	x.prompt, _, _ = limit.Tokens(x.in.Header.Get(tokensHeader))
-	patience := defaultDeadline
-	if ms, err := strconv.ParseFloat(x.in.Header.Get(deadlineHeader), 64); err == nil && ms > 0 {
-		patience = min(patience, time.Duration(ms*float64(time.Millisecond)))
+	x.promptKey, x.sharedTokens = parsePrefixHash(x.req.Header.Get(prefixHashHeader))
+	x.promptTokens, _, _ = limit.ParseTokenUsage(x.req.Header.Get(tokenUsageHeader))
+	timeout := defaultDeadline
+	if ms, err := strconv.ParseFloat(x.req.Header.Get(deadlineHeader), 64); err == nil && ms > 0 {
+		timeout = min(timeout, time.Duration(ms*float64(time.Millisecond)))
 	}
-	patience = min(patience, time.Duration(x.route.TimeoutMS*float64(time.Millisecond)))
-	x.deadline = x.arrived.Add(patience - finishReserve)
-	return x.readBody() && x.withinLimit()
+	timeout = min(timeout, time.Duration(x.route.TimeoutMS*float64(time.Millisecond)))
+	x.deadline = x.arrivedAt.Add(timeout - responseReserve)
+	return x.readBody() && x.chargeLimit()
 }
 
-// withinLimit charges the request against its tenant's limit.
-func (x *exchange) withinLimit() bool {
+// chargeLimit charges the request against its tenant's limit. It reports false if it has responded to the client
+// itself.
+func (x *exchange) chargeLimit() bool {
 	if x.tenant == nil || x.tenant.RatePerS <= 0 {
 		return true
 	}
-	cost := limit.Cost(x.tenant, x.in.Header.Get(tokensHeader))
-	charge, wait := x.router.limits.Take(x.in.Context(), x.tenant, cost)
+	cost := limit.Cost(x.tenant, x.req.Header.Get(tokenUsageHeader))
+	charge, wait := x.router.limiter.Take(x.req.Context(), x.tenant, cost)
 	if charge == nil {
-		x.refuseBeyondLimit(wait)
+		x.respondOverLimit(wait)
 		return false
 	}
 	x.charge = charge
@@ -86,13 +91,13 @@
 }
 
 func (x *exchange) readBody() bool {
-	most := x.table.Limits.MaxBodyBytes
-	if most <= 0 {
-		most = defaultBodyBytes
+	maxBytes := x.table.Limits.MaxBodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(bodyReadTimeout))
-	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.in.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.req.Body, maxBytes))
 	_ = control.SetReadDeadline(time.Time{})
 	if err == nil {
 		x.body = body
@@ -100,25 +105,26 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		x.answer(groundBody, http.StatusRequestEntityTooLarge, "body too large")
+		x.respond(reasonBody, http.StatusRequestEntityTooLarge, "body too large")
 		return false
 	}
 	x.w.Header().Set("Connection", "close")
-	x.answer(groundBody, http.StatusBadRequest, "body not read whole")
+	x.respond(reasonBody, http.StatusBadRequest, "body not read whole")
 	return false
 }
 
-// promptKey gives the key by which requests with the same shared prompt meet at one host: the last part that is shared; and
-// the tokens of all that are. The last part of all belongs to the request itself.
-func promptKey(header string) (key string, shared float64) {
+// parsePrefixHash returns the key of the last prompt part that is shared with other requests, so that requests with
+// the same shared prompt are sent to the same host, and the number of tokens in all shared parts. The last part of
+// the header belongs to the request alone, unless it is the only one.
+func parsePrefixHash(header string) (key string, shared float64) {
 	parts := strings.Split(header, ",")
-	own := len(parts) - 1
+	last := len(parts) - 1
 	for i, part := range parts {
 		id, size, _ := strings.Cut(strings.TrimSpace(part), ":")
-		if i < own || own == 0 {
+		if i < last || last == 0 {
 			key = id
 		}
-		if tokens, err := strconv.ParseUint(size, 10, 53); err == nil && i < own {
+		if tokens, err := strconv.ParseUint(size, 10, 53); err == nil && i < last {
 			shared += float64(tokens)
 		}
 	}
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -13,113 +13,121 @@
 )
 
 const (
-	largestBuffered = 1 << 20                // bytes of an answer that is checked whole before it is passed on
-	trustedSilence  = 500 * time.Millisecond // of a host, after which a connection at rest says nothing of it
-	blamedSilence   = time.Second            // of a host, before a time-out counts as its failure
+	// maxBufferedResponse is the size in bytes up to which a response that is not a stream is read completely before it is
+	// passed on.
+	maxBufferedResponse = 1 << 20
+	// maxIdleHostSilence is the silence of a host after which an idle connection does not show that the host is still there.
+	maxIdleHostSilence = 500 * time.Millisecond
+	// minFailureSilence is how long a host must have been silent for a timeout to count as its failure.
+	minFailureSilence = time.Second
 )
 
-// errBeyondLimit says that a request was not sent, as its tenant's limit has nothing left for it.
-var errBeyondLimit = &upstream.Error{Verdict: upstream.NotSent, Err: errors.New("router: beyond the tenant's limit")}
+// errOverLimit reports that a request was not sent because its tenant's limit is exhausted.
+var errOverLimit = &upstream.Error{Execution: upstream.NotSent, Err: errors.New("router: tenant limit exhausted")}
 
-// errGivenUp says that a silent host began its answer just as another one was to be tried.
-var errGivenUp = errors.New("router: the host was given up as its answer began")
+// errHostAbandoned reports that a silent host began its response just as the router had given it up for another one.
+var errHostAbandoned = errors.New("router: host abandoned as its response began")
 
-// attempt sends the request to one host. It reports true once the client has its answer; else the error says why not.
-func (x *exchange) attempt(a *policy.Attempt) (bool, error) {
+// tryHost sends the request to one host. It reports true once the client has its response, otherwise the error says
+// why not.
+func (x *exchange) tryHost(a *policy.Attempt) (bool, error) {
 	outcome := policy.Withdrawn
-	defer func() { x.end(a, outcome) }()
+	defer func() { x.endAttempt(a, outcome) }()
 	conn, err := x.connect(a)
 	if err != nil {
-		if x.in.Context().Err() == nil {
+		if x.req.Context().Err() == nil {
 			outcome = policy.Failed
 		}
 		return false, err
 	}
 	if !x.useCharge() {
 		conn.Close()
-		return false, errBeyondLimit
+		return false, errOverLimit
 	}
-	stopWatch := x.watchHead(a, conn)
-	answer, err := conn.Do(x.outgoing(a), x.deadline)
-	if !stopWatch() && err == nil {
-		// The watch is closing the connection, perhaps only now: the rest of the answer would not come.
-		err = &upstream.Error{Verdict: upstream.MayHaveRun, Err: errGivenUp}
+	stopTimer := x.watchHeader(a, conn)
+	response, err := conn.Do(x.hostRequest(a), x.deadline)
+	if !stopTimer() && err == nil {
+		// The silence timer closes the connection, possibly only now, so the rest of the response would be lost.
+		err = &upstream.Error{Execution: upstream.MaybeExecuted, Err: errHostAbandoned}
 	}
 	if err != nil {
 		conn.Close()
-		outcome = x.blame(a)
+		outcome = x.failureOutcome(a)
 		return false, err
 	}
-	x.service.Heard(a, x.router.now())
-	if answer.Header.Get(notRunHeader) != "" || answer.StatusCode == http.StatusMisdirectedRequest {
+	x.service.RecordActivity(a, x.router.now())
+	if response.Header.Get(notExecutedHeader) != "" || response.StatusCode == http.StatusMisdirectedRequest {
 		outcome = policy.Refused
-		if answer.StatusCode == http.StatusMisdirectedRequest {
+		if response.StatusCode == http.StatusMisdirectedRequest {
 			outcome = policy.Misplaced
 		}
-		if _, err := io.CopyN(io.Discard, answer.Body, largestBuffered); errors.Is(err, io.EOF) {
-			x.router.pool.Put(conn, answer)
+		if _, err := io.CopyN(io.Discard, response.Body, maxBufferedResponse); errors.Is(err, io.EOF) {
+			x.router.pool.Put(conn, response)
 		} else {
 			conn.Close()
 		}
-		return false, &upstream.Error{Verdict: upstream.NotRun, Err: errors.New("refused by the host: " + answer.Status)}
+		return false, &upstream.Error{Execution: upstream.NotExecuted,
+			Err: errors.New("router: host refused the request: " + response.Status)}
 	}
-	if answer.StatusCode == http.StatusOK {
-		x.service.Began(a, x.router.now())
-		x.router.decisions.began(time.Since(x.arrived))
+	if response.StatusCode == http.StatusOK {
+		x.service.RecordResponseStart(a, x.router.now())
+		x.router.metrics.observeResponseStart(time.Since(x.arrivedAt))
 	}
-	if strings.HasPrefix(answer.Header.Get(contentTypeHeader), eventStream) && answer.StatusCode == http.StatusOK {
-		outcome = x.stream(source{a, conn, answer})
+	if strings.HasPrefix(response.Header.Get(contentTypeHeader), eventStreamType) && response.StatusCode == http.StatusOK {
+		outcome = x.stream(streamSource{a, conn, response})
 		return true, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, largestBuffered+1))
-	if err != nil || len(body) > largestBuffered {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse+1))
+	if err != nil || len(body) > maxBufferedResponse {
 		conn.Close()
-		outcome = x.blame(a)
-		return false, &upstream.Error{Verdict: upstream.MayHaveRun, Err: upstream.ErrSpoilt}
+		outcome = x.failureOutcome(a)
+		return false, &upstream.Error{Execution: upstream.MaybeExecuted, Err: upstream.ErrInvalidResponse}
 	}
 	outcome = policy.Served
-	if answer.StatusCode >= http.StatusInternalServerError {
+	if response.StatusCode >= http.StatusInternalServerError {
 		outcome = policy.Failed
 	}
-	x.router.pool.Put(conn, answer)
-	x.copyHead(answer)
+	x.router.pool.Put(conn, response)
+	x.copyHeader(response)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	x.w.WriteHeader(answer.StatusCode)
+	x.w.WriteHeader(response.StatusCode)
 	_, _ = x.w.Write(body)
 	return true, nil
 }
 
-// end takes and counts the outcome of an attempt.
-func (x *exchange) end(a *policy.Attempt, outcome policy.Outcome) {
+// endAttempt records and counts the outcome of an attempt.
+func (x *exchange) endAttempt(a *policy.Attempt, outcome policy.Outcome) {
 	if x.service.End(a, outcome, x.router.now()) {
-		x.router.decisions.attempts[outcome].Inc()
+		x.router.metrics.attempts[outcome].Inc()
 	}
 }
 
-// useCharge is called right before each send, and reports false where the tenant's limit doesn't allow it.
+// useCharge is called right before each send. It reports false if the tenant's limit does not allow the run.
 func (x *exchange) useCharge() bool {
-	x.limited = !x.charge.Use(x.in.Context())
-	return !x.limited
+	x.limitExhausted = !x.charge.Use(x.req.Context())
+	return !x.limitExhausted
 }
 
-// connect gives a connection to an attempt's host. A request that may not run again elsewhere goes over one at rest only
-// if the host was heard of lately: else a host that has gone dark would swallow it.
+// connect returns a connection to the host of an attempt. A request that may not run again on another host uses an
+// idle connection only if the host was active recently; otherwise it would be lost on a host that is no longer
+// reachable.
 func (x *exchange) connect(a *policy.Attempt) (*upstream.Conn, error) {
-	if !x.repeatable() && !x.service.HeardWithin(a, trustedSilence, x.router.now()) {
-		return x.router.pool.Dial(x.in.Context(), a.Host.Address)
+	if !x.isRetryable() && !x.service.ActiveWithin(a, maxIdleHostSilence, x.router.now()) {
+		return x.router.pool.Dial(x.req.Context(), a.Host.Address)
 	}
-	return x.router.pool.Get(x.in.Context(), a.Host.Address)
+	return x.router.pool.Get(x.req.Context(), a.Host.Address)
 }
 
-// blame says how an attempt that brought no whole answer speaks of its host. A client that has left says nothing; a
-// time-out blames only a host that was silent for long enough towards this router altogether: a crowded one answers
-// others, and a try that came late leaves no host a chance.
-func (x *exchange) blame(a *policy.Attempt) policy.Outcome {
-	if x.in.Context().Err() != nil {
+// failureOutcome returns the outcome of an attempt that brought no complete response. If the client has gone, the
+// attempt says nothing about the host. A timeout counts against the host only if it sent nothing at all to this
+// router for some time: an overloaded host still answers other requests, and an attempt that was started late leaves
+// no host enough time.
+func (x *exchange) failureOutcome(a *policy.Attempt) policy.Outcome {
+	if x.req.Context().Err() != nil {
 		return policy.Withdrawn
 	}
 	timedOut := !time.Now().Before(x.deadline)
-	if timedOut && x.router.now()-x.service.SilentSince(a) < blamedSilence {
+	if timedOut && x.router.now()-x.service.LastActivity(a) < minFailureSilence {
 		return policy.Withdrawn
 	}
 	return policy.Failed
--- a/router/budget.go
+++ b/router/budget.go
@@ -9,62 +9,64 @@
 )
 
 const (
-	// earnShare is the part of the rules' retry ratio that each request earns, for as long as one window of the rules. So the
-	// repeats of a window come from the requests of two at most and of what goes by while they are on their way (up to a fifth
-	// of a window), and the requests of two windows are at most twice those of the fuller one: all routers together keep the
-	// rule, however many there are. Its slack is drawn from the owner of the service's shard.
-	earnShare   = 0.45
-	earnedGrain = 250 * time.Millisecond // by which what was earned is told apart
-	// defaultRetryWindow is used where the settings name none.
+	// creditShare is the part of the configured retry ratio that each request adds to the retry budget. A credit
+	// lasts for one window of the rule. The retries of a window therefore come from the requests of at most two
+	// windows, plus those that arrive while the retries are on their way (up to a fifth of a window), and the
+	// requests of two windows are at most twice those of the busier one. So all routers together keep the rule,
+	// however many there are. The slack of the rule is drawn from the owner of the service's shard.
+	creditShare       = 0.45
+	creditGranularity = 250 * time.Millisecond // resolution of the expiry times of credits
+	// defaultRetryWindow applies if the settings have no retry window.
 	defaultRetryWindow = 10 * time.Second
 )
 
-// retryBudgets bounds, for each service, how often requests are sent to a further host, by the requests that this router
-// has served. It is safe for concurrent use.
+// retryBudgets limits, per service, how many requests are sent to a further host, in proportion to the requests that
+// this router has served. It is safe for concurrent use.
 type retryBudgets struct {
-	mu     sync.Mutex
-	earn   float64 // by each request
-	life   time.Duration
-	now    func() time.Duration
-	earned map[string]*expiring.Amounts // by service
+	mu               sync.Mutex
+	creditPerRequest float64 // added by each request
+	creditLifetime   time.Duration
+	now              func() time.Duration
+	credits          map[string]*expiring.Amounts // by service name
 }
 
 func newRetryBudgets(bounds settings.Bounds, now func() time.Duration) *retryBudgets {
-	life := time.Duration(bounds.RetryWindowS * float64(time.Second))
-	if life <= 0 {
-		life = defaultRetryWindow
+	creditLifetime := time.Duration(bounds.RetryWindowS * float64(time.Second))
+	if creditLifetime <= 0 {
+		creditLifetime = defaultRetryWindow
 	}
-	return &retryBudgets{earn: earnShare * bounds.RetryRatio, life: life, now: now, earned: map[string]*expiring.Amounts{}}
+	return &retryBudgets{creditPerRequest: creditShare * bounds.RetryRatio, creditLifetime: creditLifetime, now: now,
+		credits: map[string]*expiring.Amounts{}}
 }
 
-// of gives what a service has earned. The caller holds b.mu.
-func (b *retryBudgets) of(service string) *expiring.Amounts {
-	if b.earned[service] == nil {
-		b.earned[service] = &expiring.Amounts{}
+// creditsOf returns the unexpired credits of a service. The caller holds b.mu.
+func (b *retryBudgets) creditsOf(service string) *expiring.Amounts {
+	if b.credits[service] == nil {
+		b.credits[service] = &expiring.Amounts{}
 	}
-	s := b.earned[service]
-	s.Expire(b.now())
-	return s
+	credits := b.credits[service]
+	credits.Expire(b.now())
+	return credits
 }
 
-// request counts a client's request for a service.
-func (b *retryBudgets) request(service string) {
+// addRequest adds the credit of one client request to the budget of a service.
+func (b *retryBudgets) addRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).Add(b.earn, b.now()+b.life, earnedGrain)
+	b.creditsOf(service).Add(b.creditPerRequest, b.now()+b.creditLifetime, creditGranularity)
 }
 
-// spend asks for one more send of a request.
+// spend takes one retry from the budget. It reports false if the budget is too small.
 func (b *retryBudgets) spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_, ok := b.of(service).Take(1)
+	_, ok := b.creditsOf(service).Take(1)
 	return ok
 }
 
-// has says whether one more send would be allowed.
-func (b *retryBudgets) has(service string) bool {
+// canSpend reports whether the budget allows one more retry.
+func (b *retryBudgets) canSpend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(service).Sum() >= 1
+	return b.creditsOf(service).Sum() >= 1
 }
--- a/router/budget_test.go
+++ b/router/budget_test.go
@@ -15,42 +15,42 @@
 
 var retryBounds = settings.Bounds{RetryRatio: 0.2, RetryWindowS: retryWindow.Seconds()}
 
-// retryWorld is the budgets of routers on one clock, and what they counted.
-type retryWorld struct {
+// retrySimulation runs the retry budgets of several routers on one virtual clock and records requests and retries.
+type retrySimulation struct {
 	now      time.Duration
-	all      []*retryBudgets
+	budgets  []*retryBudgets
 	requests []time.Duration
-	repeats  []time.Duration
+	retries  []time.Duration
 }
 
-func newRetryWorld(routers int) *retryWorld {
-	w := &retryWorld{all: make([]*retryBudgets, routers)}
-	for i := range w.all {
-		w.restart(i)
+func newRetrySimulation(routers int) *retrySimulation {
+	sim := &retrySimulation{budgets: make([]*retryBudgets, routers)}
+	for i := range sim.budgets {
+		sim.restart(i)
 	}
-	return w
+	return sim
 }
 
-func (w *retryWorld) restart(i int) {
-	w.all[i] = newRetryBudgets(retryBounds, func() time.Duration { return w.now })
+func (sim *retrySimulation) restart(i int) {
+	sim.budgets[i] = newRetryBudgets(retryBounds, func() time.Duration { return sim.now })
 }
 
-func (w *retryWorld) request(i int) {
-	w.all[i].request("s")
-	w.requests = append(w.requests, w.now)
+func (sim *retrySimulation) request(i int) {
+	sim.budgets[i].addRequest("s")
+	sim.requests = append(sim.requests, sim.now)
 }
 
-func (w *retryWorld) repeat(i int) bool {
-	if !w.all[i].spend("s") {
+func (sim *retrySimulation) retry(i int) bool {
+	if !sim.budgets[i].spend("s") {
 		return false
 	}
-	w.repeats = append(w.repeats, w.now)
+	sim.retries = append(sim.retries, sim.now)
 	return true
 }
 
-func within(moments []time.Duration, from time.Duration) float64 {
+func countInWindow(times []time.Duration, from time.Duration) float64 {
 	n := 0.0
-	for _, at := range moments {
+	for _, at := range times {
 		if at >= from && at < from+retryWindow {
 			n++
 		}
@@ -58,78 +58,82 @@
 	return n
 }
 
-// check holds the rule in every window, without any of its slack.
-func (w *retryWorld) check(t *testing.T) {
+// check asserts that every window keeps the retry ratio, without using any slack.
+func (sim *retrySimulation) check(t *testing.T) {
 	t.Helper()
-	for from := time.Duration(0); from < w.now; from += 250 * time.Millisecond {
-		most := max(within(w.requests, from), within(w.requests, from-retryWindow), within(w.requests, from-retryWindow/2))
-		repeats := within(w.repeats, from)
-		assert.Assert(t, repeats <= retryBounds.RetryRatio*most+1e-6, "%v: %v repeats of %v requests", from, repeats, most)
+	for from := time.Duration(0); from < sim.now; from += 250 * time.Millisecond {
+		maxRequests := max(countInWindow(sim.requests, from), countInWindow(sim.requests, from-retryWindow),
+			countInWindow(sim.requests, from-retryWindow/2))
+		retries := countInWindow(sim.retries, from)
+		assert.Assert(t, retries <= retryBounds.RetryRatio*maxRequests+1e-6, "%v: %v retries for %v requests",
+			from, retries, maxRequests)
 	}
 }
 
-// TestRetriesOfAllRoutersKeepTheRule lets routers spend all they may, with requests that move from some to others, in
-// bursts, and with routers that restart: at any number of them, which none is told of.
-func TestRetriesOfAllRoutersKeepTheRule(t *testing.T) {
+// TestRetriesOfAllRoutersKeepTheRatio lets routers spend their whole budgets while requests arrive in bursts and move
+// from some routers to others, and while routers restart. It does so for several numbers of routers, as no router is
+// told of the others.
+func TestRetriesOfAllRoutersKeepTheRatio(t *testing.T) {
 	for _, routers := range []int{3, 73, 390} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(1, uint64(routers)))
-			w := newRetryWorld(routers)
-			for w.now < 100*time.Second {
-				w.now += 10 * time.Millisecond
-				busy := int(w.now/(7*time.Second)) % 3 // a third of the routers has the requests, and another one next
+			sim := newRetrySimulation(routers)
+			for sim.now < 100*time.Second {
+				sim.now += 10 * time.Millisecond
+				busy := int(sim.now/(7*time.Second)) % 3 // a third of the routers gets the requests, then another third
 				for range random.IntN(10) {
 					i := (random.IntN(routers)/3*3 + busy) % routers
-					w.request(i)
+					sim.request(i)
 				}
 				for range 20 {
-					w.repeat(random.IntN(routers))
+					sim.retry(random.IntN(routers))
 				}
 				if random.IntN(200) == 0 {
-					w.restart(random.IntN(routers))
+					sim.restart(random.IntN(routers))
 				}
 			}
-			assert.Assert(t, len(w.repeats) > len(w.requests)/50, "%d repeats of %d requests show nothing", len(w.repeats), len(w.requests))
-			w.check(t)
+			assert.Assert(t, len(sim.retries) > len(sim.requests)/50, "%d retries for %d requests are too few to test the bound",
+				len(sim.retries), len(sim.requests))
+			sim.check(t)
 		})
 	}
 }
 
-// TestSavedRetriesLastForAWindow saves up in one window and spends all in the next.
-func TestSavedRetriesLastForAWindow(t *testing.T) {
-	w := newRetryWorld(1)
+// TestRetryCreditsLastForOneWindow saves credits in one window and spends them in the next.
+func TestRetryCreditsLastForOneWindow(t *testing.T) {
+	sim := newRetrySimulation(1)
 	spendAll := func() (n int) {
-		for w.repeat(0) {
+		for sim.retry(0) {
 			n++
 		}
 		return n
 	}
-	assert.Equal(t, spendAll(), 0, "a router that has just started has nothing")
+	assert.Equal(t, spendAll(), 0, "a router that has just started has no credits")
 	for range 2 {
 		for range 100 {
-			w.now += 50 * time.Millisecond
-			w.request(0)
+			sim.now += 50 * time.Millisecond
+			sim.request(0)
 		}
 	}
-	w.now += 4 * time.Second
+	sim.now += 4 * time.Second
 	saved := spendAll()
-	assert.Assert(t, saved >= 10 && saved <= 11, "%d of the 120 requests of a window", saved)
+	assert.Assert(t, saved >= 10 && saved <= 11, "%d retries for the 120 requests of a window", saved)
 	for range 100 {
-		w.request(0)
+		sim.request(0)
 	}
-	w.now += retryWindow
-	assert.Equal(t, spendAll(), 0, "what was earned a window ago is gone")
-	w.check(t)
+	sim.now += retryWindow
+	assert.Equal(t, spendAll(), 0, "credits older than a window have expired")
+	sim.check(t)
 }
 
-func TestRetriesAreThereAfterRequests(t *testing.T) {
-	w := newRetryWorld(1)
+func TestRequestsEarnRetries(t *testing.T) {
+	sim := newRetrySimulation(1)
 	for range 25 {
-		w.request(0)
+		sim.request(0)
 	}
-	assert.Assert(t, w.all[0].has("s"))
+	assert.Assert(t, sim.budgets[0].canSpend("s"))
 	for _, allowed := range []bool{true, true, false} {
-		assert.Equal(t, w.repeat(0), allowed, "two after 25 requests")
+		assert.Equal(t, sim.retry(0), allowed, "25 requests earn two retries")
 	}
-	assert.Assert(t, !w.all[0].spend("other"), "each service has its own")
+	assert.Assert(t, !sim.budgets[0].spend("other"), "each service has its own budget")
 }
--- a/router/expiring/amounts.go
+++ b/router/expiring/amounts.go
@@ -1,76 +1,76 @@
-// Package expiring keeps amounts that may be used until some moment each. Time is handed in.
+// Package expiring keeps amounts that may each be used until a given time. The caller passes the current time in.
 package expiring
 
 import "time"
 
-// lot is an amount that may be used until some moment.
+// lot is an amount and the time until which it may be used.
 type lot struct {
 	amount float64
 	until  time.Duration
 }
 
-// Amounts are kept in order, those that end first at the front.
+// Amounts is a list of lots in the order in which they expire.
 type Amounts []lot
 
-// Add puts an amount in, by the moment at which it ends. Amounts that end within grain of each other become one, which
-// ends with the first of them.
-func (s *Amounts) Add(amount float64, until, grain time.Duration) {
+// Add adds an amount that expires at until. Amounts that expire within resolution of each other are merged and expire
+// with the first of them.
+func (a *Amounts) Add(amount float64, until, resolution time.Duration) {
 	if amount <= 0 {
 		return
 	}
-	i := len(*s)
-	for i > 0 && (*s)[i-1].until > until {
+	i := len(*a)
+	for i > 0 && (*a)[i-1].until > until {
 		i--
 	}
-	if i > 0 && (*s)[i-1].until > until-grain {
-		(*s)[i-1].amount += amount
+	if i > 0 && (*a)[i-1].until > until-resolution {
+		(*a)[i-1].amount += amount
 		return
 	}
-	*s = append(*s, lot{})
-	copy((*s)[i+1:], (*s)[i:])
-	(*s)[i] = lot{amount, until}
+	*a = append(*a, lot{})
+	copy((*a)[i+1:], (*a)[i:])
+	(*a)[i] = lot{amount, until}
 }
 
-// Expire drops what may no longer be used.
-func (s *Amounts) Expire(now time.Duration) {
+// Expire removes the lots that have expired.
+func (a *Amounts) Expire(now time.Duration) {
 	i := 0
-	for i < len(*s) && (*s)[i].until <= now {
+	for i < len(*a) && (*a)[i].until <= now {
 		i++
 	}
-	*s = (*s)[i:]
+	*a = (*a)[i:]
 }
 
-// Take removes an amount, where there is as much, and gives the moment at which the first part of it ends.
-func (s *Amounts) Take(amount float64) (until time.Duration, ok bool) {
-	if len(*s) == 0 || s.Sum() < amount {
+// Take removes an amount if there is enough, and returns the time at which its first part expires.
+func (a *Amounts) Take(amount float64) (until time.Duration, ok bool) {
+	if len(*a) == 0 || a.Sum() < amount {
 		return 0, false
 	}
-	until = (*s)[0].until
-	for len(*s) > 0 && (*s)[0].amount <= amount {
-		amount -= (*s)[0].amount
-		*s = (*s)[1:]
+	until = (*a)[0].until
+	for len(*a) > 0 && (*a)[0].amount <= amount {
+		amount -= (*a)[0].amount
+		*a = (*a)[1:]
 	}
-	if len(*s) > 0 {
-		(*s)[0].amount -= amount
+	if len(*a) > 0 {
+		(*a)[0].amount -= amount
 	}
 	return until, true
 }
 
-// TakeAll removes all that there is, and gives the moment at which the first part of it ends.
-func (s *Amounts) TakeAll() (amount float64, until time.Duration) {
-	if len(*s) == 0 {
+// TakeAll removes everything, and returns the time at which its first part expires.
+func (a *Amounts) TakeAll() (amount float64, until time.Duration) {
+	if len(*a) == 0 {
 		return 0, 0
 	}
-	amount, until = s.Sum(), (*s)[0].until
-	*s = (*s)[:0]
+	amount, until = a.Sum(), (*a)[0].until
+	*a = (*a)[:0]
 	return amount, until
 }
 
-// Sum is all that there is.
-func (s *Amounts) Sum() float64 {
+// Sum returns the total amount.
+func (a *Amounts) Sum() float64 {
 	sum := 0.0
-	for _, l := range *s {
-		sum += l.amount
+	for _, entry := range *a {
+		sum += entry.amount
 	}
 	return sum
 }
--- a/router/forward.go
+++ b/router/forward.go
@@ -12,41 +12,41 @@
 	"ivybank/router/upstream"
 )
 
-// mostConnects is how many connections are tried for one request before it is refused.
-const mostConnects = 3
+// maxConnectAttempts is how many connections are tried for one request before it is rejected.
+const maxConnectAttempts = 3
 
-// exchange is one client's request on its way.
+// exchange is one client request while the router handles it.
 type exchange struct {
-	router   *Router
-	w        http.ResponseWriter
-	in       *http.Request
-	table    *table.Table
-	route    *config.Route
-	tenant   *config.Tenant
-	backend  string // name of the service
-	service  *policy.Service
-	body     []byte
-	key      string
-	prompt   float64 // tokens
-	shared   float64 // of these, tokens of parts that other requests share
-	arrived  time.Time
-	deadline time.Time     // of the route or the client, whichever is earlier
-	tried    []string      // ids of hosts
-	charge   *limit.Charge // of the tenant's limit; nil without one
-	limited  bool          // the limit has nothing left for a further run
-	sent     int           // hosts that it was sent to
-	mayRun   bool
+	router         *Router
+	w              http.ResponseWriter
+	req            *http.Request
+	table          *table.Table
+	route          *config.Route
+	tenant         *config.Tenant
+	serviceName    string
+	service        *policy.Service
+	body           []byte
+	promptKey      string
+	promptTokens   float64
+	sharedTokens   float64 // part of promptTokens that is shared with other requests
+	arrivedAt      time.Time
+	deadline       time.Time     // of the route or the client, whichever is earlier
+	triedHosts     []string      // IDs of the hosts tried so far
+	charge         *limit.Charge // against the tenant's limit; nil without a limit
+	limitExhausted bool          // the limit does not allow another run
+	sendCount      int           // number of hosts the request was sent to
+	mayHaveRun     bool          // a host may have run the request
 }
 
-// ServeHTTP serves one request of a client.
-func (r *Router) ServeHTTP(w http.ResponseWriter, in *http.Request) {
+// ServeHTTP handles one client request.
+func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.active.Add(1)
 	defer r.active.Add(-1)
 	if r.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	x := &exchange{router: r, w: w, in: in, arrived: time.Now()}
-	r.awaitStart(in.Context())
+	x := &exchange{router: r, w: w, req: req, arrivedAt: time.Now()}
+	r.awaitServing(req.Context())
 	x.table = r.table.Load()
 	if !x.admit() {
 		return
@@ -54,70 +54,70 @@
 	x.serve()
 }
 
-// serve sends the request to hosts until one answers or nothing more may be done.
+// serve sends the request to hosts until one responds or no further attempt is allowed.
 func (x *exchange) serve() {
-	x.router.retries.request(x.backend)
-	connects := 0
+	x.router.retries.addRequest(x.serviceName)
+	connectAttempts := 0
 	for {
-		if x.in.Context().Err() != nil {
+		if x.req.Context().Err() != nil {
 			x.charge.Return()
 			panic(http.ErrAbortHandler) // the client has gone
 		}
 		if !time.Now().Before(x.deadline) {
-			x.giveUp()
+			x.respondFailure()
 			return
 		}
-		attempt, ok := x.service.Begin(x.request(), x.router.now())
+		attempt, ok := x.service.Begin(x.policyRequest(), x.router.now())
 		if !ok {
-			x.giveUp()
+			x.respondFailure()
 			return
 		}
-		x.tried = append(x.tried, attempt.Host.ID)
-		done, err := x.attempt(attempt)
+		x.triedHosts = append(x.triedHosts, attempt.Host.ID)
+		done, err := x.tryHost(attempt)
 		if done {
 			return
 		}
 		var failure *upstream.Error
 		if !errors.As(err, &failure) {
-			failure = &upstream.Error{Verdict: upstream.MayHaveRun, Err: err}
+			failure = &upstream.Error{Execution: upstream.MaybeExecuted, Err: err}
 		}
-		if x.limited {
-			x.giveUp()
+		if x.limitExhausted {
+			x.respondFailure()
 			return
 		}
-		if failure.Verdict != upstream.MayHaveRun {
-			x.charge.NotRun()
+		if failure.Execution != upstream.MaybeExecuted {
+			x.charge.MarkNotRun()
 		}
-		if failure.Verdict == upstream.NotSent {
-			if connects++; connects >= mostConnects {
-				x.giveUp()
+		if failure.Execution == upstream.NotSent {
+			if connectAttempts++; connectAttempts >= maxConnectAttempts {
+				x.respondFailure()
 				return
 			}
 			continue
 		}
-		x.sent++
-		x.mayRun = x.mayRun || failure.Verdict == upstream.MayHaveRun
-		if x.mayRun && !x.repeatable() || !x.again() {
-			x.giveUp()
+		x.sendCount++
+		x.mayHaveRun = x.mayHaveRun || failure.Execution == upstream.MaybeExecuted
+		if x.mayHaveRun && !x.isRetryable() || !x.reserveRetry() {
+			x.respondFailure()
 			return
 		}
 	}
 }
 
-// request is what the choice of a host needs to know.
-func (x *exchange) request() policy.Request {
-	return policy.Request{Key: x.key, Tokens: x.prompt, Shared: x.shared, Tried: x.tried}
+// policyRequest returns the properties of the request that the choice of a host depends on.
+func (x *exchange) policyRequest() policy.Request {
+	return policy.Request{Key: x.promptKey, Tokens: x.promptTokens, Shared: x.sharedTokens, Tried: x.triedHosts}
 }
 
-// again says whether the request may go to one more host, and counts it if so.
-func (x *exchange) again() bool {
-	if x.sent >= max(1, x.route.MaxAttempts) {
+// reserveRetry reports whether the request may go to one more host, and takes that retry from the budget.
+func (x *exchange) reserveRetry() bool {
+	if x.sendCount >= max(1, x.route.MaxAttempts) {
 		return false
 	}
-	return x.router.retries.spend(x.backend) || x.router.limits.TakeRepeat(x.in.Context(), x.backend)
+	return x.router.retries.spend(x.serviceName) || x.router.limiter.TakeRetry(x.req.Context(), x.serviceName)
 }
 
-// repeatable says whether the request may run more than once.
-func (x *exchange) repeatable() bool {
+// isRetryable reports whether the request may run more than once.
+func (x *exchange) isRetryable() bool {
 	return x.route.Type == config.Idempotent || x.route.Type == config.Streaming && x.route.Resumable
 }
--- a/router/headers.go
+++ b/router/headers.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	deadlineHeader    = "Deadline-Ms"
-	tokensHeader      = "Token-Usage"
-	tenantHeader      = "Tenant"
-	targetHeader      = "Target-Instance"
-	notRunHeader      = "Not-Executed"
-	retryAfterHeader  = "Retry-After"
-	prefixHeader      = "Prefix-Hash"
-	priorityHeader    = "Priority"
-	lastEventHeader   = "Last-Event-Id"
-	contentTypeHeader = "Content-Type"
-	authorization     = "Authorization"
-	eventStream       = "text/event-stream"
-	lowestPriority    = 9
+	deadlineHeader       = "Deadline-Ms"
+	tokenUsageHeader     = "Token-Usage"
+	tenantHeader         = "Tenant"
+	targetInstanceHeader = "Target-Instance"
+	notExecutedHeader    = "Not-Executed"
+	retryAfterHeader     = "Retry-After"
+	prefixHashHeader     = "Prefix-Hash"
+	priorityHeader       = "Priority"
+	lastEventIDHeader    = "Last-Event-Id"
+	contentTypeHeader    = "Content-Type"
+	authorizationHeader  = "Authorization"
+	eventStreamType      = "text/event-stream"
+	lowestPriority       = 9
 )
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
+// hopByHopHeaders apply to one connection only and are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect"}
 
-func dropHopHeaders(h http.Header) {
-	for _, line := range h["Connection"] {
-		for _, name := range strings.Split(line, ",") {
+func removeHopByHopHeaders(h http.Header) {
+	for _, value := range h["Connection"] {
+		for _, name := range strings.Split(value, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		h.Del(name)
 	}
 }
 
-// outgoing makes the request as one host gets it.
-func (x *exchange) outgoing(a *policy.Attempt) *upstream.Request {
-	header := x.in.Header.Clone()
-	dropHopHeaders(header)
-	header.Del(authorization)
+// hostRequest returns the request in the form in which it is sent to the host of an attempt.
+func (x *exchange) hostRequest(a *policy.Attempt) *upstream.Request {
+	header := x.req.Header.Clone()
+	removeHopByHopHeaders(header)
+	header.Del(authorizationHeader)
 	header.Del(tenantHeader)
 	priority := x.route.Priority
 	if x.tenant != nil {
@@ -54,21 +54,21 @@
 			priority = *x.tenant.Priority
 		}
 	}
-	header.Set(targetHeader, a.Host.ID)
+	header.Set(targetInstanceHeader, a.Host.ID)
 	header.Set(deadlineHeader, strconv.FormatInt(max(1, time.Until(x.deadline).Milliseconds()), 10))
 	header.Set(priorityHeader, strconv.Itoa(min(max(0, priority), lowestPriority)))
-	return &upstream.Request{Method: x.in.Method, Target: x.in.RequestURI, Host: x.in.Host, Header: header, Body: x.body}
+	return &upstream.Request{Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Header: header, Body: x.body}
 }
 
-// copyHead hands a host's headers on.
-func (x *exchange) copyHead(answer *http.Response) {
+// copyHeader copies the headers of a host's response to the response for the client.
+func (x *exchange) copyHeader(response *http.Response) {
 	header := x.w.Header()
-	dropHopHeaders(answer.Header)
-	for name, values := range answer.Header {
+	removeHopByHopHeaders(response.Header)
+	for name, values := range response.Header {
 		header[name] = values
 	}
-	if _, told := answer.Header[contentTypeHeader]; !told {
-		header[contentTypeHeader] = nil // else the server would guess one
+	if _, present := response.Header[contentTypeHeader]; !present {
+		header[contentTypeHeader] = nil // otherwise net/http would guess a type
 	}
 	if x.router.stopping.Load() {
 		header.Set("Connection", "close")
--- a/router/limit/account.go
+++ b/router/limit/account.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	demandSpan = 2 * time.Second // over which demand is averaged
-	// usesAhead is how many requests like the one at hand have to be expected soon, before any are drawn ahead: what is drawn
-	// and not used is lost to the tenant.
-	usesAhead    = 2
-	prefetchSpan = 0.15 // seconds of demand that are drawn ahead
+	demandTimeConstant = 2 * time.Second // time constant of the weighted average of the demand
+	// prefetchMinRequests is how many requests of the current cost must be expected within prefetchSeconds before
+	// quota is prefetched: prefetched quota that is not used is lost to the tenant.
+	prefetchMinRequests = 2
+	prefetchSeconds     = 0.15 // seconds of demand to prefetch
 )
 
-// account is one tenant's limit at this router.
+// account is the quota of one limit at this router.
 type account struct {
-	terms     terms            // under which all amounts here were granted
-	ahead     expiring.Amounts // drawn for later requests, or given back
-	spare     expiring.Amounts // earned with grants, for the time without an owner
-	at        time.Duration
-	demand    float64 // a second, averaged
-	emptyTill time.Duration
+	terms      limitTerms       // under which all amounts here were granted
+	prefetched expiring.Amounts // for later requests: prefetched or returned
+	spare      expiring.Amounts // received with grants, for use while no owner answers
+	updatedAt  time.Duration
+	demand     float64       // exponentially weighted average, in units per second
+	emptyUntil time.Duration // the owner has no quota for the limit until then
 }
 
-// advance lets time pass and counts a request.
+// advance moves the account to now and counts a request.
 func (a *account) advance(now time.Duration, cost float64) {
-	a.demand *= math.Exp(-(now - a.at).Seconds() / demandSpan.Seconds())
-	a.demand += cost / demandSpan.Seconds()
-	a.at = now
-	a.ahead.Expire(now)
+	a.demand *= math.Exp(-(now - a.updatedAt).Seconds() / demandTimeConstant.Seconds())
+	a.demand += cost / demandTimeConstant.Seconds()
+	a.updatedAt = now
+	a.prefetched.Expire(now)
 	a.spare.Expire(now)
 }
 
-// want is how much to ask for, for a request.
-func (a *account) want(cost float64) float64 {
-	if soon := a.demand * prefetchSpan; soon >= usesAhead*cost {
-		return cost + soon
+// requestAmount returns how much to request from the owner for a request of this cost.
+func (a *account) requestAmount(cost float64) float64 {
+	if expected := a.demand * prefetchSeconds; expected >= prefetchMinRequests*cost {
+		return cost + expected
 	}
 	return cost
 }
--- a/router/limit/charge.go
+++ b/router/limit/charge.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Charge is what one request has taken from its tenant's limit. Each run at a host uses a charge of its own. A nil Charge
-// is that of a request without a limit. It belongs to the goroutine of its request.
+// Charge is the quota that one request has taken from its tenant's limit. Each run at a host uses a charge of its own.
+// The nil Charge belongs to a request without a limit. Only the goroutine of the request may use a Charge.
 type Charge struct {
-	limiter *Limiter
-	demand  demand
-	from    time.Duration // when it may be used first
-	until   time.Duration // by when it has to be used
-	used    bool
+	limiter    *Limiter
+	demand     quotaDemand
+	validFrom  time.Duration // the charge may not be used before
+	validUntil time.Duration // the charge has to be used by then
+	used       bool
 }
 
-// waitForStart waits until a charge may be used, and reports false where the context ends before.
-func (c *Charge) waitForStart(ctx context.Context) bool {
-	wait := c.from - c.limiter.now()
+// waitUntilValid waits until the charge may be used. It reports false if the context ends first.
+func (c *Charge) waitUntilValid(ctx context.Context) bool {
+	wait := c.validFrom - c.limiter.now()
 	if wait <= 0 {
 		return true
 	}
@@ -31,15 +31,15 @@
 	}
 }
 
-// Use is called right before the request goes to a host. A charge that is spent or has become too old is replaced by a new
-// one; it reports false where the limit has none left, and the request must not be sent.
+// Use must be called right before each send to a host. It replaces a charge that is used up or has expired by a new one.
+// If it reports false, the limit allows no further run and the request must not be sent.
 func (c *Charge) Use(ctx context.Context) bool {
 	if c == nil {
 		return true
 	}
-	if c.used || c.limiter.now() >= c.until {
+	if c.used || c.limiter.now() >= c.validUntil {
 		fresh, _ := c.limiter.take(ctx, c.demand)
-		if fresh == nil || c.limiter.now() >= fresh.until {
+		if fresh == nil || c.limiter.now() >= fresh.validUntil {
 			return false
 		}
 		*c = *fresh
@@ -48,14 +48,14 @@
 	return true
 }
 
-// NotRun tells that the run for which the charge was used did not take place: the host said so, or no byte has left.
-func (c *Charge) NotRun() {
+// MarkNotRun makes a used charge usable again, after a run that did not take place: the host said so, or no byte was sent.
+func (c *Charge) MarkNotRun() {
 	if c != nil {
 		c.used = false
 	}
 }
 
-// Return gives back a charge that was not used. It keeps its age.
+// Return gives back a charge that was not used. The returned quota keeps its expiry time.
 func (c *Charge) Return() {
 	if c == nil || c.used {
 		return
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -1,6 +1,7 @@
-// Package limit keeps tenants' limits at one router: it draws from their owners and says whether a request may run. What
-// it was granted is used within the time that the owner told, from the question on, or not at all. While no owner answers
-// it uses what it has earned with earlier grants, a small part of each. So it needs to know nothing of other routers.
+// Package limit enforces tenants' limits at one router. The router requests quota from the owner of each limit and decides
+// whether a request may run. Granted quota has to be used within the validity that the owner states, counted from the
+// request for it, and is lost otherwise. While no owner answers, the router uses spare quota, a small amount that came with
+// earlier grants. It therefore needs to know nothing of other routers.
 package limit
 
 import (
@@ -16,298 +17,309 @@
 )
 
 const (
-	// ownerPatience is how long a request waits for the owner of its tenant's limit, and relayPatience how long for an answer
-	// by way of another machine, once the owner didn't answer.
-	ownerPatience = 100 * time.Millisecond
-	relayPatience = 60 * time.Millisecond
-	relayedFor    = 1500 * time.Millisecond // questions take that way; by then the agent knows whether its link is up
-	absencePause  = 300 * time.Millisecond  // after no answer that way either, before an owner is asked again
-	shortestRetry = 100 * time.Millisecond
-	absenceRetry  = 600 * time.Millisecond // by then there should be an owner again; later where it has been away for longer
-	longestRetry  = 2 * time.Second
+	// ownerTimeout is how long a client request waits for the owner of its tenant's limit.
+	ownerTimeout = 100 * time.Millisecond
+	// relayTimeout is how long it then waits for a reply relayed by another machine.
+	relayTimeout = 60 * time.Millisecond
+	// relayDuration is how long owners are asked through relays; by then the agent knows whether its own link is up.
+	relayDuration = 1500 * time.Millisecond
+	// noOwnerPause is the time before an owner is asked again once a relayed request has had no reply either.
+	noOwnerPause  = 300 * time.Millisecond
+	minRetryAfter = 100 * time.Millisecond
+	// noOwnerRetryAfter is the time in which a new owner is expected; clients are told to wait for longer if there has been
+	// none for longer.
+	noOwnerRetryAfter = 600 * time.Millisecond
+	maxRetryAfter     = 2 * time.Second
 
-	aheadGrain = 20 * time.Millisecond // by which amounts drawn ahead are told apart
-	spareGrain = time.Second           // and those earned for the time without an owner
-	idleForget = 60 * time.Second
-	leastSweep = 1024 // accounts, from which on idle ones are forgotten
+	prefetchedResolution = 20 * time.Millisecond // of the expiry times of prefetched quota
+	spareResolution      = time.Second           // of the expiry times of spare quota
+	accountIdleTime      = 60 * time.Second
+	minSweepAccounts     = 1024 // number of accounts from which on idle ones are removed
 )
 
-// subject is what a limit is for: a tenant's requests, or the repeats of requests to a service. One name is set.
-type subject struct {
+// limitKey identifies a limit: that of a tenant's requests, or that of the retries of requests to a service. Exactly one
+// name is set.
+type limitKey struct {
 	tenant  string
 	service string
 }
 
-func (s subject) String() string { return s.tenant + s.service }
+func (k limitKey) String() string { return k.tenant + k.service }
 
-// shardState is what this router knows of one shard's owner.
+// shardState is what this router knows of the owner of one shard.
 type shardState struct {
-	relayTill  time.Duration // questions go by way of another machine until then
-	absentTill time.Duration // none are asked until then
-	absentFrom time.Duration // first question without an answer either way since the last answer; 0 for none
+	relayUntil   time.Duration // the owner is asked through a relay until then
+	noOwnerUntil time.Duration // the owner is not asked until then
+	noOwnerSince time.Duration // first request without a reply on either way since the last reply; 0 for none
 }
 
-// Limiter keeps tenants' limits at this router. It is safe for concurrent use.
+// Limiter enforces limits at this router. It is safe for concurrent use.
 type Limiter struct {
-	router                        string
-	life                          uint64 // of this process; answers to an earlier one are dropped
-	start                         time.Time
-	send                          atomic.Pointer[func(*wire.Message) bool]
-	mu                            sync.Mutex
-	refusedByOwner, refusedAbsent int64 // requests, since the start
-	dropped                       int64 // answers to an earlier life, and those that nobody waits for any more
-	accounts                      map[subject]*account
-	sweepAt                       int // number of accounts
-	waiting                       map[uint64]chan *wire.QuotaGrant
-	number                        uint64
-	shards                        [hostlist.Shards]shardState
-	figures                       map[subject]*figures // since they were taken last
+	router                           string
+	incarnation                      uint64 // of this process; replies to an earlier one are dropped
+	startTime                        time.Time
+	send                             atomic.Pointer[func(*wire.Message) bool]
+	mu                               sync.Mutex
+	rejectedByOwner, rejectedNoOwner int64 // requests, since the start
+	droppedReplies                   int64 // replies to an earlier incarnation, and those that nobody waits for any more
+	accounts                         map[limitKey]*account
+	sweepAt                          int // number of accounts at which idle ones are removed next
+	pending                          map[uint64]chan *wire.QuotaGrant
+	lastNumber                       uint64
+	shards                           [hostlist.Shards]shardState
+	stats                            map[limitKey]*usageStats // since the last takeStats
 }
 
-// New makes the limiter of a router that has just started. It has nothing.
+// New returns the limiter of a router that has just started. It holds no quota.
 func New(router string) *Limiter {
-	return &Limiter{router: router, life: wire.NewLife(), start: time.Now(), accounts: map[subject]*account{}, sweepAt: leastSweep,
-		waiting: map[uint64]chan *wire.QuotaGrant{}, figures: map[subject]*figures{}}
+	return &Limiter{router: router, incarnation: wire.NewLife(), startTime: time.Now(), accounts: map[limitKey]*account{},
+		sweepAt: minSweepAccounts, pending: map[uint64]chan *wire.QuotaGrant{}, stats: map[limitKey]*usageStats{}}
 }
 
-// Connect tells how owners are reached.
+// Connect sets the function that sends messages towards owners.
 func (l *Limiter) Connect(send func(*wire.Message) bool) { l.send.Store(&send) }
 
-func (l *Limiter) now() time.Duration { return time.Since(l.start) }
+func (l *Limiter) now() time.Duration { return time.Since(l.startTime) }
 
-// Take charges a request for one run. Where the limit has nothing left it gives nil and when to come back. Without a
-// limit both are zero.
+// Take charges a request for one run. If the limit is exhausted, it returns nil and the time after which the client may
+// retry. Without a limit it returns nil and 0.
 func (l *Limiter) Take(ctx context.Context, t *config.Tenant, cost float64) (*Charge, time.Duration) {
 	if t.RatePerS <= 0 {
 		return nil, 0
 	}
-	return l.take(ctx, demand{subject{tenant: t.Name}, terms{t.Unit, t.RatePerS, t.Burst}, cost})
+	return l.take(ctx, quotaDemand{limitKey{tenant: t.Name}, limitTerms{t.Unit, t.RatePerS, t.Burst}, cost})
 }
 
-// TakeRepeat says whether a request to a service may be sent once more, from what the fleet may repeat whatever its
-// requests are.
-func (l *Limiter) TakeRepeat(ctx context.Context, service string) bool {
-	charge, _ := l.take(ctx, demand{subject: subject{service: service}, cost: 1})
+// TakeRetry reports whether a request to a service may be sent once more. It draws on the fleet's retry slack, which does
+// not depend on the number of requests.
+func (l *Limiter) TakeRetry(ctx context.Context, service string) bool {
+	charge, _ := l.take(ctx, quotaDemand{key: limitKey{service: service}, cost: 1})
 	return charge != nil
 }
 
-// demand is what a request asks of a limit.
-type demand struct {
-	subject subject
-	terms   terms
-	cost    float64
+// quotaDemand is the quota that a client request needs from a limit.
+type quotaDemand struct {
+	key   limitKey
+	terms limitTerms
+	cost  float64
 }
 
-// terms are those of a limit by the configuration in force at this router. What was granted under others is void: a lower
-// limit must not be exceeded by what was earned under the higher one.
-type terms struct {
+// limitTerms are the terms of a limit in the active configuration of this router. Quota that was granted under other terms
+// is void: a lowered limit must not be exceeded with quota from the higher one.
+type limitTerms struct {
 	unit        string
 	rate, burst float64
 }
 
-func (l *Limiter) take(ctx context.Context, d demand) (*Charge, time.Duration) {
+func (l *Limiter) take(ctx context.Context, d quotaDemand) (*Charge, time.Duration) {
 	for {
-		question, charge, wait := l.begin(d)
-		if question == nil {
-			return charge, wait
+		request, charge, retryAfter := l.begin(d)
+		if request == nil {
+			return charge, retryAfter
 		}
-		grant := l.ask(ctx, question)
-		charge, wait, again := l.finish(d, question, grant)
-		if charge != nil && !charge.waitForStart(ctx) {
-			return nil, 0 // its client has gone
+		grant := l.request(ctx, request)
+		charge, retryAfter, again := l.finish(d, request, grant)
+		if charge != nil && !charge.waitUntilValid(ctx) {
+			return nil, 0 // the client has gone
 		}
 		if !again || ctx.Err() != nil {
-			return charge, wait
+			return charge, retryAfter
 		}
 	}
 }
 
-// question is one that is on its way to an owner.
-type question struct {
-	shard   uint32
-	asked   time.Duration
-	relayed bool
-	held    float64       // drawn ahead, which is less than the request costs
-	until   time.Duration // by when that has to be used
-	message *wire.QuotaRequest
-	answer  chan *wire.QuotaGrant
+// ownerRequest is a request for quota on its way to an owner.
+type ownerRequest struct {
+	shard           uint32
+	sentAt          time.Duration
+	relayed         bool
+	prefetched      float64       // quota set aside for the client request, less than its cost
+	prefetchedUntil time.Duration // by when that has to be used
+	message         *wire.QuotaRequest
+	reply           chan *wire.QuotaGrant
 }
 
-// begin decides on a request by what is known here, or makes a question for the owner.
-func (l *Limiter) begin(d demand) (*question, *Charge, time.Duration) {
+// begin decides on a client request with the quota at hand, or else prepares a request to the owner.
+func (l *Limiter) begin(d quotaDemand) (*ownerRequest, *Charge, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	a, f := l.account(d), l.figuresOf(d.subject)
+	a, s := l.account(d), l.statsFor(d.key)
 	a.advance(now, d.cost)
-	if until, ok := a.ahead.Take(d.cost); ok {
-		f.AheadUse += d.cost
-		return nil, l.charge(d, until), 0
+	if until, ok := a.prefetched.Take(d.cost); ok {
+		s.PrefetchedUse += d.cost
+		return nil, l.newCharge(d, until), 0
 	}
-	if now < a.emptyTill {
-		f.RefusedOwner++
-		l.refusedByOwner++
-		return nil, nil, min(max(a.emptyTill-now, shortestRetry), longestRetry)
+	if now < a.emptyUntil {
+		s.RejectedByOwner++
+		l.rejectedByOwner++
+		return nil, nil, min(max(a.emptyUntil-now, minRetryAfter), maxRetryAfter)
 	}
-	shard := hostlist.ShardOf(d.subject.String())
-	if now < l.shards[shard].absentTill {
-		charge, wait := l.withoutOwner(d, a, now)
-		return nil, charge, wait
+	shard := hostlist.ShardOf(d.key.String())
+	if now < l.shards[shard].noOwnerUntil {
+		charge, retryAfter := l.chargeSpare(d, a, now)
+		return nil, charge, retryAfter
 	}
-	l.number++
-	f.Asked++
-	q := &question{shard: shard, asked: now, relayed: now < l.shards[shard].relayTill, answer: make(chan *wire.QuotaGrant, 1)}
-	q.held, q.until = a.ahead.TakeAll()
-	q.message = &wire.QuotaRequest{Router: l.router, Life: l.life, Shard: shard, Number: l.number, Tenant: d.subject.tenant,
-		Service: d.subject.service, Need: d.cost - q.held, Want: a.want(d.cost) - q.held, Relay: q.relayed}
-	l.waiting[l.number] = q.answer
+	l.lastNumber++
+	s.OwnerRequests++
+	q := &ownerRequest{shard: shard, sentAt: now, relayed: now < l.shards[shard].relayUntil,
+		reply: make(chan *wire.QuotaGrant, 1)}
+	q.prefetched, q.prefetchedUntil = a.prefetched.TakeAll()
+	q.message = &wire.QuotaRequest{Router: l.router, Life: l.incarnation, Shard: shard, Number: l.lastNumber,
+		Tenant: d.key.tenant, Service: d.key.service, Need: d.cost - q.prefetched, Want: a.requestAmount(d.cost) - q.prefetched, Relay: q.relayed}
+	l.pending[l.lastNumber] = q.reply
 	return q, nil, 0
 }
 
-// ask sends a question and waits for its answer; nil where none comes in time.
-func (l *Limiter) ask(ctx context.Context, q *question) *wire.QuotaGrant {
+// request sends a request to the owner and waits for its reply; it returns nil if none comes in time.
+func (l *Limiter) request(ctx context.Context, q *ownerRequest) *wire.QuotaGrant {
 	if send := l.send.Load(); send != nil {
 		(*send)(&wire.Message{QuotaRequest: q.message})
 	}
-	limit := ownerPatience
+	timeout := ownerTimeout
 	if q.relayed {
-		limit = relayPatience
+		timeout = relayTimeout
 	}
-	patience := time.NewTimer(limit)
-	defer patience.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case grant := <-q.answer:
+	case grant := <-q.reply:
 		return grant
-	case <-patience.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return nil
 }
 
-// finish decides on a request by the owner's answer, or by its silence. again says that the question goes another way.
-func (l *Limiter) finish(d demand, q *question, grant *wire.QuotaGrant) (c *Charge, wait time.Duration, again bool) {
+// finish decides on a client request by the owner's reply; a nil grant means that none came. again reports that the owner
+// has to be asked once more, through a relay.
+func (l *Limiter) finish(d quotaDemand, q *ownerRequest, grant *wire.QuotaGrant) (
+	c *Charge, retryAfter time.Duration, again bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, q.message.Number)
+	delete(l.pending, q.message.Number)
 	now := l.now()
-	a, f := l.account(d), l.figuresOf(d.subject)
+	a, s := l.account(d), l.statsFor(d.key)
 	if grant == nil {
-		f.Unanswered++
-		a.ahead.Add(q.held, q.until, aheadGrain)
-		return l.unanswered(d, a, q, now)
+		s.OwnerTimeouts++
+		a.prefetched.Add(q.prefetched, q.prefetchedUntil, prefetchedResolution)
+		return l.handleTimeout(d, a, q, now)
 	}
-	l.shards[q.shard].absentFrom = 0
+	l.shards[q.shard].noOwnerSince = 0
 	if grant.Granted < q.message.Need {
-		f.RefusedOwner++
-		l.refusedByOwner++
-		a.ahead.Add(q.held, q.until, aheadGrain)
-		wait = time.Duration(grant.EmptyMS) * time.Millisecond
-		a.emptyTill = now + wait
-		return nil, min(max(wait, shortestRetry), longestRetry), false
+		s.RejectedByOwner++
+		l.rejectedByOwner++
+		a.prefetched.Add(q.prefetched, q.prefetchedUntil, prefetchedResolution)
+		retryAfter = time.Duration(grant.EmptyMS) * time.Millisecond
+		a.emptyUntil = now + retryAfter
+		return nil, min(max(retryAfter, minRetryAfter), maxRetryAfter), false
 	}
 	delay := time.Duration(grant.DelayMS) * time.Millisecond
-	until := q.asked + delay + time.Duration(grant.ValidMS)*time.Millisecond
-	a.ahead.Add(grant.Granted-q.message.Need, until, aheadGrain)
-	a.spare.Add(grant.Spare, q.asked+quota.SpareLife, spareGrain)
-	f.OwnerUse += q.message.Need
-	f.AheadUse += q.held
-	if q.held > 0 {
-		until = min(until, q.until)
+	until := q.sentAt + delay + time.Duration(grant.ValidMS)*time.Millisecond
+	a.prefetched.Add(grant.Granted-q.message.Need, until, prefetchedResolution)
+	a.spare.Add(grant.Spare, q.sentAt+quota.SpareLife, spareResolution)
+	s.OwnerUse += q.message.Need
+	s.PrefetchedUse += q.prefetched
+	if q.prefetched > 0 {
+		until = min(until, q.prefetchedUntil)
 	}
-	c = l.charge(d, until)
-	c.from = now + delay
+	c = l.newCharge(d, until)
+	c.validFrom = now + delay
 	return c, 0, false
 }
 
-// unanswered decides on a request whose owner is silent. The first silence has others of this machine's fleet asked.
-func (l *Limiter) unanswered(d demand, a *account, q *question, now time.Duration) (*Charge, time.Duration, bool) {
+// handleTimeout decides on a client request to which the owner did not reply. After the first timeout the owner is asked
+// through other machines of the fleet. The caller holds l.mu.
+func (l *Limiter) handleTimeout(d quotaDemand, a *account, q *ownerRequest, now time.Duration) (*Charge, time.Duration, bool) {
 	s := &l.shards[q.shard]
 	if !q.relayed {
-		s.relayTill = max(s.relayTill, q.asked+relayedFor)
-		return nil, absenceRetry, now < s.relayTill
+		s.relayUntil = max(s.relayUntil, q.sentAt+relayDuration)
+		return nil, noOwnerRetryAfter, now < s.relayUntil
 	}
-	s.absentTill = max(s.absentTill, q.asked+absencePause)
-	if s.absentFrom == 0 {
-		s.absentFrom = q.asked
+	s.noOwnerUntil = max(s.noOwnerUntil, q.sentAt+noOwnerPause)
+	if s.noOwnerSince == 0 {
+		s.noOwnerSince = q.sentAt
 	}
-	charge, wait := l.withoutOwner(d, a, now)
-	return charge, wait, false
+	charge, retryAfter := l.chargeSpare(d, a, now)
+	return charge, retryAfter, false
 }
 
-// withoutOwner charges what was earned with earlier grants. The caller holds l.mu.
-func (l *Limiter) withoutOwner(d demand, a *account, now time.Duration) (*Charge, time.Duration) {
-	f := l.figuresOf(d.subject)
+// chargeSpare charges spare quota. The caller holds l.mu.
+func (l *Limiter) chargeSpare(d quotaDemand, a *account, now time.Duration) (*Charge, time.Duration) {
+	s := l.statsFor(d.key)
 	a.spare.Expire(now)
 	until, ok := a.spare.Take(d.cost)
 	if !ok {
-		f.RefusedAbsent++
-		l.refusedAbsent++
-		return nil, l.absenceRetry(d, now)
+		s.RejectedNoOwner++
+		l.rejectedNoOwner++
+		return nil, l.retryAfterNoOwner(d, now)
 	}
-	f.LocalUse += d.cost
-	return l.charge(d, until), 0
+	s.SpareUse += d.cost
+	return l.newCharge(d, until), 0
 }
 
-// absenceRetry is when to come back while no owner answers: what has lasted for long may last for as long again.
-func (l *Limiter) absenceRetry(d demand, now time.Duration) time.Duration {
-	away := now - l.shards[hostlist.ShardOf(d.subject.String())].absentFrom
-	return min(max(away, absenceRetry), longestRetry)
+// retryAfterNoOwner returns when a client may retry while no owner answers. It grows with the outage, as one that has
+// lasted for long may last for as long again.
+func (l *Limiter) retryAfterNoOwner(d quotaDemand, now time.Duration) time.Duration {
+	outage := now - l.shards[hostlist.ShardOf(d.key.String())].noOwnerSince
+	return min(max(outage, noOwnerRetryAfter), maxRetryAfter)
 }
 
-func (l *Limiter) charge(d demand, until time.Duration) *Charge {
-	return &Charge{limiter: l, demand: d, until: until}
+func (l *Limiter) newCharge(d quotaDemand, until time.Duration) *Charge {
+	return &Charge{limiter: l, demand: d, validUntil: until}
 }
 
-// Granted takes an owner's answer.
-func (l *Limiter) Granted(g *wire.QuotaGrant) {
+// HandleGrant delivers an owner's reply to the request that waits for it.
+func (l *Limiter) HandleGrant(g *wire.QuotaGrant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	answer := l.waiting[g.Number]
-	if answer == nil || g.Router != l.router || g.Life != l.life {
-		l.dropped++
+	reply := l.pending[g.Number]
+	if reply == nil || g.Router != l.router || g.Life != l.incarnation {
+		l.droppedReplies++
 		return
 	}
-	delete(l.waiting, g.Number)
-	answer <- g
+	delete(l.pending, g.Number)
+	reply <- g
 }
 
-// Refused says how many requests were refused since the start, by owners' answers and for want of an owner.
-func (l *Limiter) Refused() (byOwner, absent int64) {
+// RejectionCounts returns how many requests were rejected since the start: by owners' replies, and because no owner
+// answered.
+func (l *Limiter) RejectionCounts() (byOwner, noOwner int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.refusedByOwner, l.refusedAbsent
+	return l.rejectedByOwner, l.rejectedNoOwner
 }
 
-// giveBack returns what a request took that has not run, as old as it is.
+// giveBack returns the quota of a request that has not run to its account, with its expiry time.
 func (l *Limiter) giveBack(c *Charge) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(c.demand)
-	a.ahead.Add(c.demand.cost, c.until, aheadGrain)
-	l.figuresOf(c.demand.subject).GivenBack += c.demand.cost
+	a.prefetched.Add(c.demand.cost, c.validUntil, prefetchedResolution)
+	l.statsFor(c.demand.key).Returned += c.demand.cost
 }
 
-// account gives the account of a subject, empty where its terms have changed. The caller holds l.mu.
-func (l *Limiter) account(d demand) *account {
-	a := l.accounts[d.subject]
+// account returns the account of a limit, an empty one if its terms have changed. The caller holds l.mu.
+func (l *Limiter) account(d quotaDemand) *account {
+	a := l.accounts[d.key]
 	if a == nil || a.terms != d.terms {
-		l.forgetIdle()
-		a = &account{terms: d.terms, at: l.now()}
-		l.accounts[d.subject] = a
+		l.removeIdle()
+		a = &account{terms: d.terms, updatedAt: l.now()}
+		l.accounts[d.key] = a
 	}
 	return a
 }
 
-// forgetIdle drops accounts that have not been used for long, where there are many.
-func (l *Limiter) forgetIdle() {
+// removeIdle removes accounts that have not been used for long, once there are many. The caller holds l.mu.
+func (l *Limiter) removeIdle() {
 	if len(l.accounts) < l.sweepAt {
 		return
 	}
 	now := l.now()
-	for name, a := range l.accounts {
-		if now > a.at+idleForget {
-			delete(l.accounts, name)
+	for key, a := range l.accounts {
+		if now > a.updatedAt+accountIdleTime {
+			delete(l.accounts, key)
 		}
 	}
-	l.sweepAt = max(leastSweep, 2*len(l.accounts))
+	l.sweepAt = max(minSweepAccounts, 2*len(l.accounts))
 }
--- a/router/limit/limiter_test.go
+++ b/router/limit/limiter_test.go
@@ -11,40 +11,40 @@
 	"ivybank/wire"
 )
 
-// scriptedOwner answers questions as a test says.
+// scriptedOwner replies to requests as the test says.
 type scriptedOwner struct {
-	limiter   *Limiter
-	questions []*wire.QuotaRequest
-	answer    func(q *wire.QuotaRequest) *wire.QuotaGrant // nil for silence
+	limiter  *Limiter
+	requests []*wire.QuotaRequest
+	reply    func(q *wire.QuotaRequest) *wire.QuotaGrant // returns nil for no reply
 }
 
 func newScriptedOwner() *scriptedOwner {
 	o := &scriptedOwner{limiter: New("n")}
 	o.limiter.Connect(func(m *wire.Message) bool {
-		o.questions = append(o.questions, m.QuotaRequest)
-		if grant := o.answer(m.QuotaRequest); grant != nil {
-			o.limiter.Granted(grant)
+		o.requests = append(o.requests, m.QuotaRequest)
+		if grant := o.reply(m.QuotaRequest); grant != nil {
+			o.limiter.HandleGrant(grant)
 		}
 		return true
 	})
 	return o
 }
 
-// grantTo answers a question with an amount.
+// grantTo returns a grant of an amount to a request, with a tenth of it as spare quota.
 func grantTo(q *wire.QuotaRequest, amount float64) *wire.QuotaGrant {
 	return &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: amount, Spare: amount / 10, ValidMS: 400}
 }
 
-func silence(*wire.QuotaRequest) *wire.QuotaGrant { return nil }
+func noReply(*wire.QuotaRequest) *wire.QuotaGrant { return nil }
 
-func whatIsNeeded(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, q.Need) }
+func grantNeed(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, q.Need) }
 
 func tenantWith(rate float64) *config.Tenant {
 	return &config.Tenant{Name: "t", RatePerS: rate, Burst: rate}
 }
 
-// takes says whether a request of this cost may run now.
-func (o *scriptedOwner) takes(t *testing.T, cost float64) bool {
+// admits reports whether a request of this cost may run now.
+func (o *scriptedOwner) admits(t *testing.T, cost float64) bool {
 	t.Helper()
 	c, _ := o.limiter.Take(t.Context(), tenantWith(100), cost)
 	return c != nil && c.Use(t.Context())
@@ -63,168 +63,168 @@
 	assert.Equal(t, Cost(&config.Tenant{Unit: config.TokenUnit}, ""), 1.0, "without plain_tokens")
 }
 
-// A grant that answers an earlier life of the router, which numbers its requests alike, is dropped and counted.
-func TestGrantToAnEarlierLifeOfTheRouterIsDropped(t *testing.T) {
+// A grant to an earlier incarnation of the router, which numbered its requests alike, is dropped and counted.
+func TestGrantToEarlierIncarnationIsDropped(t *testing.T) {
 	o := newScriptedOwner()
-	o.answer = func(q *wire.QuotaRequest) *wire.QuotaGrant {
-		o.limiter.Granted(&wire.QuotaGrant{Router: "n", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life + 2})
-		o.limiter.Granted(&wire.QuotaGrant{Router: "other", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life})
-		assert.Equal(t, len(o.limiter.waiting), 1, "a grant to somebody else was taken")
+	o.reply = func(q *wire.QuotaRequest) *wire.QuotaGrant {
+		o.limiter.HandleGrant(&wire.QuotaGrant{Router: "n", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life + 2})
+		o.limiter.HandleGrant(&wire.QuotaGrant{Router: "other", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life})
+		assert.Equal(t, len(o.limiter.pending), 1, "a grant to another router or incarnation was accepted")
 		return grantTo(q, 5)
 	}
-	assert.Assert(t, o.takes(t, 5))
-	o.limiter.Granted(grantTo(o.questions[0], 5))
-	assert.Equal(t, o.limiter.dropped, int64(3), "the last one came twice")
-	assert.Equal(t, o.limiter.accounts[subject{tenant: "t"}].ahead.Sum(), 0.0)
+	assert.Assert(t, o.admits(t, 5))
+	o.limiter.HandleGrant(grantTo(o.requests[0], 5))
+	assert.Equal(t, o.limiter.droppedReplies, int64(3), "the last grant arrived twice")
+	assert.Equal(t, o.limiter.accounts[limitKey{tenant: "t"}].prefetched.Sum(), 0.0)
 }
 
-// What was granted may be used until it is as old as the owner said, counted from the question.
-func TestChargeThatIsTooOldIsTakenAnew(t *testing.T) {
+// A grant may be used until it has reached the age that the owner stated, counted from the request for it.
+func TestExpiredChargeIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newScriptedOwner()
-		o.answer = whatIsNeeded
+		o.reply = grantNeed
 		for _, wait := range []time.Duration{0, 399 * time.Millisecond, 400 * time.Millisecond, time.Minute} {
-			o.questions = nil
+			o.requests = nil
 			c, _ := o.limiter.Take(t.Context(), tenantWith(100), 5)
 			time.Sleep(wait)
 			assert.Assert(t, c.Use(t.Context()))
-			questions := 1
+			requests := 1
 			if wait >= 400*time.Millisecond {
-				questions = 2
+				requests = 2
 			}
-			assert.Equal(t, len(o.questions), questions, "%v", wait)
+			assert.Equal(t, len(o.requests), requests, "%v", wait)
 		}
 		c, _ := o.limiter.Take(t.Context(), tenantWith(100), 5)
 		time.Sleep(time.Second)
-		o.answer = func(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, 0) }
-		assert.Assert(t, !c.Use(t.Context()), "nothing is left")
+		o.reply = func(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, 0) }
+		assert.Assert(t, !c.Use(t.Context()), "the limit is exhausted")
 	})
 }
 
-// An answer that took so long that it is too old at once lets nothing in.
-func TestGrantThatComesTooLateIsNotUsed(t *testing.T) {
+// A grant that has expired on arrival admits nothing.
+func TestLateGrantIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newScriptedOwner()
-		o.answer = func(q *wire.QuotaRequest) *wire.QuotaGrant {
+		o.reply = func(q *wire.QuotaRequest) *wire.QuotaGrant {
 			time.Sleep(30 * time.Millisecond)
 			grant := grantTo(q, q.Need)
 			grant.ValidMS = 30
 			return grant
 		}
-		assert.Assert(t, !o.takes(t, 5))
+		assert.Assert(t, !o.admits(t, 5))
 	})
 }
 
 func TestEachRunIsCharged(t *testing.T) {
 	o := newScriptedOwner()
-	o.answer = whatIsNeeded
+	o.reply = grantNeed
 	c, _ := o.limiter.Take(t.Context(), tenantWith(100), 5)
 	for run := 1; run <= 3; run++ {
 		assert.Assert(t, c.Use(t.Context()))
-		assert.Equal(t, len(o.questions), run)
-		assert.Assert(t, c.Use(t.Context()), "a further run without a word that the one before did not take place")
+		assert.Equal(t, len(o.requests), run)
+		assert.Assert(t, c.Use(t.Context()), "a further run, with no report that the previous one did not take place")
 		run++
-		c.NotRun()
+		c.MarkNotRun()
 		assert.Assert(t, c.Use(t.Context()))
-		assert.Equal(t, len(o.questions), run, "a run that did not take place costs nothing more")
+		assert.Equal(t, len(o.requests), run, "a run that did not take place costs nothing more")
 	}
 }
 
-// What is given back once, by a request that has not run, is as old as it was.
-func TestGivenBackKeepsItsAge(t *testing.T) {
+// Quota that is returned by a request that has not run keeps its expiry time, and is returned only once.
+func TestReturnedChargeKeepsItsExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newScriptedOwner()
-		o.answer = whatIsNeeded
+		o.reply = grantNeed
 		for _, wait := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond} {
 			c, _ := o.limiter.Take(t.Context(), tenantWith(100), 5)
 			time.Sleep(300 * time.Millisecond)
 			c.Return()
 			c.Return()
 			time.Sleep(wait - 300*time.Millisecond)
-			o.questions = nil
-			assert.Assert(t, o.takes(t, 5))
-			asked := 0
+			o.requests = nil
+			assert.Assert(t, o.admits(t, 5))
+			requestCount := 0
 			if wait > 400*time.Millisecond {
-				asked = 1
+				requestCount = 1
 			}
-			assert.Equal(t, len(o.questions), asked, "%v", wait)
-			assert.Assert(t, o.takes(t, 5))
-			assert.Equal(t, len(o.questions), asked+1, "what was given back twice counts once")
+			assert.Equal(t, len(o.requests), requestCount, "%v", wait)
+			assert.Assert(t, o.admits(t, 5))
+			assert.Equal(t, len(o.requests), requestCount+1, "a charge that is returned twice counts once")
 			time.Sleep(time.Second)
 		}
 		c, _ := o.limiter.Take(t.Context(), tenantWith(100), 5)
 		assert.Assert(t, c.Use(t.Context()))
 		c.Return()
-		assert.Equal(t, o.limiter.accounts[subject{tenant: "t"}].ahead.Sum(), 0.0, "a charge that was used is not given back")
+		assert.Equal(t, o.limiter.accounts[limitKey{tenant: "t"}].prefetched.Sum(), 0.0, "a used charge is not returned")
 	})
 }
 
-// While no owner answers, a router uses what it has earned with grants of the last half minute and nothing more: at once,
-// whole requests only. One that has just started has earned nothing.
-func TestWithoutAnOwner(t *testing.T) {
+// While no owner answers, a router admits whole requests on the spare quota of the last 30 s, at once, and no more. A
+// router that has just started has no spare quota.
+func TestSpareQuotaWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newScriptedOwner()
-		o.answer = silence
-		assert.Assert(t, !o.takes(t, 1), "a router that has just started")
-		time.Sleep(relayedFor)
-		o.answer = whatIsNeeded
+		o.reply = noReply
+		assert.Assert(t, !o.admits(t, 1), "a router that has just started")
+		time.Sleep(relayDuration)
+		o.reply = grantNeed
 		for range 10 {
-			assert.Assert(t, o.takes(t, 50))
+			assert.Assert(t, o.admits(t, 50))
 		}
-		o.answer = silence
+		o.reply = noReply
 		used := 0.0
 		for range 100 {
-			if o.takes(t, 20) {
+			if o.admits(t, 20) {
 				used += 20
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Equal(t, used, 40.0, "a tenth of 500, whole requests")
-		o.answer = whatIsNeeded
-		time.Sleep(relayedFor)
+		assert.Equal(t, used, 40.0, "a tenth of 500, in whole requests")
+		o.reply = grantNeed
+		time.Sleep(relayDuration)
 		for range 10 {
-			assert.Assert(t, o.takes(t, 50))
+			assert.Assert(t, o.admits(t, 50))
 		}
-		o.answer = silence
+		o.reply = noReply
 		time.Sleep(31 * time.Second)
-		assert.Assert(t, !o.takes(t, 20), "earned too long ago")
+		assert.Assert(t, !o.admits(t, 20), "spare quota has expired")
 	})
 }
 
-// A silent owner is asked by way of another machine at once, and left alone for a while when that brings nothing either.
-func TestSilentOwnerIsAskedByWayOfOthers(t *testing.T) {
+// An owner that does not answer is asked through another machine at once. If that fails too, it is not asked for a
+// while.
+func TestSilentOwnerIsAskedThroughRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newScriptedOwner()
-		o.answer = func(q *wire.QuotaRequest) *wire.QuotaGrant {
+		o.reply = func(q *wire.QuotaRequest) *wire.QuotaGrant {
 			if !q.Relay {
 				return nil
 			}
 			return grantTo(q, q.Need)
 		}
-		began := time.Now()
-		assert.Assert(t, o.takes(t, 5))
-		assert.Equal(t, time.Since(began), ownerPatience)
-		assert.Equal(t, len(o.questions), 2)
-		assert.Assert(t, !o.questions[0].Relay && o.questions[1].Relay)
-		assert.Assert(t, o.takes(t, 5))
-		assert.Equal(t, time.Since(began), ownerPatience, "the next one knows")
-		o.answer = silence
-		assert.Assert(t, !o.takes(t, 5))
-		assert.Equal(t, time.Since(began), ownerPatience+relayPatience)
-		asked := len(o.questions)
-		assert.Assert(t, !o.takes(t, 5))
-		assert.Equal(t, len(o.questions), asked, "nobody is asked for a while")
-		assert.Equal(t, time.Since(began), ownerPatience+relayPatience)
-		time.Sleep(relayedFor)
-		o.answer = whatIsNeeded
-		assert.Assert(t, o.takes(t, 5))
-		assert.Assert(t, !o.questions[len(o.questions)-1].Relay, "after a while the straight way again")
+		start := time.Now()
+		assert.Assert(t, o.admits(t, 5))
+		assert.Equal(t, time.Since(start), ownerTimeout)
+		assert.Equal(t, len(o.requests), 2)
+		assert.Assert(t, !o.requests[0].Relay && o.requests[1].Relay)
+		assert.Assert(t, o.admits(t, 5))
+		assert.Equal(t, time.Since(start), ownerTimeout, "the next request uses the relay at once")
+		o.reply = noReply
+		assert.Assert(t, !o.admits(t, 5))
+		assert.Equal(t, time.Since(start), ownerTimeout+relayTimeout)
+		requestCount := len(o.requests)
+		assert.Assert(t, !o.admits(t, 5))
+		assert.Equal(t, len(o.requests), requestCount, "the owner is not asked for a while")
+		assert.Equal(t, time.Since(start), ownerTimeout+relayTimeout)
+		time.Sleep(relayDuration)
+		o.reply = grantNeed
+		assert.Assert(t, o.admits(t, 5))
+		assert.Assert(t, !o.requests[len(o.requests)-1].Relay, "the owner is asked directly again after a while")
 	})
 }
 
-// What was granted under other terms may not be used: neither what was drawn ahead, nor what was earned for the time without
-// an owner.
-func TestAmountsUnderOtherTermsAreVoid(t *testing.T) {
+// Quota that was granted under other terms must not be used: neither prefetched nor spare quota.
+func TestQuotaUnderOtherTermsIsVoid(t *testing.T) {
 	for name, change := range map[string]func(*config.Tenant){
 		"unit":  func(t *config.Tenant) { t.Unit = config.TokenUnit },
 		"rate":  func(t *config.Tenant) { t.RatePerS = 10 },
@@ -233,52 +233,52 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				o := newScriptedOwner()
-				o.answer = func(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, 1000) }
-				assert.Assert(t, o.takes(t, 5))
-				assert.Assert(t, o.takes(t, 5))
-				assert.Equal(t, len(o.questions), 1, "the second one was drawn ahead")
+				o.reply = func(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, 1000) }
+				assert.Assert(t, o.admits(t, 5))
+				assert.Assert(t, o.admits(t, 5))
+				assert.Equal(t, len(o.requests), 1, "the second request used prefetched quota")
 				changed := tenantWith(100)
 				change(changed)
-				o.answer = silence
+				o.reply = noReply
 				c, _ := o.limiter.Take(t.Context(), changed, 5)
 				assert.Assert(t, c == nil)
-				assert.Equal(t, len(o.questions), 3, "an owner is asked, both ways")
+				assert.Equal(t, len(o.requests), 3, "the owner is asked directly and through a relay")
 			})
 		})
 	}
 }
 
-// What is drawn ahead and not used is lost, so it is only drawn where requests follow closely.
-func TestDrawnAheadOnlyWhereRequestsFollow(t *testing.T) {
+// Prefetched quota that is not used is lost, so quota is prefetched only if requests follow closely.
+func TestPrefetchOnlyIfRequestsFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newScriptedOwner()
-		o.answer = func(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, q.Want) }
+		o.reply = func(q *wire.QuotaRequest) *wire.QuotaGrant { return grantTo(q, q.Want) }
 		for range 20 {
-			assert.Assert(t, o.takes(t, 9000))
+			assert.Assert(t, o.admits(t, 9000))
 			time.Sleep(500 * time.Millisecond)
 		}
-		for _, q := range o.questions {
+		for _, q := range o.requests {
 			assert.Equal(t, q.Want, q.Need)
 		}
-		o.questions = nil
+		o.requests = nil
 		for range 400 {
-			assert.Assert(t, o.takes(t, 1000))
+			assert.Assert(t, o.admits(t, 1000))
 			time.Sleep(5 * time.Millisecond)
 		}
-		assert.Assert(t, len(o.questions) < 200, "%d questions for 400 requests", len(o.questions))
+		assert.Assert(t, len(o.requests) < 200, "%d requests to the owner for 400 client requests", len(o.requests))
 	})
 }
 
-func TestManyTenantsAreForgottenOnceIdle(t *testing.T) {
+func TestIdleAccountsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newScriptedOwner()
-		o.answer = whatIsNeeded
-		for i := range 5 * leastSweep {
+		o.reply = grantNeed
+		for i := range 5 * minSweepAccounts {
 			tenant := &config.Tenant{Name: string(rune('A'+i%26)) + time.Duration(i).String(), RatePerS: 1}
 			c, _ := o.limiter.Take(t.Context(), tenant, 1)
 			assert.Assert(t, c != nil)
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Assert(t, len(o.limiter.accounts) <= 2*leastSweep, "%d accounts", len(o.limiter.accounts))
+		assert.Assert(t, len(o.limiter.accounts) <= 2*minSweepAccounts, "%d accounts", len(o.limiter.accounts))
 	})
 }
--- a/router/decisions_test.go
+++ b/router/metrics_test.go
@@ -12,23 +12,23 @@
 	"ivybank/internal/figures"
 )
 
-// Each end of a request by the router itself is counted on its ground, and each attempt by its outcome.
-func TestDecisionsAreCounted(t *testing.T) {
-	good := newRawHost(t, "h1", serveWell)
-	r, server := newCrossing(t, good)
+// Each request that the router ends itself is counted by reason, and each attempt by outcome.
+func TestMetricsCountReasonsAndOutcomes(t *testing.T) {
+	host := newFakeHost(t, "h1", respondOK)
+	r, server := newTestRouter(t, host)
 	post(t, t.Context(), server, "/unsafe/x", "u1", nil)
 	assert.Equal(t, post(t, t.Context(), server, "/nowhere/x", "u2", nil).status, http.StatusNotFound)
 
 	var text bytes.Buffer
-	r.decisions.write(t.Context(), &text)
+	r.metrics.write(t.Context(), &text)
 	for _, line := range []string{`ivybank_router_requests_ended_total{ground="no_route"} 1`, `ivybank_router_requests_ended_total{ground="no_host"} 0`,
 		`ivybank_router_attempts_total{outcome="served"} 1`, `ivybank_router_requests_moved_total{cause="silent_before_answer"} 0`,
 		`ivybank_router_limit_refusals_total{by="no_owner"} 0`, `ivybank_router_answer_begins_seconds_count 1`,
 		`ivybank_router_answer_begins_seconds_bucket{le="+Inf"} 1`} {
 		assert.Assert(t, strings.Contains(text.String(), line+"\n"), "%s is not in\n%s", line, text.String())
 	}
-	answer := httptest.NewRecorder()
-	figures.Handler("/figures", r.decisions.write).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/figures", nil))
-	assert.Assert(t, strings.HasPrefix(answer.Header().Get("Content-Type"), "text/plain; version=0.0.4"))
-	assert.Equal(t, answer.Body.Len(), text.Len())
+	response := httptest.NewRecorder()
+	figures.Handler("/figures", r.metrics.write).ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/figures", nil))
+	assert.Assert(t, strings.HasPrefix(response.Header().Get("Content-Type"), "text/plain; version=0.0.4"))
+	assert.Equal(t, response.Body.Len(), text.Len())
 }
--- a/router/paces.go
+++ b/router/paces.go
@@ -8,10 +8,12 @@
 	"ivybank/wire"
 )
 
-// pacesInterval is how often a router tells how fast hosts stream.
+// pacesInterval is how often a router reports the stream paces of hosts. The pace of a host is the typical time
+// between two events of its streams.
 const pacesInterval = 200 * time.Millisecond
 
-// reportPaces tells the owners of services' shards, until the context ends, what this router saw of their hosts.
+// reportPaces reports the paces that this router has measured to the owners of the services' shards, until the
+// context ends.
 func (r *Router) reportPaces(ctx context.Context) {
 	ticker := time.NewTicker(pacesInterval)
 	defer ticker.Stop()
@@ -28,27 +30,27 @@
 }
 
 func (r *Router) reportPacesOf(service string) {
-	taken := r.service(service).TakePaces()
+	paces := r.service(service).TakePaces()
 	agent := r.agent.Load()
-	if len(taken) == 0 || agent == nil {
+	if len(paces) == 0 || agent == nil {
 		return
 	}
-	told := &wire.Paces{Shard: hostlist.ShardOf(service), Service: service}
-	for id, gap := range taken {
-		told.Hosts = append(told.Hosts, wire.Pace{Host: id, Microsecond: gap.Microseconds()})
+	report := &wire.Paces{Shard: hostlist.ShardOf(service), Service: service}
+	for id, pace := range paces {
+		report.Hosts = append(report.Hosts, wire.Pace{Host: id, Microsecond: pace.Microseconds()})
 	}
-	agent.Send(&wire.Message{Paces: told})
+	agent.Send(&wire.Message{Paces: report})
 }
 
-// takeSlowHosts hands the fleet's word on slow hosts to the services of a shard.
-func (r *Router) takeSlowHosts(m *wire.SlowHosts) {
+// applySlowHosts passes the shard owner's list of slow hosts on to the services of the shard.
+func (r *Router) applySlowHosts(m *wire.SlowHosts) {
 	ratios := make(map[string]float64, len(m.Hosts))
 	for _, h := range m.Hosts {
 		ratios[h.ID] = h.Ratio
 	}
 	for name, service := range *r.services.Load() {
 		if hostlist.ShardOf(name) == m.Shard {
-			service.SetSlow(ratios, r.now())
+			service.SetSlowHosts(ratios, r.now())
 		}
 	}
 }
--- a/router/policy/latency_test.go
+++ b/router/policy/latency_test.go
@@ -9,39 +9,40 @@
 
 const millisecond = time.Millisecond
 
-// began has an answer to a prompt of so many tokens begin after a while.
-func began(s *Service, took time.Duration, tokens float64) {
+// respondAfter lets the response to a prompt of this many tokens begin after a delay.
+func respondAfter(s *Service, delay time.Duration, tokens float64) {
 	a, _ := s.Begin(Request{Key: "key", Tokens: tokens}, 0)
-	s.Began(a, took)
-	s.End(a, Served, took)
+	s.RecordResponseStart(a, delay)
+	s.End(a, Served, delay)
 }
 
-func TestNothingIsUsualAtFirst(t *testing.T) {
-	s := service(1)
-	for range leastSamples - 1 {
-		began(s, 100*millisecond, 9000)
-		assert.Equal(t, s.UsualWait(9000), time.Duration(0))
+func TestUsualDelayNeedsSamples(t *testing.T) {
+	s := newTestService(1)
+	for range minSamples - 1 {
+		respondAfter(s, 100*millisecond, 9000)
+		assert.Equal(t, s.UsualResponseDelay(9000), time.Duration(0))
 	}
-	began(s, 100*millisecond, 9000)
-	assert.Assert(t, s.UsualWait(9000) > 100*millisecond)
+	respondAfter(s, 100*millisecond, 9000)
+	assert.Assert(t, s.UsualResponseDelay(9000) > 100*millisecond)
 }
 
-// Prompts that are read cold take three times as long as warm ones, and long ones take in proportion: neither is unusual.
-func TestUsualWaitGrowsWithThePromptAndWithScatter(t *testing.T) {
-	steady, scattered := service(1), service(1)
+// A prompt that is not in a host's cache takes three times as long as one that is, and long prompts take
+// proportionally longer: neither is unusual.
+func TestUsualDelayGrowsWithPromptSizeAndVariance(t *testing.T) {
+	steady, scattered := newTestService(1), newTestService(1)
 	for i := range 100 {
-		began(steady, 90*millisecond, 9000)
-		began(scattered, time.Duration(90+180*(i%2))*millisecond, 9000)
+		respondAfter(steady, 90*millisecond, 9000)
+		respondAfter(scattered, time.Duration(90+180*(i%2))*millisecond, 9000)
 	}
-	assert.Assert(t, steady.UsualWait(9000) < 100*millisecond, "%v", steady.UsualWait(9000))
-	assert.Assert(t, scattered.UsualWait(9000) > 300*millisecond, "%v", scattered.UsualWait(9000))
-	assert.Assert(t, scattered.UsualWait(36000) > 3*scattered.UsualWait(9000))
+	assert.Assert(t, steady.UsualResponseDelay(9000) < 100*millisecond, "%v", steady.UsualResponseDelay(9000))
+	assert.Assert(t, scattered.UsualResponseDelay(9000) > 300*millisecond, "%v", scattered.UsualResponseDelay(9000))
+	assert.Assert(t, scattered.UsualResponseDelay(36000) > 3*scattered.UsualResponseDelay(9000))
 }
 
-func TestShortPromptsAreNotMeasuredByTheirTokens(t *testing.T) {
-	s := service(1)
+func TestShortPromptsCountAsMinTokens(t *testing.T) {
+	s := newTestService(1)
 	for range 20 {
-		began(s, 30*millisecond, 10)
+		respondAfter(s, 30*millisecond, 10)
 	}
-	assert.Assert(t, s.UsualWait(0) > 29*millisecond && s.UsualWait(0) < 60*millisecond, "%v", s.UsualWait(0))
+	assert.Assert(t, s.UsualResponseDelay(0) > 29*millisecond && s.UsualResponseDelay(0) < 60*millisecond, "%v", s.UsualResponseDelay(0))
 }
--- a/router/policy/pace_test.go
+++ b/router/policy/pace_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// countKeys gives how many of a thousand prompts of own and shared tokens each host gets.
+// countKeys returns how many of 1000 prompts with the given numbers of own and shared tokens each host gets.
 func countKeys(s *Service, own, shared float64, now time.Duration) map[string]int {
 	count := map[string]int{}
 	for i := range 1000 {
@@ -19,34 +19,34 @@
 	return count
 }
 
-func TestSlowHostIsAvoidedWhereItCostsLess(t *testing.T) {
-	s := service(5)
+func TestSlowHostIsAvoidedIfAnotherIsFaster(t *testing.T) {
+	s := newTestService(5)
 	usual := countKeys(s, 600, 200, 0)
-	s.SetSlow(map[string]float64{"host-1": 3}, 0)
-	assert.Equal(t, countKeys(s, 600, 200, 0)["host-1"], 0, "another one reads 200 tokens anew")
+	s.SetSlowHosts(map[string]float64{"host-1": 3}, 0)
+	assert.Equal(t, countKeys(s, 600, 200, 0)["host-1"], 0, "another host reads the 200 shared tokens sooner")
 	assert.DeepEqual(t, countKeys(s, 600, 6000, 0), usual)
 	assert.Equal(t, countKeys(s, 6000, 6000, 0)["host-1"], 0)
-	assert.DeepEqual(t, countKeys(s, 600, 200, slowFor), usual)
-	s.SetSlow(map[string]float64{"host-1": 3}, 0)
-	s.SetSlow(nil, 0)
+	assert.DeepEqual(t, countKeys(s, 600, 200, slowHostsTTL), usual)
+	s.SetSlowHosts(map[string]float64{"host-1": 3}, 0)
+	s.SetSlowHosts(nil, 0)
 	assert.DeepEqual(t, countKeys(s, 600, 200, 0), usual)
 }
 
-func TestManySlowHostsAreNoException(t *testing.T) {
-	s := service(5)
+func TestSlowHostsAreNotAvoidedIfMany(t *testing.T) {
+	s := newTestService(5)
 	usual := countKeys(s, 600, 200, 0)
-	s.SetSlow(map[string]float64{"host-1": 3, "host-2": 3, "host-3": 3}, 0)
+	s.SetSlowHosts(map[string]float64{"host-1": 3, "host-2": 3, "host-3": 3}, 0)
 	assert.DeepEqual(t, countKeys(s, 600, 200, 0), usual)
 }
 
-// The pace of a host doesn't hang on what it reads in between, or on events that arrive together.
-func TestPaceIsThatBetweenTwoPlainEvents(t *testing.T) {
-	s := service(1)
+// The pace does not depend on pauses in which a host reads prompts, or on events that arrive together.
+func TestPaceIgnoresPausesAndBursts(t *testing.T) {
+	s := newTestService(1)
 	a, _ := s.Begin(Request{}, 0)
 	now := 100 * millisecond
-	s.Event(a, now)
-	for i := range 2 * gapsInPace {
-		switch i % gapsInPace {
+	s.RecordEvent(a, now)
+	for i := range 2 * gapsPerSample {
+		switch i % gapsPerSample {
 		case 3, 4, 5:
 			now += 300 * millisecond
 		case 6:
@@ -54,7 +54,7 @@
 		default:
 			now += 28 * millisecond
 		}
-		s.Event(a, now)
+		s.RecordEvent(a, now)
 	}
 	paces := s.TakePaces()
 	assert.Equal(t, len(paces), 1)
--- a/router/policy/choice_test.go
+++ b/router/policy/pick_test.go
@@ -7,11 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkBegin is one choice and its end, at the numbers of hosts of a small, a grown and the aimed-at fleet.
+// BenchmarkBegin measures one choice of a host and its end, for a small fleet, a grown one and the largest one aimed
+// at.
 func BenchmarkBegin(b *testing.B) {
 	for _, n := range []int{12, 60, 256, 900} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := service(n)
+			s := newTestService(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				a, _ := s.Begin(Request{Key: "key"}, 0)
@@ -21,19 +22,19 @@
 	}
 }
 
-// A choice among many hosts costs no more allocations than one among few: a router has a fifth of a core.
-func TestChoiceAllocatesNothingForHosts(t *testing.T) {
-	s := service(900)
+// The cost of a choice does not include allocations per host: a router has a fifth of a core.
+func TestChoiceDoesNotAllocatePerHost(t *testing.T) {
+	s := newTestService(900)
 	allocations := testing.AllocsPerRun(100, func() {
 		a, _ := s.Begin(Request{Key: "key"}, 0)
 		s.End(a, Served, 0)
 	})
-	assert.Assert(t, allocations <= 2, "%v", allocations) // the attempt, and its place among those that are out
+	assert.Assert(t, allocations <= 2, "%v allocations", allocations) // the Attempt, and its entry in the map of outstanding attempts
 }
 
-// What was tried gets the request no more; where nothing else is left, nobody does.
-func TestTriedHostsGetNothing(t *testing.T) {
-	s := service(3)
+// A host that a request has tried does not get it again; if no other host is left, none gets it.
+func TestTriedHostsAreNotChosen(t *testing.T) {
+	s := newTestService(3)
 	tried := []string{"host-0", "host-2"}
 	for i := range 50 {
 		a, ok := s.Begin(Request{Key: fmt.Sprint(i), Tried: tried}, 0)
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy chooses the host of each attempt from what this router has seen itself: health-weighted rendezvous
-// by prompt key, ejection after consecutive failures, an even spread when no host is healthy. It does no I/O; time is
-// handed in, and chance comes from draw alone.
+// Package policy chooses the host of each attempt from what this router has observed: rendezvous hashing by prompt
+// key weighted with health, ejection after consecutive failures, and an even spread if no host is healthy. It does no
+// I/O; the caller passes the time in, and random numbers come only from package draw.
 package policy
 
 import (
@@ -12,13 +12,16 @@
 )
 
 const (
-	skipOver     = 2.0 // a host is skipped past this multiple of this router's mean in flight,
-	skipSlack    = 4.0 // and this many attempts more
-	firstBackoff = 2 * time.Second
-	silentAfter  = 700 * time.Millisecond // without a byte, with an attempt out: nothing new is sent there
+	// A host is crowded if it has more attempts in flight than crowdedFactor times the mean of the healthy hosts plus
+	// crowdedSlack.
+	crowdedFactor = 2.0
+	crowdedSlack  = 4.0
+	firstBackoff  = 2 * time.Second // duration of a host's first ejection
+	// silenceTimeout is how long a host with an outstanding attempt may send nothing before it gets no new attempts.
+	silenceTimeout = 700 * time.Millisecond
 )
 
-// Host is what the list says of one host.
+// Host is the entry of one host in the host list.
 type Host struct {
 	ID       string
 	Address  string
@@ -27,96 +30,97 @@
 	Draining bool
 }
 
-// Outcome is how an attempt ended, as far as it speaks of the host.
+// Outcome is how an attempt ended, as far as it says something about the host.
 type Outcome int
 
 // The outcomes.
 const (
-	Served    Outcome = iota // a whole answer
-	Failed                   // no connection, a reset, a broken or spoilt answer, an error, a time-out
-	Refused                  // the host said that it did not run the request: it is full
-	Withdrawn                // ended from this side; says nothing
-	Misplaced                // another host answers at this address
+	Served    Outcome = iota // a complete response
+	Failed                   // no connection, a reset, an incomplete or invalid response, an error status, a timeout
+	Refused                  // the host reported that it did not run the request: it is full
+	Withdrawn                // ended by this router; says nothing about the host
+	Misplaced                // another host has this address now
 )
 
-type state struct {
+type hostState struct {
 	Host
 	outlier.Record
-	hash     draw.IDHash // of its id
-	inflight int
-	out      map[uint64]*Attempt // attempts
-	heard    time.Duration       // last byte from it
-	pace     paceSum
-	slowness float64 // how many times as slow as usual it is, until slowTill
-	slowTill time.Duration
-	gone     bool
-	healthy  bool // scratch of one choice
+	hash         draw.IDHash // of the host's ID
+	inflight     int
+	outstanding  map[uint64]*Attempt // outstanding attempts by ID
+	lastActivity time.Duration       // time at which bytes last arrived from the host
+	pace         paceSum
+	slowness     float64 // how many times slower than usual, valid until slowUntil
+	slowUntil    time.Duration
+	removed      bool // removed from the host list
+	healthy      bool // scratch value within one call of pick
 }
 
-// Request is what the choice of a host needs to know of a request.
+// Request holds the properties of a request that the choice of a host depends on.
 type Request struct {
-	Key    string   // of its prompt; empty where it has none
-	Tokens float64  // of its prompt
-	Shared float64  // of these, tokens of parts that other requests share
-	Tried  []string // ids of hosts that it was sent to before
+	Key    string   // prompt key; empty if there is none
+	Tokens float64  // of the prompt
+	Shared float64  // tokens in parts of the prompt that other requests share
+	Tried  []string // IDs of hosts that are excluded because the request was already sent there
 }
 
-// Attempt is one request that is out at a host.
+// Attempt is one request that is outstanding at a host.
 type Attempt struct {
 	Host   Host
 	id     uint64
-	state  *state
+	state  *hostState
 	tokens float64
-	sent   time.Duration
-	stride stride
+	sentAt time.Duration
+	gaps   gapSampler
 }
 
 // Service chooses among the hosts of one service. It is safe for concurrent use.
 type Service struct {
 	mu      sync.Mutex
 	dice    draw.Dice
-	hosts   map[string]*state
-	listed  []*state // those of hosts that are not gone, in no order
-	next    uint64
+	hosts   map[string]*hostState
+	listed  []*hostState // the hosts that are not removed, in no particular order
+	lastID  uint64
 	latency latency
-	onEjec  func(id string, health float64, until time.Duration)
+	onEject func(id string, health float64, until time.Duration)
 }
 
-// NewService makes a service without hosts. ejected is told of each ejection.
-func NewService(seed uint64, ejected func(id string, health float64, until time.Duration)) *Service {
-	return &Service{dice: draw.Dice{Seed: seed}, hosts: map[string]*state{}, onEjec: ejected}
+// NewService returns a service without hosts. onEject is called with each ejection: the host's ID and health, and the
+// end of the ejection.
+func NewService(seed uint64, onEject func(id string, health float64, until time.Duration)) *Service {
+	return &Service{dice: draw.Dice{Seed: seed}, hosts: map[string]*hostState{}, onEject: onEject}
 }
 
-// SetHosts takes the listed hosts. A host once known to drain stays so: its id is never used again.
+// SetHosts replaces the list of hosts. A host that was once draining stays so, because its ID is never reused.
 func (s *Service) SetHosts(listed []Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	mean := s.meanHealth()
 	for _, h := range s.hosts {
-		h.gone = true
+		h.removed = true
 	}
-	for _, l := range listed {
-		h := s.hosts[l.ID]
+	for _, host := range listed {
+		h := s.hosts[host.ID]
 		if h == nil {
-			h = &state{hash: draw.HashID(l.ID), Record: outlier.Record{Health: mean}, out: map[uint64]*Attempt{}}
-			s.hosts[l.ID] = h
+			h = &hostState{hash: draw.HashID(host.ID), Record: outlier.Record{Health: mean}, outstanding: map[uint64]*Attempt{}}
+			s.hosts[host.ID] = h
 		}
-		l.Draining = l.Draining || h.Draining
-		h.Host, h.gone = l, false
+		host.Draining = host.Draining || h.Draining
+		h.Host, h.removed = host, false
 	}
 	for id, h := range s.hosts {
-		if h.gone && h.inflight == 0 {
+		if h.removed && h.inflight == 0 {
 			delete(s.hosts, id)
 		}
 	}
-	s.relist()
+	s.rebuildListed()
 }
 
-// relist makes the list of hosts that are not gone anew.
-func (s *Service) relist() {
+// rebuildListed rebuilds the slice of hosts that are not removed.
+func (s *Service) rebuildListed() {
 	s.listed = s.listed[:0]
 	for _, h := range s.hosts {
-		if !h.gone {
+		if !h.removed {
 			s.listed = append(s.listed, h)
 		}
 	}
@@ -133,7 +137,7 @@
 	return sum / float64(len(s.listed))
 }
 
-// Begin chooses a host and counts the attempt in flight. It reports false where no host may be sent to.
+// Begin chooses a host and counts the attempt as in flight. It reports false if no host may be used.
 func (s *Service) Begin(q Request, now time.Duration) (*Attempt, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,69 +145,71 @@
 	if h == nil {
 		return nil, false
 	}
-	s.next++
+	s.lastID++
 	h.inflight++
-	a := &Attempt{Host: h.Host, id: s.next, state: h, tokens: q.Tokens, sent: now}
-	h.out[a.id] = a
+	a := &Attempt{Host: h.Host, id: s.lastID, state: h, tokens: q.Tokens, sentAt: now}
+	h.outstanding[a.id] = a
 	return a, true
 }
 
-// silent says whether attempts wait at the host and it has answered nothing since the oldest was sent.
-func (h *state) silent(now time.Duration) bool {
-	for _, a := range h.out {
-		if now > max(a.sent, h.heard)+silentAfter {
+// isSilent reports whether an attempt has been outstanding for silenceTimeout and the host has sent nothing for that
+// time.
+func (h *hostState) isSilent(now time.Duration) bool {
+	for _, a := range h.outstanding {
+		if now > max(a.sentAt, h.lastActivity)+silenceTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Heard tells that bytes have come from an attempt's host.
-func (s *Service) Heard(a *Attempt, now time.Duration) {
+// RecordActivity records that bytes have arrived from the host of an attempt.
+func (s *Service) RecordActivity(a *Attempt, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.state.heard = now
+	a.state.lastActivity = now
 }
 
-// HeardWithin says whether anything has come from an attempt's host within a span before now.
-func (s *Service) HeardWithin(a *Attempt, span, now time.Duration) bool {
+// ActiveWithin reports whether anything has arrived from the host of an attempt within a span before now.
+func (s *Service) ActiveWithin(a *Attempt, span, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return a.state.heard > 0 && now <= a.state.heard+span
+	return a.state.lastActivity > 0 && now <= a.state.lastActivity+span
 }
 
-// SilentSince gives since when nothing has come from an attempt's host.
-func (s *Service) SilentSince(a *Attempt) time.Duration {
+// LastActivity returns when something last arrived from the host of an attempt, or when the attempt was sent if that
+// is later.
+func (s *Service) LastActivity(a *Attempt) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(a.state.heard, a.sent)
+	return max(a.state.lastActivity, a.sentAt)
 }
 
-// End takes the outcome of an attempt. It reports false for one that has ended before.
+// End records the outcome of an attempt. It reports false if the attempt has already ended.
 func (s *Service) End(a *Attempt, o Outcome, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := a.state
-	if h.out[a.id] == nil {
+	if h.outstanding[a.id] == nil {
 		return false
 	}
-	delete(h.out, a.id)
+	delete(h.outstanding, a.id)
 	h.inflight--
 	switch o {
 	case Served:
-		h.heard = now
+		h.lastActivity = now
 		h.Success()
 	case Failed:
-		if h.Failure(firstBackoff, s.dice.Next(), now) && s.onEjec != nil {
-			s.onEjec(h.ID, h.Health, h.Until)
+		if h.Failure(firstBackoff, s.dice.Next(), now) && s.onEject != nil {
+			s.onEject(h.ID, h.Health, h.Until)
 		}
 	case Refused:
-		h.heard = now
+		h.lastActivity = now
 	case Misplaced:
-		h.gone = true
-		s.relist()
+		h.removed = true
+		s.rebuildListed()
 	}
-	if h.gone && h.inflight == 0 && s.hosts[h.ID] == h && o != Misplaced {
+	if h.removed && h.inflight == 0 && s.hosts[h.ID] == h && o != Misplaced {
 		delete(s.hosts, h.ID)
 	}
 	return true
--- a/router/policy/policy_test.go
+++ b/router/policy/policy_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func hosts(n int) []Host {
+func newHosts(n int) []Host {
 	var all []Host
 	for i := range n {
 		all = append(all, Host{ID: fmt.Sprint("host-", i), Address: fmt.Sprintf("10.0.0.%d:80", i)})
@@ -16,13 +16,13 @@
 	return all
 }
 
-func service(n int) *Service {
+func newTestService(n int) *Service {
 	s := NewService(1, nil)
-	s.SetHosts(hosts(n))
+	s.SetHosts(newHosts(n))
 	return s
 }
 
-// send begins an attempt and ends it at once.
+// send begins an attempt and ends it at once. It returns the ID of the chosen host.
 func send(t *testing.T, s *Service, key string, o Outcome, now time.Duration) string {
 	t.Helper()
 	a, ok := s.Begin(Request{Key: key}, now)
@@ -31,8 +31,8 @@
 	return a.Host.ID
 }
 
-func TestOneKeyStaysAtOneHost(t *testing.T) {
-	s := service(12)
+func TestKeyIsSentToOneHost(t *testing.T) {
+	s := newTestService(12)
 	first := send(t, s, "key", Served, 0)
 	for range 50 {
 		assert.Equal(t, send(t, s, "key", Served, 0), first)
@@ -40,7 +40,7 @@
 }
 
 func TestKeysSpreadEvenly(t *testing.T) {
-	s, count := service(10), map[string]int{}
+	s, count := newTestService(10), map[string]int{}
 	for i := range 10000 {
 		count[send(t, s, fmt.Sprint(i), Served, 0)]++
 	}
@@ -50,7 +50,7 @@
 }
 
 func TestConsecutiveFailuresEjectWithGrowingBackoff(t *testing.T) {
-	s := service(3)
+	s := newTestService(3)
 	others := []string{"host-1", "host-2"}
 	fail := func(now time.Duration) {
 		a, ok := s.Begin(Request{Key: "key", Tried: others}, now)
@@ -59,17 +59,17 @@
 	}
 	h := s.hosts["host-0"]
 	fail(0)
-	assert.Assert(t, !h.Out(0), "one failure doesn't eject")
+	assert.Assert(t, !h.Out(0), "one failure does not eject")
 	fail(0)
 	first := h.Until
-	assert.Assert(t, first >= firstBackoff*8/10 && first <= firstBackoff*12/10, "out until %v", first)
+	assert.Assert(t, first >= firstBackoff*8/10 && first <= firstBackoff*12/10, "ejected until %v", first)
 	fail(first)
 	second := h.Until - first
-	assert.Assert(t, second >= 2*firstBackoff*8/10 && second <= 2*firstBackoff*12/10, "then for %v", second)
+	assert.Assert(t, second >= 2*firstBackoff*8/10 && second <= 2*firstBackoff*12/10, "second ejection of %v", second)
 }
 
 func TestOneTrialAfterEjection(t *testing.T) {
-	s := service(2)
+	s := newTestService(2)
 	bad := s.hosts["host-0"]
 	bad.Ejected, bad.Until, bad.Streak = true, time.Second, 2
 	now := 2 * time.Second
@@ -82,8 +82,8 @@
 	assert.Equal(t, trials, 1)
 }
 
-func TestAllEjectedSpreadsEvenly(t *testing.T) {
-	s := service(4)
+func TestRequestsSpreadEvenlyIfAllHostsAreEjected(t *testing.T) {
+	s := newTestService(4)
 	for _, h := range s.hosts {
 		h.Ejected, h.Until, h.Health = true, time.Hour, 0.05
 	}
@@ -97,39 +97,39 @@
 	}
 }
 
-func TestDrainingAndGoneHostsGetNothing(t *testing.T) {
-	s := service(3)
-	draining := hosts(3)
+func TestDrainingAndRemovedHostsAreNotChosen(t *testing.T) {
+	s := newTestService(3)
+	draining := newHosts(3)
 	draining[0].Draining = true
 	s.SetHosts(draining)
-	s.SetHosts(hosts(2)) // an older word must not undo the drain
+	s.SetHosts(newHosts(2)) // an older list must not undo the drain
 	for i := range 100 {
 		assert.Equal(t, send(t, s, fmt.Sprint(i), Served, 0), "host-1")
 	}
 }
 
-func TestSilentHostIsPassedOver(t *testing.T) {
-	s := service(2)
+func TestSilentHostIsSkipped(t *testing.T) {
+	s := newTestService(2)
 	a, _ := s.Begin(Request{Key: "key"}, 0)
-	b, _ := s.Begin(Request{Key: "key"}, silentAfter+time.Millisecond)
+	b, _ := s.Begin(Request{Key: "key"}, silenceTimeout+time.Millisecond)
 	assert.Assert(t, a.Host.ID != b.Host.ID)
-	s.Heard(a, silentAfter+2*time.Millisecond)
-	c, _ := s.Begin(Request{Key: "key"}, silentAfter+3*time.Millisecond)
+	s.RecordActivity(a, silenceTimeout+2*time.Millisecond)
+	c, _ := s.Begin(Request{Key: "key"}, silenceTimeout+3*time.Millisecond)
 	assert.Equal(t, c.Host.ID, a.Host.ID)
 }
 
-func TestRefusalIsNoFailure(t *testing.T) {
-	s := service(2)
+func TestRefusalIsNotAFailure(t *testing.T) {
+	s := newTestService(2)
 	full := send(t, s, "key", Refused, 0)
 	assert.Equal(t, s.hosts[full].Health, 1.0)
-	assert.Equal(t, send(t, s, "key", Refused, time.Millisecond), full, "its prompt stays with it")
+	assert.Equal(t, send(t, s, "key", Refused, time.Millisecond), full, "the host keeps its prompt key")
 	assert.Assert(t, !s.hosts[full].Ejected && s.hosts[full].Streak == 0)
 	again, _ := s.Begin(Request{Key: "key", Tried: []string{full}}, time.Millisecond)
-	assert.Assert(t, again.Host.ID != full, "the request itself goes on to another one")
+	assert.Assert(t, again.Host.ID != full, "the refused request goes to another host")
 }
 
-func TestHostFarOverTheMeanIsSkipped(t *testing.T) {
-	s, count := service(4), map[string]int{}
+func TestCrowdedHostIsSkipped(t *testing.T) {
+	s, count := newTestService(4), map[string]int{}
 	for range 40 {
 		a, _ := s.Begin(Request{Key: "hot"}, 0)
 		count[a.Host.ID]++
--- a/router/router.go
+++ b/router/router.go
@@ -1,5 +1,5 @@
-// Package router is the data plane of a fleet: it takes requests from clients, decides on each with what its agent
-// feeds it and what it has seen itself, and carries it out over HTTP/1.1.
+// Package router is the data plane of a fleet. It accepts client requests, chooses a host for each by the
+// configuration and host lists that its agent feeds it and by its own observations, and forwards them over HTTP/1.1.
 package router
 
 import (
@@ -27,44 +27,45 @@
 type Router struct {
 	settings  *settings.Settings
 	log       hclog.Logger
-	start     time.Time
+	startTime time.Time
 	pool      *upstream.Pool
 	table     atomic.Pointer[table.Table]
 	services  atomic.Pointer[map[string]*policy.Service]
-	serving   chan struct{} // closed once a configuration and the hosts of its services have come
+	serving   chan struct{} // closed once a configuration and the hosts of its services have arrived
 	stopping  atomic.Bool
-	active    atomic.Int64 // requests that are being served
-	limits    *limit.Limiter
+	active    atomic.Int64 // requests in progress
+	limiter   *limit.Limiter
 	retries   *retryBudgets
-	decisions *decisions
+	metrics   *routerMetrics
 	agent     atomic.Pointer[wire.Link]
 
-	feed  sync.Mutex // guards what follows
-	hosts [hostlist.Shards]hostlist.Replica
+	feedMu sync.Mutex // guards hosts
+	hosts  [hostlist.Shards]hostlist.Replica
 }
 
-// New makes a router.
+// New returns a router that does not serve yet.
 func New(s *settings.Settings, log hclog.Logger) *Router {
-	r := &Router{settings: s, log: log, start: time.Now(), serving: make(chan struct{}), pool: upstream.NewPool(), limits: limit.New(s.NodeName)}
-	r.decisions = newDecisions(r.limits.Refused)
+	r := &Router{settings: s, log: log, startTime: time.Now(), serving: make(chan struct{}), pool: upstream.NewPool(),
+		limiter: limit.New(s.NodeName)}
+	r.metrics = newRouterMetrics(r.limiter.RejectionCounts)
 	r.retries = newRetryBudgets(s.Bounds, r.now)
 	r.services.Store(&map[string]*policy.Service{})
 	return r
 }
 
-func (r *Router) now() time.Duration { return time.Since(r.start) }
+func (r *Router) now() time.Duration { return time.Since(r.startTime) }
 
-// followAgent tails the feed of the agent beside this router, until the context ends.
+// followAgent subscribes to the feed of the agent on the same machine, until the context ends.
 func (r *Router) followAgent(ctx context.Context) {
 	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(r.settings.LocalPort()))
 	hello := wire.Hello{Role: wire.RoleRouter, Node: r.settings.NodeName, IP: r.settings.IP}
-	var feeding sync.Mutex // events come one at a time
+	var eventMu sync.Mutex // events are handled one at a time
 	link := wire.Open(ctx, address, hello, wire.LinkEvents{Subscribe: r.subscribe, Received: r.onAgentMessage}, func(event func()) {
-		feeding.Lock()
-		defer feeding.Unlock()
+		eventMu.Lock()
+		defer eventMu.Unlock()
 		event()
 	})
-	r.limits.Connect(link.Send)
+	r.limiter.Connect(link.Send)
 	r.agent.Store(link)
 	<-ctx.Done()
 }
@@ -72,27 +73,27 @@
 func (r *Router) onAgentMessage(m *wire.Message) {
 	switch {
 	case m.Config != nil:
-		r.takeConfig(m.Config)
+		r.applyConfig(m.Config)
 	case m.Hosts != nil:
-		if !r.takeHosts(m.Hosts) {
+		if !r.applyHosts(m.Hosts) {
 			if agent := r.agent.Load(); agent != nil {
 				agent.Send(r.subscribe())
 			}
 		}
 	case m.QuotaGrant != nil:
-		r.limits.Granted(m.QuotaGrant)
+		r.limiter.HandleGrant(m.QuotaGrant)
 	case m.SlowHosts != nil:
-		r.takeSlowHosts(m.SlowHosts)
+		r.applySlowHosts(m.SlowHosts)
 	}
 }
 
 func (r *Router) subscribe() *wire.Message {
-	r.feed.Lock()
-	defer r.feed.Unlock()
-	return &wire.Message{Subscribe: r.position()}
+	r.feedMu.Lock()
+	defer r.feedMu.Unlock()
+	return &wire.Message{Subscribe: r.feedPosition()}
 }
 
-func (r *Router) position() *wire.Subscribe {
+func (r *Router) feedPosition() *wire.Subscribe {
 	s := &wire.Subscribe{Hosts: map[uint32]wire.HostsOffset{}}
 	if t := r.table.Load(); t != nil {
 		s.Config = t.Revision
@@ -103,31 +104,32 @@
 	return s
 }
 
-// takeConfig puts a newer configuration in force.
-func (r *Router) takeConfig(c *wire.Config) {
+// applyConfig activates a configuration if it is newer than the active one.
+func (r *Router) applyConfig(c *wire.Config) {
 	if t := r.table.Load(); t != nil && c.Revision <= t.Revision {
 		return
 	}
 	body, err := wire.Inflate(c.Body)
 	if err != nil {
-		r.log.Error("configuration unreadable", "revision", c.Revision, "error", err)
+		r.log.Error("cannot read configuration", "revision", c.Revision, "error", err)
 		return
 	}
 	parsed, err := config.Read(body)
 	if err != nil {
-		r.log.Error("configuration unreadable", "revision", c.Revision, "error", err)
+		r.log.Error("cannot read configuration", "revision", c.Revision, "error", err)
 		return
 	}
 	next := table.Compile(parsed)
-	r.feed.Lock()
-	defer r.feed.Unlock()
+	r.feedMu.Lock()
+	defer r.feedMu.Unlock()
 	r.addServices(next)
 	r.table.Store(next)
-	r.noteServing()
-	r.log.Info("configuration in force", "revision", next.Revision)
+	r.updateServing()
+	r.log.Info("configuration activated", "revision", next.Revision)
 }
 
-// addServices swaps in a map that has all services of a table. Those of earlier ones stay, with what is known of them.
+// addServices replaces the service map by one that also has all services of a table. Services of earlier tables stay,
+// with what is known of their hosts.
 func (r *Router) addServices(t *table.Table) {
 	old := *r.services.Load()
 	next := make(map[string]*policy.Service, len(old)+len(t.Services))
@@ -144,7 +146,7 @@
 }
 
 func (r *Router) logEjection(id string, health float64, until time.Duration) {
-	r.decisions.ejections.Inc()
+	r.metrics.ejections.Inc()
 	r.log.Info("host ejected", "host", id, "health", health, "for", (until - r.now()).Round(time.Millisecond))
 }
 
@@ -158,17 +160,17 @@
 	return hosts
 }
 
-// takeHosts applies a change of the list. It reports false where an earlier change is missing.
-func (r *Router) takeHosts(c *wire.Hosts) bool {
+// applyHosts applies a change of a host list. It reports false if an earlier change is missing.
+func (r *Router) applyHosts(c *wire.Hosts) bool {
 	if int(c.Shard) >= len(r.hosts) {
 		return true
 	}
-	r.feed.Lock()
-	defer r.feed.Unlock()
+	r.feedMu.Lock()
+	defer r.feedMu.Unlock()
 	if !r.hosts[c.Shard].Apply(c) {
 		return false
 	}
-	r.noteServing()
+	r.updateServing()
 	for name, service := range *r.services.Load() {
 		if hostlist.ShardOf(name) == c.Shard {
 			service.SetHosts(r.hostsOf(name))
@@ -177,8 +179,8 @@
 	return true
 }
 
-// noteServing tells once that requests can be served: the hosts of all services have been told. The caller holds r.feed.
-func (r *Router) noteServing() {
+// updateServing closes r.serving once the hosts of all configured services are known. The caller holds r.feedMu.
+func (r *Router) updateServing() {
 	t := r.table.Load()
 	if t == nil || r.isServing() {
 		return
@@ -200,5 +202,5 @@
 	}
 }
 
-// service gives the hosts of a service; nil for one that no configuration has named.
+// service returns the service of a name; nil if no configuration has named it.
 func (r *Router) service(name string) *policy.Service { return (*r.services.Load())[name] }
--- a/router/stream.go
+++ b/router/stream.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	eventBuffer  = 4 << 10
-	largestEvent = 1 << 20
+	eventBufferBytes = 4 << 10
+	maxEventBytes    = 1 << 20
 )
 
-var errLargeEvent = errors.New("router: event too large")
+var errEventTooLarge = errors.New("router: event too large")
 
-// event is one whole event of a stream, its empty line included.
+// event is one complete event of a stream, including its terminating empty line.
 type event struct {
 	bytes []byte
 	id    string
 }
 
-// eventReader reads whole events.
+// eventReader reads complete events.
 type eventReader struct{ *bufio.Reader }
 
-// next reads one event. At the end of the stream it gives io.EOF; an event that breaks off gives io.ErrUnexpectedEOF.
+// next reads one event. At the end of the stream it returns io.EOF, and for an event that is cut off
+// io.ErrUnexpectedEOF.
 func (r eventReader) next() (event, error) {
 	var e event
 	for {
 		line, err := r.ReadSlice('\n')
 		e.bytes = append(e.bytes, line...)
-		if len(e.bytes) > largestEvent {
-			return e, errLargeEvent
+		if len(e.bytes) > maxEventBytes {
+			return e, errEventTooLarge
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -59,78 +60,78 @@
 	}
 }
 
-// source is a host's answer that a stream is read from.
-type source struct {
-	attempt *policy.Attempt
-	conn    *upstream.Conn
-	answer  *http.Response
+// streamSource is a host's response from which a stream is read.
+type streamSource struct {
+	attempt  *policy.Attempt
+	conn     *upstream.Conn
+	response *http.Response
 }
 
-// position is the id of the newest event that the client has. It is safe for concurrent use.
-type position struct {
+// lastEventID holds the ID of the newest event that was sent to the client. It is safe for concurrent use.
+type lastEventID struct {
 	mu sync.Mutex
 	id string
 }
 
-func (p *position) get() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.id
+func (e *lastEventID) get() string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.id
 }
 
-func (p *position) set(id string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.id = id
+func (e *lastEventID) set(id string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.id = id
 }
 
-// stream passes a stream on, event by event. Where the route allows it and the host breaks off or falls silent, another
-// host goes on behind the last whole event, within the same answer.
-func (x *exchange) stream(from source) policy.Outcome {
-	x.mayRun = true
-	x.sent++
-	x.copyHead(from.answer)
-	x.w.WriteHeader(from.answer.StatusCode)
+// stream relays a stream event by event. If the host fails or falls silent and the route allows it, another host
+// continues after the last complete event, within the same response. It returns the outcome of the first attempt.
+func (x *exchange) stream(from streamSource) policy.Outcome {
+	x.mayHaveRun = true
+	x.sendCount++
+	x.copyHeader(from.response)
+	x.w.WriteHeader(from.response.StatusCode)
 	_ = http.NewResponseController(x.w).Flush()
-	last := &position{id: x.in.Header.Get(lastEventHeader)}
-	first := from.attempt
+	last := &lastEventID{id: x.req.Header.Get(lastEventIDHeader)}
+	firstAttempt := from.attempt
 	for {
-		next := x.await(from, last)
-		err := x.pass(from, last)
-		successor := next.finish(err != nil)
+		successorWatch := x.watchStream(from, last)
+		err := x.relayEvents(from, last)
+		successor := successorWatch.finish(err != nil)
 		if err == nil {
-			x.router.pool.Put(from.conn, from.answer)
-			if from.attempt == first {
+			x.router.pool.Put(from.conn, from.response)
+			if from.attempt == firstAttempt {
 				return policy.Served
 			}
-			x.end(from.attempt, policy.Served)
-			return policy.Withdrawn // the first host's outcome has been told
+			x.endAttempt(from.attempt, policy.Served)
+			return policy.Withdrawn // the outcome of the first attempt has already been recorded
 		}
 		from.conn.Close()
-		if x.in.Context().Err() != nil {
-			x.drop(&from)
+		if x.req.Context().Err() != nil {
+			x.discard(&from)
 			if successor != nil {
-				x.drop(successor)
+				x.discard(successor)
 			}
 			panic(http.ErrAbortHandler)
 		}
-		x.end(from.attempt, x.blame(from.attempt))
-		for successor == nil && !x.limited && x.repeatable() && x.again() {
-			successor = x.open(last.get())
+		x.endAttempt(from.attempt, x.failureOutcome(from.attempt))
+		for successor == nil && !x.limitExhausted && x.isRetryable() && x.reserveRetry() {
+			successor = x.openSuccessor(last.get())
 		}
 		if successor == nil {
-			x.router.decisions.ended[groundBroken].Inc()
-			panic(http.ErrAbortHandler) // the client sees that the answer is not whole
+			x.router.metrics.ended[reasonBroken].Inc()
+			panic(http.ErrAbortHandler) // closing the connection shows the client that the response is incomplete
 		}
 		from = *successor
 	}
 }
 
-// pass copies events to the client until the stream ends, and keeps last at the newest one.
-func (x *exchange) pass(from source, last *position) error {
+// relayEvents copies events to the client until the stream ends, and keeps last up to date.
+func (x *exchange) relayEvents(from streamSource, last *lastEventID) error {
 	control := http.NewResponseController(x.w)
-	reader := eventReader{bufio.NewReaderSize(from.answer.Body, eventBuffer)}
-	aim := time.Duration(x.route.GapAimMS * float64(time.Millisecond))
+	reader := eventReader{bufio.NewReaderSize(from.response.Body, eventBufferBytes)}
+	target := time.Duration(x.route.GapAimMS * float64(time.Millisecond))
 	for {
 		e, err := reader.next()
 		if errors.Is(err, io.EOF) {
@@ -139,11 +140,11 @@
 		if err != nil {
 			return err
 		}
-		if gap := x.service.Event(from.attempt, x.router.now()); aim > 0 && gap > aim {
-			x.router.decisions.lateGaps.Inc()
+		if gap := x.service.RecordEvent(from.attempt, x.router.now()); target > 0 && gap > target {
+			x.router.metrics.lateEvents.Inc()
 		}
-		if e.id != "" && !after(e.id, last.get()) {
-			continue // an event that the client has
+		if e.id != "" && !isAfter(e.id, last.get()) {
+			continue // the client already has this event
 		}
 		if _, err := x.w.Write(e.bytes); err != nil {
 			return err
@@ -157,18 +158,18 @@
 	}
 }
 
-// open has one more host go on behind the last event; nil where it doesn't.
-func (x *exchange) open(last string) *source {
-	a, ok := x.service.Begin(x.request(), x.router.now())
+// openSuccessor asks one more host to continue after the last event. It returns nil if that host does not.
+func (x *exchange) openSuccessor(last string) *streamSource {
+	a, ok := x.service.Begin(x.policyRequest(), x.router.now())
 	if !ok {
 		return nil
 	}
-	x.tried = append(x.tried, a.Host.ID)
-	fail := func(o policy.Outcome) *source {
-		x.end(a, o)
+	x.triedHosts = append(x.triedHosts, a.Host.ID)
+	fail := func(o policy.Outcome) *streamSource {
+		x.endAttempt(a, o)
 		return nil
 	}
-	conn, err := x.router.pool.Get(x.in.Context(), a.Host.Address)
+	conn, err := x.router.pool.Get(x.req.Context(), a.Host.Address)
 	if err != nil {
 		return fail(policy.Failed)
 	}
@@ -176,25 +177,26 @@
 		conn.Close()
 		return fail(policy.Withdrawn)
 	}
-	request := x.outgoing(a)
+	request := x.hostRequest(a)
 	if last != "" {
-		request.Header.Set(lastEventHeader, last)
+		request.Header.Set(lastEventIDHeader, last)
 	}
-	x.sent++
-	answer, err := conn.Do(request, x.deadline)
+	x.sendCount++
+	response, err := conn.Do(request, x.deadline)
 	if err != nil {
 		conn.Close()
-		return fail(x.blame(a))
+		return fail(x.failureOutcome(a))
 	}
-	if answer.StatusCode != http.StatusOK || !strings.HasPrefix(answer.Header.Get(contentTypeHeader), eventStream) {
+	if response.StatusCode != http.StatusOK || !strings.HasPrefix(response.Header.Get(contentTypeHeader), eventStreamType) {
 		conn.Close()
 		return fail(policy.Refused)
 	}
-	return &source{a, conn, answer}
+	return &streamSource{a, conn, response}
 }
 
-// after says whether an event comes behind another in a stream; ids rise.
-func after(id, last string) bool {
+// isAfter reports whether an event comes later in a stream than another. Numeric IDs increase; other IDs are only
+// compared for equality.
+func isAfter(id, last string) bool {
 	if last == "" {
 		return true
 	}
--- a/router/table/table.go
+++ b/router/table/table.go
@@ -1,4 +1,5 @@
-// Package table compiles a configuration into what a router looks up for each request. A table is immutable.
+// Package table compiles a configuration into the lookup tables that a router uses for each request. A Table is
+// immutable.
 package table
 
 import (
@@ -10,20 +11,20 @@
 	"ivybank/config"
 )
 
-// Table is one version, ready for look-ups.
+// Table is one revision of the configuration, prepared for lookups.
 type Table struct {
-	Revision int64
-	Limits   config.Limits
-	Services map[string]*config.Service
-	routes   map[string][]*config.Route // by host, longest prefix first
-	owners   map[string]*config.Tenant  // by key
-	tenants  bool
+	Revision     int64
+	Limits       config.Limits
+	Services     map[string]*config.Service
+	routes       map[string][]*config.Route // by lower-case host name, longest path prefix first
+	tenantsByKey map[string]*config.Tenant  // by API key
+	hasTenants   bool
 }
 
-// Compile makes the table of a configuration.
+// Compile builds the table of a configuration.
 func Compile(c *config.Config) *Table {
 	t := &Table{Revision: c.Revision, Limits: c.Limits, Services: map[string]*config.Service{},
-		routes: map[string][]*config.Route{}, owners: map[string]*config.Tenant{}, tenants: len(c.Tenants) > 0}
+		routes: map[string][]*config.Route{}, tenantsByKey: map[string]*config.Tenant{}, hasTenants: len(c.Tenants) > 0}
 	for i := range c.Services {
 		t.Services[c.Services[i].Name] = &c.Services[i]
 	}
@@ -36,13 +37,13 @@
 	}
 	for i := range c.Tenants {
 		for _, key := range c.Tenants[i].APIKeys {
-			t.owners[key] = &c.Tenants[i]
+			t.tenantsByKey[key] = &c.Tenants[i]
 		}
 	}
 	return t
 }
 
-// Route finds the route of a request by its Host header and path; nil where there is none.
+// Route returns the route for a Host header and path; nil if none matches.
 func (t *Table) Route(host, path string) *config.Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -55,8 +56,9 @@
 	return nil
 }
 
-// Service chooses the service of a request on a route; chance is between 0 and 1.
-func (t *Table) Service(r *config.Route, chance float64) string {
+// Service chooses the service for a request on a route, by the weights of its traffic split. random is between 0 and
+// 1.
+func (t *Table) Service(r *config.Route, random float64) string {
 	if len(r.Split) == 0 {
 		return r.Backend
 	}
@@ -64,27 +66,27 @@
 	for _, s := range r.Split {
 		sum += s.Weight
 	}
-	rest := chance * sum
+	remaining := random * sum
 	for _, s := range r.Split {
-		if rest < s.Weight {
+		if remaining < s.Weight {
 			return s.Backend
 		}
-		rest -= s.Weight
+		remaining -= s.Weight
 	}
 	return r.Split[len(r.Split)-1].Backend
 }
 
-// NeedsKey says whether requests on a route have to carry a key.
-func (t *Table) NeedsKey(r *config.Route) bool { return t.tenants && !r.Public }
+// NeedsKey reports whether requests on a route must carry an API key.
+func (t *Table) NeedsKey(r *config.Route) bool { return t.hasTenants && !r.Public }
 
-// Tenant gives whose key an Authorization header holds; nil where nobody's.
+// Tenant returns the tenant whose API key is in an Authorization header; nil if the key is unknown.
 func (t *Table) Tenant(authorization string) *config.Tenant {
 	scheme, key, ok := strings.Cut(strings.TrimSpace(authorization), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
 		return nil
 	}
-	return t.owners[strings.TrimSpace(key)]
+	return t.tenantsByKey[strings.TrimSpace(key)]
 }
 
-// String names the version.
+// String returns the revision.
 func (t *Table) String() string { return fmt.Sprintf("revision %d", t.Revision) }
--- a/router/upstream/exchange.go
+++ b/router/upstream/exchange.go
@@ -10,51 +10,51 @@
 	"time"
 )
 
-// IDHeader names the request; a host echoes it.
+// IDHeader carries the ID of the request; a host echoes it in the response.
 const IDHeader = "Request-Id"
 
-// Request is what goes to a host.
+// Request is a request as it is sent to a host.
 type Request struct {
 	Method string
-	Target string // as the client sent it
+	Target string // request target as the client sent it
 	Host   string
-	Header http.Header // without those of one connection
+	Header http.Header // without the headers that apply to one connection only
 	Body   []byte
 }
 
 // Limits of an exchange.
 const (
-	// writtenAside is the size of a request from which on it is written beside the reading of its answer: a host may answer
-	// before it has read a long body.
-	writtenAside   = 16 << 10
-	mostInterim    = 8        // interim answers to one request
-	mostSurplus    = 2        // answers to earlier requests that are skipped
-	requestsKept   = 4        // requests of a connection, answers to which are known to be surplus
-	largestSurplus = 64 << 10 // bytes of one
+	// asyncWriteBytes is the size of a request from which on it is written concurrently with reading the response: a
+	// host may respond before it has read a long body.
+	asyncWriteBytes     = 16 << 10
+	maxInterimResponses = 8        // interim responses to one request
+	maxSurplusResponses = 2        // responses to earlier requests that are skipped
+	maxRecentIDs        = 4        // most recent requests of a connection whose IDs are kept to recognise surplus responses
+	maxSurplusBytes     = 64 << 10 // size of a surplus response
 )
 
-// Do sends a request and reads the head of the answer. An error is always an *Error. The answer's body has to be read
-// by the caller, until the deadline that is set here.
+// Do sends a request and reads the header of the response. An error is always an *Error. The caller has to read the
+// body of the response, before the deadline that is set here.
 //
-// An answer belongs to the request whose id it echoes. One to an earlier request on this connection, which came late or
-// twice, is skipped; any other one, and one without the id, may be anybody's.
+// A response belongs to the request whose ID it echoes. A late or duplicate response to an earlier request on this
+// connection is skipped. Any other response, and one without an ID, may belong to anybody and is an error.
 func (c *Conn) Do(q *Request, deadline time.Time) (*http.Response, error) {
 	if err := c.raw.SetDeadline(deadline); err != nil {
 		return nil, &Error{NotSent, err}
 	}
-	written, err := c.write(q.bytes())
+	pending, err := c.write(q.encode())
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.readAnswer(q)
-	c.served = append(c.served[max(0, len(c.served)+1-requestsKept):], q.Header.Get(IDHeader))
-	if written != nil && !written.isDone() {
-		c.Retire() // the host has not read the whole request, so the next one can't follow on this connection
+	response, err := c.readResponse(q)
+	c.recentIDs = append(c.recentIDs[max(0, len(c.recentIDs)+1-maxRecentIDs):], q.Header.Get(IDHeader))
+	if pending != nil && !pending.isDone() {
+		c.Retire() // the host has not read the whole request, so no other request can follow on this connection
 	}
-	return answer, err
+	return response, err
 }
 
-// pendingWrite is a request that is being written beside the reading of its answer.
+// pendingWrite receives the result of writing a request concurrently with reading its response.
 type pendingWrite chan error
 
 func (w pendingWrite) isDone() bool {
@@ -66,17 +66,17 @@
 	}
 }
 
-// write sends a request: a short one whole, a long one beside what follows. A host that rejects a request early and ends
-// the connection makes the write fail, and its answer can be read all the same: so only a write that failed before its
-// first byte is an error here.
+// write sends a short request completely, and a long one in the background. If a host rejects a request early and
+// closes the connection, the write fails but the response can still be read: so a failed write is an error here only
+// if no byte was written.
 func (c *Conn) write(request []byte) (pendingWrite, error) {
-	if len(request) >= writtenAside {
-		written := make(pendingWrite, 1)
+	if len(request) >= asyncWriteBytes {
+		pending := make(pendingWrite, 1)
 		go func() {
 			_, err := c.raw.Write(request)
-			written <- err
+			pending <- err
 		}()
-		return written, nil
+		return pending, nil
 	}
 	n, err := c.raw.Write(request)
 	if err == nil {
@@ -89,26 +89,26 @@
 	return nil, nil
 }
 
-// readAnswer reads heads until one is the answer to the request.
-func (c *Conn) readAnswer(q *Request) (*http.Response, error) {
+// readResponse reads response headers until one belongs to the request.
+func (c *Conn) readResponse(q *Request) (*http.Response, error) {
 	interim, surplus := 0, 0
 	for {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: q.Method})
 		if err != nil {
-			return nil, &Error{MayHaveRun, fmt.Errorf("upstream: %w", err)}
+			return nil, &Error{MaybeExecuted, fmt.Errorf("upstream: %w", err)}
 		}
-		id, wanted := answer.Header.Get(IDHeader), q.Header.Get(IDHeader)
+		id, wanted := response.Header.Get(IDHeader), q.Header.Get(IDHeader)
 		switch {
-		case answer.StatusCode == http.StatusSwitchingProtocols || interim >= mostInterim:
-			return nil, spoilt("interim answer %d", answer.StatusCode)
-		case answer.StatusCode < http.StatusOK:
+		case response.StatusCode == http.StatusSwitchingProtocols || interim >= maxInterimResponses:
+			return nil, invalidResponse("unexpected interim response %d", response.StatusCode)
+		case response.StatusCode < http.StatusOK:
 			interim++
 		case id == wanted:
-			return answer, nil
+			return response, nil
 		case id == "":
-			return nil, spoilt("no request id")
-		case surplus >= mostSurplus || !slices.Contains(c.served, id) || !skip(answer):
-			return nil, spoilt("of request %q", id)
+			return nil, invalidResponse("no request ID")
+		case surplus >= maxSurplusResponses || !slices.Contains(c.recentIDs, id) || !skip(response):
+			return nil, invalidResponse("response to request %q", id)
 		default:
 			surplus++
 			c.Retire()
@@ -116,25 +116,26 @@
 	}
 }
 
-func spoilt(format string, args ...any) *Error {
-	return &Error{MayHaveRun, fmt.Errorf("%w: "+format, append([]any{ErrSpoilt}, args...)...)}
+func invalidResponse(format string, args ...any) *Error {
+	return &Error{MaybeExecuted, fmt.Errorf("%w: "+format, append([]any{ErrInvalidResponse}, args...)...)}
 }
 
-// skip reads over an answer to an earlier request. It reports false where its end isn't told, or it isn't whole.
-func skip(answer *http.Response) bool {
-	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
-	if !framed {
+// skip reads the rest of a response to an earlier request. It reports false if the response is incomplete, too large
+// or has no marked end.
+func skip(response *http.Response) bool {
+	delimited := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+	if !delimited {
 		return false
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, largestSurplus+1))
-	return err == nil && n <= largestSurplus
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBytes+1))
+	return err == nil && n <= maxSurplusBytes
 }
 
-func (q *Request) bytes() []byte {
+func (q *Request) encode() []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(q.Body))
 	b.WriteString(q.Method + " " + q.Target + " HTTP/1.1\r\nHost: " + q.Host + "\r\n")
-	_ = q.Header.Write(&b) // a bytes.Buffer doesn't fail
+	_ = q.Header.Write(&b) // writes to a bytes.Buffer do not fail
 	if len(q.Body) > 0 || q.Method != http.MethodGet && q.Method != http.MethodHead {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(q.Body)) + "\r\n")
 	}
--- a/router/upstream/pool.go
+++ b/router/upstream/pool.go
@@ -1,5 +1,5 @@
-// Package upstream holds the connections of a router to hosts and carries one HTTP/1.1 exchange at a time over each.
-// It says of every exchange that failed whether the request may have run.
+// Package upstream keeps the connections of a router to hosts and runs one HTTP/1.1 exchange at a time over each. For
+// every failed exchange it reports whether the request may have been executed.
 package upstream
 
 import (
@@ -20,131 +20,133 @@
 )
 
 const (
-	dialTimeout       = 150 * time.Millisecond
-	longestRest       = 2 * time.Second // for which a connection may rest before its next use
-	restShare         = 0.6             // part of the time told in Keep-Alive for which it may rest
-	idlePerHost       = 8
-	readBuffer        = 4 << 10
-	sweepInterval     = time.Second
-	unacknowledgedMax = 1500 * time.Millisecond
+	dialTimeout           = 150 * time.Millisecond
+	maxIdleTime           = 2 * time.Second // longest time that a connection may be idle before its next use
+	keepAliveShare        = 0.6             // part of the timeout in a Keep-Alive header for which a connection may be idle
+	maxIdlePerHost        = 8
+	readBufferBytes       = 4 << 10
+	sweepInterval         = time.Second
+	maxUnacknowledgedTime = 1500 * time.Millisecond
 )
 
-// Verdict says whether the request of a failed exchange may have run at the host.
-type Verdict int
+// Execution says whether the host may have executed the request of a failed exchange.
+type Execution int
 
-// The verdicts.
+// The possible values of Execution.
 const (
-	NotSent    Verdict = iota // no byte of it left
-	NotRun                    // the host said so
-	MayHaveRun                // it left, and nothing proves that it did not run
+	NotSent       Execution = iota // no byte of the request was sent
+	NotExecuted                    // the host reported that it did not execute the request
+	MaybeExecuted                  // the request was sent, and nothing proves that it was not executed
 )
 
-// Error is the failure of an exchange.
+// Error is the error of an exchange that failed.
 type Error struct {
-	Verdict Verdict
-	Err     error
+	Execution Execution
+	Err       error
 }
 
 func (e *Error) Error() string { return e.Err.Error() }
 func (e *Error) Unwrap() error { return e.Err }
 
-// ErrSpoilt says that what came is no answer to the request.
-var ErrSpoilt = errors.New("upstream: spoilt answer")
+// ErrInvalidResponse reports that the received bytes are not a response to the request.
+var ErrInvalidResponse = errors.New("upstream: invalid response")
 
 // Conn is one connection to a host, used for one exchange at a time.
 type Conn struct {
-	raw     net.Conn
-	reader  *bufio.Reader
-	address string
-	rested  time.Time
-	rest    time.Duration // for which it may rest
-	release func() bool   // ends the bond to the request that it is used for; see bind
-	retired bool          // it serves no further request
-	served  []string      // ids of the newest requests that it has served
+	raw       net.Conn
+	reader    *bufio.Reader
+	address   string
+	idleSince time.Time     // start of the idle time
+	maxIdle   time.Duration // how long the connection may be idle
+	unbind    func() bool   // ends the binding to a context; see bind
+	retired   bool          // the connection serves no further request
+	recentIDs []string      // IDs of the most recent requests on this connection
 }
 
-// Retire has a connection serve no further request. Only the request that uses it may say so.
+// Retire marks the connection so that it serves no further request. Only the request that uses the connection may
+// call it.
 func (c *Conn) Retire() { c.retired = true }
 
-// Pool keeps connections at rest, by address. It is safe for concurrent use.
+// Pool keeps idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*Conn
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[string][]*Conn{}} }
 
-// Get gives a connection to a host: one at rest that is still open, else a new one. It ends with the context, until it
-// is put back.
+// Get returns a connection to a host: an idle one that is still open, otherwise a new one. The connection is closed
+// when the context ends, until it is put back. An error is an *Error.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
-		c := p.take(address)
+		c := p.takeIdle(address)
 		if c == nil {
 			return p.Dial(ctx, address)
 		}
-		if time.Since(c.rested) < c.rest && c.quiet() {
+		if time.Since(c.idleSince) < c.maxIdle && c.isUsable() {
 			return c.bind(ctx), nil
 		}
 		c.raw.Close()
 	}
 }
 
-// Dial gives a new connection, which ends with the context until it is put back. That it comes up shows that the host
-// is there.
+// Dial returns a new connection, which is closed when the context ends until it is put back. A successful dial shows
+// that the host is reachable. An error is an *Error.
 func (p *Pool) Dial(ctx context.Context, address string) (*Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	raw, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, &Error{NotSent, fmt.Errorf("upstream: %w", err)}
 	}
-	tcp.SetUserTimeout(raw, unacknowledgedMax)
-	c := &Conn{raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), address: address, rest: longestRest}
+	tcp.SetUserTimeout(raw, maxUnacknowledgedTime)
+	c := &Conn{raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), address: address, maxIdle: maxIdleTime}
 	return c.bind(ctx), nil
 }
 
-// bind has a connection end with the context of the request that it is used for, until it is put back.
+// bind closes the connection when the context of the request that uses it ends, until the connection is put back.
 func (c *Conn) bind(ctx context.Context) *Conn {
-	c.release = context.AfterFunc(ctx, c.Close)
+	c.unbind = context.AfterFunc(ctx, c.Close)
 	return c
 }
 
-func (p *Pool) take(address string) *Conn {
+func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := p.idle[address]
-	if len(all) == 0 {
+	conns := p.idle[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	c := all[len(all)-1]
-	p.idle[address] = all[:len(all)-1]
+	c := conns[len(conns)-1]
+	p.idle[address] = conns[:len(conns)-1]
 	return c
 }
 
-// Put gives a connection back after a whole answer. It is closed where the host said so, or sent more than that.
-func (p *Pool) Put(c *Conn, answer *http.Response) {
-	if !c.release() || c.retired || answer.Close || c.reader.Buffered() > 0 {
+// Put returns a connection to the pool after a complete response. It closes the connection if the host asked for that
+// or sent surplus bytes.
+func (p *Pool) Put(c *Conn, response *http.Response) {
+	if !c.unbind() || c.retired || response.Close || c.reader.Buffered() > 0 {
 		c.raw.Close()
 		return
 	}
-	if told := keepAlive(answer.Header.Get("Keep-Alive")); told > 0 {
-		c.rest = min(longestRest, time.Duration(restShare*float64(told)))
+	if timeout := keepAliveTimeout(response.Header.Get("Keep-Alive")); timeout > 0 {
+		c.maxIdle = min(maxIdleTime, time.Duration(keepAliveShare*float64(timeout)))
 	}
 	if c.raw.SetDeadline(time.Time{}) != nil {
 		c.raw.Close()
 		return
 	}
-	c.rested = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= idlePerHost {
+	if len(p.idle[c.address]) >= maxIdlePerHost {
 		c.raw.Close()
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections that have rested for too long, until the context ends.
+// Sweep closes connections that have been idle for too long, until the context ends.
 func (p *Pool) Sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -161,24 +163,24 @@
 func (p *Pool) sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for address, all := range p.idle {
-		kept := all[:0]
-		for _, c := range all {
-			if time.Since(c.rested) < c.rest {
+	for address, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if time.Since(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 			} else {
 				c.raw.Close()
 			}
 		}
-		clear(all[len(kept):])
+		clear(conns[len(kept):])
 		if p.idle[address] = kept; len(kept) == 0 {
 			delete(p.idle, address)
 		}
 	}
 }
 
-// keepAlive reads the time in a Keep-Alive header; 0 where there is none.
-func keepAlive(header string) time.Duration {
+// keepAliveTimeout parses the timeout of a Keep-Alive header; 0 if there is none.
+func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if ok && strings.EqualFold(name, "timeout") {
@@ -190,8 +192,8 @@
 	return 0
 }
 
-// quiet says whether a connection at rest is open and nothing has come over it.
-func (c *Conn) quiet() bool {
+// isUsable reports whether an idle connection is still open and no bytes have arrived on it.
+func (c *Conn) isUsable() bool {
 	socket, ok := c.raw.(*net.TCPConn)
 	if !ok {
 		return true
@@ -200,15 +202,15 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = control.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, received := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(received, unix.EAGAIN)
+		var buf [1]byte
+		_, _, recvErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		usable = errors.Is(recvErr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// Close ends the connection; the host drops what it works on.
+// Close closes the connection. The host then drops the request that it works on.
 func (c *Conn) Close() { c.raw.Close() }
--- a/router/upstream/pool_test.go
+++ b/router/upstream/pool_test.go
@@ -11,40 +11,40 @@
 	"gotest.tools/v3/assert"
 )
 
-func exchange(t *testing.T, c *Conn) *http.Response {
+func doExchange(t *testing.T, c *Conn) *http.Response {
 	t.Helper()
-	answer, err := c.Do(&Request{Method: "GET", Target: "/", Host: "a", Header: http.Header{}}, time.Now().Add(time.Second))
+	response, err := c.Do(&Request{Method: "GET", Target: "/", Host: "a", Header: http.Header{}}, time.Now().Add(time.Second))
 	assert.NilError(t, err)
-	_, err = io.Copy(io.Discard, answer.Body)
+	_, err = io.Copy(io.Discard, response.Body)
 	assert.NilError(t, err)
-	return answer
+	return response
 }
 
-func TestConnectionPutBackOutlivesItsRequest(t *testing.T) {
+func TestConnectionOutlivesRequestOncePutBack(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer host.Close()
 	pool := NewPool()
-	first, end := context.WithCancel(context.Background())
-	c, err := pool.Get(first, host.Listener.Addr().String())
+	firstCtx, cancelFirst := context.WithCancel(context.Background())
+	c, err := pool.Get(firstCtx, host.Listener.Addr().String())
 	assert.NilError(t, err)
-	pool.Put(c, exchange(t, c))
+	pool.Put(c, doExchange(t, c))
 	second, err := pool.Get(context.Background(), host.Listener.Addr().String())
 	assert.NilError(t, err)
 	assert.Equal(t, second, c)
-	end() // the first request's client leaves while the second uses the connection
-	exchange(t, second)
+	cancelFirst() // the client of the first request leaves while the second one uses the connection
+	doExchange(t, second)
 }
 
-func TestConnectionOfAnEndedRequestIsNotKept(t *testing.T) {
+func TestConnectionIsNotKeptAfterRequestEnds(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer host.Close()
 	pool := NewPool()
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	c, err := pool.Get(ctx, host.Listener.Addr().String())
 	assert.NilError(t, err)
-	answer := exchange(t, c)
-	end()
-	pool.Put(c, answer)
+	response := doExchange(t, c)
+	cancel()
+	pool.Put(c, response)
 	assert.Equal(t, len(pool.idle), 0)
 }
 
@@ -54,8 +54,8 @@
 	pool := NewPool()
 	c, err := pool.Get(t.Context(), host.Listener.Addr().String())
 	assert.NilError(t, err)
-	answer := exchange(t, c)
+	response := doExchange(t, c)
 	c.Retire()
-	pool.Put(c, answer)
+	pool.Put(c, response)
 	assert.Equal(t, len(pool.idle), 0)
 }
--- a/router/watchdog.go
+++ b/router/watchdog.go
@@ -9,55 +9,57 @@
 )
 
 const (
-	// headSilenceShare is the part of a route's aim for the first event before which no other host is tried: after it, one
-	// that has the prompt's shared parts may still answer within the aim.
-	headSilenceShare = 0.6
-	// unknownSilenceShare is used in its place while too little is known of how long answers take to begin.
-	unknownSilenceShare = 2.0
-	// gapSilenceShare is the part of the aim between events after which another host takes a stream over. It has to read the
-	// prompt first, so it can't keep the aim, and a host that reads prompts of others in between is silent for longer than that.
-	gapSilenceShare = 2.5
-	shortestSilence = 250 * time.Millisecond
+	// headerSilenceShare is the part of a route's target time for the first event after which a silent host is given
+	// up. The rest of the target is enough for another host that has the shared parts of the prompt in its cache.
+	headerSilenceShare = 0.6
+	// defaultHeaderSilenceShare replaces headerSilenceShare while too little is known of how long hosts take to begin
+	// a response.
+	defaultHeaderSilenceShare = 2.0
+	// eventSilenceShare is the multiple of the target time between two events after which another host takes over a
+	// stream. That host has to read the prompt first, so it misses the target anyway, and a host that reads the
+	// prompts of other requests in between is silent for longer than the target.
+	eventSilenceShare = 2.5
+	minSilenceLimit   = 250 * time.Millisecond
 )
 
-// mayMove says whether the request that is out may go to one more host.
-func (x *exchange) mayMove() bool {
-	return x.repeatable() && x.sent+1 < x.route.MaxAttempts && x.router.retries.has(x.backend)
+// canReroute reports whether the request may be sent to one more host while the current one has not failed.
+func (x *exchange) canReroute() bool {
+	return x.isRetryable() && x.sendCount+1 < x.route.MaxAttempts && x.router.retries.canSpend(x.serviceName)
 }
 
-// headSilence is how long a host may be silent before it has begun its answer: as long as answers to prompts of that size
-// usually take, by what this router saw of late. A long prompt is read for long, and another host would read it anew.
-func (x *exchange) headSilence() time.Duration {
-	usual := x.service.UsualWait(x.prompt)
-	if usual == 0 && x.prompt > 0 {
-		return silenceLimit(unknownSilenceShare, x.route.TargetMS)
+// headerSilenceLimit is how long a host may be silent before it begins its response: as long as recent responses to
+// prompts of this size usually took. A long prompt takes long to read, and another host would have to read it again.
+func (x *exchange) headerSilenceLimit() time.Duration {
+	usual := x.service.UsualResponseDelay(x.promptTokens)
+	if usual == 0 && x.promptTokens > 0 {
+		return silenceLimit(defaultHeaderSilenceShare, x.route.TargetMS)
 	}
-	return max(usual, silenceLimit(headSilenceShare, x.route.TargetMS))
+	return max(usual, silenceLimit(headerSilenceShare, x.route.TargetMS))
 }
 
-func silenceLimit(share, aimMS float64) time.Duration {
-	return max(shortestSilence, time.Duration(share*aimMS*float64(time.Millisecond)))
+func silenceLimit(share, targetMS float64) time.Duration {
+	return max(minSilenceLimit, time.Duration(share*targetMS*float64(time.Millisecond)))
 }
 
-// onSilence calls act once a host has been silent for the limit towards this router altogether: one that answers other
-// requests is merely slow. stop ends the watch, and reports false where act has been called.
+// onSilence calls act once the host of the attempt has sent nothing at all to this router for the limit: a host that
+// answers other requests is only slow. stop ends the timer and reports false if act has been called.
 func (x *exchange) onSilence(a *policy.Attempt, limit time.Duration, act func()) (stop func() bool) {
 	var mu sync.Mutex
 	var timer *time.Timer
-	over := false
+	done := false
 	check := func() {
 		mu.Lock()
-		if over {
+		if done {
 			mu.Unlock()
 			return
 		}
-		silent := x.router.now() - x.service.SilentSince(a)
+		silent := x.router.now() - x.service.LastActivity(a)
 		if silent < limit {
 			timer.Reset(limit - silent)
 			mu.Unlock()
 			return
 		}
-		over = true
+		done = true
 		mu.Unlock()
 		act()
 	}
@@ -67,67 +69,69 @@
 	return func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		was := over
-		over = true
+		wasDone := done
+		done = true
 		timer.Stop()
-		return !was
+		return !wasDone
 	}
 }
 
-// watchHead ends a connection whose host is silent before it has begun its answer, where another may be tried.
-func (x *exchange) watchHead(a *policy.Attempt, conn *upstream.Conn) (stop func() bool) {
-	if !x.mayMove() {
+// watchHeader closes a connection whose host is silent for too long before it begins its response, if another host
+// may be tried.
+func (x *exchange) watchHeader(a *policy.Attempt, conn *upstream.Conn) (stop func() bool) {
+	if !x.canReroute() {
 		return func() bool { return true }
 	}
-	return x.onSilence(a, x.headSilence(), func() {
-		x.router.decisions.moved[moveHeadSilence].Inc()
+	return x.onSilence(a, x.headerSilenceLimit(), func() {
+		x.router.metrics.rerouted[rerouteSilentBeforeResponse].Inc()
 		conn.Close()
 	})
 }
 
-// successor is the host that takes a stream over, once one is needed.
-type successor struct {
+// successorWatch opens a successor, a host that continues a stream, once the current host is silent.
+type successorWatch struct {
 	x     *exchange
 	stop  func() bool
-	ready chan *source
+	ready chan *streamSource
 }
 
-// await prepares a successor while a stream's host is silent. The host is left only once the successor has begun.
-func (x *exchange) await(from source, last *position) *successor {
-	s := &successor{x: x, stop: func() bool { return true }, ready: make(chan *source, 1)}
-	if !x.repeatable() || x.sent >= x.route.MaxAttempts {
+// watchStream opens a successor when the host of a stream is silent for too long. The connection to the silent host
+// is closed only once the successor has begun its response.
+func (x *exchange) watchStream(from streamSource, last *lastEventID) *successorWatch {
+	s := &successorWatch{x: x, stop: func() bool { return true }, ready: make(chan *streamSource, 1)}
+	if !x.isRetryable() || x.sendCount >= x.route.MaxAttempts {
 		return s
 	}
-	s.stop = x.onSilence(from.attempt, silenceLimit(gapSilenceShare, x.route.GapAimMS), func() {
-		if !x.again() {
+	s.stop = x.onSilence(from.attempt, silenceLimit(eventSilenceShare, x.route.GapAimMS), func() {
+		if !x.reserveRetry() {
 			s.ready <- nil
 			return
 		}
-		next := x.open(last.get())
+		next := x.openSuccessor(last.get())
 		if next != nil {
-			x.router.decisions.moved[moveGapSilence].Inc()
-			from.conn.Close() // before it could be given back, and serve another request
+			x.router.metrics.rerouted[rerouteSilentInStream].Inc()
+			from.conn.Close() // closed first, so that it cannot be put back into the pool and serve another request
 		}
 		s.ready <- next
 	})
 	return s
 }
 
-// finish ends the watch and gives the successor where one has been opened and is wanted.
-func (s *successor) finish(wanted bool) *source {
+// finish stops the timer and returns the successor if one has been opened and is wanted.
+func (s *successorWatch) finish(wanted bool) *streamSource {
 	if s.stop() {
 		return nil
 	}
 	next := <-s.ready
 	if next != nil && !wanted {
-		s.x.drop(next)
+		s.x.discard(next)
 		return nil
 	}
 	return next
 }
 
-// drop ends a source that is no longer wanted.
-func (x *exchange) drop(s *source) {
+// discard closes a source that is no longer needed.
+func (x *exchange) discard(s *streamSource) {
 	s.conn.Close()
-	x.end(s.attempt, policy.Withdrawn)
+	x.endAttempt(s.attempt, policy.Withdrawn)
 }
--- a/router/watchdog_test.go
+++ b/router/watchdog_test.go
@@ -9,36 +9,36 @@
 	"gotest.tools/v3/assert"
 )
 
-// A host that reads a long prompt is silent for longer than others: the request is not sent to another one, which would
-// read the prompt anew and take as long.
-func TestLongPromptIsWaitedFor(t *testing.T) {
-	slowly := func(q *turn) bool {
+// A host that reads a long prompt is silent for longer than others. The request must not be sent to another host,
+// which would have to read the prompt too and take as long.
+func TestRouterWaitsForLongPrompt(t *testing.T) {
+	respondSlowly := func(q *hostRequest) bool {
 		time.Sleep(400 * time.Millisecond)
 		return streamAll(q)
 	}
-	first, second := newRawHost(t, "h1", slowly), newRawHost(t, "h2", slowly)
-	_, server := newCrossing(t, first, second)
-	for i := range 6 { // before and after it is known how long such prompts take
+	first, second := newFakeHost(t, "h1", respondSlowly), newFakeHost(t, "h2", respondSlowly)
+	_, server := newTestRouter(t, first, second)
+	for i := range 6 { // before and after the router has measured how long such prompts take
 		id := fmt.Sprint("r", i)
-		got := postWith(t, t.Context(), server, "/stream/x", id, nil, map[string]string{tokensHeader: "40000,50"})
-		assert.Equal(t, got, reply{status: http.StatusOK, body: eventsFrom(1, 7)})
-		assert.Equal(t, first.ran(id)+second.ran(id), 1)
+		got := postWith(t, t.Context(), server, "/stream/x", id, nil, map[string]string{tokenUsageHeader: "40000,50"})
+		assert.Equal(t, got, clientResult{status: http.StatusOK, body: eventsFrom(1, 7)})
+		assert.Equal(t, first.runCount(id)+second.runCount(id), 1)
 	}
 }
 
-// One that is silent for much longer than usual is left for another.
-func TestHostThatHangsIsLeft(t *testing.T) {
-	hang := func(q *turn) bool {
+// A request is sent to another host if the first one is silent for much longer than usual.
+func TestRequestLeavesHangingHost(t *testing.T) {
+	hang := func(q *hostRequest) bool {
 		time.Sleep(3 * time.Second)
 		return false
 	}
-	bad, good := newRawHost(t, "h1", hang), newRawHost(t, "h2", streamAll)
-	_, server := newCrossing(t, bad, good)
+	bad, good := newFakeHost(t, "h1", hang), newFakeHost(t, "h2", streamAll)
+	_, server := newTestRouter(t, bad, good)
 	for i := range 4 {
 		id := fmt.Sprint("r", i)
-		began := time.Now()
-		got := postWith(t, t.Context(), server, "/stream/x", id, nil, map[string]string{tokensHeader: "4000,50"})
-		assert.Equal(t, got, reply{status: http.StatusOK, body: eventsFrom(1, 7)})
-		assert.Assert(t, time.Since(began) < 2*time.Second)
+		start := time.Now()
+		got := postWith(t, t.Context(), server, "/stream/x", id, nil, map[string]string{tokenUsageHeader: "4000,50"})
+		assert.Equal(t, got, clientResult{status: http.StatusOK, body: eventsFrom(1, 7)})
+		assert.Assert(t, time.Since(start) < 2*time.Second)
 	}
 }
