--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,4 @@
-// Package settings reads and checks the settings file of a process of a fleet. Fields that it doesn't know are
-// ignored.
+// Package settings reads and checks the settings file of a fleet process. Unknown fields are ignored.
 package settings
 
 import (
@@ -14,13 +13,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
+// PathEnvVar is the environment variable that holds the path of the settings file.
 const Variable = "IVYBANK_CONFIG"
 
-// DefaultPath is where the file is looked for without that variable.
+// DefaultPath is the path of the settings file if that variable is not set.
 const DefaultPath = "/etc/ivybank/settings.toml"
 
-// Settings is what the platform tells a process. Names are those of the file.
+// Settings are the settings that the platform gives to a process. Field names follow the keys of the file.
 type Settings struct {
 	NodeName  string            `toml:"node_name"`
 	Class     string            `toml:"machine_class"`
@@ -31,37 +30,37 @@
 	Seeds     []string          `toml:"seeds"`
 	Bootstrap bool              `toml:"bootstrap"`
 	DataDir   string            `toml:"data_dir"`
-	Metrics   string            `toml:"metrics"` // PORT/PATH of the figures; empty for none
+	Metrics   string            `toml:"metrics"` // PORT/PATH at which metrics are served; empty for none
 	Zones     map[string]string `toml:"zones"`
 	Listen    Listen            `toml:"listen"`
 	Limits    Limits            `toml:"limits"`
 	Tolerate  Tolerate          `toml:"tolerate"`
-	// Guarantees names the parts of the rules in force.
+	// Guarantees names the guarantees that apply to this fleet.
 	Guarantees []string `toml:"guarantees"`
 	Bounds     Bounds   `toml:"bounds"`
 	Cloud      Cloud    `toml:"cloud"`
 }
 
-// Listen holds the addresses that a process serves to others, host:port.
+// Listen holds the host:port addresses on which a process serves others.
 type Listen struct {
 	Front   string `toml:"front"`
 	Ready   string `toml:"ready"`
 	Control string `toml:"control"`
 }
 
-// Limits are those of the machine.
+// Limits are the resource limits of the machine.
 type Limits struct {
 	CPUShare float64 `toml:"cpu_share"`
 	MemoryMB int     `toml:"memory_mb"`
 	MaxFDs   int     `toml:"max_fds"`
 }
 
-// Tolerate says how much may fail at once.
+// Tolerate is how many failures at the same time the fleet has to tolerate.
 type Tolerate struct {
 	Machines int `toml:"machines"`
 }
 
-// Bounds are figures of the rules in force. Names end in their unit.
+// Bounds are the figures of the guarantees. Field names end in their unit; counts and ratios have none.
 type Bounds struct {
 	DrainMS       float64 `toml:"drain_ms"`
 	GraceS        float64 `toml:"grace_s"`
@@ -80,14 +79,14 @@
 	HistoryS      float64 `toml:"history_s"`
 }
 
-// Cloud says where the platform keeps its list of hosts.
+// Cloud describes the API of the platform that lists the hosts.
 type Cloud struct {
 	Address  string  `toml:"address"`
 	RatePerS float64 `toml:"rate_per_s"`
 	LagMS    float64 `toml:"lag_ms"`
 }
 
-// Path gives where the settings file is.
+// Path returns the path of the settings file.
 func Path() string {
 	if path := os.Getenv(Variable); path != "" {
 		return path
@@ -112,9 +111,9 @@
 func Parse(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(text, s); err != nil {
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			line, _ := at.Position()
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			line, _ := decodeErr.Position()
 			return nil, fmt.Errorf("line %d: %w", line, err)
 		}
 		return nil, err
@@ -130,7 +129,7 @@
 		return fmt.Errorf("ip: %w", err)
 	}
 	if s.PortRange[0] < 1 || s.PortRange[1] < s.PortRange[0]+1 || s.PortRange[1] > 65535 {
-		return fmt.Errorf("port_range: %v is no range of two ports or more", s.PortRange)
+		return fmt.Errorf("port_range: %v must span at least two ports", s.PortRange)
 	}
 	if err := checkMetrics(s.Metrics); err != nil {
 		return err
@@ -146,36 +145,36 @@
 	return nil
 }
 
-// checkMetrics checks where figures are to be told: PORT/PATH.
-func checkMetrics(at string) error {
-	if at == "" {
+// checkMetrics checks the metrics address, PORT/PATH.
+func checkMetrics(address string) error {
+	if address == "" {
 		return nil
 	}
-	port, path, ok := strings.Cut(at, "/")
+	port, path, ok := strings.Cut(address, "/")
 	if number, err := strconv.ParseUint(port, 10, 16); !ok || err != nil || number == 0 || strings.ContainsAny(path, " {}") {
-		return fmt.Errorf("metrics: %q is not PORT/PATH", at)
+		return fmt.Errorf("metrics: %q is not PORT/PATH", address)
 	}
 	return nil
 }
 
-// coordinationGuarantee names the rules on locks, numbers, keys and watches.
+// coordinationGuarantee is the name of the guarantee for locks, numbers, keys and watches.
 const coordinationGuarantee = "coord"
 
-// Coordinates says whether applications may ask for locks, numbers, keys and watches.
+// CoordinationEnabled reports whether applications may use locks, numbers, keys and watches.
 func (s *Settings) Coordinates() bool { return slices.Contains(s.Guarantees, coordinationGuarantee) }
 
-// InternalPort is the port on which control processes and agents of other machines are reached.
+// InternalPort is the port on which control processes and agents serve other machines.
 func (s *Settings) InternalPort() int { return s.PortRange[0] }
 
-// LocalPort is the port on which an agent serves the router of its own machine over loopback.
+// LocalPort is the loopback port on which an agent serves the router of its machine.
 func (s *Settings) LocalPort() int { return s.PortRange[0] + 1 }
 
-// SeedIPs gives the machines of the seeds.
+// SeedIPs returns the IP addresses of the seeds.
 func (s *Settings) SeedIPs() []string {
 	var ips []string
 	for _, seed := range s.Seeds {
-		if at, err := netip.ParseAddrPort(seed); err == nil {
-			ips = append(ips, at.Addr().String())
+		if address, err := netip.ParseAddrPort(seed); err == nil {
+			ips = append(ips, address.Addr().String())
 		}
 	}
 	return ips
