--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside each router that keeps the link to the control processes. It tails the feed of
-// all of them, and feeds the router of its machine over loopback: the newest configuration, the tables of hosts and
-// leases of limits. It survives the loss of any control process without a gap, and the router survives its own loss.
+// Package agent implements the process on each router machine that keeps the connections to the control processes. It
+// follows the feeds of all of them and feeds the router of its machine over loopback: the newest configuration, the
+// host lists and quota grants. It keeps feeding the router without a gap if any control process fails, and the router
+// keeps serving if the agent fails.
 package agent
 
 import (
@@ -15,84 +16,84 @@
 	"ivybank/wire"
 )
 
-// confirmedFor is how long after a leader's word an agent takes the members that it knows for those in force. Without
-// one for longer it also asks the seeds and the control processes that peers have told of.
-const confirmedFor = 3 * time.Second
+// confirmationValidity is how long after a leader's confirmation the agent relies on the members that it knows. After
+// that it also contacts the seeds and the control processes that peers have reported.
+const confirmationValidity = 3 * time.Second
 
-// Environment is what an agent needs of the world: in service sockets, in tests a simulated one. All that it tells the
-// agent comes as events in the agent's loop.
+// Environment is the agent's access to the outside: sockets in production, a simulation in tests. All its callbacks
+// run as events in the agent's loop.
 type Environment interface {
-	// Now is the steady clock, from the start of this life of the process.
+	// Now returns the time on a monotonic clock, counted from the start of this process.
 	Now() time.Duration
-	// OpenLink keeps a connection to the control process at an address.
+	// OpenLink opens a connection to the control process at an address and keeps it up.
 	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink
-	// KnownControls gives the addresses of control processes that peers have told of.
+	// KnownControlIPs returns the addresses of control processes that peers have reported.
 	KnownControls() []string
-	// Introduce tells peers of control processes.
+	// AddControlIPs adds control processes to those that are reported to peers.
 	Introduce(ips ...string)
-	// KnownAgents gives the addresses of agents that peers have told of.
+	// KnownAgentIPs returns the addresses of agents that peers have reported.
 	KnownAgents() []string
-	// SendDatagram sends a message to the agent at an address. It may be lost.
+	// SendDatagram sends a message to the agent at an address. The message may be lost.
 	SendDatagram(ip string, m *wire.Message)
 }
 
-// Agent is one life of an agent process. Its methods belong to its loop.
+// Agent is the state of one agent process. Its methods may only be called from its event loop.
 type Agent struct {
 	settings *settings.Settings
 	log      hclog.Logger
 	env      Environment
 
-	links       map[string]wire.OpenLink // by IP
-	group       *wire.Group
-	config      *wire.Config  // the newest that the router may act by
-	candidate   *wire.Config  // the newest that was told, before any is known to be current
-	confirmedAt time.Duration // when a leader said last that a configuration is current
-	tables      [hostlist.Shards]table
-	fences      [hostlist.Shards]uint64 // highest fencing number that the router or this agent has seen
-	routers     []wire.Sender
-	relay       relay
-	dropped     Dropped
+	links         map[string]wire.OpenLink // by IP
+	group         *wire.Group
+	config        *wire.Config  // the newest configuration that the router may use
+	candidate     *wire.Config  // the newest configuration received before any is confirmed as current
+	confirmedAt   time.Duration // when a leader last confirmed a configuration as current
+	hostTables    [hostlist.Shards]hostTable
+	fencingTokens [hostlist.Shards]uint64 // highest fencing token that the router or this agent has seen, by shard
+	routers       []wire.Sender
+	relay         relay
+	dropped       DropCounts
 }
 
-// Dropped counts messages that were not taken, by cause.
-type Dropped struct {
-	OldGroups  int64 // members under an older position than is known
-	OldHosts   int64 // hosts under an older fencing number than is known
+// DropCounts counts messages that were not accepted, by cause.
+type DropCounts struct {
+	OldGroups  int64 // member lists from an older position than the known one
+	OldHosts   int64 // host lists with an older fencing token than the known one
 	OtherFleet int64 // connections to control processes of another fleet
-	Relayed    int64 // questions of other machines that could not be passed on
+	Relayed    int64 // quota requests of other machines that could not be forwarded
 }
 
-// table is one shard's hosts and the control process that they come from.
-type table struct {
+// hostTable is the host list of one shard and the address of the control process that it comes from.
+type hostTable struct {
 	hostlist.Replica
 	source string
 }
 
-// NewAgent makes an agent that has just started.
+// NewAgent returns an agent that has just started, and opens its first links.
 func NewAgent(s *settings.Settings, log hclog.Logger, env Environment) *Agent {
-	a := &Agent{settings: s, log: log, env: env, links: map[string]wire.OpenLink{}, confirmedAt: -confirmedFor}
+	a := &Agent{settings: s, log: log, env: env, links: map[string]wire.OpenLink{}, confirmedAt: -confirmationValidity}
 	a.env.Introduce(s.SeedIPs()...)
 	a.syncLinks()
 	return a
 }
 
-// Reload takes other settings: the seeds may be others.
+// Reload replaces the settings, which may have other seeds.
 func (a *Agent) Reload(s *settings.Settings) {
 	a.settings = s
 	a.env.Introduce(s.SeedIPs()...)
 }
 
-// Tick lets time pass.
+// Tick does the periodic work. It has to be called regularly.
 func (a *Agent) Tick() { a.syncLinks() }
 
-// Routers says how many routers are connected.
+// RouterCount returns how many routers are connected.
 func (a *Agent) Routers() int { return len(a.routers) }
 
-// syncLinks keeps a link to each member. While none is up, or none of them leads, it tries the seeds and what peers have
-// told of.
+// syncLinks keeps a link to each member. While no link is up, or no leader has been heard recently, it also tries the
+// seeds and the control processes that peers have reported.
 func (a *Agent) syncLinks() {
-	want := a.members()
-	if !a.anyUp(want) || a.env.Now() >= a.confirmedAt+confirmedFor {
+	want := a.memberIPs()
+	if !a.anyUp(want) || a.env.Now() >= a.confirmedAt+confirmationValidity {
 		want = append(want, a.settings.SeedIPs()...)
 		want = append(want, a.env.KnownControls()...)
 	}
@@ -102,7 +103,7 @@
 			a.openLink(ip)
 		}
 	}
-	for _, ip := range slices.Sorted(maps.Keys(a.links)) { // in a fixed order, so that a simulated run repeats
+	for _, ip := range slices.Sorted(maps.Keys(a.links)) { // in a fixed order, so that simulated runs are reproducible
 		if !slices.Contains(want, ip) {
 			a.links[ip].Close()
 			delete(a.links, ip)
@@ -110,7 +111,7 @@
 	}
 }
 
-func (a *Agent) members() []string {
+func (a *Agent) memberIPs() []string {
 	var ips []string
 	if a.group != nil {
 		for _, m := range a.group.Members {
@@ -131,31 +132,31 @@
 	hello := wire.Hello{Role: wire.RoleAgent, Node: a.settings.NodeName, IP: a.settings.IP}
 	var link wire.OpenLink
 	link = a.env.OpenLink(ip, hello, wire.LinkEvents{
-		Subscribe: func() *wire.Message { return &wire.Message{Subscribe: a.position()} },
-		Received:  func(m *wire.Message) { a.onControl(ip, link, m) },
+		Subscribe: func() *wire.Message { return &wire.Message{Subscribe: a.feedPosition()} },
+		Received:  func(m *wire.Message) { a.onControlMessage(ip, link, m) },
 	})
 	a.links[ip] = link
 }
 
-// position is what this agent holds.
-func (a *Agent) position() *wire.Subscribe {
+// feedPosition returns what this agent holds, as the position from which to continue a feed.
+func (a *Agent) feedPosition() *wire.Subscribe {
 	s := &wire.Subscribe{Hosts: map[uint32]wire.HostsOffset{}}
 	if a.config != nil {
 		s.Config = a.config.Revision
 	}
-	for i := range a.tables {
-		at := a.tables[i].At
-		if a.fences[i] > at.Term {
-			at = wire.HostsOffset{Term: a.fences[i]}
+	for i := range a.hostTables {
+		at := a.hostTables[i].At
+		if a.fencingTokens[i] > at.Term {
+			at = wire.HostsOffset{Term: a.fencingTokens[i]}
 		}
 		s.Hosts[uint32(i)] = at
 	}
 	return s
 }
 
-func (a *Agent) onControl(ip string, link wire.OpenLink, m *wire.Message) {
+func (a *Agent) onControlMessage(ip string, link wire.OpenLink, m *wire.Message) {
 	if a.links[ip] != link {
-		return // it has been closed
+		return // the link has been closed
 	}
 	switch {
 	case m.Group != nil:
@@ -171,13 +172,13 @@
 	}
 }
 
-// onGroup takes the members, unless they come from an older entry than those that are known:
-// a control process that was replaced while it was cut off tells the members of long ago.
+// onGroup accepts a member list unless it is older than the known one: a control process that was replaced while it
+// was disconnected still sends an outdated list.
 func (a *Agent) onGroup(ip string, link wire.OpenLink, m *wire.Message) {
 	if a.config != nil && a.group != nil && m.Group.Fleet != a.group.Fleet {
-		a.log.Warn("a control process of another fleet is at an address of this one", "ip", ip)
+		a.log.Warn("control process belongs to another fleet; closing the link", "ip", ip)
 		a.dropped.OtherFleet++
-		link.Close() // whatever else it says is of that fleet
+		link.Close() // its other messages belong to that fleet too
 		delete(a.links, ip)
 		return
 	}
@@ -197,19 +198,19 @@
 func (a *Agent) dropOldGroup(ip string, group *wire.Group) {
 	a.dropped.OldGroups++
 	if !slices.Equal(a.group.Members, group.Members) {
-		a.log.Info("members of an older entry not taken", "from", ip, "members", group.Members, "dropped", a.dropped.OldGroups)
+		a.log.Info("ignored a member list of an older entry", "from", ip, "members", group.Members, "dropped", a.dropped.OldGroups)
 	}
 }
 
-// onConfig keeps the newest configuration. The first one has to be current by the leader's word: an agent that has just
-// started may hear control processes alone that are cut off from the others.
+// onConfig keeps the newest configuration. The first one must be confirmed as current by a leader: an agent that has
+// just started may reach only control processes that are disconnected from the others.
 func (a *Agent) onConfig(link wire.Sender, c *wire.Config) {
 	if c.Current {
 		a.confirmedAt = a.env.Now()
 	}
 	if a.config != nil {
 		if c.Revision > a.config.Revision {
-			a.adopt(link, c)
+			a.adoptConfig(link, c)
 		}
 		return
 	}
@@ -217,59 +218,60 @@
 		a.candidate = c
 	}
 	if c.Current {
-		a.adopt(link, c)
+		a.adoptConfig(link, c)
 	}
 }
 
-func (a *Agent) adopt(link wire.Sender, c *wire.Config) {
+func (a *Agent) adoptConfig(link wire.Sender, c *wire.Config) {
 	if len(c.Body) == 0 {
 		if a.candidate == nil || a.candidate.Revision != c.Revision {
-			link.Send(&wire.Message{Subscribe: a.position()})
+			link.Send(&wire.Message{Subscribe: a.feedPosition()})
 			return
 		}
 		c = &wire.Config{Revision: c.Revision, Body: a.candidate.Body, Current: c.Current, At: c.At}
 	}
 	a.config, a.candidate = c, nil
 	a.log.Info("configuration", "revision", c.Revision)
-	a.toRouters(&wire.Message{Config: c})
+	a.sendToRouters(&wire.Message{Config: c})
 }
 
 func (a *Agent) onHosts(ip string, link wire.Sender, c *wire.Hosts) {
-	if int(c.Shard) >= len(a.tables) {
+	if int(c.Shard) >= len(a.hostTables) {
 		return
 	}
-	t := &a.tables[c.Shard]
-	if c.At.Term < max(t.At.Term, a.fences[c.Shard]) {
+	t := &a.hostTables[c.Shard]
+	if c.At.Term < max(t.At.Term, a.fencingTokens[c.Shard]) {
 		a.dropped.OldHosts++
-		link.Send(&wire.Message{Subscribe: a.position()}) // the owner learns what was fed, and raises its fencing number
+		// The owner learns the newer token from the position, and raises its own.
+		link.Send(&wire.Message{Subscribe: a.feedPosition()})
 		return
 	}
 	if c.At.Before(t.At) {
-		return // come late: what is held is newer
+		return // a late message: the list held is newer
 	}
 	if !t.Apply(c) {
-		link.Send(&wire.Message{Subscribe: a.position()})
+		link.Send(&wire.Message{Subscribe: a.feedPosition()})
 		return
 	}
 	if t.source != ip {
-		a.log.Info("shard's owner", "shard", c.Shard, "ip", ip, "term", c.At.Term)
+		a.log.Info("owner of the shard changed", "shard", c.Shard, "ip", ip, "term", c.At.Term)
 		t.source = ip
 	}
-	a.toRouters(&wire.Message{Hosts: c})
+	a.sendToRouters(&wire.Message{Hosts: c})
 }
 
-func (a *Agent) toRouters(m *wire.Message) {
+func (a *Agent) sendToRouters(m *wire.Message) {
 	for _, router := range a.routers {
 		router.Send(m)
 	}
 }
 
-// RouterDisconnected forgets a router's connection.
+// RouterDisconnected removes the connection of a router.
 func (a *Agent) RouterDisconnected(router wire.Sender) {
 	a.routers = slices.DeleteFunc(a.routers, func(other wire.Sender) bool { return other == router })
 }
 
-// OnRouterMessage takes what the router of this machine says.
+// OnRouterMessage handles a message from the router of this machine.
 func (a *Agent) OnRouterMessage(router wire.Sender, m *wire.Message) {
 	switch {
 	case m.Subscribe != nil:
@@ -277,23 +279,23 @@
 	case m.QuotaRequest != nil:
 		a.onQuotaRequest(m)
 	case m.Paces != nil:
-		a.onPaces(m)
+		a.forwardPaces(m)
 	}
 }
 
-// feedRouter brings a router up to date.
-func (a *Agent) feedRouter(router wire.Sender, q *wire.Subscribe) {
+// feedRouter sends a router everything that is newer than what it holds.
+func (a *Agent) feedRouter(router wire.Sender, sub *wire.Subscribe) {
 	if !slices.Contains(a.routers, router) {
 		a.routers = append(a.routers, router)
 	}
-	if a.config != nil && a.config.Revision > q.Config {
+	if a.config != nil && a.config.Revision > sub.Config {
 		router.Send(&wire.Message{Config: a.config})
 	}
-	for i := range a.tables {
-		t := &a.tables[i]
-		has := q.Hosts[uint32(i)]
-		a.fences[i] = max(a.fences[i], has.Term)
-		if t.At.Offset == 0 || !has.Before(t.At) {
+	for i := range a.hostTables {
+		t := &a.hostTables[i]
+		held := sub.Hosts[uint32(i)]
+		a.fencingTokens[i] = max(a.fencingTokens[i], held.Term)
+		if t.At.Offset == 0 || !held.Before(t.At) {
 			continue
 		}
 		whole := &wire.Hosts{Shard: uint32(i), At: t.At, Whole: true}
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -9,19 +9,19 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// status is what an agent tells of itself.
+// status is the state of an agent that its metrics show.
 type status struct {
-	links       int // to control processes that are up
-	routers     int
-	revision    int64         // of the configuration that the router acts by; 0 for none
-	confirmed   time.Duration // since a leader said last that a configuration is current
-	owners      int           // shards whose hosts are known
-	hosts       int           // in force
-	dropped     Dropped
-	badDatagram int64
+	links            int // connected links to control processes
+	routers          int
+	revision         int64         // of the configuration that the router uses; 0 for none
+	confirmed        time.Duration // time since a leader last confirmed a configuration as current
+	shardsKnown      int           // shards whose host list is known
+	hosts            int           // in the host lists of all shards
+	dropped          DropCounts
+	invalidDatagrams int64
 }
 
-// status collects the state; only the loop calls it.
+// status collects the state. It may only be called from the event loop.
 func (a *Agent) status() status {
 	s := status{routers: len(a.routers), confirmed: a.env.Now() - a.confirmedAt, dropped: a.dropped}
 	for _, link := range a.links {
@@ -32,22 +32,22 @@
 	if a.config != nil {
 		s.revision = a.config.Revision
 	}
-	for i := range a.tables {
-		if a.tables[i].At.Term > 0 {
-			s.owners++
+	for i := range a.hostTables {
+		if a.hostTables[i].At.Term > 0 {
+			s.shardsKnown++
 		}
-		s.hosts += len(a.tables[i].Hosts)
+		s.hosts += len(a.hostTables[i].Hosts)
 	}
 	return s
 }
 
-// writeFigures gives what an agent tells of itself, in the text format of Prometheus.
-func (p *Process) writeFigures(ctx context.Context, w io.Writer) {
-	answer := make(chan status, 1)
-	p.do(func() { answer <- p.agent.status() })
+// writeMetrics writes the agent's metrics in the Prometheus text format.
+func (p *Process) writeMetrics(ctx context.Context, w io.Writer) {
+	reply := make(chan status, 1)
+	p.enqueue(func() { reply <- p.agent.status() })
 	select {
-	case s := <-answer:
-		s.badDatagram = p.peers.Spoilt.Load()
+	case s := <-reply:
+		s.invalidDatagrams = p.peers.Spoilt.Load()
 		s.write(w)
 	case <-ctx.Done():
 	}
@@ -61,7 +61,7 @@
 		{"ivybank_agent_control_links", int64(s.links)},
 		{"ivybank_agent_routers", int64(s.routers)},
 		{"ivybank_agent_revision", s.revision},
-		{"ivybank_agent_shards_known", int64(s.owners)},
+		{"ivybank_agent_shards_known", int64(s.shardsKnown)},
 		{"ivybank_agent_hosts", int64(s.hosts)},
 	} {
 		metrics.WriteGaugeUint64(w, gauge.name, uint64(gauge.value))
@@ -75,7 +75,7 @@
 		{"old_hosts", s.dropped.OldHosts},
 		{"other_fleet", s.dropped.OtherFleet},
 		{"relayed", s.dropped.Relayed},
-		{"spoilt_datagram", s.badDatagram},
+		{"spoilt_datagram", s.invalidDatagrams},
 	} {
 		metrics.WriteCounterUint64(w, fmt.Sprintf("ivybank_agent_dropped_total{cause=%q}", dropped.cause), uint64(dropped.count))
 	}
--- a/agent/paces.go
+++ b/agent/paces.go
@@ -2,18 +2,19 @@
 
 import "ivybank/wire"
 
-// onPaces passes on to the owner of the shard what a router saw of its hosts. Where the owner isn't reached it is dropped:
-// it is of use for a moment only.
-func (a *Agent) onPaces(m *wire.Message) {
+// forwardPaces forwards the host paces that a router measured to the owner of the shard. Without a link to the owner
+// they are dropped, as they are useful only for a moment.
+func (a *Agent) forwardPaces(m *wire.Message) {
 	if link := a.ownerLink(m.Paces.Shard); link != nil {
 		link.Send(m)
 	}
 }
 
-// onSlowHosts hands to the router of this machine what the newest owner of a shard that is known says.
+// onSlowHosts passes a list of slow hosts on to the router of this machine, unless a newer owner of the shard is
+// known.
 func (a *Agent) onSlowHosts(m *wire.Message) {
-	if int(m.SlowHosts.Shard) >= len(a.tables) || m.SlowHosts.Term < a.tables[m.SlowHosts.Shard].At.Term {
+	if int(m.SlowHosts.Shard) >= len(a.hostTables) || m.SlowHosts.Term < a.hostTables[m.SlowHosts.Shard].At.Term {
 		return
 	}
-	a.toRouters(m)
+	a.sendToRouters(m)
 }
--- a/agent/paces_test.go
+++ b/agent/paces_test.go
@@ -8,28 +8,28 @@
 	"ivybank/wire"
 )
 
-// Paces go to the owner of the shard alone; the word of an owner before on slow hosts is not handed on.
-func TestPacesGoToTheOwnerAndOldWordsNowhere(t *testing.T) {
-	s := newStand()
+// Paces are sent to the owner of the shard only, and a list of slow hosts from a former owner is not passed on.
+func TestPacesGoToOwnerAndOldSlowHostsAreDropped(t *testing.T) {
+	env := newTestEnv()
 	paces := &wire.Message{Paces: &wire.Paces{Shard: 1, Service: "s", Hosts: []wire.Pace{{Host: "h", Microsecond: 5}}}}
-	s.agent.OnRouterMessage(s, paces) // no owner is known: it is dropped
-	s.tell("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Whole: true}})
-	s.agent.OnRouterMessage(s, paces)
-	for ip, link := range s.links {
-		told := 0
+	env.agent.OnRouterMessage(env, paces) // no owner is known: the message is dropped
+	env.deliver("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Whole: true}})
+	env.agent.OnRouterMessage(env, paces)
+	for ip, link := range env.links {
+		sent := 0
 		for _, m := range link.sent {
 			if m.Paces != nil {
-				told++
+				sent++
 			}
 		}
-		assert.Equal(t, told == 1, ip == "10.0.0.2", "%s was told %d times", ip, told)
+		assert.Equal(t, sent == 1, ip == "10.0.0.2", "%s got the paces %d times", ip, sent)
 	}
 	for _, term := range []uint64{6, 7, 8} {
-		s.tell("10.0.0.2", &wire.Message{SlowHosts: &wire.SlowHosts{Shard: 1, Term: term}})
+		env.deliver("10.0.0.2", &wire.Message{SlowHosts: &wire.SlowHosts{Shard: 1, Term: term}})
 	}
-	s.tell("10.0.0.2", &wire.Message{SlowHosts: &wire.SlowHosts{Shard: 99, Term: 9}})
+	env.deliver("10.0.0.2", &wire.Message{SlowHosts: &wire.SlowHosts{Shard: 99, Term: 9}})
 	var terms []uint64
-	for _, m := range s.fed {
+	for _, m := range env.toRouter {
 		if m.SlowHosts != nil {
 			terms = append(terms, m.SlowHosts.Term)
 		}
--- a/agent/process.go
+++ b/agent/process.go
@@ -16,69 +16,70 @@
 )
 
 const (
-	tickInterval = 200 * time.Millisecond
-	eventQueue   = 1024
-	// lingerShare is the part of the time before the platform's SIGKILL for which an agent waits for its router.
+	tickInterval   = 200 * time.Millisecond
+	eventQueueSize = 1024
+	// lingerShare is the part of the grace period before the platform's SIGKILL for which an agent waits for its
+	// router to end.
 	lingerShare = 0.95
 )
 
-// Process is an agent with its sockets.
+// Process runs an agent with its sockets.
 type Process struct {
-	settings *settings.Settings
-	log      hclog.Logger
-	start    time.Time
-	events   chan func()
-	agent    *Agent
-	peers    *membership.Service
-	ctx      context.Context // of all that works beside the loop
+	settings  *settings.Settings
+	log       hclog.Logger
+	startTime time.Time
+	events    chan func()
+	agent     *Agent
+	peers     *membership.Service
+	ctx       context.Context // of everything that runs beside the event loop
 }
 
-// New makes a process. It serves nothing yet.
+// NewProcess returns a process that does not serve yet.
 func New(s *settings.Settings, log hclog.Logger) *Process {
-	return &Process{settings: s, log: log, start: time.Now(), events: make(chan func(), eventQueue)}
+	return &Process{settings: s, log: log, startTime: time.Now(), events: make(chan func(), eventQueueSize)}
 }
 
-// Run serves until the context ends and the router of this machine has ended too, which drains with what is fed here.
-// Settings that come over reloads replace the old.
-func (p *Process) Run(stopped context.Context, reloads <-chan *settings.Settings) error {
-	ctx, end := context.WithCancel(context.WithoutCancel(stopped))
+// Run serves until the context has ended and the router of this machine has disconnected, because the router still
+// needs its feed while it drains. Settings received from reloads replace the current ones.
+func (p *Process) Run(stopCtx context.Context, reloads <-chan *settings.Settings) error {
+	ctx, end := context.WithCancel(context.WithoutCancel(stopCtx))
 	defer end()
 	p.ctx = ctx
-	local, err := net.Listen("tcp4", net.JoinHostPort("127.0.0.1", strconv.Itoa(p.settings.LocalPort())))
+	listener, err := net.Listen("tcp4", net.JoinHostPort("127.0.0.1", strconv.Itoa(p.settings.LocalPort())))
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	defer local.Close()
+	defer listener.Close()
 	p.peers, err = membership.Listen(membership.Peer{IP: p.settings.IP}, p.settings.InternalPort())
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
 	defer p.peers.Close()
 	p.agent = NewAgent(p.settings, p.log, p)
-	served, err := figures.Serve(p.settings.IP, p.settings.Metrics, p.writeFigures)
+	metricsServer, err := figures.Serve(p.settings.IP, p.settings.Metrics, p.writeMetrics)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	defer served.Close()
+	defer metricsServer.Close()
 	p.peers.OnMessage(p.onDatagram)
 	go p.peers.Run(ctx)
-	go wire.Serve(ctx, local, p.acceptRouter, p.spoilt)
-	p.loop(stopped, reloads)
+	go wire.Serve(ctx, listener, p.serveRouter, p.logInvalidConn)
+	p.loop(stopCtx, reloads)
 	return nil
 }
 
-// loop is the goroutine that owns the agent's state.
-func (p *Process) loop(stopped context.Context, reloads <-chan *settings.Settings) {
+// loop runs in the goroutine that owns the agent's state.
+func (p *Process) loop(stopCtx context.Context, reloads <-chan *settings.Settings) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	stopping := stopped.Done()
-	var lastMoment <-chan time.Time
+	stopping := stopCtx.Done()
+	var lingerTimeout <-chan time.Time
 	for stopping != nil || p.agent.Routers() > 0 {
 		select {
 		case <-stopping:
 			stopping = nil
-			lastMoment = time.After(time.Duration(lingerShare * p.settings.Bounds.GraceS * float64(time.Second)))
-		case <-lastMoment:
+			lingerTimeout = time.After(time.Duration(lingerShare * p.settings.Bounds.GraceS * float64(time.Second)))
+		case <-lingerTimeout:
 			return
 		case event := <-p.events:
 			event()
@@ -90,54 +91,54 @@
 	}
 }
 
-// Now is the steady clock.
-func (p *Process) Now() time.Duration { return time.Since(p.start) }
+// Now returns the time on a monotonic clock, counted from the start of the process.
+func (p *Process) Now() time.Duration { return time.Since(p.startTime) }
 
-// KnownControls gives the control processes that peers have told of.
+// KnownControlIPs returns the addresses of control processes that peers have reported.
 func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
 
-// Introduce tells peers of control processes.
+// AddControlIPs adds control processes to those that are reported to peers.
 func (p *Process) Introduce(ips ...string) { p.peers.Introduce(true, ips...) }
 
-// KnownAgents gives the addresses of agents that peers have told of.
+// KnownAgentIPs returns the addresses of agents that peers have reported.
 func (p *Process) KnownAgents() []string { return p.peers.AgentIPs() }
 
-// SendDatagram sends a message to another machine's agent.
+// SendDatagram sends a message to the agent of another machine.
 func (p *Process) SendDatagram(ip string, m *wire.Message) {
 	if body, err := m.Encode(); err == nil {
 		p.peers.Send(ip, body)
 	}
 }
 
-// onDatagram hands what another machine's agent says to the loop. It reports false for what can't be read.
+// onDatagram queues a message from the agent of another machine. It reports false if the datagram cannot be decoded.
 func (p *Process) onDatagram(from string, body []byte) bool {
 	m, err := wire.Decode(body)
 	if err != nil {
 		return false
 	}
-	p.do(func() { p.agent.OnDatagram(from, m) })
+	p.enqueue(func() { p.agent.OnDatagram(from, m) })
 	return true
 }
 
-// OpenLink keeps a connection to a control process.
+// OpenLink opens a connection to a control process and keeps it up.
 func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink {
 	address := net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort()))
-	return wire.Open(p.ctx, address, hello, events, p.do)
+	return wire.Open(p.ctx, address, hello, events, p.enqueue)
 }
 
-// spoilt tells of a connection over loopback that is no router's.
-func (p *Process) spoilt(err error) { p.log.Warn("connection not taken", "error", err) }
+// logInvalidConn logs a loopback connection that does not come from a router.
+func (p *Process) logInvalidConn(err error) { p.log.Warn("connection rejected", "error", err) }
 
-func (p *Process) do(event func()) { p.events <- event }
+func (p *Process) enqueue(event func()) { p.events <- event }
 
-// acceptRouter serves the router of this machine.
-func (p *Process) acceptRouter(conn *wire.Conn, _ wire.Hello) {
-	defer p.do(func() { p.agent.RouterDisconnected(conn) })
+// serveRouter serves the connection of the router of this machine.
+func (p *Process) serveRouter(conn *wire.Conn, _ wire.Hello) {
+	defer p.enqueue(func() { p.agent.RouterDisconnected(conn) })
 	for {
 		m, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		p.do(func() { p.agent.OnRouterMessage(conn, m) })
+		p.enqueue(func() { p.agent.OnRouterMessage(conn, m) })
 	}
 }
--- a/agent/quota.go
+++ b/agent/quota.go
@@ -6,72 +6,75 @@
 	"ivybank/wire"
 )
 
-// relayTrusted is how long an agent that has passed a question on is taken before others.
-const relayTrusted = 2 * time.Second
+// relayValidity is how long an agent through which a reply came is preferred as the relay.
+const relayValidity = 2 * time.Second
 
-// relay is another machine's agent that questions about limits go through, while this one doesn't reach their owner.
+// relay is the agent of another machine through which quota requests are sent while this agent cannot reach their
+// owner.
 type relay struct {
-	ip    string
-	heard time.Duration // when an answer came through it
-	tries int
+	ip        string
+	repliedAt time.Duration // when a reply last came through the relay
+	nextIndex int           // into the known agents, when each is tried in turn
 }
 
-// onQuotaRequest passes a router's question on to the owner of the shard, or to an agent that may reach it.
+// onQuotaRequest forwards a router's quota request to the owner of the shard, or to an agent that may reach it.
 func (a *Agent) onQuotaRequest(m *wire.Message) {
-	q := m.QuotaRequest
-	if int(q.Shard) >= len(a.tables) {
+	request := m.QuotaRequest
+	if int(request.Shard) >= len(a.hostTables) {
 		return
 	}
-	if link := a.ownerLink(q.Shard); link != nil && !q.Relay {
+	if link := a.ownerLink(request.Shard); link != nil && !request.Relay {
 		link.Send(m)
 		return
 	}
-	through := a.relayAgent()
-	if through == "" {
+	relayIP := a.relayAgent()
+	if relayIP == "" {
 		return
 	}
-	relayed := *q
+	relayed := *request
 	relayed.Relay, relayed.ReplyTo = false, a.settings.IP
-	a.env.SendDatagram(through, &wire.Message{QuotaRequest: &relayed})
+	a.env.SendDatagram(relayIP, &wire.Message{QuotaRequest: &relayed})
 }
 
-// ownerLink gives the link to the owner of a shard; nil where it isn't known or the link is down.
+// ownerLink returns the link to the owner of a shard; nil if the owner is unknown or the link is down.
 func (a *Agent) ownerLink(shard uint32) wire.OpenLink {
-	if int(shard) >= len(a.tables) {
+	if int(shard) >= len(a.hostTables) {
 		return nil
 	}
-	if link := a.links[a.tables[shard].source]; link != nil && link.Up() {
+	if link := a.links[a.hostTables[shard].source]; link != nil && link.Up() {
 		return link
 	}
 	return nil
 }
 
-// relayAgent chooses the agent that a question goes through: the one that brought an answer of late, else one after
-// the other.
+// relayAgent chooses the agent through which a request is sent: the one through which a reply came recently,
+// otherwise each in turn.
 func (a *Agent) relayAgent() string {
-	if a.relay.ip != "" && a.env.Now() < a.relay.heard+relayTrusted {
+	if a.relay.ip != "" && a.env.Now() < a.relay.repliedAt+relayValidity {
 		return a.relay.ip
 	}
 	others := a.env.KnownAgents()
 	for range others {
-		a.relay.tries++
-		if ip := others[a.relay.tries%len(others)]; ip != a.settings.IP {
+		a.relay.nextIndex++
+		if ip := others[a.relay.nextIndex%len(others)]; ip != a.settings.IP {
 			return ip
 		}
 	}
 	return ""
 }
 
-// onQuotaGrant hands an owner's answer to the router of this machine, or to the agent that had it asked.
+// onQuotaGrant passes an owner's reply on to the router of this machine, or to the agent that relayed the request
+// here.
 func (a *Agent) onQuotaGrant(m *wire.Message) {
-	if to := m.QuotaGrant.ReplyTo; to != "" && to != a.settings.IP {
-		a.env.SendDatagram(to, m)
+	if replyTo := m.QuotaGrant.ReplyTo; replyTo != "" && replyTo != a.settings.IP {
+		a.env.SendDatagram(replyTo, m)
 		return
 	}
-	a.toRouters(m)
+	a.sendToRouters(m)
 }
 
-// OnDatagram takes what another machine's agent says. Questions are passed on to the owner and no further.
+// OnDatagram handles a message from the agent of another machine. Quota requests are forwarded to the owner only,
+// never to another relay.
 func (a *Agent) OnDatagram(from string, m *wire.Message) {
 	switch {
 	case m.QuotaRequest != nil:
@@ -82,7 +85,7 @@
 		}
 		link.Send(m)
 	case m.QuotaGrant != nil && m.QuotaGrant.ReplyTo == a.settings.IP:
-		a.relay.ip, a.relay.heard = from, a.env.Now()
-		a.toRouters(m)
+		a.relay.ip, a.relay.repliedAt = from, a.env.Now()
+		a.sendToRouters(m)
 	}
 }
