--- a/config/config.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads and checks the operator's configuration: routes, services, limits and tenants.
+// Package config parses and checks the operator's configuration: routes, services, limits and tenants.
 package config
 
 import (
@@ -10,20 +10,20 @@
 	"strings"
 )
 
-// RouteType says what may be repeated.
+// RouteType says whether the requests of a route may be repeated.
 type RouteType string
 
-// The types of route.
+// The route types.
 const (
 	Idempotent RouteType = "idempotent"
 	Unsafe     RouteType = "unsafe"
 	Streaming  RouteType = "streaming"
 )
 
-// TokenUnit is the unit of a tenant whose limit is counted in tokens.
+// TokenUnit is the unit of a tenant's limit that counts tokens; any other unit counts requests.
 const TokenUnit = "token_count"
 
-// Config is one version, as the operator sends it.
+// Config is one revision of the configuration, as the operator sends it.
 type Config struct {
 	Revision int64     `json:"revision"`
 	Routes   []Route   `json:"routes"`
@@ -50,13 +50,13 @@
 	GapAimMS    float64   `json:"gap_aim_ms"`
 }
 
-// Split is one service's part of a route's traffic.
+// TrafficSplit is one service's share of a route's traffic.
 type Split struct {
 	Backend string  `json:"backend"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a set of hosts that do the same.
+// Service is a set of interchangeable hosts.
 type Service struct {
 	Name       string  `json:"name"`
 	HealthPath string  `json:"health_path"`
@@ -71,7 +71,7 @@
 	KVTokens int `json:"kv_tokens"`
 }
 
-// Limits bound what clients may send; sizes in bytes.
+// Limits bound what clients may send. Sizes are in bytes.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"max_header_bytes"`
 	MaxBodyBytes    int64   `json:"max_body_bytes"`
@@ -79,7 +79,7 @@
 	IdleTimeoutMS   float64 `json:"idle_timeout_ms"`
 }
 
-// Tenant is a customer with its keys and its limit.
+// Tenant is a customer with its API keys and its rate limit.
 type Tenant struct {
 	Name        string   `json:"name"`
 	APIKeys     []string `json:"api_keys"`
@@ -90,7 +90,7 @@
 	Burst       float64  `json:"burst"`
 }
 
-// Read reads a configuration whole, without a check of what it says.
+// Decode decodes a configuration without checking its values. Data after its end is an error.
 func Read(body []byte) (*Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	c := &Config{}
@@ -103,7 +103,7 @@
 	return c, nil
 }
 
-// Check finds what makes a configuration invalid.
+// Check validates a configuration and returns the first error found.
 func (c *Config) Check() error {
 	if c.Revision <= 0 {
 		return fmt.Errorf("revision: %d is not above 0", c.Revision)
@@ -115,16 +115,16 @@
 		}
 		services[s.Name] = true
 	}
-	places := map[[2]string]string{}
+	routesByPlace := map[[2]string]string{}
 	for _, r := range c.Routes {
 		if err := r.check(services); err != nil {
 			return fmt.Errorf("route %q: %w", r.Name, err)
 		}
-		place := [2]string{strings.ToLower(r.Hostname), r.PathPrefix}
-		if other, taken := places[place]; taken {
+		key := [2]string{strings.ToLower(r.Hostname), r.PathPrefix}
+		if other, exists := routesByPlace[key]; exists {
 			return fmt.Errorf("route %q: shares host and prefix with %q", r.Name, other)
 		}
-		places[place] = r.Name
+		routesByPlace[key] = r.Name
 	}
 	return c.checkTenants()
 }
@@ -156,7 +156,7 @@
 }
 
 func (c *Config) checkTenants() error {
-	owner := map[string]string{}
+	tenantsByKey := map[string]string{}
 	names := map[string]bool{}
 	for _, t := range c.Tenants {
 		if t.Name == "" || names[t.Name] {
@@ -164,10 +164,10 @@
 		}
 		names[t.Name] = true
 		for _, key := range t.APIKeys {
-			if other, taken := owner[key]; taken {
+			if other, exists := tenantsByKey[key]; exists {
 				return fmt.Errorf("tenants %q and %q share a key", other, t.Name)
 			}
-			owner[key] = t.Name
+			tenantsByKey[key] = t.Name
 		}
 	}
 	return nil
--- a/config/validate/validate.go
+++ b/config/validate/validate.go
@@ -1,5 +1,5 @@
-// Package validate checks operators' configurations: their form by a CUE schema, and what refers to other parts of
-// them by config.Check. It is apart from package config because only control processes need it.
+// Package validate checks operators' configurations: their form by a CUE schema, and references between their parts
+// by config.Config.Check. It is separate from package config because only control processes need CUE.
 package validate
 
 import (
@@ -15,23 +15,24 @@
 	"ivybank/config"
 )
 
-// renewAfter is how many checks share a CUE context, which never frees what it has built.
-const renewAfter = 32
+// checksPerContext is how many checks share a CUE context. It is bounded because a context never frees what it has
+// built.
+const checksPerContext = 32
 
 //go:embed schema.cue
 var schemaText string
 
-// Validator checks configurations, one at a time. It is safe for concurrent use.
+// Validator checks configurations one at a time. It is safe for concurrent use.
 type Validator struct {
-	mu      sync.Mutex
-	context *cue.Context
-	schema  cue.Value
-	uses    int
+	mu         sync.Mutex
+	context    *cue.Context
+	schema     cue.Value
+	checkCount int
 }
 
-// Parse reads and checks a configuration. The error names the field and the cause.
+// Parse decodes and checks a configuration. The error names the field and the cause.
 func (v *Validator) Parse(body []byte) (*config.Config, error) {
-	if err := v.checkForm(body); err != nil {
+	if err := v.checkSchema(body); err != nil {
 		return nil, err
 	}
 	c, err := config.Read(body)
@@ -41,29 +42,29 @@
 	return c, c.Check()
 }
 
-func (v *Validator) checkForm(body []byte) error {
+func (v *Validator) checkSchema(body []byte) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.uses%renewAfter == 0 {
+	if v.checkCount%checksPerContext == 0 {
 		v.context = cuecontext.New()
 		v.schema = v.context.CompileString(schemaText, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Config"))
 	}
-	v.uses++
+	v.checkCount++
 	expression, err := json.Extract("configuration", body)
 	if err != nil {
-		return fmt.Errorf("configuration: %w", firstOf(err))
+		return fmt.Errorf("configuration: %w", firstError(err))
 	}
 	value := v.schema.Unify(v.context.BuildExpr(expression))
 	if err := value.Validate(cue.Concrete(true)); err != nil {
-		return fmt.Errorf("configuration: %w", firstOf(err))
+		return fmt.Errorf("configuration: %w", firstError(err))
 	}
 	return nil
 }
 
-// firstOf gives the first of the errors that CUE has collected.
-func firstOf(err error) error {
-	if all := errors.Errors(err); len(all) > 0 {
-		return all[0]
+// firstError returns the first of the errors that CUE has collected.
+func firstError(err error) error {
+	if collected := errors.Errors(err); len(collected) > 0 {
+		return collected[0]
 	}
 	return err
 }
