--- a/cmd/ivyfleet/main.go
+++ b/cmd/ivyfleet/main.go
@@ -1,4 +1,4 @@
-// Command ivyfleet runs the programs of the front machines of a router fleet.
+// Command ivyfleet runs the processes of the router machines of a fleet.
 package main
 
 import (
@@ -16,12 +16,12 @@
 func main() {
 	process.Main(&cli.Command{
 		Name:  "ivyfleet",
-		Usage: "the programs of the front machines of a router fleet",
-		Description: "The settings file is named by the variable " + settings.Variable + ", else it is " +
+		Usage: "run the processes of the router machines of a fleet",
+		Description: "The environment variable " + settings.Variable + " holds the path of the settings file; the default is " +
 			settings.DefaultPath + ".",
 		Commands: []*cli.Command{
-			{Name: "router", Usage: "serve clients", Action: process.Action(runRouter)},
-			{Name: "agent", Usage: "keep the link to the control processes for the router of this machine",
+			{Name: "router", Usage: "serve client requests", Action: process.Action(runRouter)},
+			{Name: "agent", Usage: "keep the connections to the control processes for the router of this machine",
 				Action: process.Action(runAgent)},
 		},
 	})
