--- a/agent/agent.go
+++ b/agent/agent.go
@@ -28,11 +28,11 @@
 	// OpenLink opens a connection to the control process at an address and keeps it up.
 	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink
 	// KnownControlIPs returns the addresses of control processes that peers have reported.
-	KnownControls() []string
+	KnownControlIPs() []string
 	// AddControlIPs adds control processes to those that are reported to peers.
-	Introduce(ips ...string)
+	AddControlIPs(ips ...string)
 	// KnownAgentIPs returns the addresses of agents that peers have reported.
-	KnownAgents() []string
+	KnownAgentIPs() []string
 	// SendDatagram sends a message to the agent at an address. The message may be lost.
 	SendDatagram(ip string, m *wire.Message)
 }
@@ -72,7 +72,7 @@
 // NewAgent returns an agent that has just started, and opens its first links.
 func NewAgent(s *settings.Settings, log hclog.Logger, env Environment) *Agent {
 	a := &Agent{settings: s, log: log, env: env, links: map[string]wire.OpenLink{}, confirmedAt: -confirmationValidity}
-	a.env.Introduce(s.SeedIPs()...)
+	a.env.AddControlIPs(s.SeedIPs()...)
 	a.syncLinks()
 	return a
 }
@@ -80,14 +80,14 @@
 // Reload replaces the settings, which may have other seeds.
 func (a *Agent) Reload(s *settings.Settings) {
 	a.settings = s
-	a.env.Introduce(s.SeedIPs()...)
+	a.env.AddControlIPs(s.SeedIPs()...)
 }
 
 // Tick does the periodic work. It has to be called regularly.
 func (a *Agent) Tick() { a.syncLinks() }
 
 // RouterCount returns how many routers are connected.
-func (a *Agent) Routers() int { return len(a.routers) }
+func (a *Agent) RouterCount() int { return len(a.routers) }
 
 // syncLinks keeps a link to each member. While no link is up, or no leader has been heard recently, it also tries the
 // seeds and the control processes that peers have reported.
@@ -95,7 +95,7 @@
 	want := a.memberIPs()
 	if !a.anyUp(want) || a.env.Now() >= a.confirmedAt+confirmationValidity {
 		want = append(want, a.settings.SeedIPs()...)
-		want = append(want, a.env.KnownControls()...)
+		want = append(want, a.env.KnownControlIPs()...)
 	}
 	slices.Sort(want)
 	for _, ip := range slices.Compact(want) {
@@ -189,7 +189,7 @@
 	if a.group == nil || !slices.Equal(a.group.Members, m.Group.Members) {
 		a.log.Info("members", "from", ip, "members", m.Group.Members)
 		for _, member := range m.Group.Members {
-			a.env.Introduce(member.IP)
+			a.env.AddControlIPs(member.IP)
 		}
 	}
 	a.group = m.Group
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -37,10 +37,10 @@
 func (l *testLink) Redial()                   {}
 func (l *testLink) Close()                    { l.closed = true }
 
-func (env *testEnv) Now() time.Duration      { return env.now }
-func (env *testEnv) KnownControls() []string { return []string{"10.0.0.9"} }
-func (env *testEnv) Introduce(...string)     {}
-func (env *testEnv) KnownAgents() []string   { return env.peers }
+func (env *testEnv) Now() time.Duration        { return env.now }
+func (env *testEnv) KnownControlIPs() []string { return []string{"10.0.0.9"} }
+func (env *testEnv) AddControlIPs(...string)   {}
+func (env *testEnv) KnownAgentIPs() []string   { return env.peers }
 func (env *testEnv) SendDatagram(ip string, m *wire.Message) {
 	env.sent = append(env.sent, sentDatagram{ip, m})
 }
@@ -185,7 +185,7 @@
 	env.agent.RouterDisconnected(env)
 	env.toRouter = nil
 	env.agent.OnRouterMessage(env, &wire.Message{Subscribe: &wire.Subscribe{}})
-	assert.Equal(t, env.agent.Routers(), 1)
+	assert.Equal(t, env.agent.RouterCount(), 1)
 	assert.Equal(t, len(env.toRouter), 2)
 	assert.Equal(t, env.toRouter[0].Config.Revision, int64(4))
 	assert.Equal(t, env.toRouter[1].Hosts.Updated[0].ID, "h")
--- a/agent/process.go
+++ b/agent/process.go
@@ -35,7 +35,7 @@
 }
 
 // NewProcess returns a process that does not serve yet.
-func New(s *settings.Settings, log hclog.Logger) *Process {
+func NewProcess(s *settings.Settings, log hclog.Logger) *Process {
 	return &Process{settings: s, log: log, startTime: time.Now(), events: make(chan func(), eventQueueSize)}
 }
 
@@ -74,7 +74,7 @@
 	defer ticker.Stop()
 	stopping := stopCtx.Done()
 	var lingerTimeout <-chan time.Time
-	for stopping != nil || p.agent.Routers() > 0 {
+	for stopping != nil || p.agent.RouterCount() > 0 {
 		select {
 		case <-stopping:
 			stopping = nil
@@ -95,13 +95,13 @@
 func (p *Process) Now() time.Duration { return time.Since(p.startTime) }
 
 // KnownControlIPs returns the addresses of control processes that peers have reported.
-func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
+func (p *Process) KnownControlIPs() []string { return p.peers.ControlIPs() }
 
 // AddControlIPs adds control processes to those that are reported to peers.
-func (p *Process) Introduce(ips ...string) { p.peers.Introduce(true, ips...) }
+func (p *Process) AddControlIPs(ips ...string) { p.peers.Introduce(true, ips...) }
 
 // KnownAgentIPs returns the addresses of agents that peers have reported.
-func (p *Process) KnownAgents() []string { return p.peers.AgentIPs() }
+func (p *Process) KnownAgentIPs() []string { return p.peers.AgentIPs() }
 
 // SendDatagram sends a message to the agent of another machine.
 func (p *Process) SendDatagram(ip string, m *wire.Message) {
--- a/agent/quota.go
+++ b/agent/quota.go
@@ -53,7 +53,7 @@
 	if a.relay.ip != "" && a.env.Now() < a.relay.repliedAt+relayValidity {
 		return a.relay.ip
 	}
-	others := a.env.KnownAgents()
+	others := a.env.KnownAgentIPs()
 	for range others {
 		a.relay.nextIndex++
 		if ip := others[a.relay.nextIndex%len(others)]; ip != a.settings.IP {
--- a/cmd/ivycontrol/main.go
+++ b/cmd/ivycontrol/main.go
@@ -23,7 +23,7 @@
 	process.Main(&cli.Command{
 		Name:  "ivycontrol",
 		Usage: "the control process of a router fleet",
-		Description: "The settings file is named by the variable " + settings.Variable + ", else it is " +
+		Description: "The settings file is named by the variable " + settings.PathEnvVar + ", else it is " +
 			settings.DefaultPath + ".",
 		Commands: []*cli.Command{
 			{Name: "serve", Usage: "keep the configuration and the list of hosts", Action: process.Action(serve)},
--- a/cmd/ivyfleet/main.go
+++ b/cmd/ivyfleet/main.go
@@ -17,7 +17,7 @@
 	process.Main(&cli.Command{
 		Name:  "ivyfleet",
 		Usage: "run the processes of the router machines of a fleet",
-		Description: "The environment variable " + settings.Variable + " holds the path of the settings file; the default is " +
+		Description: "The environment variable " + settings.PathEnvVar + " holds the path of the settings file; the default is " +
 			settings.DefaultPath + ".",
 		Commands: []*cli.Command{
 			{Name: "router", Usage: "serve client requests", Action: process.Action(runRouter)},
@@ -32,5 +32,5 @@
 }
 
 func runAgent(ctx context.Context, s *settings.Settings, reloads <-chan *settings.Settings, log hclog.Logger) error {
-	return agent.New(s, log).Run(ctx, reloads)
+	return agent.NewProcess(s, log).Run(ctx, reloads)
 }
--- a/config/config.go
+++ b/config/config.go
@@ -34,24 +34,24 @@
 
 // Route maps a host name and a path prefix to services.
 type Route struct {
-	Name        string    `json:"name"`
-	Hostname    string    `json:"hostname"`
-	PathPrefix  string    `json:"path_prefix"`
-	Type        RouteType `json:"route_type"`
-	TimeoutMS   float64   `json:"timeout_ms"`
-	TargetMS    float64   `json:"target_ms"`
-	Priority    int       `json:"priority"`
-	Backend     string    `json:"backend"`
-	Split       []Split   `json:"traffic_split"`
-	MaxAttempts int       `json:"max_attempts"`
-	Public      bool      `json:"public"`
-	Sticky      bool      `json:"sticky"`
-	Resumable   bool      `json:"resumable"`
-	GapAimMS    float64   `json:"gap_aim_ms"`
+	Name               string         `json:"name"`
+	Hostname           string         `json:"hostname"`
+	PathPrefix         string         `json:"path_prefix"`
+	Type               RouteType      `json:"route_type"`
+	TimeoutMS          float64        `json:"timeout_ms"`
+	FirstEventTargetMS float64        `json:"target_ms"`
+	Priority           int            `json:"priority"`
+	Backend            string         `json:"backend"`
+	TrafficSplits      []TrafficSplit `json:"traffic_split"`
+	MaxAttempts        int            `json:"max_attempts"`
+	Public             bool           `json:"public"`
+	Sticky             bool           `json:"sticky"`
+	Resumable          bool           `json:"resumable"`
+	EventGapTargetMS   float64        `json:"gap_aim_ms"`
 }
 
 // TrafficSplit is one service's share of a route's traffic.
-type Split struct {
+type TrafficSplit struct {
 	Backend string  `json:"backend"`
 	Weight  float64 `json:"weight"`
 }
@@ -81,17 +81,17 @@
 
 // Tenant is a customer with its API keys and its rate limit.
 type Tenant struct {
-	Name        string   `json:"name"`
-	APIKeys     []string `json:"api_keys"`
-	Priority    *int     `json:"priority"`
-	Unit        string   `json:"unit"`
-	PlainTokens float64  `json:"plain_tokens"`
-	RatePerS    float64  `json:"rate_per_s"`
-	Burst       float64  `json:"burst"`
+	Name          string   `json:"name"`
+	APIKeys       []string `json:"api_keys"`
+	Priority      *int     `json:"priority"`
+	Unit          string   `json:"unit"`
+	DefaultTokens float64  `json:"plain_tokens"`
+	RatePerS      float64  `json:"rate_per_s"`
+	Burst         float64  `json:"burst"`
 }
 
 // Decode decodes a configuration without checking its values. Data after its end is an error.
-func Read(body []byte) (*Config, error) {
+func Decode(body []byte) (*Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	c := &Config{}
 	if err := decoder.Decode(c); err != nil {
@@ -136,11 +136,11 @@
 	if r.TimeoutMS <= 0 {
 		return fmt.Errorf("timeout_ms: %v is not above 0", r.TimeoutMS)
 	}
-	if len(r.Split) == 0 && !services[r.Backend] {
+	if len(r.TrafficSplits) == 0 && !services[r.Backend] {
 		return fmt.Errorf("unknown service %q", r.Backend)
 	}
 	sum := 0.0
-	for _, s := range r.Split {
+	for _, s := range r.TrafficSplits {
 		if !services[s.Backend] {
 			return fmt.Errorf("unknown service %q", s.Backend)
 		}
@@ -149,7 +149,7 @@
 		}
 		sum += s.Weight
 	}
-	if len(r.Split) > 0 && sum <= 0 {
+	if len(r.TrafficSplits) > 0 && sum <= 0 {
 		return errors.New("weights add up to 0")
 	}
 	return nil
--- a/config/validate/validate.go
+++ b/config/validate/validate.go
@@ -35,7 +35,7 @@
 	if err := v.checkSchema(body); err != nil {
 		return nil, err
 	}
-	c, err := config.Read(body)
+	c, err := config.Decode(body)
 	if err != nil {
 		return nil, err
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -269,7 +269,7 @@
 	if len(body) == 0 {
 		return // before the first one
 	}
-	c, err := config.Read(body)
+	c, err := config.Decode(body)
 	if err != nil {
 		n.log.Error("committed configuration unreadable", "error", err)
 		return
--- a/control/parts.go
+++ b/control/parts.go
@@ -44,7 +44,7 @@
 
 // partMachines makes the empty state of each part; none where applications ask for no coordination.
 func partMachines(s *settings.Settings) []*coordination.Machine {
-	if !s.Coordinates() {
+	if !s.CoordinationEnabled() {
 		return nil
 	}
 	history := max(shortestHistory, time.Duration(historyFactor*s.Bounds.HistoryS*float64(time.Second)))
--- a/control/world_callers_test.go
+++ b/control/world_callers_test.go
@@ -17,7 +17,7 @@
 type plainParser struct{}
 
 func (plainParser) Parse(body []byte) (*config.Config, error) {
-	c, err := config.Read(body)
+	c, err := config.Decode(body)
 	if err != nil {
 		return nil, err
 	}
@@ -277,7 +277,7 @@
 func (o *operator) readBack(one *call, v verdict) {
 	w := o.world
 	w.counts.reads++
-	c, err := config.Read(v.body)
+	c, err := config.Decode(v.body)
 	if err != nil {
 		w.fail("a read gave %q", v.body)
 	}
--- a/control/world_environment_test.go
+++ b/control/world_environment_test.go
@@ -61,11 +61,11 @@
 	return l
 }
 
-func (p *agentProcess) KnownControls() []string { return p.world.coreIPs() }
-func (p *agentProcess) Introduce(...string)     {}
+func (p *agentProcess) KnownControlIPs() []string { return p.world.coreIPs() }
+func (p *agentProcess) AddControlIPs(...string)   {}
 
-// KnownAgents is what peers tell of: all agents that there are.
-func (p *agentProcess) KnownAgents() []string {
+// KnownAgentIPs is what peers tell of: all agents that there are.
+func (p *agentProcess) KnownAgentIPs() []string {
 	var ips []string
 	for _, m := range p.world.machines {
 		if !m.core && !m.gone {
--- a/rehearse/system/system_test.go
+++ b/rehearse/system/system_test.go
@@ -71,7 +71,7 @@
 	f.front, f.ready = s.Listen.Front, s.Listen.Ready
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	go func() { _ = agent.New(s, hclog.NewNullLogger()).Run(ctx, nil) }()
+	go func() { _ = agent.NewProcess(s, hclog.NewNullLogger()).Run(ctx, nil) }()
 	go func() { _ = router.New(s, hclog.NewNullLogger()).Run(ctx) }()
 	return f
 }
--- a/router/limit/cost.go
+++ b/router/limit/cost.go
@@ -16,7 +16,7 @@
 	}
 	prompt, answer, ok := ParseTokenUsage(tokenUsage)
 	if !ok {
-		return max(1, t.PlainTokens)
+		return max(1, t.DefaultTokens)
 	}
 	return prompt + answer
 }
--- a/router/limit/limiter_test.go
+++ b/router/limit/limiter_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestCost(t *testing.T) {
-	tokens := &config.Tenant{Unit: config.TokenUnit, PlainTokens: 200}
+	tokens := &config.Tenant{Unit: config.TokenUnit, DefaultTokens: 200}
 	for usage, want := range map[string]float64{
 		"1460,80": 1540, " 1460 , 80 ": 1540, "0,0": 0, "9007199254740991,0": 9007199254740991,
 		"": 200, "12": 200, ",": 200, "1,2,3": 200, "-5,9": 200, "5,-9": 200, "1.5,2": 200, "NaN,1": 200, "Inf,1": 200, "1,+Inf": 200, "1e9,1": 200,
--- a/router/router.go
+++ b/router/router.go
@@ -114,7 +114,7 @@
 		r.log.Error("cannot read configuration", "revision", c.Revision, "error", err)
 		return
 	}
-	parsed, err := config.Read(body)
+	parsed, err := config.Decode(body)
 	if err != nil {
 		r.log.Error("cannot read configuration", "revision", c.Revision, "error", err)
 		return
--- a/router/stream.go
+++ b/router/stream.go
@@ -131,7 +131,7 @@
 func (x *exchange) relayEvents(from streamSource, last *lastEventID) error {
 	control := http.NewResponseController(x.w)
 	reader := eventReader{bufio.NewReaderSize(from.response.Body, eventBufferBytes)}
-	target := time.Duration(x.route.GapAimMS * float64(time.Millisecond))
+	target := time.Duration(x.route.EventGapTargetMS * float64(time.Millisecond))
 	for {
 		e, err := reader.next()
 		if errors.Is(err, io.EOF) {
--- a/router/table/table.go
+++ b/router/table/table.go
@@ -59,21 +59,21 @@
 // Service chooses the service for a request on a route, by the weights of its traffic split. random is between 0 and
 // 1.
 func (t *Table) Service(r *config.Route, random float64) string {
-	if len(r.Split) == 0 {
+	if len(r.TrafficSplits) == 0 {
 		return r.Backend
 	}
 	sum := 0.0
-	for _, s := range r.Split {
+	for _, s := range r.TrafficSplits {
 		sum += s.Weight
 	}
 	remaining := random * sum
-	for _, s := range r.Split {
+	for _, s := range r.TrafficSplits {
 		if remaining < s.Weight {
 			return s.Backend
 		}
 		remaining -= s.Weight
 	}
-	return r.Split[len(r.Split)-1].Backend
+	return r.TrafficSplits[len(r.TrafficSplits)-1].Backend
 }
 
 // NeedsKey reports whether requests on a route must carry an API key.
--- a/router/watchdog.go
+++ b/router/watchdog.go
@@ -32,9 +32,9 @@
 func (x *exchange) headerSilenceLimit() time.Duration {
 	usual := x.service.UsualResponseDelay(x.promptTokens)
 	if usual == 0 && x.promptTokens > 0 {
-		return silenceLimit(defaultHeaderSilenceShare, x.route.TargetMS)
+		return silenceLimit(defaultHeaderSilenceShare, x.route.FirstEventTargetMS)
 	}
-	return max(usual, silenceLimit(headerSilenceShare, x.route.TargetMS))
+	return max(usual, silenceLimit(headerSilenceShare, x.route.FirstEventTargetMS))
 }
 
 func silenceLimit(share, targetMS float64) time.Duration {
@@ -102,7 +102,7 @@
 	if !x.isRetryable() || x.sendCount >= x.route.MaxAttempts {
 		return s
 	}
-	s.stop = x.onSilence(from.attempt, silenceLimit(eventSilenceShare, x.route.GapAimMS), func() {
+	s.stop = x.onSilence(from.attempt, silenceLimit(eventSilenceShare, x.route.EventGapTargetMS), func() {
 		if !x.reserveRetry() {
 			s.ready <- nil
 			return
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,27 +14,27 @@
 )
 
 // PathEnvVar is the environment variable that holds the path of the settings file.
-const Variable = "IVYBANK_CONFIG"
+const PathEnvVar = "IVYBANK_CONFIG"
 
 // DefaultPath is the path of the settings file if that variable is not set.
 const DefaultPath = "/etc/ivybank/settings.toml"
 
 // Settings are the settings that the platform gives to a process. Field names follow the keys of the file.
 type Settings struct {
-	NodeName  string            `toml:"node_name"`
-	Class     string            `toml:"machine_class"`
-	IP        string            `toml:"ip"`
-	Zone      string            `toml:"zone"`
-	Region    string            `toml:"region"`
-	PortRange [2]int            `toml:"port_range"`
-	Seeds     []string          `toml:"seeds"`
-	Bootstrap bool              `toml:"bootstrap"`
-	DataDir   string            `toml:"data_dir"`
-	Metrics   string            `toml:"metrics"` // PORT/PATH at which metrics are served; empty for none
-	Zones     map[string]string `toml:"zones"`
-	Listen    Listen            `toml:"listen"`
-	Limits    Limits            `toml:"limits"`
-	Tolerate  Tolerate          `toml:"tolerate"`
+	NodeName     string            `toml:"node_name"`
+	MachineClass string            `toml:"machine_class"`
+	IP           string            `toml:"ip"`
+	Zone         string            `toml:"zone"`
+	Region       string            `toml:"region"`
+	PortRange    [2]int            `toml:"port_range"`
+	Seeds        []string          `toml:"seeds"`
+	Bootstrap    bool              `toml:"bootstrap"`
+	DataDir      string            `toml:"data_dir"`
+	Metrics      string            `toml:"metrics"` // PORT/PATH at which metrics are served; empty for none
+	Zones        map[string]string `toml:"zones"`
+	Listen       Listen            `toml:"listen"`
+	Limits       Limits            `toml:"limits"`
+	Tolerate     Tolerate          `toml:"tolerate"`
 	// Guarantees names the guarantees that apply to this fleet.
 	Guarantees []string `toml:"guarantees"`
 	Bounds     Bounds   `toml:"bounds"`
@@ -62,21 +62,21 @@
 
 // Bounds are the figures of the guarantees. Field names end in their unit; counts and ratios have none.
 type Bounds struct {
-	DrainMS       float64 `toml:"drain_ms"`
-	GraceS        float64 `toml:"grace_s"`
-	ConfigMS      float64 `toml:"config_ms"`
-	RetryRatio    float64 `toml:"retry_ratio"`
-	RetryWindowS  float64 `toml:"retry_window_s"`
-	RetrySlack    float64 `toml:"retry_slack"`
-	QuotaWindowS  float64 `toml:"quota_window_s"`
-	QuotaOverage  float64 `toml:"quota_overage"`
-	QuotaSlack    float64 `toml:"quota_slack"`
-	SyncS         float64 `toml:"sync_s"`
-	AgainS        float64 `toml:"again_s"`
-	ReuseAfterS   float64 `toml:"reuse_after_s"`
-	LossSlackMS   float64 `toml:"loss_slack_ms"`
-	RollbackSlack float64 `toml:"rollback_slack_ms"`
-	HistoryS      float64 `toml:"history_s"`
+	DrainMS         float64 `toml:"drain_ms"`
+	GraceS          float64 `toml:"grace_s"`
+	ConfigMS        float64 `toml:"config_ms"`
+	RetryRatio      float64 `toml:"retry_ratio"`
+	RetryWindowS    float64 `toml:"retry_window_s"`
+	RetrySlack      float64 `toml:"retry_slack"`
+	QuotaWindowS    float64 `toml:"quota_window_s"`
+	QuotaOverage    float64 `toml:"quota_overage"`
+	QuotaSlack      float64 `toml:"quota_slack"`
+	SyncS           float64 `toml:"sync_s"`
+	AgainS          float64 `toml:"again_s"`
+	ReuseAfterS     float64 `toml:"reuse_after_s"`
+	LossSlackMS     float64 `toml:"loss_slack_ms"`
+	RollbackSlackMS float64 `toml:"rollback_slack_ms"`
+	HistoryS        float64 `toml:"history_s"`
 }
 
 // Cloud describes the API of the platform that lists the hosts.
@@ -88,7 +88,7 @@
 
 // Path returns the path of the settings file.
 func Path() string {
-	if path := os.Getenv(Variable); path != "" {
+	if path := os.Getenv(PathEnvVar); path != "" {
 		return path
 	}
 	return DefaultPath
@@ -161,7 +161,9 @@
 const coordinationGuarantee = "coord"
 
 // CoordinationEnabled reports whether applications may use locks, numbers, keys and watches.
-func (s *Settings) Coordinates() bool { return slices.Contains(s.Guarantees, coordinationGuarantee) }
+func (s *Settings) CoordinationEnabled() bool {
+	return slices.Contains(s.Guarantees, coordinationGuarantee)
+}
 
 // InternalPort is the port on which control processes and agents serve other machines.
 func (s *Settings) InternalPort() int { return s.PortRange[0] }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -77,8 +77,8 @@
 	s, err := Load(path)
 	assert.NilError(t, err)
 	assert.Equal(t, s.IP, "10.1.0.26")
-	t.Setenv(Variable, path)
+	t.Setenv(PathEnvVar, path)
 	assert.Equal(t, Path(), path)
-	t.Setenv(Variable, "")
+	t.Setenv(PathEnvVar, "")
 	assert.Equal(t, Path(), DefaultPath)
 }
