--- a/cmd/ivycontrol/main.go
+++ b/cmd/ivycontrol/main.go
@@ -1,4 +1,4 @@
-// Command ivycontrol runs the control process of a router fleet, and checks what operators write for one.
+// Command ivycontrol runs the control process of a router fleet, and checks its configuration and settings files.
 package main
 
 import (
@@ -22,13 +22,13 @@
 func main() {
 	process.Main(&cli.Command{
 		Name:  "ivycontrol",
-		Usage: "the control process of a router fleet",
-		Description: "The settings file is named by the variable " + settings.Variable + ", else it is " +
+		Usage: "control process of a router fleet",
+		Description: "The environment variable " + settings.Variable + " names the settings file; the default is " +
 			settings.DefaultPath + ".",
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "keep the configuration and the list of hosts", Action: process.Action(serve)},
+			{Name: "serve", Usage: "run the control process", Action: process.Action(serve)},
 			{Name: "check", Usage: "check a configuration", ArgsUsage: "FILE", Action: check},
-			{Name: "status", Usage: "show what a control process knows", ArgsUsage: "ADDRESS", Action: status},
+			{Name: "status", Usage: "show the status of a control process", ArgsUsage: "ADDRESS", Action: status},
 			{Name: "check-settings", Usage: "check a settings file", ArgsUsage: "FILE", Action: checkSettings},
 		},
 	})
@@ -44,9 +44,9 @@
 
 const statusTimeout = 3 * time.Second
 
-var errNoFile = errors.New("name one file")
+var errNoFile = errors.New("expected exactly one argument: FILE")
 
-// check says whether a configuration is valid.
+// check validates a configuration file.
 func check(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
 		return errNoFile
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// status prints what a control process tells of itself.
+// status prints the status of a control process as JSON.
 func status(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return errors.New("name one address, host:port")
+		return errors.New("expected exactly one argument: ADDRESS as host:port")
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -83,7 +83,7 @@
 	return err
 }
 
-// checkSettings says whether a settings file is sound.
+// checkSettings validates a settings file.
 func checkSettings(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
 		return errNoFile
--- a/control/applications.go
+++ b/control/applications.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	maxCallBytes   = 32 << 10 // of a body
-	retryCallAfter = "0.05"   // seconds
+	maxCallBytes   = 32 << 10 // bytes of a request body
+	retryCallAfter = "0.05" // Retry-After in seconds
 )
 
-// applicationCall is one kind of call that applications make.
+// applicationCall describes one HTTP call of the application API.
 type applicationCall struct {
-	name    operatorCall // in figures
+	name    operatorCall // label in metrics
 	pattern string
 	kind    wire.CommandKind
-	success func(*wire.Answer) any // the body of a 200
+	success func(*wire.Answer) any // builds the body of a 200 response
 }
 
-// applicationCalls are all calls on locks, numbers, keys and watches.
+// applicationCalls lists the calls on locks, numbers, keys and watches.
 var applicationCalls = []applicationCall{
 	{"lock_begin", "POST /v1/Locks.Begin/{id}", wire.BeginLock, func(a *wire.Answer) any { return fenceBody{a.Fence} }},
 	{"lock_heartbeat", "POST /v1/Locks.Heartbeat/{id}", wire.HeartbeatLock, emptyBody},
@@ -35,7 +35,7 @@
 	{"watch", "GET /v1/watch/{id}", wire.WatchGroup, watchAnswer},
 }
 
-// The bodies of calls and answers.
+// Bodies of requests and responses.
 type (
 	requestBody struct {
 		Holder     string  `json:"holder"`
@@ -78,17 +78,18 @@
 	return body
 }
 
-// applicationHandler serves the calls of applications. It is safe for concurrent use.
+// applicationHandler serves the application API. It is safe for concurrent use.
 type applicationHandler struct{ node *Node }
 
-// register adds the calls to those that a control process serves.
+// register adds the application calls to mux.
 func (h *applicationHandler) register(mux *http.ServeMux) {
 	for _, call := range applicationCalls {
 		mux.HandleFunc(call.pattern, func(w http.ResponseWriter, r *http.Request) { h.serve(w, r, &call) })
 	}
 }
 
-// serve hands a call to the loop and writes its answer. Where the outcome isn't known it closes the connection.
+// serve submits a call to the node's event loop and writes the response. If the outcome is unknown, it closes the
+// connection without a response.
 func (h *applicationHandler) serve(w http.ResponseWriter, r *http.Request, kind *applicationCall) {
 	since := h.node.env.Now()
 	command, ok := readCommand(w, r, kind.kind)
@@ -97,7 +98,7 @@
 		return
 	}
 	if kind.kind == wire.WatchGroup {
-		_ = http.NewResponseController(w).SetReadDeadline(time.Time{}) // it may wait for longer than a request may take to come
+		_ = http.NewResponseController(w).SetReadDeadline(time.Time{}) // a watch may wait longer than the server's read timeout
 	}
 	answers := make(chan wire.Answer, 1)
 	taken := make(chan *partCall, 1)
@@ -112,11 +113,11 @@
 		h.write(w, kind, a)
 	case <-r.Context().Done():
 		h.node.env.Do(func() { h.node.callerLeft(<-taken) })
-		panic(http.ErrAbortHandler) // a handler that returns without an answer answers 200
+		panic(http.ErrAbortHandler) // returning without a response would make net/http send 200
 	}
 }
 
-// readCommand reads a call; false where it isn't well-formed.
+// readCommand decodes a request. It returns false if the request is malformed.
 func readCommand(w http.ResponseWriter, r *http.Request, kind wire.CommandKind) (wire.Command, bool) {
 	command := wire.Command{Kind: kind, Name: r.PathValue("id")}
 	if r.Method == http.MethodGet {
@@ -134,7 +135,7 @@
 	return command, true
 }
 
-// into gives a command the fields that its kind has: an entry carries no others.
+// fillCommand copies only the fields that the command's kind uses, so that log entries carry no others.
 func (b *requestBody) into(c *wire.Command) {
 	switch c.Kind {
 	case wire.BeginLock:
@@ -148,7 +149,7 @@
 	}
 }
 
-// readWatch reads what a watch asks for; fields that are missing are 0.
+// readWatch decodes the query parameters of a watch. Missing parameters are 0.
 func readWatch(r *http.Request, command *wire.Command) bool {
 	query := r.URL.Query()
 	if after := query.Get("after"); after != "" {
@@ -168,12 +169,12 @@
 	return true
 }
 
-// write writes an answer.
+// write writes the response for an answer.
 func (h *applicationHandler) write(w http.ResponseWriter, kind *applicationCall, a wire.Answer) {
 	status := statusOf(a.Outcome)
 	h.node.counts.answered(kind.name, status)
 	if status == 0 {
-		panic(http.ErrAbortHandler) // closes the connection
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", retryCallAfter)
@@ -191,10 +192,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(text) // a caller that has gone needs no answer
+	_, _ = w.Write(text) // a write error means that the client has disconnected
 }
 
-// statusOf gives the status that tells an outcome; 0 where there is none to tell.
+// httpStatus returns the HTTP status for an outcome, or 0 if the connection has to be closed without a response.
 func statusOf(o wire.Outcome) int {
 	switch o {
 	case wire.Done:
--- a/control/applications_test.go
+++ b/control/applications_test.go
@@ -18,7 +18,7 @@
 	"ivybank/wire"
 )
 
-// commandOf gives the command that a request is read as; false where it is refused, or no call has its path.
+// commandOf returns the command that a request is decoded to, or false if it is refused or matches no route.
 func commandOf(method, target, body string) (command wire.Command, ok bool) {
 	mux := http.NewServeMux()
 	for _, call := range applicationCalls {
@@ -71,7 +71,7 @@
 	}
 }
 
-// answerOf gives what a caller gets for an answer; false where its connection is closed.
+// answerOf returns the HTTP response for an answer, or false if the connection is closed instead.
 func answerOf(path string, a wire.Answer) (r *httptest.ResponseRecorder, answered bool) {
 	h := &applicationHandler{&Node{counts: newNodeCounts()}}
 	r = httptest.NewRecorder()
@@ -118,7 +118,7 @@
 	}
 }
 
-// A call whose outcome isn't known must not be answered: any status would promise something.
+// A call with an unknown outcome must not be answered, since any status would state an outcome.
 func TestUnknownOutcomeClosesTheConnection(t *testing.T) {
 	for _, outcome := range []wire.Outcome{wire.OutcomeUnknown, 0, 99} {
 		_, answered := answerOf("numbers", wire.Answer{Outcome: outcome})
@@ -126,13 +126,13 @@
 	}
 }
 
-// pendingNode has a part without a leader whose queue nobody looks at, so calls stay under way.
+// pendingNode has a part without a leader whose queue is never processed, so calls stay in flight.
 func pendingNode() *Node {
 	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.Group{Target: 3}, replica.Disk{}, rand.New(rand.NewPCG(1, 2)), 0)}
 	return &Node{counts: newNodeCounts(), env: &directEnvironment{}, replica: p.replica, parts: []*part{p}}
 }
 
-// directEnvironment runs events at once, on a clock that stands still.
+// directEnvironment runs events immediately, with a clock that is always 0.
 type directEnvironment struct {
 	Environment
 	mutex sync.Mutex
@@ -146,7 +146,7 @@
 	event()
 }
 
-// readAfterHalfClose sends a request, closes the way there, and gives all that comes back.
+// readAfterHalfClose sends a request, closes the write side, and returns everything that the server sends back.
 func readAfterHalfClose(t *testing.T, handler http.Handler, request string) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -162,8 +162,8 @@
 	return string(answer)
 }
 
-// A call whose request ended while its outcome wasn't known was answered with an empty 200: a renewal, a return or an order
-// that nobody had acknowledged counted as done.
+// A call whose request context ended before its outcome was known was once answered with an empty 200, so that a
+// heartbeat, a finish or an update that was never acknowledged counted as successful.
 func TestCallLeftUnderWayGetsNoImplicitOK(t *testing.T) {
 	mux := http.NewServeMux()
 	(&applicationHandler{pendingNode()}).register(mux)
@@ -179,7 +179,7 @@
 	assert.Equal(t, readAfterHalfClose(t, handler, "POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"), "")
 }
 
-// What a call doesn't need isn't put into entries, which all members keep.
+// Log entries are stored by all members, so they must not carry fields that the command doesn't use.
 func TestFieldsOfOtherKindsAreDropped(t *testing.T) {
 	all := `{"holder":"a","fence":7,"hold_ms":5,"value":"v","if_revision":3}`
 	for target, want := range map[string]wire.Command{
--- a/control/calls.go
+++ b/control/calls.go
@@ -10,31 +10,33 @@
 )
 
 const (
-	// callerPatience is after how long a caller takes silence for a failure and goes elsewhere: a call that is older is dropped.
+	// callerTimeout is how long a caller waits for a response before it retries elsewhere; older calls are dropped.
 	callerPatience = time.Second
-	// queuePatience is how long a call waits for its turn at a leader before it is refused, so that the caller still hears it.
+	// queueTimeout is how long a call may wait in the leader's queue before it is refused. It is shorter than
+	// callerTimeout, so that the refusal still reaches the caller.
 	queuePatience = 600 * time.Millisecond
-	// leaderPatience is how long a call waits for a leader to be known: about as long as a planned change of leader takes.
+	// leaderWaitTimeout is how long a call waits for a leader to become known: about the duration of a planned change
+	// of leader.
 	leaderPatience = 150 * time.Millisecond
-	rerouteEvery   = 50 * time.Millisecond // between attempts to hand one call to a leader
-	watchInterval  = 25 * time.Millisecond // between looks at watches whose time may be over
-	maxBatch       = 256                   // commands of one entry
-	maxQueuedCalls = 2048                  // of one part
-	maxWatches     = 4096                  // of one part
+	rerouteEvery   = 50 * time.Millisecond // between attempts to forward the same call
+	watchInterval  = 25 * time.Millisecond // between checks for watches that have expired
+	maxBatch       = 256 // commands in one log entry
+	maxQueuedCalls = 2048
+	maxWatches     = 4096
 )
 
-// partCall is one call of an application: taken from the caller, or passed on by another control process.
+// partCall is one application call, received from the caller or forwarded by another control process.
 type partCall struct {
 	command wire.Command
 	part    *part
-	since   time.Duration // when it was taken from the caller
-	until   time.Duration // when a watch has waited long enough
-	passed  bool          // another process has passed it on, and passes it on again itself if need be
-	retryAt time.Duration // before which it isn't handed to a leader anew
+	since   time.Duration // when it was received from the caller
+	until   time.Duration // deadline of a watch
+	passed  bool // forwarded by another process, which retries by itself if necessary
+	retryAt time.Duration // the earliest time of the next attempt to forward it
 	answer  func(wire.Answer)
 }
 
-// finish gives the answer. Only the first one counts.
+// finish sends the answer to the caller. Later calls are ignored.
 func (c *partCall) finish(a wire.Answer) {
 	if answer := c.answer; answer != nil {
 		c.answer = nil
@@ -44,7 +46,7 @@
 
 func (c *partCall) finishWith(o wire.Outcome) { c.finish(wire.Answer{Outcome: o}) }
 
-// refuse answers that nothing was done.
+// refuse answers that the call was not executed.
 func (n *Node) refuse(c *partCall, why refusal) {
 	if !c.finished() {
 		n.counts.refused(why)
@@ -52,7 +54,7 @@
 	}
 }
 
-// leaveUnanswered ends a call of which nothing can be told.
+// closeUnanswered ends a call whose outcome is unknown; the caller gets no answer.
 func (n *Node) leaveUnanswered(c *partCall, why silence) {
 	if !c.finished() {
 		n.counts.unanswered(why)
@@ -64,11 +66,11 @@
 
 func (c *partCall) isWatch() bool { return c.command.Kind == wire.WatchGroup }
 
-// isRead says whether the call may be carried out more than once.
+// isRead reports whether the call is safe to execute more than once.
 func (c *partCall) isRead() bool { return c.isWatch() || c.command.Kind == wire.GetKey }
 
-// refusalDue says whether a call that is still queued has to be refused. A watch waits for a leader as long as it would for a
-// put.
+// refusalDue reports whether a queued call has to be refused. A watch waits for a leader for as long as its caller
+// would wait for events.
 func (c *partCall) refusalDue(now time.Duration, leading bool) bool {
 	switch {
 	case c.isWatch():
@@ -80,15 +82,15 @@
 	}
 }
 
-// takeCall takes a call of an application that came in at a moment of the steady clock. answer is called at most once, in
-// the loop; with OutcomeUnknown the caller gets no answer.
+// submitCall starts an application call that was received at the given time of the monotonic clock. respond is called
+// at most once, in the event loop; with OutcomeUnknown the caller gets no response.
 func (n *Node) takeCall(command wire.Command, since time.Duration, answer func(wire.Answer)) *partCall {
 	c := &partCall{command: command, since: since, answer: answer}
 	n.accept(c)
 	return c
 }
 
-// accept checks a call and serves it.
+// admit validates a call and serves it.
 func (n *Node) accept(c *partCall) {
 	now := n.now()
 	switch {
@@ -110,10 +112,10 @@
 	n.serveCall(c, now)
 }
 
-// callerLeft tells that the caller's connection has ended: a call that is still queued is dropped.
+// callerDisconnected drops the call if it is still queued.
 func (n *Node) callerLeft(c *partCall) { c.answer = nil }
 
-// serveCall answers a call from memory, queues it for the next entry, or passes it on to the leader.
+// serveCall answers a call from memory, queues it for the next log entry, or forwards it to the leader.
 func (n *Node) serveCall(c *partCall, now time.Duration) {
 	p := c.part
 	if p.replica.Role() == replica.Leader {
@@ -131,7 +133,7 @@
 	}
 }
 
-// enqueue has a call wait for its turn, or refuses it where too many wait.
+// enqueue adds a call to its part's queue, or refuses it if the queue is full.
 func (n *Node) enqueue(c *partCall) {
 	p := c.part
 	if len(p.queue) >= maxQueuedCalls {
@@ -141,8 +143,8 @@
 	p.queue = append(p.queue, c)
 }
 
-// answerFromMemory answers what needs no entry, while this node's lease holds. The lease is checked here, in the loop, at the
-// moment at which the state is read, so whatever delays the answer afterwards does no harm.
+// answerFromMemory answers calls that need no log entry, while this node's leader lease holds. The lease is checked in
+// the event loop at the moment at which the state is read, so later delays of the answer do no harm.
 func (n *Node) answerFromMemory(c *partCall, now time.Duration) bool {
 	p := c.part
 	if !p.replica.Leading(now) {
@@ -166,7 +168,7 @@
 	return true
 }
 
-// serveParts delivers what was committed, and goes on with what waits.
+// serveParts answers committed calls, then processes watches, queues and new proposals of each part.
 func (n *Node) serveParts() {
 	now := n.now()
 	for _, p := range n.parts {
@@ -177,8 +179,8 @@
 	}
 }
 
-// deliver answers the calls of the entry that was under way, once its outcome is known. An entry that this leader could not
-// commit may be committed by the next one or never, so its callers get no answer.
+// answerProposed answers the calls of the proposed entry once its outcome is known. If this node has lost the
+// leadership, the next leader may or may not commit the entry, so the callers get no answer.
 func (n *Node) deliver(p *part) {
 	if p.proposed == nil {
 		return
@@ -200,7 +202,7 @@
 	p.proposed = nil
 }
 
-// leaveLateUnanswered ends the calls of the entry under way whose callers have gone elsewhere meanwhile.
+// closeLateCalls ends the calls of the proposed entry whose callers have timed out.
 func (n *Node) leaveLateUnanswered(p *part) {
 	now := n.now()
 	for _, c := range p.proposed {
@@ -210,7 +212,7 @@
 	}
 }
 
-// serveQueue looks at each waiting call once.
+// serveQueue processes each queued call once.
 func (n *Node) serveQueue(p *part, now time.Duration) {
 	if len(p.queue) == 0 {
 		return
@@ -231,8 +233,8 @@
 	}
 }
 
-// proposeCalls makes the next entry of what waits, once the one before is committed. A node that is about to stop makes none,
-// so that it can hand over.
+// proposeCalls proposes the next entry from the queued calls once the previous entry is committed. A stopping node
+// proposes none, so that it can hand over the leadership.
 func (n *Node) proposeCalls(p *part, now time.Duration) {
 	if n.stopping || p.proposed != nil || len(p.queue) == 0 || !p.replica.Leading(now) || p.replica.Uncommitted() {
 		return
@@ -245,20 +247,20 @@
 	}
 	at, err := p.replica.Propose(coordination.Encode(commands), now)
 	if err != nil {
-		return // it stays queued
+		return // the calls stay queued
 	}
 	p.queue = p.queue[count:]
 	p.proposed, p.proposedAt = calls, at
 }
 
-// serveWatches tells watches what has come, and hands those that wait on a node that has lost its lease to the next leader.
+// serveWatches answers watches that have new events, and forwards them to the new leader if this node no longer leads.
 func (n *Node) serveWatches(p *part, now time.Duration) {
 	if len(p.watches) == 0 {
 		return
 	}
 	leads := p.replica.Role() == replica.Leader
 	if leads && !p.replica.Leading(now) {
-		return // until the lease is renewed or given up
+		return // wait until the lease is renewed or the leadership is lost
 	}
 	if at := p.replica.Committed().Position(); leads && at == p.watchedAt && now < p.watchAgain {
 		return
@@ -273,7 +275,7 @@
 	}
 }
 
-// callsUnderWay counts calls that have been taken and not been answered; watches aside.
+// callsInFlight counts the calls that are not answered yet, without watches.
 func (n *Node) callsUnderWay() int {
 	count := 0
 	for _, p := range n.parts {
--- a/control/environment.go
+++ b/control/environment.go
@@ -9,27 +9,27 @@
 	"ivybank/wire"
 )
 
-// Environment is what a node needs of the world: in service sockets, files and the platform, in tests a simulated one.
-// All that it tells the node comes as events in the node's loop.
+// Environment is what a node needs from outside: sockets, files and the platform in production, a simulation in tests.
+// It reports back to the node through events in the node's event loop.
 type Environment interface {
-	// Now is the steady clock, from the start of this life of the process. It may be called from outside the loop.
+	// Now returns the monotonic time since this process started. It may be called from outside the event loop.
 	Now() time.Duration
-	// Do runs an event in the node's loop. It may be called from outside the loop.
+	// Do runs an event in the node's event loop. It may be called from outside the event loop.
 	Do(event func())
-	// Save starts a write; Node.Saved is called once it is on disk. There is one at a time.
+	// Save starts a write; Node.Saved is called once it is on disk. At most one write is in progress at a time.
 	Save(s *replica.Save)
-	// SaveTenures starts a write of what the leases' granter remembers; Node.TenuresSaved is called with its outcome. There is
-	// one at a time.
+	// SaveTenures starts a write of the granter's tenures; Node.TenuresSaved is called with the result. At most one
+	// write is in progress at a time.
 	SaveTenures(t lease.Tenures)
-	// SaveParts starts a write of parts of the coordination state; Node.PartsSaved is called once it is on disk. There is one at
-	// a time.
+	// SaveParts starts a write of the parts of the coordination state; Node.PartsSaved is called once it is on disk.
+	// At most one write is in progress at a time.
 	SaveParts(b *store.PartsBatch)
-	// OpenLink keeps a connection to the control process at an address.
+	// OpenLink maintains a connection to the control process at an address.
 	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink
-	// ReadHosts reads the platform's list; Node.HostsRead is called with the outcome.
+	// ReadHosts starts a read of the platform's host list; Node.HostsRead is called with the result.
 	ReadHosts()
-	// KnownControls gives the addresses of control processes that peers have told of.
+	// KnownControls returns the addresses of the control processes that were learned from peers.
 	KnownControls() []string
-	// SpoiltDatagrams counts what peers sent that could not be read.
+	// UnreadableDatagrams counts the datagrams from peers that could not be decoded.
 	SpoiltDatagrams() int64
 }
--- a/control/feed.go
+++ b/control/feed.go
@@ -6,17 +6,17 @@
 	"ivybank/wire"
 )
 
-// subscriber is an agent that tails the feed.
+// subscriber is the connection of an agent that receives configuration, membership and host updates.
 type subscriber struct {
 	conn wire.Sender
 }
 
-// AgentDisconnected forgets an agent's connection.
+// AgentDisconnected removes a subscriber.
 func (n *Node) AgentDisconnected(s *subscriber) {
 	n.subscribers = slices.DeleteFunc(n.subscribers, func(other *subscriber) bool { return other == s })
 }
 
-// OnAgentMessage takes what an agent says.
+// OnAgentMessage handles a message from an agent.
 func (n *Node) OnAgentMessage(s *subscriber, m *wire.Message) {
 	switch {
 	case m.Subscribe != nil:
@@ -28,7 +28,7 @@
 	}
 }
 
-// subscribe brings an agent up to date; from then on it gets each change.
+// subscribe sends an agent what has changed since the state that it has, and adds it to the subscribers.
 func (n *Node) subscribe(s *subscriber, q *wire.Subscribe) {
 	if !slices.Contains(n.subscribers, s) {
 		n.subscribers = append(n.subscribers, s)
@@ -52,7 +52,7 @@
 	}
 }
 
-// configFor gives the configuration as one agent needs it: without its body where the agent holds it already.
+// configFor returns the configuration for one agent, without the body if the agent already has this revision.
 func (n *Node) configFor(held int64) *wire.Config {
 	c := *n.feed
 	c.Current, c.At = n.replica.Leading(n.now()), n.stateAt
@@ -62,7 +62,7 @@
 	return &c
 }
 
-// configMessage is configFor as a message. The one with the body is encoded once for as long as it holds.
+// configMessage returns configFor as a message. The message with the body is encoded once and reused until it changes.
 func (n *Node) configMessage(held int64) *wire.Message {
 	c := n.configFor(held)
 	if len(c.Body) == 0 {
@@ -81,7 +81,7 @@
 	}
 }
 
-// publishConfig feeds the committed configuration if it is a new one.
+// publishConfig sends the committed configuration to the subscribers if its revision is new.
 func (n *Node) publishConfig() {
 	if n.state.Revision == 0 || n.feed != nil && n.feed.Revision == n.state.Revision {
 		return
@@ -90,7 +90,7 @@
 	n.publish(n.configMessage(0))
 }
 
-// currentGroup gives the members by the newest entry; nil before the first.
+// currentGroup returns the members according to the newest entry, or nil before the first entry.
 func (n *Node) currentGroup() *wire.Group {
 	entry := n.replica.Newest()
 	if entry == nil {
@@ -99,8 +99,8 @@
 	return &wire.Group{Members: entry.Members, At: entry.Position(), Fleet: entry.Fleet}
 }
 
-// publishGroup tells agents who the members are; each second anew, with the word of the leader that their
-// configuration is current.
+// publishGroup sends the members to the subscribers. It runs on every change and once a second; a leader also confirms
+// that their configuration is current.
 func (n *Node) publishGroup() {
 	group := n.currentGroup()
 	if group == nil {
--- a/control/figures.go
+++ b/control/figures.go
@@ -8,29 +8,30 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// nodeCounts are the counters of a control process that its status doesn't show. They are safe for concurrent use.
+// nodeCounters holds the counters of a control process that its status doesn't include. They are safe for concurrent
+// use.
 type nodeCounts struct {
 	set          *metrics.Set
 	roleChanges  *metrics.Counter
-	unknownCalls *metrics.Counter             // at paths that nothing serves
-	partWait     *metrics.PrometheusHistogram // from when a call of an application was taken until it is answered; watches aside
+	unknownCalls *metrics.Counter // requests without a matching route
+	partWait     *metrics.PrometheusHistogram // from receipt to answer of an application call, without watches
 }
 
-// refusal is why a call of an application was answered 503.
+// refusalReason is why an application call was answered 503.
 type refusal string
 
-// silence is why a call of an application got no answer.
+// unansweredReason is why an application call got no answer.
 type silence string
 
-// The reasons.
+// Values of the reason labels.
 const (
-	refusedNoLeader  refusal = "no_leader"      // none was known or reached
-	refusedNotLeader refusal = "not_leader"     // another process passed it on to this one, which doesn't lead
-	refusedWaited    refusal = "waited_long"    // its turn at the leader didn't come
-	refusedQueueFull refusal = "queue_full"     // too many wait
-	silentLate       silence = "late"           // it was, or became, older than its caller's patience
-	silentLeaderLost silence = "leader_lost"    // this process lost its office with the entry under way
-	silentPassed     silence = "reply_not_come" // it was passed on, and no reply can be expected any more
+	refusedNoLeader  refusal = "no_leader" // no leader was known or reachable
+	refusedNotLeader refusal = "not_leader" // another process forwarded the call to this one, which isn't the leader
+	refusedWaited    refusal = "waited_long" // the call waited too long in the leader's queue
+	refusedQueueFull refusal = "queue_full" // the part's queue was full
+	silentLate       silence = "late" // the call was or became older than callerTimeout
+	silentLeaderLost silence = "leader_lost" // this process lost the leadership while the entry was in flight
+	silentPassed     silence = "reply_not_come" // the call was forwarded, and no reply can arrive any more
 )
 
 func newNodeCounts() nodeCounts {
@@ -40,22 +41,22 @@
 		partWait:     set.NewPrometheusHistogram("ivybank_control_part_call_seconds")}
 }
 
-// refused counts a call of an application that was answered 503.
+// countRefused counts an application call that was answered 503.
 func (c *nodeCounts) refused(why refusal) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_part_refused_total{reason=%q}", why)).Inc()
 }
 
-// unanswered counts a call of an application that got no answer.
+// countUnanswered counts an application call that got no answer.
 func (c *nodeCounts) unanswered(why silence) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_part_unanswered_total{reason=%q}", why)).Inc()
 }
 
-// answered counts an operator's call by its answer.
+// countResponse counts a call by its kind and HTTP status.
 func (c *nodeCounts) answered(call operatorCall, status int) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_calls_total{call=%q,status=\"%d\"}", call, status)).Inc()
 }
 
-// writeFigures gives what a control process tells of itself, in the text format of Prometheus.
+// writeMetrics writes the metrics of the process in the Prometheus text format.
 func (n *Node) writeFigures(ctx context.Context, w io.Writer) {
 	answer := make(chan Status, 1)
 	n.env.Do(func() { answer <- n.status() })
@@ -67,7 +68,7 @@
 	}
 }
 
-// write gives the status as figures.
+// write writes the status as metrics.
 func (s *Status) write(w io.Writer) {
 	for _, gauge := range []struct {
 		name  string
@@ -111,7 +112,7 @@
 	}
 }
 
-// write gives the status of a part as figures.
+// write writes the status of a part as metrics.
 func (p *PartStatus) write(w io.Writer) {
 	for _, gauge := range []struct {
 		name  string
@@ -130,7 +131,7 @@
 	}
 }
 
-// number is 1 for true.
+// boolGauge returns 1 for true and 0 for false.
 func number(yes bool) uint64 {
 	if yes {
 		return 1
--- a/control/figures_test.go
+++ b/control/figures_test.go
@@ -13,7 +13,7 @@
 	"ivybank/wire"
 )
 
-// figuresOf gives the lines that a control process tells of itself.
+// metricsOf returns the set of metric lines of a control process.
 func figuresOf(t *testing.T, p *nodeProcess) map[string]bool {
 	t.Helper()
 	var text bytes.Buffer
@@ -60,7 +60,7 @@
 	assert.Assert(t, !lines["ivybank_control_role_changes_total 0"], "%v", lines)
 }
 
-// Calls of applications that get no service used to leave no trace: a 404 at an unknown path, a 503 or a closed connection.
+// Requests to unknown paths, calls answered 503 and calls left without an answer were once not counted at all.
 func TestCallsWithoutServiceAreCounted(t *testing.T) {
 	n := &Node{counts: newNodeCounts(), env: stillEnvironment{}}
 	n.countUnknown(http.NewServeMux()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/Locks.Begin/l", nil))
@@ -83,7 +83,7 @@
 	}
 }
 
-// stillEnvironment has a clock that stands still.
+// stillEnvironment has a clock that is always 0.
 type stillEnvironment struct{ Environment }
 
 func (stillEnvironment) Now() time.Duration { return 0 }
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -10,7 +10,7 @@
 	"ivybank/control/store"
 )
 
-// callKind is what an operator's call asks for.
+// callKind is the kind of an operator's call.
 type callKind int
 
 const (
@@ -18,40 +18,40 @@
 	readCall
 )
 
-// outcome is what the operator learned of a call.
+// outcome is what the operator knows about the effect of a call.
 type outcome int
 
 const (
-	unknown  outcome = iota // no answer, a 5xx: it may have had its effect, or have it later
-	accept                  // 200
-	conflict                // 412: another version was current, and the order had not been taken
-	invalid                 // 400: the order can't be taken on the version that is current
-	nothing                 // a redirect, or a refusal for want of room: no effect
+	unknown  outcome = iota // no answer or a 5xx: it may have taken effect, or may do so later
+	accept // 200
+	conflict // 412: another version was current, and this update had not been accepted
+	invalid // 400: the update is not valid on the current version
+	nothing // a redirect, or a refusal because of overload: no effect
 )
 
-// version is one configuration that may be in force; the zero version is the one before the first.
+// version is one configuration that may be current; the zero version is the state before the first.
 type version struct {
 	revision int64
-	digest   store.Digest // of the order that made it
+	digest   store.Digest // of the update that made it
 }
 
-// call is one HTTP call of an operator, from its sending to its answer.
+// callRecord is one HTTP call of an operator, from sending to answer.
 type call struct {
 	kind    callKind
 	base    int64
-	order   version // of a replacement
+	order   version // of an update
 	valid   bool
 	sent    time.Duration
-	done    time.Duration // when the answer came; endless for none
+	done    time.Duration // when the answer arrived; endless for none
 	outcome outcome
 	read    version // of a read
 }
 
 const endless = time.Duration(1<<63 - 1)
 
-// checker searches for an order of the calls, each between its sending and its answer, that one register with
-// compare-and-swap could have answered in (Wing and Gong 1993, with the memory of Lowe 2017). Calls without a clear
-// answer may have their effect at any time after they were sent, or never.
+// linearizabilityChecker searches for a linearization of the calls on one compare-and-swap register (Wing and Gong
+// 1993, with the memoization of Lowe 2017). Calls without a definite answer may take effect at any time after they
+// were sent, or never.
 type checker struct {
 	calls  []call
 	placed []bool
@@ -61,7 +61,7 @@
 
 const mostSteps = 5_000_000
 
-// linearizable says whether such an order exists.
+// linearizable reports whether a linearization exists. It returns an error if the search exceeds maxSearchSteps.
 func linearizable(calls []call) (bool, error) {
 	c := &checker{seen: map[string]struct{}{}}
 	for _, one := range calls {
@@ -72,12 +72,12 @@
 	c.placed = make([]bool, len(c.calls))
 	ok := c.search(version{}, nil)
 	if c.steps > mostSteps {
-		return false, fmt.Errorf("no verdict after %d steps for %d calls", c.steps, len(c.calls))
+		return false, fmt.Errorf("no result after %d steps for %d calls", c.steps, len(c.calls))
 	}
 	return ok, nil
 }
 
-// search places one more call, given the version in force and the orders taken so far.
+// search places one more call, given the current version and the updates accepted so far.
 func (c *checker) search(now version, taken []version) bool {
 	if c.steps++; c.steps > mostSteps {
 		return false
@@ -118,7 +118,8 @@
 	return false
 }
 
-// key names a point of the search: which calls with an answer are placed, which orders are taken, and what is in force.
+// key identifies a state of the search: the answered calls that are placed, the accepted updates and the current
+// version.
 func (c *checker) key(now version, taken []version) string {
 	bits := make([]byte, 0, len(c.calls)/8+32)
 	var b byte
@@ -141,7 +142,8 @@
 	return string(bits) + string(now.digest[:]) + string(all[:]) + fmt.Sprint(now.revision)
 }
 
-// apply says whether a call can have its answer with a version in force, and what is in force then.
+// apply reports whether a call can have had its answer while now was current, and returns the version that is current
+// afterwards.
 func (one *call) apply(now version, taken []version) (next version, takes, fits bool) {
 	if one.kind == readCall {
 		return now, false, one.read == now
@@ -186,20 +188,20 @@
 		calls []call
 		ok    bool
 	}{
-		"one after the other":                  {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), read(after, 5, 6)}, true},
-		"sent again":                           {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, accept), read(a, 5, 6)}, true},
-		"sent again after others":              {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), replace(0, a, 5, 6, accept), read(after, 7, 8)}, true},
-		"two on one version":                   {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, accept)}, false},
-		"one of two on one version":            {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(a, 6, 7)}, true},
-		"the loser is read":                    {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(b, 6, 7)}, false},
-		"refused after it was taken":           {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, conflict)}, false},
-		"refused, and taken later":             {[]call{lost(0, a, 1), replace(0, b, 2, 3, accept), replace(0, a, 4, 5, conflict)}, true},
-		"no answer, in force":                  {[]call{lost(0, a, 1), read(a, 5, 6)}, true},
-		"no answer, not in force":              {[]call{lost(0, a, 1), read(version{}, 5, 6)}, true},
-		"no answer, in force after a read":     {[]call{lost(0, a, 1), read(version{}, 2, 3), read(a, 5, 6)}, true},
-		"no answer, in force, then gone":       {[]call{lost(0, a, 1), read(a, 2, 3), read(version{}, 5, 6)}, false},
+		"sequential":                  {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), read(after, 5, 6)}, true},
+		"repeated":                           {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, accept), read(a, 5, 6)}, true},
+		"repeated after others":              {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), replace(0, a, 5, 6, accept), read(after, 7, 8)}, true},
+		"two accepted on one version":                   {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, accept)}, false},
+		"one of two accepted on one version":            {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(a, 6, 7)}, true},
+		"the rejected one is read":                    {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(b, 6, 7)}, false},
+		"rejected after it was accepted":           {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, conflict)}, false},
+		"no answer, then rejected":             {[]call{lost(0, a, 1), replace(0, b, 2, 3, accept), replace(0, a, 4, 5, conflict)}, true},
+		"no answer, took effect":                  {[]call{lost(0, a, 1), read(a, 5, 6)}, true},
+		"no answer, no effect":              {[]call{lost(0, a, 1), read(version{}, 5, 6)}, true},
+		"no answer, took effect after a read":     {[]call{lost(0, a, 1), read(version{}, 2, 3), read(a, 5, 6)}, true},
+		"no answer, took effect, then lost":       {[]call{lost(0, a, 1), read(a, 2, 3), read(version{}, 5, 6)}, false},
 		"an old version is read":               {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), read(a, 5, 6)}, false},
-		"an old version is read beside an ack": {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 6, accept), read(a, 4, 5)}, true},
+		"an old version is read concurrently": {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 6, accept), read(a, 4, 5)}, true},
 		"acknowledged and lost":                {[]call{replace(0, a, 1, 2, accept), read(version{}, 3, 4)}, false},
 	} {
 		ok, err := linearizable(one.calls)
--- a/control/identity.go
+++ b/control/identity.go
@@ -13,19 +13,20 @@
 	"ivybank/wire"
 )
 
-// loadDisk gives who this process is and what it has stored. At the very first start the machines of the seeds found the
-// group; any other process with an empty disk is new, also one at a founder's address. A disk on which a file is spoilt
-// that was whole once counts as lost: what it held can't be told, so this is a new process. The machines are those of the
-// coordination parts, each led to its newest entry; none where there is no coordination.
+// loadDisk returns the identity of this process and its stored state. On the very first start the machines of the seed
+// list found the group. Any other process with an empty disk is new, even at the address of a founder. If a file that
+// was complete before is damaged, the whole disk counts as lost, since its content can't be determined: the process
+// takes a new identity. machines are the state machines of the coordination parts; each is replayed up to its newest
+// entry. There are none if the fleet runs without coordination.
 func loadDisk(s *settings.Settings, folder *store.Folder, machines []replica.Machine, random *rand.Rand, log hclog.Logger) (stored, error) {
 	bootstrap := s.Bootstrap
 	disk, err := readDisk(folder, machines)
 	if errors.Is(err, store.ErrDamaged) {
-		log.Error("disk spoilt, its files are set aside and a new identity is taken", "error", err)
+		log.Error("stored state is damaged; moving its files aside and taking a new identity", "error", err)
 		if err := folder.SetAside(); err != nil {
 			return disk, err
 		}
-		bootstrap = false // it may have voted as a founder
+		bootstrap = false // this machine may have voted as a founder before
 		disk, err = readDisk(folder, machines)
 	}
 	if err != nil {
@@ -48,7 +49,7 @@
 	return disk, nil
 }
 
-// foundingEntry is what a founder's groups start from; nil for any other process.
+// foundingEntry returns the entry that a founder's groups start from, or nil for any other process.
 func foundingEntry(of store.Identity) *wire.Entry {
 	if len(of.Founders) == 0 {
 		return nil
@@ -56,11 +57,11 @@
 	return replica.Found(of.Founders, nil)
 }
 
-// stored is what a control process finds on its disk.
+// storedState is what a control process finds on its disk.
 type stored struct {
 	identity store.Identity
 	replica  replica.Disk
-	parts    []replica.Disk // of the coordination, in the order of its parts
+	parts    []replica.Disk // of the coordination parts, by part number
 	tenures  []string
 }
 
@@ -80,7 +81,7 @@
 	return disk, nil
 }
 
-// newIdentity is that of a process with an empty disk.
+// newIdentity returns the identity of a process with an empty disk.
 func newIdentity(s *settings.Settings, bootstrap bool, random *rand.Rand) store.Identity {
 	founders := foundingMembers(s)
 	if bootstrap {
--- a/control/identity_test.go
+++ b/control/identity_test.go
@@ -17,7 +17,7 @@
 	"ivybank/wire"
 )
 
-// appendingMachine holds all commands that it was given.
+// appendingMachine is a state machine whose state is the concatenation of all commands.
 type appendingMachine struct{ state []byte }
 
 func (m *appendingMachine) Apply(commands []byte, _ time.Duration) {
@@ -41,7 +41,8 @@
 	return disk, folder
 }
 
-// A founder's parts start from the founding entry, and are found again; where their file is spoilt the whole disk is lost.
+// A founder's parts start from the founding entry and are loaded again after a restart. If their file is damaged, the
+// whole disk counts as lost.
 func TestFounderLoadsItsParts(t *testing.T) {
 	s := &settings.Settings{IP: "10.0.0.1", Seeds: []string{"10.0.0.1:8665", "10.0.0.2:8665"}, Bootstrap: true}
 	path := t.TempDir()
--- a/control/lease_members_test.go
+++ b/control/lease_members_test.go
@@ -10,8 +10,8 @@
 	"ivybank/wire"
 )
 
-// A member renews no lease for a holder that counts by members of before a change that it knows: after one more change a
-// majority may never have heard of that lease.
+// A member must not renew a lease for a holder that counts by the members of before a change that the member knows:
+// after one more change, a majority may never have heard of that lease.
 func TestLeaseIsNotRenewedForOneThatIsBehindAChangeOfMembers(t *testing.T) {
 	w, _ := newRestartWorld(t, 1)
 	w.playUntilLed(5 * time.Second)
@@ -28,7 +28,7 @@
 	behind.At.Index--
 	assert.Assert(t, !granter.answerLease(&behind, granter.now()).Granted)
 
-	later := behind // of a change that this member doesn't know yet
+	later := behind // refers to a change that this member doesn't know yet
 	later.At = replica.Position{Term: request.At.Term, Index: request.At.Index + 1}
 	assert.Assert(t, granter.answerLease(&later, granter.now()).Granted)
 
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -10,17 +10,17 @@
 	"ivybank/control/quota"
 )
 
-// A lease is granted anew only once what its last holder granted with a delay has begun to be used.
+// A lease is granted to another holder only after the last holder's delayed grants have become valid.
 func TestDelaysOfGrantsAreOverBeforeTheNextOwner(t *testing.T) {
 	assert.Assert(t, quota.LongestDelay <= lease.Margin)
 }
 
-// The same process may get its lease again at once: after it has lost it, in a new life, or as all have restarted. Its
-// buckets begin to fill only once the delays of what was granted before are over.
+// The same process may get its lease again at once: after losing it, after a restart, or when all processes have
+// restarted. Its buckets must begin to fill only once the delays of earlier grants are over.
 func TestBucketsFillOnceEarlierDelaysAreOver(t *testing.T) {
 	limit := quota.Limit{Rate: 1000, Capacity: 1000, Validity: time.Second}
 	filled := func(n *Node, s *shard, now time.Duration) float64 {
-		for need := limit.Rate; need > 0; need-- { // what it holds half a second later
+		for need := limit.Rate; need > 0; need-- { // the amount available half a second later
 			if grant := n.newLimits(s, now).Take("t", limit, quota.Ask{Need: need, Want: need}, now+500*time.Millisecond); grant.Amount > 0 && grant.Delay == 0 {
 				return need
 			}
@@ -35,12 +35,12 @@
 		now     time.Duration
 		missing float64
 	}{
-		"another one held it":        {now: longAgo, lostAt: 0},
-		"it has lost it just now":    {now: longAgo, lostAt: longAgo, missing: late},
-		"it has lost it a while ago": {now: longAgo, lostAt: longAgo - quota.LongestDelay},
-		"it has just started":        {now: 0, lostAt: -longAgo, missing: late},
-		"all have restarted":         {node: Node{resumed: true, resumedAt: longAgo}, now: longAgo, missing: late},
-		"all had restarted":          {node: Node{resumed: true, resumedAt: longAgo - lease.Duration}, now: longAgo},
+		"another process held the lease":        {now: longAgo, lostAt: 0},
+		"this process has just lost it":    {now: longAgo, lostAt: longAgo, missing: late},
+		"this process lost it a while ago": {now: longAgo, lostAt: longAgo - quota.LongestDelay},
+		"this process has just started":        {now: 0, lostAt: -longAgo, missing: late},
+		"all have just restarted":         {node: Node{resumed: true, resumedAt: longAgo}, now: longAgo, missing: late},
+		"all restarted a while ago":          {node: Node{resumed: true, resumedAt: longAgo - lease.Duration}, now: longAgo},
 	} {
 		got := filled(&c.node, &shard{lostAt: c.lostAt}, c.now)
 		assert.Assert(t, got >= 500-c.missing-1 && got <= 500-c.missing+1, "%s: %v", name, got)
--- a/control/members.go
+++ b/control/members.go
@@ -7,8 +7,8 @@
 	"ivybank/wire"
 )
 
-// syncLinks keeps a link to each other member, and to each control process that is connected to this one: it may be
-// learning. While this node has to ask for its place, it tries the seeds and what peers have told of.
+// syncLinks keeps a link to each other member and to each control process that is connected to this one, which may be a
+// learner. While this node needs to join a group, it also tries the seeds and the addresses learned from peers.
 func (n *Node) syncLinks() {
 	want := []string{}
 	for _, m := range n.allMembers() {
@@ -43,7 +43,8 @@
 	n.links[ip] = n.env.OpenLink(ip, hello, events)
 }
 
-// followReach tells the replica once this node and another one are connected in both ways: a question gets its answer then.
+// updateReachability tells the replicas once this node and a peer are connected in both directions, so that requests
+// can be answered.
 func (n *Node) followReach(ip string) {
 	if link := n.links[ip]; link != nil && link.Up() && n.callers[ip] > 0 {
 		for _, r := range n.replicas {
@@ -52,7 +53,7 @@
 	}
 }
 
-// onGroup learns of members that a node that has to ask for its place may ask.
+// onGroup connects to the members of the group, while this node needs to join.
 func (n *Node) onGroup(m *wire.Message) {
 	if m.Group == nil || !n.needsToJoin(n.now()) {
 		return
@@ -68,10 +69,10 @@
 	}
 }
 
-// linked gives the addresses to which there are links, in a fixed order, so that a simulated run repeats.
+// linkedIPs returns the addresses that have a link, sorted, so that a simulated run is reproducible.
 func (n *Node) linked() []string { return slices.Sorted(maps.Keys(n.links)) }
 
-// followMembers keeps links, leases and subscribers in step with the members of the newest entry.
+// syncMembers updates links, leases and subscribers when the newest entry changes the members.
 func (n *Node) followMembers() {
 	entry := n.replica.Newest()
 	if entry == nil || entry.Position() == n.memberSince {
@@ -81,13 +82,13 @@
 	n.memberSince, n.members = entry.Position(), entry.Members
 	if changed {
 		n.granter.Pause(n.now())
-		n.log.Info("members", "entry", entry.Index, "members", entry.Members)
+		n.log.Info("members changed", "entry", entry.Index, "members", entry.Members)
 		n.syncLinks()
 		n.publishGroup()
 	}
 }
 
-// IsStranger says whether a process that has connected belongs to another fleet, whose address is this machine's now.
+// FromOtherFleet reports whether a connecting process belongs to another fleet, which once used this machine's address.
 func (n *Node) IsStranger(hello wire.Hello) bool {
 	own := n.replica.Fleet()
 	strange := hello.Fleet != 0 && own != 0 && hello.Fleet != own
@@ -97,7 +98,7 @@
 	return strange
 }
 
-// PeerConnected tells that another control process has connected, and how it is reached over that connection.
+// PeerConnected handles a connection from another control process. back sends messages over that connection.
 func (n *Node) PeerConnected(from wire.Member, back wire.Sender) {
 	n.callers[from.IP]++
 	n.syncLinks()
@@ -110,7 +111,7 @@
 	}
 }
 
-// PeerDisconnected tells that such a connection has ended.
+// PeerDisconnected handles the end of a connection from another control process.
 func (n *Node) PeerDisconnected(from wire.Member) {
 	if n.callers[from.IP]--; n.callers[from.IP] == 0 {
 		delete(n.callers, from.IP)
@@ -118,7 +119,7 @@
 	}
 }
 
-// OnPeerMessage takes what another control process says. Answers go over the own link to it.
+// OnPeerMessage handles a message from another control process. Replies go over this node's own link to it.
 func (n *Node) OnPeerMessage(from wire.Member, m *wire.Message) {
 	now := n.now()
 	switch {
--- a/control/node.go
+++ b/control/node.go
@@ -1,6 +1,7 @@
-// Package control is the control process of a fleet: it replicates the operator's configuration, owns shards of hosts
-// and limits while it holds their lease, and feeds the agents. All state belongs to one goroutine, to which everything
-// that happens is handed as an event; disk, platform and connections work beside it, behind Environment.
+// Package control implements the control process of a fleet: it replicates the operator's configuration, owns shards
+// of hosts and limits while it holds their leases, and sends updates to the agents. All state belongs to one
+// goroutine, the event loop, which receives everything that happens as an event. Disk, platform and connections work
+// concurrently, behind Environment.
 package control
 
 import (
@@ -25,19 +26,20 @@
 const (
 	joinInterval  = 200 * time.Millisecond
 	groupInterval = time.Second
-	// silenceShare is the part of sync_s for which a member may be silent before another machine takes its place. A machine
-	// that replaces one has sync_s from its start, which is no earlier than the silence: the rest is left for the change.
+	// memberSilenceShare is the share of sync_s for which a member may be silent before another machine replaces it.
+	// The replacement has sync_s from its own start, which is no earlier than the silence; the rest is for the change
+	// of members.
 	silenceShare    = 0.5
 	shortestSilence = 1200 * time.Millisecond
-	tenurePause     = 500 * time.Millisecond // after a write that failed
+	tenurePause     = 500 * time.Millisecond // after a failed write
 )
 
-// parser reads and checks an operator's configuration.
+// configParser parses and validates an operator's configuration.
 type parser interface {
 	Parse(body []byte) (*config.Config, error)
 }
 
-// Node is one life of a control process. Its methods belong to its loop.
+// Node is one incarnation of a control process. Its methods must be called in its event loop.
 type Node struct {
 	settings *settings.Settings
 	log      hclog.Logger
@@ -50,35 +52,35 @@
 	saving  bool
 	wasRole replica.Role
 	links   map[string]wire.OpenLink
-	callers map[string]int // connections of other control processes to this one, by IP
+	callers map[string]int // number of connections from other control processes, by IP
 	joinAt  time.Duration
 
 	state       *store.State // decoded from the committed entry
 	stateAt     replica.Position
-	tenants     map[string]*config.Tenant // of the committed configuration
-	services    map[string]bool           // that it names
-	memberSince replica.Position          // entry whose members the granter has seen
-	members     []wire.Member             // that it names
+	tenants     map[string]*config.Tenant // of the committed configuration, by name
+	services    map[string]bool // names of the services in the committed configuration
+	memberSince replica.Position // the entry whose members were applied last
+	members     []wire.Member // of that entry
 	groupAt     time.Duration
 	subscribers []*subscriber
-	feed        *wire.Config // the committed configuration as it is fed
+	feed        *wire.Config // the committed configuration as it is published
 	feedMessage *wire.Message
 
-	replicas    []*replica.Replica // of the configuration, then those of the parts: each is a group of its own
-	parts       []*part            // of the coordination state; none where applications ask for no coordination
+	replicas    []*replica.Replica // the configuration's group, then those of the parts; each is a separate replica group
+	parts       []*part // of the coordination state; empty without coordination
 	savingParts bool
-	wholeParts  bool                   // the next write of the parts has to hold everything
-	passed      map[uint64]*passedCall // by number
+	wholeParts  bool // the next write of the parts has to include everything
+	passed      map[uint64]*passedCall // by number of the request
 	nextPassed  uint64
 
 	granter   *lease.Granter
-	tenuresOn bool          // a write of what it remembers is under way
-	tenuresAt time.Duration // none is tried before
+	tenuresOn bool // a write of the granter's tenures is in progress
+	tenuresAt time.Duration // the earliest time of the next write
 	shards    [hostlist.Shards]*shard
 	reading   bool
 	readAt    time.Duration
-	readSince time.Duration // when the read that is under way began
-	resumed   bool          // leases are granted again, as all members had restarted
+	readSince time.Duration // when the current read began
+	resumed   bool // lease grants have resumed early, since all members had restarted
 	resumedAt time.Duration
 
 	validator parser
@@ -86,35 +88,35 @@
 	queue     []*proposal
 	queued    int // bytes
 	stopping  bool
-	releases  []*wire.Message // of leases that have been given up, to be told at releaseAt
+	releases  []*wire.Message // of leases that have been given up; sent at releaseAt
 	releaseAt time.Duration
 }
 
-// Start is what a node starts from.
+// StartState is what a node starts from.
 type Start struct {
 	Settings *settings.Settings
 	Log      hclog.Logger
 	Identity store.Identity
 	Disk     replica.Disk
-	Tenures  []string // resources whose holder was long in office
+	Tenures  []string // resources whose owner has held them for long
 	Parts    []PartStart
 	Random   *rand.Rand
 }
 
-// Dropped counts messages that were not taken, by cause.
+// Dropped counts rejected messages, by cause.
 type Dropped struct {
-	EarlierLife   int64 `json:"earlier_life"`    // answers to requests of an earlier life of this process
-	NotMember     int64 `json:"not_member"`      // requests for leases of processes that are no members
-	QuotaNotOwned int64 `json:"quota_not_owned"` // draws from limits of other owners or unknown tenants
-	UnknownPart   int64 `json:"unknown_part"`    // messages of parts that this process doesn't have
-	OtherFleet    int64 `json:"other_fleet"`     // connections of processes of other fleets
-	Oversized     int64 `json:"oversized"`       // frames that are too long,
-	UnknownKind   int64 `json:"unknown_kind"`    // hold no message that is known,
-	NoGreeting    int64 `json:"no_greeting"`     // come from one that has not said who it is,
-	Malformed     int64 `json:"malformed"`       // or can't be read; each ends its connection
+	EarlierLife   int64 `json:"earlier_life"` // replies to requests of an earlier incarnation of this process
+	NotMember     int64 `json:"not_member"` // lease requests from processes that are not members
+	QuotaNotOwned int64 `json:"quota_not_owned"` // quota requests for limits that this process doesn't own or tenants that don't exist
+	UnknownPart   int64 `json:"unknown_part"` // messages for parts that this process doesn't have
+	OtherFleet    int64 `json:"other_fleet"` // connections from processes of other fleets
+	Oversized     int64 `json:"oversized"` // frames over the size limit; the connection is closed
+	UnknownKind   int64 `json:"unknown_kind"` // frames with an unknown kind of message; the connection is closed
+	NoGreeting    int64 `json:"no_greeting"` // the first frame was not a Hello; the connection is closed
+	Malformed     int64 `json:"malformed"` // frames that can't be decoded; the connection is closed
 }
 
-// FrameSpoilt counts a frame that ended its connection. Connections that just end are none.
+// CountInvalidFrame counts an invalid frame that ended its connection. Other errors are ignored.
 func (n *Node) FrameSpoilt(err error) {
 	switch {
 	case errors.Is(err, wire.ErrOversized):
@@ -128,7 +130,7 @@
 	}
 }
 
-// NewNode makes a node from what its disk held.
+// NewNode creates a node from the stored state.
 func NewNode(from Start, env Environment) *Node {
 	s := from.Settings
 	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.OpenLink{},
@@ -141,7 +143,7 @@
 	for i := range n.shards {
 		n.shards[i] = newShard(uint32(i), self.ID, n.life, n.now())
 	}
-	n.log.Info("replica starts", "id", self.ID, "founder", from.Identity.Founder, "term", from.Disk.Term,
+	n.log.Info("starting replica", "id", self.ID, "founder", from.Identity.Founder, "term", from.Disk.Term,
 		"entry", from.Disk.Entry.Position())
 	n.syncLinks()
 	return n
@@ -153,13 +155,13 @@
 
 func (n *Node) now() time.Duration { return n.env.Now() }
 
-// Reload takes other settings.
+// Reload applies new settings.
 func (n *Node) Reload(s *settings.Settings) {
 	n.settings = s
 	n.syncLinks()
 }
 
-// Tick lets time pass.
+// Tick runs everything that depends on time.
 func (n *Node) Tick() {
 	now := n.now()
 	n.replica.Tick(now)
@@ -178,7 +180,7 @@
 	}
 }
 
-// Flush carries out what the replica asks for. It is called after each event.
+// Flush performs the sends and writes that the replicas have requested. It is called after each event.
 func (n *Node) Flush() {
 	if role := n.replica.Role(); role != n.wasRole {
 		n.log.Info("role changed", "role", role.String(), "term", n.replica.Term())
@@ -196,17 +198,17 @@
 	n.saveTenures()
 	n.followMembers()
 	n.followCommit()
-	n.sendMessages() // of what was proposed upon the commit
+	n.sendMessages() // messages of proposals that the commit has started
 	n.followRestart()
 }
 
-// Saved tells that a write is on disk.
+// Saved handles a completed write.
 func (n *Node) Saved(s *replica.Save) {
 	n.saving = false
 	n.replica.Saved(s, n.now())
 }
 
-// saveTenures writes what the granter remembers, where it isn't on disk.
+// saveTenures writes the granter's tenures if they have changed since the last write.
 func (n *Node) saveTenures() {
 	if n.tenuresOn || n.now() < n.tenuresAt {
 		return
@@ -217,7 +219,7 @@
 	}
 }
 
-// TenuresSaved tells how that write ended. One that failed is tried again after a while.
+// TenuresSaved handles the result of that write. A failed write is retried after tenureRetryDelay.
 func (n *Node) TenuresSaved(t lease.Tenures, err error) {
 	n.tenuresOn = false
 	if err != nil {
@@ -227,7 +229,7 @@
 	n.granter.TenuresSaved(t)
 }
 
-// sendMessages sends what the replicas have to say to others.
+// sendMessages sends the pending messages of all replicas.
 func (n *Node) sendMessages() {
 	for group, r := range n.replicas {
 		for _, e := range r.TakeMessages() {
@@ -239,7 +241,7 @@
 	}
 }
 
-// followCommit takes a newly committed state and feeds it.
+// applyCommitted decodes a newly committed state and publishes it.
 func (n *Node) followCommit() {
 	committed := n.replica.Committed()
 	if committed == nil || committed.Position() == n.stateAt {
@@ -247,12 +249,12 @@
 	}
 	state, err := store.Decode(committed.Value)
 	if err != nil {
-		n.log.Error("committed state unreadable", "error", err)
+		n.log.Error("cannot decode committed state", "error", err)
 		return
 	}
 	before := n.state
 	if before != nil && state.Revision < before.Revision {
-		panic(fmt.Sprintf("control: revision %d is committed after %d", state.Revision, before.Revision))
+		panic(fmt.Sprintf("control: revision %d was committed after revision %d", state.Revision, before.Revision))
 	}
 	n.state, n.stateAt = state, committed.Position()
 	if before == nil || before.Revision != state.Revision {
@@ -263,15 +265,15 @@
 	n.finishProposal()
 }
 
-// readLimits reads what has limits in a configuration, which was checked when it was taken.
+// readLimits loads tenants and services from a configuration, which was validated before it was accepted.
 func (n *Node) readLimits(body []byte) {
 	n.tenants, n.services = map[string]*config.Tenant{}, map[string]bool{}
 	if len(body) == 0 {
-		return // before the first one
+		return // no configuration yet
 	}
 	c, err := config.Read(body)
 	if err != nil {
-		n.log.Error("committed configuration unreadable", "error", err)
+		n.log.Error("cannot read committed configuration", "error", err)
 		return
 	}
 	for i := range c.Tenants {
@@ -282,7 +284,7 @@
 	}
 }
 
-// followRestart grants leases at once where all members have just restarted.
+// resumeLeases grants leases without delay if all members have just restarted.
 func (n *Node) followRestart() {
 	if n.resumed || !n.replica.AllRestarted() {
 		return
@@ -295,8 +297,8 @@
 	}
 }
 
-// StartLeaving gives up what others may take over at once: shards, and the leadership once the others have all that was
-// acknowledged. Orders are no longer taken.
+// StartLeaving gives up what other processes can take over at once: the shards, and the leadership once the others have
+// everything that was acknowledged. New configurations are refused from then on.
 func (n *Node) StartLeaving() {
 	n.stopping = true
 	now := n.now()
@@ -306,14 +308,14 @@
 		}
 		n.followOwnership(s, now)
 	}
-	n.releaseAt = now + quota.LongestDelay // by then all that was granted has begun to be used
+	n.releaseAt = now + quota.LongestDelay // by then all delayed grants have become valid
 	for _, r := range n.replicas {
 		r.StartLeaving(now)
 	}
 	n.Flush()
 }
 
-// MayStop says whether the others have all that this node had a part in.
+// CanStop reports whether the other processes have everything that this node was responsible for.
 func (n *Node) MayStop() bool {
 	for _, r := range n.replicas {
 		if !r.LeaveDone() {
@@ -323,7 +325,7 @@
 	return len(n.releases) == 0 && n.callsUnderWay() == 0
 }
 
-// tellReleases tells members that leases are free.
+// announceReleases tells the other members that this node's leases are free.
 func (n *Node) tellReleases(now time.Duration) {
 	if len(n.releases) == 0 || now < n.releaseAt {
 		return
--- a/control/operator.go
+++ b/control/operator.go
@@ -15,18 +15,18 @@
 	pathReplace      = "/v1/Config.Replace"
 	pathGet          = "/v1/Config.Get"
 	baseHeader       = "Base-Version"
-	maxOrderBytes    = 8 << 20 // with what the state adds an entry fits in wire.MaxFrame
-	maxOrdersRead    = 16      // bodies that are read at a time
+	maxOrderBytes    = 8 << 20 // leaves room in wire.MaxFrame for what the state adds to an entry
+	maxOrdersRead    = 16 // request bodies that are read at the same time
 	operatorHeaders  = 3 * time.Second
 	operatorIdle     = 15 * time.Second
 	operatorRead     = 10 * time.Second
 	retryAfterSecond = "0.2"
 )
 
-// operatorCall is a kind of call that operators make.
+// operatorCall is the label of a kind of call in the metrics.
 type operatorCall string
 
-// The calls.
+// The operators' calls.
 const (
 	callReplace operatorCall = "replace"
 	callGet     operatorCall = "get"
@@ -35,7 +35,7 @@
 // operatorHandler serves the operators' calls of a node. It is safe for concurrent use.
 type operatorHandler struct {
 	node    *Node
-	reading chan struct{} // one for each body that is being read
+	reading chan struct{} // holds one element for each body that is being read
 }
 
 func newOperatorHandler(n *Node) *operatorHandler {
@@ -51,10 +51,10 @@
 		(&applicationHandler{h.node}).register(mux)
 	}
 	server := &http.Server{Handler: h.node.countUnknown(mux), ReadHeaderTimeout: operatorHeaders, IdleTimeout: operatorIdle, ReadTimeout: operatorRead}
-	_ = server.Serve(listener) // ends with the process
+	_ = server.Serve(listener) // runs until the process ends
 }
 
-// countUnknown counts the calls that no handler knows, which are answered 404 or 405.
+// countUnknownCalls counts the requests without a matching route, which are answered 404 or 405.
 func (n *Node) countUnknown(mux *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, pattern := mux.Handler(r); pattern == "" {
@@ -64,7 +64,7 @@
 	})
 }
 
-// await carries out a call and writes its answer.
+// await runs a handler and writes its response.
 func (h *operatorHandler) await(w http.ResponseWriter, r *http.Request, call operatorCall,
 	carryOut func(http.ResponseWriter, *http.Request, func(verdict))) {
 	answer := make(chan verdict, 1)
@@ -74,11 +74,11 @@
 		h.node.counts.answered(call, v.status)
 		writeVerdict(w, v)
 	case <-r.Context().Done():
-		panic(http.ErrAbortHandler) // a handler that returns without an answer answers 200
+		panic(http.ErrAbortHandler) // returning without a response would make net/http send 200
 	}
 }
 
-// replace reads an order and hands it to the loop; answer is called once.
+// replace reads a new configuration and submits it to the event loop. answer is called once.
 func (h *operatorHandler) replace(w http.ResponseWriter, r *http.Request, answer func(verdict)) {
 	base, err := strconv.ParseInt(r.Header.Get(baseHeader), 10, 64)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return problem(http.StatusBadRequest, "body not read whole")
 }
 
-// get reads the configuration in the loop; answer is called once.
+// get reads the configuration in the event loop. answer is called once.
 func (h *operatorHandler) get(_ http.ResponseWriter, _ *http.Request, answer func(verdict)) {
 	h.node.env.Do(func() { answer(h.node.readConfig()) })
 }
@@ -128,5 +128,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(v.status)
-	_, _ = w.Write(v.body) // a caller that has gone needs no answer
+	_, _ = w.Write(v.body) // a write error means that the client has disconnected
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -17,7 +17,7 @@
 	orderPatience   = 3 * time.Second
 )
 
-// verdict is the answer to a call of the operator.
+// response is the answer to an operator's call.
 type verdict struct {
 	status   int
 	body     []byte // JSON
@@ -30,7 +30,7 @@
 
 var accepted = verdict{status: http.StatusOK, body: []byte(`{}`)}
 
-// proposal is an order on its way.
+// proposal is a request to replace the configuration that is queued or in flight.
 type proposal struct {
 	base     int64
 	revision int64
@@ -38,7 +38,7 @@
 	digest   store.Digest
 	invalid  error
 	since    time.Duration
-	at       replica.Position // once it is proposed
+	at       replica.Position // set when it is proposed
 	waiting  []func(verdict)
 }
 
@@ -49,7 +49,7 @@
 	p.waiting = nil
 }
 
-// takeOrder decides on an order or queues it. The same order, sent again, shares the answer.
+// submitProposal decides on a request or queues it. A repetition of a request in progress shares its response.
 func (n *Node) takeOrder(p *proposal, answer func(verdict)) {
 	now := n.now()
 	if v, elsewhere := n.elsewhere(pathReplace, now); elsewhere {
@@ -70,7 +70,7 @@
 	n.tickProposals(now)
 }
 
-// findOrder gives the same order that is already under way; nil for none.
+// findProposal returns the same request if it is already in progress, or nil.
 func (n *Node) findOrder(d store.Digest) *proposal {
 	if n.proposal != nil && n.proposal.digest == d {
 		return n.proposal
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// elsewhere tells a caller who leads, where this node doesn't. One that has heard no leader of late names none: what it
-// could say may be long past.
+// notLeadingResponse returns the response that names the leader, if this node isn't the leader. A node that has not
+// heard from a leader recently names none, as its information may be out of date.
 func (n *Node) elsewhere(path string, now time.Duration) (verdict, bool) {
 	if n.replica.Leading(now) && !n.stopping {
 		return verdict{}, false
@@ -98,7 +98,7 @@
 	return verdict{status: http.StatusTemporaryRedirect, location: location}, true
 }
 
-// tickProposals starts the next order once the one before it is settled, and gives up on those that can't be.
+// tickProposals starts the next request once the previous one is settled, and gives up on those that time out.
 func (n *Node) tickProposals(now time.Duration) {
 	if n.proposal != nil {
 		lost := n.replica.Role() != replica.Leader || n.replica.Term() != n.proposal.at.Term
@@ -110,7 +110,7 @@
 	for n.proposal == nil && len(n.queue) > 0 {
 		p := n.queue[0]
 		if n.replica.Leading(now) && n.replica.Uncommitted() && now <= p.since+orderPatience {
-			return // the entry before is on its way
+			return // the previous entry is not committed yet
 		}
 		n.queue[0] = nil
 		n.queue = n.queue[1:]
@@ -119,7 +119,7 @@
 	}
 }
 
-// decide answers an order or proposes it. It is called with all earlier entries committed, if this node leads.
+// decide answers a request or proposes it. If this node is the leader, all earlier entries are committed.
 func (n *Node) decide(p *proposal, now time.Duration) {
 	if v, elsewhere := n.elsewhere(pathReplace, now); elsewhere {
 		p.answer(v)
@@ -162,7 +162,7 @@
 	p.at, n.proposal = at, p
 }
 
-// finishProposal acknowledges the order that was just committed.
+// finishProposal acknowledges the request that was just committed.
 func (n *Node) finishProposal() {
 	if n.proposal != nil && n.state.Accepted(n.proposal.digest) {
 		n.proposal.answer(accepted)
@@ -171,7 +171,7 @@
 	n.tickProposals(n.now())
 }
 
-// readConfig answers with the newest configuration, whole, where this node can be sure of it.
+// readConfig returns the newest configuration if this node is certain that it is the newest.
 func (n *Node) readConfig() verdict {
 	v, elsewhere := n.elsewhere(pathGet, n.now())
 	switch {
--- a/control/paces.go
+++ b/control/paces.go
@@ -7,17 +7,17 @@
 	"ivybank/wire"
 )
 
-// slowInterval is how often the owner of a shard tells which hosts are slow, while some are.
+// slowHostsInterval is how often the owner of a shard publishes its slow hosts while there are any.
 const slowInterval = 250 * time.Millisecond
 
-// paces is what the owner of a shard knows of how fast its hosts stream. It is lost with the lease.
+// paces is what the owner of a shard knows about the streaming speed of its hosts. It is dropped with the lease.
 type paces struct {
 	table  *pace.Table
 	toldAt time.Duration
-	told   bool // some hosts were slow when it was told last
+	told   bool // the last published list was not empty
 }
 
-// onPaces takes what a router saw, while this node owns the shard.
+// onPaces records a router's measurements if this node owns the shard.
 func (n *Node) onPaces(p *wire.Paces) {
 	if int(p.Shard) >= len(n.shards) {
 		return
@@ -31,7 +31,7 @@
 	}
 }
 
-// publishSlow feeds which hosts are slow, as long as any are, and once more when none is left.
+// publishSlow publishes the slow hosts of a shard while there are any, and an empty list once there are none left.
 func (n *Node) publishSlow(s *shard, now time.Duration) {
 	if s.table == nil || !s.holder.Holds(now) || now < s.paces.toldAt+slowInterval {
 		return
--- a/control/paces_test.go
+++ b/control/paces_test.go
@@ -10,7 +10,7 @@
 	"ivybank/wire"
 )
 
-// tellPaces has the router of a machine tell how fast six hosts stream, the last of them so many times as slowly, for a while.
+// reportPaces has a machine's router report for a while how fast six hosts stream, the last one slower by a factor.
 func tellPaces(w *world, m *machine, slowness int64, span time.Duration) {
 	for end := w.now + span; w.now < end; {
 		told := &wire.Paces{Shard: 0, Service: "service-0"}
@@ -26,7 +26,7 @@
 	}
 }
 
-// What one machine's router saw of a slow host reaches the routers of all, by way of the shard's owner, and is taken back.
+// A slow host that one router has measured is published to all routers by the shard's owner, and later withdrawn.
 func TestSlowHostsAreToldToAllRouters(t *testing.T) {
 	w := settledWorld(t, 5, 1)
 	var agents []*machine
@@ -49,7 +49,7 @@
 	}
 }
 
-// A process that owns no shard takes nothing, and tells nothing.
+// A process that doesn't own the shard records and publishes nothing.
 func TestPacesAreTakenByTheOwnerAlone(t *testing.T) {
 	w := settledWorld(t, 6, 1)
 	for _, m := range w.machines {
--- a/control/parts.go
+++ b/control/parts.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// coordinationParts is into how many parts locks, numbers and keys are divided; it may not change in a running fleet.
+	// coordinationParts is the number of parts over which locks, numbers and keys are distributed. It must not change
+	// in a running fleet.
 	coordinationParts = 4
-	// historyFactor times the span for which a watch may be taken up again is kept: by the same record a put that comes
-	// again is recognised, and a frozen machine may send one much later.
+	// historyFactor times history_s is how long the history of puts is kept. The history serves to resume watches and
+	// also to recognise a repeated put, which a frozen machine may send much later.
 	historyFactor   = 6
 	shortestHistory = 2 * time.Minute
 )
 
-// part is one part of the coordination state, and this node's replica of it.
+// part is one partition of the coordination state, with this node's replica of it.
 type part struct {
-	number  int // from 0
+	number  int // starting at 0
 	replica *replica.Replica
 	machine *coordination.Machine
-	members []wire.Member // of the newest entry that links follow
+	members []wire.Member // the members to which the links were adjusted last
 
-	queue      []*partCall // not in any entry
-	proposed   []*partCall // of the entry that is under way; nil for none
+	queue      []*partCall // not yet in a log entry
+	proposed   []*partCall // of the entry in flight; nil if there is none
 	proposedAt replica.Position
-	watches    []*partCall      // that wait for a put, in a leader
-	watchedAt  replica.Position // entry of which they have been told
+	watches    []*partCall // watches that wait for a put; only at a leader
+	watchedAt  replica.Position // the committed entry at the last check of the watches
 	watchAgain time.Duration
 }
 
-// PartStart is what a part starts from: what the disk held, and the machine that stands there.
+// PartStart is what a part starts from: its stored state, and the state machine replayed to it.
 type PartStart struct {
 	Disk    replica.Disk
 	Machine *coordination.Machine
 }
 
-// partMachines makes the empty state of each part; none where applications ask for no coordination.
+// newPartMachines creates the empty state machine of each part, or none if the fleet runs without coordination.
 func partMachines(s *settings.Settings) []*coordination.Machine {
 	if !s.Coordinates() {
 		return nil
@@ -55,7 +56,7 @@
 	return machines
 }
 
-// replicated gives machines as replicas and disks know them.
+// asReplicaMachines converts machines to the interface of package replica.
 func replicated(machines []*coordination.Machine) []replica.Machine {
 	all := make([]replica.Machine, len(machines))
 	for i, m := range machines {
@@ -64,7 +65,7 @@
 	return all
 }
 
-// partStarts puts together what the disk held of each part and the machine that it has led there.
+// partStarts combines the stored state of each part with its state machine.
 func partStarts(disks []replica.Disk, machines []*coordination.Machine) []PartStart {
 	starts := make([]PartStart, len(machines))
 	for i := range starts {
@@ -73,7 +74,7 @@
 	return starts
 }
 
-// newParts makes this node's replicas of the parts.
+// newParts creates this node's replicas of the parts.
 func (n *Node) newParts(from Start) {
 	n.replicas = []*replica.Replica{n.replica}
 	for i, start := range from.Parts {
@@ -86,12 +87,12 @@
 	}
 }
 
-// needsToJoin says whether any replica of this node has to ask for its place.
+// needsToJoin reports whether any replica of this node still has to join its group.
 func (n *Node) needsToJoin(now time.Duration) bool {
 	return slices.ContainsFunc(n.replicas, func(r *replica.Replica) bool { return r.NeedsToJoin(now) })
 }
 
-// allMembers gives the members of all groups, some perhaps twice.
+// allMembers returns the members of all groups, possibly with duplicates.
 func (n *Node) allMembers() []wire.Member {
 	var all []wire.Member
 	for _, r := range n.replicas {
@@ -100,7 +101,7 @@
 	return all
 }
 
-// tickParts lets time pass for the parts.
+// tickParts runs what depends on time in the parts.
 func (n *Node) tickParts(now time.Duration) {
 	for _, p := range n.parts {
 		p.replica.Tick(now)
@@ -108,7 +109,7 @@
 	n.givePassedUp(now)
 }
 
-// askForPlaces asks the leaders of all groups that this node has to join.
+// requestJoin asks the leaders of all groups that this node needs to join.
 func (n *Node) askForPlaces(now time.Duration) {
 	for group, r := range n.replicas {
 		if r.NeedsToJoin(now) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// flushParts carries out what the parts' replicas ask for.
+// flushParts performs what the parts' replicas have requested.
 func (n *Node) flushParts() {
 	n.serveParts()
 	n.saveParts()
@@ -129,7 +130,7 @@
 	}
 }
 
-// saveParts starts one write of all that the parts have to write, while none is under way.
+// saveParts writes everything that the parts have to write, unless a write is in progress.
 func (n *Node) saveParts() {
 	if n.savingParts {
 		return
@@ -150,7 +151,7 @@
 	n.env.SaveParts(b)
 }
 
-// wholeBatch makes a batch of everything that any part has to find again.
+// wholeBatch returns a batch with the complete stored state of every part.
 func (n *Node) wholeBatch() *store.PartsBatch {
 	whole := &store.PartsBatch{Whole: true}
 	for _, p := range n.parts {
@@ -159,7 +160,7 @@
 	return whole
 }
 
-// PartsSaved tells that a batch is on disk, and whether the next one should be whole.
+// PartsSaved handles a completed write. wantsWhole makes the next write a whole one.
 func (n *Node) PartsSaved(b *store.PartsBatch, wantsWhole bool) {
 	n.savingParts, n.wholeParts = false, wantsWhole
 	for _, s := range b.Saves {
@@ -167,7 +168,7 @@
 	}
 }
 
-// receive hands a message of agreement to the replica of its group.
+// receive passes a replication message to the replica of its group.
 func (n *Node) receive(from wire.Member, m *wire.Message, now time.Duration) {
 	if int(m.Part) >= len(n.replicas) {
 		n.dropped.UnknownPart++
--- a/control/passing.go
+++ b/control/passing.go
@@ -8,20 +8,21 @@
 	"ivybank/wire"
 )
 
-// watchSlack is how much longer than a watch waits its answer may take on its way.
+// watchReplySlack is how long after a watch's deadline its reply may still arrive.
 const watchSlack = 500 * time.Millisecond
 
-// passedCall is a call that was passed on to the leader of its part and has no reply yet.
+// forwardedCall is a call that was forwarded to the leader of its part and has no reply yet.
 type passedCall struct {
 	call *partCall
 	to   wire.Member
 }
 
-// passOn sends a call to the leader of its part. It reports false where none is known or reached: then nothing was sent.
+// forward sends a call to the leader of its part. It returns false, with nothing sent, if no leader is known or
+// reachable.
 func (n *Node) passOn(c *partCall, now time.Duration) bool {
 	leader := c.part.replica.Leader(now)
 	link := n.links[leader.IP]
-	reachable := link != nil && link.Up() && n.callers[leader.IP] > 0 // the answer comes over the leader's own link
+	reachable := link != nil && link.Up() && n.callers[leader.IP] > 0 // the reply arrives over the leader's own link
 	if leader.ID == "" || leader.ID == n.replica.Self().ID || !reachable {
 		return false
 	}
@@ -41,7 +42,7 @@
 	return true
 }
 
-// onPartCall serves a call that another process has passed on, and sends the answer back.
+// onPartCall serves a call that another process has forwarded, and sends the answer back.
 func (n *Node) onPartCall(from wire.Member, q *wire.PartCall) {
 	reply := func(a wire.Answer) {
 		if link := n.links[from.IP]; link != nil {
@@ -52,8 +53,8 @@
 	n.accept(&partCall{command: q.Command, since: since, passed: true, answer: reply})
 }
 
-// onPartReply hands the leader's answer to the caller. Where the leader has done nothing, the call is still this node's to
-// hand on.
+// onPartReply passes the leader's answer to the caller. If the leader has executed nothing, the call is queued again
+// to be forwarded once more.
 func (n *Node) onPartReply(r *wire.PartReply) {
 	if r.Life != n.life {
 		n.dropped.EarlierLife++
@@ -72,8 +73,8 @@
 	passed.call.finish(r.Answer)
 }
 
-// givePassedUp ends the wait for replies that can no longer be expected: from a process that has disconnected, or that no
-// longer leads, and to callers that have gone elsewhere. Reads are handed on anew; what else was sent may have been done.
+// expireForwarded ends the wait for replies that can't be expected any more: the process has disconnected or isn't the
+// leader any more, or the caller has timed out. Reads are retried; any other call may already have been executed.
 func (n *Node) givePassedUp(now time.Duration) {
 	for _, number := range slices.Sorted(maps.Keys(n.passed)) {
 		passed := n.passed[number]
@@ -87,7 +88,7 @@
 	}
 }
 
-// overdue says whether the reply to a call that was passed on would come too late.
+// overdue reports whether the reply to a forwarded call would arrive too late.
 func (c *partCall) overdue(now time.Duration) bool {
 	if c.isWatch() {
 		return now > c.until+watchSlack
--- a/control/points_test.go
+++ b/control/points_test.go
@@ -16,7 +16,7 @@
 	"ivybank/wire"
 )
 
-// settledWorld is one whose group and agents are whole and whose first configuration is in force.
+// newSettledSimulation returns a simulation with complete groups and agents and a first configuration committed.
 func settledWorld(t *testing.T, seed uint64, tolerate int) *world {
 	t.Helper()
 	w := newWorld(t, seed, tolerate)
@@ -34,7 +34,7 @@
 	}
 }
 
-// ask makes a call at a machine, beside the operators, and gives its answer where there is one at once or within a second.
+// ask makes a call at a machine, beside the operators, and returns its answer if there is one within callTimeout.
 func (w *world) ask(m *machine, base int64, body string) (verdict, bool) {
 	var answer *verdict
 	take := func(v verdict) { answer = &v }
@@ -58,9 +58,9 @@
 	return v.status == http.StatusServiceUnavailable || v.status == http.StatusTemporaryRedirect
 }
 
-// A control machine that is cut off from the others for twenty seconds, while agents and operators reach it, neither
-// confirms nor refuses orders, answers no reads, owns no shard, and gives no agent its first configuration. It is back
-// within a second of being heard.
+// A control machine that is partitioned from the others for twenty seconds, while agents and operators still reach it,
+// must neither confirm nor reject updates, answer no reads, own no shard, and give no agent its first configuration.
+// It must have caught up within 1.2 s of the end of the partition.
 func TestCutOffForTwentySeconds(t *testing.T) {
 	const span = 20 * time.Second
 	roles := map[string]func(*world) *machine{
@@ -76,7 +76,7 @@
 		},
 	}
 	for role, pick := range roles {
-		for direction, way := range map[string][2]bool{"both ways": {true, true}, "hears nobody": {true, false}, "is heard by nobody": {false, true}} {
+		for direction, way := range map[string][2]bool{"both ways": {true, true}, "receives nothing": {true, false}, "sends nothing": {false, true}} {
 			for _, replaced := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s %s, replaced %v", role, direction, replaced), func(t *testing.T) {
 					t.Parallel()
@@ -98,7 +98,7 @@
 	w.isolate(m, span, way[0], way[1], false)
 	w.playUntil(began + 1500*time.Millisecond)
 
-	fresh := w.addMachine(false) // an agent that has just started, and reaches this machine alone
+	fresh := w.addMachine(false) // a new agent that can reach only this machine
 	w.isolate(fresh, span, true, true, true)
 	w.isolateFromAllBut(fresh, m, span)
 	for w.now < began+span-time.Second {
@@ -109,27 +109,27 @@
 		}
 		known := m.node.node.state.Revision
 		if v, ok := w.ask(m, known, configText(known+1, "late")); ok {
-			assert.Assert(t, isUnsure(v), "an order is answered %d", v.status)
+			assert.Assert(t, isUnsure(v), "an update was answered %d", v.status)
 		}
 		if v, ok := w.ask(m, 0, ""); ok {
-			assert.Assert(t, isUnsure(v), "a read is answered %d", v.status)
+			assert.Assert(t, isUnsure(v), "a read was answered %d", v.status)
 		}
 		if fresh.agent != nil {
-			assert.Equal(t, fresh.agent.router.revision, int64(0), "an agent acts by what a machine that is cut off has told")
+			assert.Equal(t, fresh.agent.router.revision, int64(0), "the agent applied a configuration from a partitioned machine")
 		}
 		w.playUntil(w.now + 300*time.Millisecond)
 	}
 	w.playUntil(began + span)
 	acked := w.ackedRevision
-	assert.Assert(t, acked > 50, "orders went on meanwhile: %d", acked)
+	assert.Assert(t, acked > 50, "only revision %d was acknowledged during the partition", acked)
 	heard := w.now
 	for m.node.node.state.Revision < acked {
 		w.step()
-		assert.Assert(t, w.now < heard+1200*time.Millisecond, "not caught up")
+		assert.Assert(t, w.now < heard+1200*time.Millisecond, "the machine has not caught up")
 	}
 	for fresh.agent.router.revision < acked {
 		w.step()
-		assert.Assert(t, w.now < heard+3*time.Second, "the agent is not fed")
+		assert.Assert(t, w.now < heard+3*time.Second, "the agent has not received the configuration")
 	}
 	if replaced {
 		assert.Assert(t, !w.isMember(m) || len(w.members) == 3)
@@ -137,13 +137,13 @@
 	w.finish()
 }
 
-// isolateFromAllBut joins two machines again.
+// isolateFromAllBut reconnects two machines.
 func (w *world) isolateFromAllBut(one, other *machine, _ time.Duration) {
 	delete(w.cut, [2]string{one.ip, other.ip})
 	delete(w.cut, [2]string{other.ip, one.ip})
 }
 
-// finish ends all trouble, lets the operators end, and checks the whole run.
+// finish ends all faults, lets the operators finish, and checks the whole run.
 func (w *world) finish() {
 	w.settle()
 	w.playUntil(w.now + 3*time.Second)
@@ -154,8 +154,8 @@
 	w.checkEnd()
 }
 
-// Two different orders under one number reach two control processes in the same millisecond, on either side of a change of
-// leader, and all acknowledgements are lost: one of them is in force, and stays so.
+// Two different updates with the same revision reach two control processes in the same millisecond, before or after a
+// change of leader, and all acknowledgements are lost. Exactly one of them must become current and stay so.
 func TestTwoOrdersUnderOneNumber(t *testing.T) {
 	for seed := range uint64(40) {
 		w := settledWorld(t, seed, 1)
@@ -183,7 +183,7 @@
 					continue
 				}
 				v, ok := w.ask(m, base, body)
-				if ok && !isUnsure(v) && w.random.IntN(3) > 0 { // else it is lost on its way
+				if ok && !isUnsure(v) && w.random.IntN(3) > 0 { // otherwise the answer is lost
 					status[body] = v.status
 				}
 				sent[body] = w.anyCore()
@@ -203,8 +203,8 @@
 	}
 }
 
-// An order that was taken is acknowledged whenever it is sent again, or left without a clear answer: after hundreds of
-// others, a restart of all, a lost disk and a machine that was replaced.
+// An update that was accepted is acknowledged whenever it is repeated, or gets no definite answer: after hundreds of
+// other updates, a restart of all, a lost disk and a replaced machine.
 func TestOrderSentAgainMuchLater(t *testing.T) {
 	for seed := range uint64(6) {
 		w := settledWorld(t, 3*seed, 1)
@@ -217,7 +217,7 @@
 			}
 		}
 		w.playUntil(w.now + 25*time.Second)
-		assert.Assert(t, w.counts.acked > 200, "%d orders since", w.counts.acked)
+		assert.Assert(t, w.counts.acked > 200, "only %d updates were acknowledged", w.counts.acked)
 		trouble := []func(){
 			func() {},
 			func() { w.killAll(true) },
@@ -238,19 +238,19 @@
 				if ok && v.status == http.StatusOK {
 					confirmed++
 				} else if ok {
-					assert.Assert(t, isUnsure(v), "seed %d, trouble %d: answered %d", seed, i, v.status)
+					assert.Assert(t, isUnsure(v), "seed %d, fault %d: answered %d", seed, i, v.status)
 				}
 				w.playUntil(w.now + 50*time.Millisecond)
 			}
-			assert.Assert(t, confirmed > 5, "seed %d, trouble %d: confirmed %d times", seed, i, confirmed)
+			assert.Assert(t, confirmed > 5, "seed %d, fault %d: confirmed only %d times", seed, i, confirmed)
 			assert.Assert(t, w.ackedRevision > base)
 		}
 		w.finish()
 	}
 }
 
-// A machine that was away for hundreds of orders comes back with its old disk as all others restart: it never leads with
-// what it has, and it has all within a second of the group's leader.
+// A machine that missed hundreds of updates returns with its old disk while all others restart. It must not lead with
+// its old state, and must have caught up within a second after a leader is elected.
 func TestHundredsOfChangesThenARestart(t *testing.T) {
 	for seed := range uint64(8) {
 		w := settledWorld(t, 3*seed, 1+int(seed%2))
@@ -265,7 +265,7 @@
 		for _, m := range w.machines {
 			m.downTill = min(m.downTill, w.now+time.Second)
 		}
-		away.downTill = w.now // it is the first to be back
+		away.downTill = w.now // it is the first to return
 		for leads := false; !leads; {
 			w.step()
 			for _, m := range w.machines {
@@ -275,15 +275,15 @@
 		led := w.now
 		for away.node.node.state == nil || away.node.node.state.Revision < acked {
 			w.step()
-			assert.Assert(t, w.now < led+time.Second, "seed %d: not caught up", seed)
+			assert.Assert(t, w.now < led+time.Second, "seed %d: the machine has not caught up", seed)
 		}
 		assert.Assert(t, old.Less(away.disk.state.Entry.Position()) || away.node.writing != nil)
 		w.finish()
 	}
 }
 
-// The orders of an operator may be large, come faster than a link carries them, and some replicas be away: what a leader
-// holds of them stays bounded.
+// A leader's memory stays bounded when updates are large, arrive faster than a link can carry them, and a replica is
+// unreachable.
 func TestMemoryIsBoundedUnderLargeOrders(t *testing.T) {
 	const (
 		size   = 4 << 20
@@ -307,19 +307,20 @@
 	for i := range orders {
 		base := leader.node.node.state.Revision
 		v, ok := w.ask(leader, base, configText(base+1, fmt.Sprint(i))+padding)
-		assert.Assert(t, ok && v.status == http.StatusOK, "order %d: %d", i, v.status)
-		clear(w.bodies) // the test's own
+		assert.Assert(t, ok && v.status == http.StatusOK, "update %d: %d", i, v.status)
+		clear(w.bodies) // kept by the test itself
 		if i%10 == 9 {
 			most = max(most, heapInUse())
 		}
 	}
-	// Three machines with the newest entry and the committed one, its state and the feed, and what is on its way.
-	assert.Assert(t, most < 20*size, "%d MB after %d orders of %d MB", most>>20, orders, size>>20)
+	// Three machines hold the newest and the committed entry, the decoded state and the published configuration, plus
+	// what is in transit.
+	assert.Assert(t, most < 20*size, "%d MB of heap after %d updates of %d MB", most>>20, orders, size>>20)
 	clear(w.cut)
 	healed := w.now
 	for away.node.node.state.Revision < leader.node.node.state.Revision {
 		w.step()
-		assert.Assert(t, w.now < healed+1200*time.Millisecond, "one that was away has not caught up")
+		assert.Assert(t, w.now < healed+1200*time.Millisecond, "the partitioned machine has not caught up")
 	}
 	v, ok := w.ask(leader, 0, strings.Repeat(" ", maxOrderBytes+1))
 	assert.Assert(t, ok && v.status == http.StatusRequestEntityTooLarge)
@@ -332,7 +333,8 @@
 	return stats.HeapAlloc
 }
 
-// The largest order, in the largest state, fits in a frame: one that didn't would never be replicated, nor any after it.
+// The largest configuration in the largest state must fit in a frame; otherwise neither it nor any later entry would
+// ever be replicated.
 func TestLargestOrderFitsInAFrame(t *testing.T) {
 	state := &store.State{Revision: 1 << 60, Body: make([]byte, maxOrderBytes), Orders: make([]store.Digest, 4096)}
 	value, err := state.Encode()
@@ -347,7 +349,7 @@
 	assert.Assert(t, len(body) < wire.MaxFrame, "%d bytes", len(body))
 }
 
-// Orders that can't be taken get their 4xx from the leader and change nothing; one that isn't sure refuses none.
+// Invalid updates get a 4xx from the leader and change nothing. A node that isn't the leader must not reject any.
 func TestBadOrdersChangeNothing(t *testing.T) {
 	w := settledWorld(t, 5, 1)
 	for _, o := range w.opers {
@@ -362,12 +364,12 @@
 		body   string
 		status int
 	}{
-		"cut short":       {before.Revision, configText(next, "x")[:150], http.StatusBadRequest},
-		"nothing":         {before.Revision, " ", http.StatusBadRequest},
+		"truncated":       {before.Revision, configText(next, "x")[:150], http.StatusBadRequest},
+		"empty":         {before.Revision, " ", http.StatusBadRequest},
 		"same revision":   {before.Revision, configText(before.Revision, "x"), http.StatusBadRequest},
 		"older revision":  {before.Revision, configText(1, "x"), http.StatusBadRequest},
 		"older base":      {before.Revision - 1, configText(next, "x"), http.StatusPreconditionFailed},
-		"base to come":    {next, configText(next+1, "x"), http.StatusPreconditionFailed},
+		"future base":    {next, configText(next+1, "x"), http.StatusPreconditionFailed},
 		"unknown service": {before.Revision, strings.Replace(configText(next, "x"), `"backend":"service-0"`, `"backend":"other"`, 1), http.StatusBadRequest},
 	} {
 		v, ok := w.ask(leader, one.base, one.body)
@@ -375,7 +377,7 @@
 		for _, m := range w.machines {
 			if m.core && m != leader {
 				v, ok := w.ask(m, one.base, one.body)
-				assert.Assert(t, ok && isUnsure(v), "%s: %d from one that doesn't lead", name, v.status)
+				assert.Assert(t, ok && isUnsure(v), "%s: %d from a machine that isn't the leader", name, v.status)
 			}
 		}
 	}
@@ -383,22 +385,22 @@
 	assert.Equal(t, string(leader.node.node.state.Body), string(before.Body))
 }
 
-// A process of another fleet that comes to an address of this one, with all that it knows, is not let in.
+// A process of another fleet that connects to an address of this fleet is rejected.
 func TestProcessOfAnotherFleetIsLeftOut(t *testing.T) {
 	w := settledWorld(t, 4, 1)
 	node := w.leaderMachine().node.node
 	stranger := wire.Hello{Role: wire.RoleControl, Node: "10.7.0.1/founder", IP: "10.7.0.1", Fleet: node.replica.Fleet() + 2}
 	assert.Assert(t, node.IsStranger(stranger))
 	assert.Equal(t, node.dropped.OtherFleet, int64(1))
-	stranger.Fleet = 0 // one with an empty disk knows of no fleet
+	stranger.Fleet = 0 // a process with an empty disk knows of no fleet
 	assert.Assert(t, !node.IsStranger(stranger))
 	stranger.Fleet = node.replica.Fleet()
 	assert.Assert(t, !node.IsStranger(stranger))
 	w.playUntil(w.now + 5*time.Second)
-	assert.Equal(t, w.leaderMachine().node.node.replica.Fleet(), stranger.Fleet, "it stays through changes of leader and members")
+	assert.Equal(t, w.leaderMachine().node.node.replica.Fleet(), stranger.Fleet, "the fleet number must not change")
 }
 
-// The same seed plays the same run.
+// Two runs with the same seed are identical.
 func TestARunRepeats(t *testing.T) {
 	for seed := range uint64(12) {
 		one, other := playWorld(t, seed), playWorld(t, seed)
--- a/control/process.go
+++ b/control/process.go
@@ -24,32 +24,32 @@
 const (
 	tickInterval   = 25 * time.Millisecond
 	eventQueue     = 1024
-	writeQueue     = 3 // one of each kind
+	writeQueue     = 3 // one for each kind of write
 	saveRetryPause = 100 * time.Millisecond
-	// leaveShare is the part of the time before the platform's SIGKILL for which a process waits, once it has to stop,
-	// until the others have what was acknowledged.
+	// leaveShare is the share of grace_s, the time until the platform sends SIGKILL, for which a stopping process
+	// waits until the others have everything that was acknowledged.
 	leaveShare = 0.3
 )
 
-// ErrNoDisk says that a control process was started without a data folder.
-var ErrNoDisk = errors.New("data_dir is missing: a control process needs a disk")
+// ErrNoDataDir is returned if a control process is started without data_dir.
+var ErrNoDisk = errors.New("data_dir is not set: a control process needs a data folder")
 
-// Process is a node with its sockets and files.
+// Process is a node with its sockets and files. It implements Environment.
 type Process struct {
 	settings *settings.Settings
 	log      hclog.Logger
 	start    time.Time
 	events   chan func()
 	folder   *store.Folder
-	writes   chan func() // to the disk, one at a time
+	writes   chan func() // disk writes, run one at a time
 	reader   *hostlist.Reader
 	from     Start
 	node     *Node
 	peers    *membership.Service
-	ctx      context.Context // of all that works beside the loop
+	ctx      context.Context // of all goroutines beside the event loop
 }
 
-// New reads the disk. It serves nothing yet.
+// New reads the stored state. It opens no sockets yet.
 func New(s *settings.Settings, log hclog.Logger) (*Process, error) {
 	if s.DataDir == "" {
 		return nil, ErrNoDisk
@@ -71,7 +71,7 @@
 		from: from}, nil
 }
 
-// Run serves until the context ends, then gives up what it holds. Settings that come over reloads replace the old.
+// Run serves until stopped is done, then hands over what it owns. Settings from reloads replace the current ones.
 func (p *Process) Run(stopped context.Context, reloads <-chan *settings.Settings) error {
 	internal, err := net.Listen("tcp4", net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.InternalPort())))
 	if err != nil {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// loop is the goroutine that owns the node's state. Once it has to stop, it goes on for a while until the others have
-// all that was acknowledged.
+// loop is the event loop that owns the node's state. Once stopped is done, it continues for a limited time until the
+// others have everything that was acknowledged.
 func (p *Process) loop(stopped context.Context, reloads <-chan *settings.Settings) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -131,19 +131,19 @@
 		}
 		p.node.Flush()
 		if lastMoment != nil && p.node.MayStop() {
-			time.Sleep(tickInterval) // for the writers of the links
+			time.Sleep(tickInterval) // lets the links send what is pending
 			return
 		}
 	}
 }
 
-// Now is the steady clock.
+// Now returns the monotonic time since the process started.
 func (p *Process) Now() time.Duration { return time.Since(p.start) }
 
-// Do hands an event to the loop.
+// Do runs an event in the event loop.
 func (p *Process) Do(event func()) { p.events <- event }
 
-// Save hands a write to the writer.
+// Save queues a write of the configuration's replica.
 func (p *Process) Save(s *replica.Save) {
 	p.writes <- func() {
 		p.writeUntilDone(func() error { return p.folder.Save(s) })
@@ -151,7 +151,7 @@
 	}
 }
 
-// SaveParts hands a write to the writer.
+// SaveParts queues a write of the parts.
 func (p *Process) SaveParts(b *store.PartsBatch) {
 	p.writes <- func() {
 		wantsWhole := false
@@ -163,7 +163,7 @@
 	}
 }
 
-// SaveTenures hands a write to the writer.
+// SaveTenures queues a write of the tenures.
 func (p *Process) SaveTenures(t lease.Tenures) {
 	p.writes <- func() {
 		err := p.folder.SaveTenures(t.Long)
@@ -171,18 +171,18 @@
 	}
 }
 
-// KnownControls gives the control processes that peers have told of.
+// KnownControls returns the addresses of the control processes that were learned from peers.
 func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
 
-// SpoiltDatagrams counts those that could not be read.
+// UnreadableDatagrams counts the datagrams that could not be decoded.
 func (p *Process) SpoiltDatagrams() int64 { return p.peers.Spoilt.Load() }
 
-// OpenLink keeps a connection to a control process.
+// OpenLink maintains a connection to a control process.
 func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink {
 	return wire.Open(p.ctx, net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort())), hello, events, p.Do)
 }
 
-// ReadHosts reads the platform's list beside the loop.
+// ReadHosts reads the platform's host list in another goroutine.
 func (p *Process) ReadHosts() {
 	go func() {
 		hosts, err := p.reader.Read(p.ctx)
@@ -190,7 +190,7 @@
 	}()
 }
 
-// writeToDisk carries out writes, one at a time.
+// writeToDisk runs the queued writes, one at a time.
 func (p *Process) writeToDisk(ctx context.Context) {
 	for {
 		select {
@@ -209,13 +209,13 @@
 			return
 		}
 		if !warned {
-			p.log.Warn("state not written, trying again", "error", err)
+			p.log.Warn("cannot write state; retrying", "error", err)
 		}
 		time.Sleep(saveRetryPause)
 	}
 }
 
-// accept serves one incoming connection, unless it comes from another fleet.
+// accept serves an incoming connection, unless it comes from another fleet.
 func (p *Process) accept(conn *wire.Conn, hello wire.Hello) {
 	strange := make(chan bool, 1)
 	p.Do(func() { strange <- p.node.IsStranger(hello) })
@@ -241,7 +241,7 @@
 	p.receive(conn, func(m *wire.Message) { p.node.OnAgentMessage(s, m) })
 }
 
-// receive hands a connection's messages to the loop until it ends.
+// receive passes a connection's messages to the event loop until the connection ends.
 func (p *Process) receive(conn *wire.Conn, take func(*wire.Message)) {
 	for {
 		m, err := conn.Receive()
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -12,8 +12,8 @@
 	"ivybank/wire"
 )
 
-// What all members restart under: the times of links and disks of the deployments that are known, and how far apart
-// the machines start.
+// Conditions of a restart of all members: link and disk latencies of the known deployments, and the interval within
+// which the machines start.
 var (
 	restartLinks = []linkTimes{
 		{zone: 100 * time.Microsecond, zones: 500 * time.Microsecond, regions: 8 * time.Millisecond},
@@ -26,36 +26,36 @@
 
 const (
 	restartsOfAll = 2000
-	// restartsPerWorld is how many of them one world plays in a row.
+	// restartsPerSimulation is how many of them one simulation runs in a row.
 	restartsPerWorld = 20
-	// syncsOfWrite is how often a write of a version syncs: the file, then its folder.
+	// syncsPerWrite is the number of syncs in a write of the state: the file, then its folder.
 	syncsOfWrite = 2
-	// writeJitter is the part of its time by which a write may take longer.
+	// writeJitter is the share of its duration by which a write may take longer.
 	writeJitter = 0.5
 
 	leaderSoonAt99  = 250 * time.Millisecond
 	leaderSoonWorst = 400 * time.Millisecond
 )
 
-// linkTimes is how long a frame takes one way.
+// linkTimes holds the one-way latencies of a frame.
 type linkTimes struct{ zone, zones, regions time.Duration }
 
-// restartOfAll is one restart of all members and what came of it.
+// restartOfAll is one restart of all members and its result.
 type restartOfAll struct {
 	seed    uint64
 	members int
 	sync    time.Duration
 	span    time.Duration // within which the machines start
-	regions bool          // members are in two regions
-	took    time.Duration // from the last start until a leader may act; not above 0 where one could before
-	roles   string        // how the members' roles went on, from the last start
+	regions bool // the members are in two regions
+	took    time.Duration // from the last start until a leader may act; 0 or less if one could before
+	roles   string // the members' roles over time, after the last start
 }
 
 func (r restartOfAll) String() string {
 	return fmt.Sprintf("%v: seed %d, %d members, sync %v, started within %v, regions %v%s", r.took, r.seed, r.members, r.sync, r.span, r.regions, r.roles)
 }
 
-// newRestartWorld makes a world of control processes alone, whose times depend on the seed.
+// newRestartSimulation creates a simulation of control processes only, whose latencies depend on the seed.
 func newRestartWorld(t *testing.T, seed uint64, guarantees ...string) (*world, restartOfAll) {
 	kind := restartOfAll{seed: seed, members: 3 + 2*int(seed%2), sync: restartSyncs[seed/2%3], span: restartSpans[seed/6%3], regions: seed/18%2 == 1}
 	links := restartLinks[seed%3]
@@ -81,19 +81,19 @@
 			once := syncsOfWrite * kind.sync
 			return once + w.randomSpan(time.Duration(writeJitter*float64(once))+1)
 		},
-		firstRedial:   50 * time.Millisecond, // as of wire.Link
+		firstRedial:   50 * time.Millisecond, // as in wire.Link
 		longestRedial: 300 * time.Millisecond,
 	}
 	return w, kind
 }
 
-// leads says whether some process may act as the leader.
+// hasLeader reports whether some process may act as the leader.
 func (w *world) leads() bool {
 	return slices.ContainsFunc(w.machines, func(m *machine) bool { return m.node != nil && m.node.node.replica.Leading(m.node.Now()) })
 }
 
-// restartAll has all machines lose their power and start again within a span, and gives how long after the last start
-// a leader may act.
+// restartAll cuts the power of all machines, starts them again within kind.span, and returns how long after the last
+// start a leader may act.
 func (w *world) restartAll(kind restartOfAll) restartOfAll {
 	for _, m := range w.machines {
 		w.kill(m, true)
@@ -129,7 +129,7 @@
 	return all
 }
 
-// playUntilLed lets the world go on until some process may act as the leader, and a little longer.
+// runUntilLed runs the simulation until some process may act as the leader, and 300 ms longer.
 func (w *world) playUntilLed(longest time.Duration) {
 	w.t.Helper()
 	for end := w.now + longest; !w.leads(); {
@@ -155,12 +155,12 @@
 	assertSoon(t, "a leader", played, restartsOfAll)
 }
 
-// assertSoon holds the times that so many restarts of all took until something was there against their bounds.
+// assertSoon checks the durations of restarts against their bounds. count is the expected number of restarts.
 func assertSoon(t *testing.T, what string, played []restartOfAll, count int) {
 	t.Helper()
 	slices.SortFunc(played, func(a, b restartOfAll) int { return int(a.took - b.took) })
 	middle, at99, worst := played[len(played)/2], played[len(played)*99/100], played[len(played)-1]
-	t.Logf("%d restarts of all: %s %v after the last start in the middle, %v at the 99th of 100, %v at worst", len(played),
+	t.Logf("%d restarts of all: %s %v after the last start (median), %v (99th percentile), %v (maximum)", len(played),
 		what, middle.took, at99.took, worst.took)
 	for _, r := range played[len(played)-5:] {
 		t.Log(r)
@@ -170,7 +170,8 @@
 	assert.Assert(t, worst.took <= leaderSoonWorst, "%v", worst)
 }
 
-// One that starts long before the others grants no lease, not to itself either: its word is needed for the first leader.
+// A member that starts long before the others must grant no lease, not even to itself: its confirmation that it has
+// just restarted is needed for the first leader.
 func TestMemberThatStartsEarlyGrantsNothingBeforeTheOthersCome(t *testing.T) {
 	w, _ := newRestartWorld(t, 1)
 	w.playUntilLed(5 * time.Second)
--- a/control/shards.go
+++ b/control/shards.go
@@ -18,32 +18,34 @@
 )
 
 const (
-	readsPerDrain  = 4.5 // reads of the platform's list within the time in which a drain has to be known
+	readsPerDrain  = 4.5 // reads of the host list within drain_ms, the time within which a drain has to be noticed
 	shortestPeriod = 250 * time.Millisecond
 	longestPeriod  = time.Second
-	// startWithin is how soon after it took a shard over an owner has to know that it follows one that was long in office.
+	// startAmountWindow is how soon after acquiring a shard an owner has to know that the previous owner's tenure was
+	// long, so that its limits may get their start amounts.
 	startWithin = time.Second
-	// tenureMargin is what a long tenure lasts beyond a window of limits: what passes between a member's first grant to an
-	// owner and the last moment at which that owner's buckets get their start amount, and what is granted and used late.
+	// tenureMargin is how much longer than a window of limits a long tenure lasts. It covers the time from a member's
+	// first grant to an owner until the last moment at which that owner's buckets get their start amount, and grants
+	// that are made and used late.
 	tenureMargin = 3 * time.Second
-	longestRead  = 2 * time.Second // age of a read of the list, beyond which it is not used
+	longestRead  = 2 * time.Second // a host list that took longer to read is discarded
 )
 
-// shard is one part of the services and tenants, and this node's claim to own it.
+// shard is a subset of the services and tenants, with this node's claim to own it.
 type shard struct {
 	number uint32
 	holder *lease.Holder
-	term   uint64 // fencing number under which table is kept
+	term   uint64 // fencing number of the lease under which table is maintained
 	table  *hostlist.Table
 	limits *quota.Owner
-	paces  paces         // of its hosts
-	since  time.Duration // when it was taken over
-	lostAt time.Duration // when it was seen to be lost
-	began  bool          // its limits have got their start amounts
-	whole  *wire.Message // the whole table as it was last sent
+	paces  paces // of the shard's hosts
+	since  time.Duration // when this node acquired the shard
+	lostAt time.Duration // when this node noticed that it had lost the shard
+	began  bool // the limits have got their start amounts
+	whole  *wire.Message // the whole table as it was last encoded
 }
 
-// message makes a message of a change. The whole table, which each new subscriber gets, is encoded once for each offset.
+// message returns a message with a change. The whole table, which each new subscriber gets, is encoded once per offset.
 func (s *shard) message(change *wire.Hosts) *wire.Message {
 	if !change.Whole {
 		return &wire.Message{Hosts: change}
@@ -58,14 +60,14 @@
 	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now), lostAt: -quota.LongestDelay}
 }
 
-// rank is the place of this node in the shard's order of candidates.
+// rank returns this node's position in the shard's order of candidates.
 func (s *shard) rank(members []wire.Member, self string) int {
 	weight := func(id string) uint64 { return xxhash.Sum64String(string(rune('0'+s.number)) + id) }
 	order := slices.SortedFunc(slices.Values(members), func(a, b wire.Member) int { return cmp.Compare(weight(a.ID), weight(b.ID)) })
 	return slices.IndexFunc(order, func(m wire.Member) bool { return m.ID == self })
 }
 
-// tickShards asks for leases, and reads the platform's list while this node owns any shard.
+// tickShards requests leases, and reads the platform's host list while this node owns any shard.
 func (n *Node) tickShards(now time.Duration) {
 	owns := false
 	for _, s := range n.shards {
@@ -86,9 +88,9 @@
 	}
 }
 
-// newLimits makes the buckets of a shard that this node takes over. They begin to fill once the delays of what was granted
-// before are over. Another member gets a lease only after as long; but this one may get it again at once, after it has lost
-// it or begun a new life, and any one where all processes have restarted.
+// newLimits creates the buckets of a shard that this node has acquired. They begin to fill once the delays of all
+// earlier grants are over. Another member gets the lease only after that time in any case. This node, however, may get
+// it again at once after losing it or restarting, and any node may if all processes have restarted.
 func (n *Node) newLimits(s *shard, now time.Duration) *quota.Owner {
 	since := max(now, quota.LongestDelay, s.lostAt+quota.LongestDelay)
 	if n.resumed && now < n.resumedAt+lease.Duration {
@@ -97,7 +99,8 @@
 	return quota.NewOwner(since)
 }
 
-// longTenure is how long an owner has to have been in office for the next one to begin with a start amount in its buckets.
+// longTenure is how long the previous owner must have held the shard for the next owner's buckets to get a start
+// amount.
 func longTenure(s *settings.Settings) time.Duration {
 	return quota.Window(&s.Bounds) + tenureMargin
 }
@@ -124,9 +127,9 @@
 	return reply
 }
 
-// answerLease grants nothing to one that counts by members of before a change that this node knows. So a lease by the members
-// before ends, at the latest, as the pause after that change does: by then a second change may have made a majority of members
-// that never heard of it.
+// answerLease grants nothing to a requester that still counts by the members of before a change that this node knows. A
+// lease under those members therefore ends no later than the pause after that change; by then a second change may have
+// produced a majority of members that never heard of the lease.
 func (n *Node) answerLease(q *wire.LeaseRequest, now time.Duration) *wire.LeaseReply {
 	behind := q.Members != 0 && q.At.Less(n.replica.Newest().Position()) && q.Members != digestOfMembers(n.replica.Members())
 	if behind && !q.Release {
@@ -135,7 +138,7 @@
 	return n.grantLease(q, now)
 }
 
-// digestOfMembers tells sets of members apart.
+// membersDigest returns a hash that identifies a set of members.
 func digestOfMembers(members []wire.Member) uint64 {
 	ids := make([]string, 0, len(members))
 	for _, m := range members {
@@ -145,7 +148,7 @@
 	return xxhash.Sum64String(strings.Join(ids, "\n")) | 1
 }
 
-// onLeaseRequest answers a member; both this node and the one that asks have to be members by what this one knows.
+// onLeaseRequest answers another member. Both this node and the requester must be members according to this node.
 func (n *Node) onLeaseRequest(from wire.Member, q *wire.LeaseRequest, now time.Duration) {
 	if !n.replica.Includes(from.ID) || !n.replica.IsMember() || q.Holder != from.ID {
 		n.dropped.NotMember++
@@ -172,7 +175,7 @@
 
 func (s *shard) resource() string { return s.holder.Resource() }
 
-// followOwnership starts an empty table with each new lease, and drops it with the lease.
+// updateOwnership creates an empty table for each new lease, and drops it when the lease ends.
 func (n *Node) followOwnership(s *shard, now time.Duration) {
 	holds := s.holder.Holds(now)
 	switch {
@@ -181,15 +184,15 @@
 		s.since = now
 		s.term, s.table = s.holder.Term(), hostlist.NewTable(s.number, s.holder.Term())
 		s.paces = paces{table: pace.NewTable()}
-		if s.limits == nil { // else it is held on under a higher term
+		if s.limits == nil { // otherwise the shard is kept under a higher term
 			s.limits, s.began = n.newLimits(s, now), false
 		}
 		n.readAt = now
-		n.log.Info("owns shard", "shard", s.number, "term", s.term)
+		n.log.Info("acquired shard", "shard", s.number, "term", s.term)
 	case !holds && s.table != nil:
 		s.term, s.table, s.limits, s.whole = 0, nil, nil, nil
 		s.lostAt = now
-		n.log.Info("no longer owns shard", "shard", s.number)
+		n.log.Info("lost shard", "shard", s.number)
 	}
 	enough := func(has func(string) bool) bool { return replica.Quorum(n.replica.Members(), has) }
 	if holds && !s.began && now <= s.since+startWithin && s.holder.FollowsLongTenure(enough) {
@@ -198,12 +201,12 @@
 	}
 }
 
-// HostsRead takes the outcome of a read of the list. One that began before a shard was taken over, or long ago, may be
-// older than what the owner before has fed.
+// HostsRead handles the result of a read of the host list. The result is discarded if the read began before the shard
+// was acquired or took too long, since it may be older than what the previous owner has published.
 func (n *Node) HostsRead(hosts []wire.Host, err error) {
 	n.reading = false
 	if err != nil {
-		n.log.Debug("list of hosts not read", "error", err)
+		n.log.Debug("cannot read host list", "error", err)
 		return
 	}
 	now := n.now()
@@ -226,7 +229,7 @@
 	}
 }
 
-// onQuotaRequest draws from a limit, while this node owns its shard.
+// onQuotaRequest draws from a limit if this node owns its shard.
 func (n *Node) onQuotaRequest(from *subscriber, q *wire.QuotaRequest) {
 	if int(q.Shard) >= len(n.shards) {
 		return
@@ -236,7 +239,7 @@
 	owns := s.limits != nil && s.holder.Holds(now)
 	if !owns || !known {
 		n.dropped.QuotaNotOwned++
-		n.log.Debug("limit not answered for", "shard", q.Shard, "limit", name, "owns", owns, "known", known)
+		n.log.Debug("ignoring quota request", "shard", q.Shard, "limit", name, "owns", owns, "known", known)
 		return
 	}
 	grant := s.limits.Take(name, limit, quota.Ask{Need: q.Need, Want: q.Want}, now)
@@ -245,7 +248,7 @@
 		DelayMS: wire.CeilMS(grant.Delay), EmptyMS: grant.Empty.Milliseconds()}})
 }
 
-// limitOf gives the limit that a request draws from, by the committed configuration, and its bucket's name.
+// limitOf returns the limit that a request draws from, according to the committed configuration, and its bucket's name.
 func (n *Node) limitOf(q *wire.QuotaRequest) (name string, limit quota.Limit, known bool) {
 	if q.Service != "" {
 		return "service " + q.Service, quota.RepeatLimit(&n.settings.Bounds), n.services[q.Service]
--- a/control/status.go
+++ b/control/status.go
@@ -10,19 +10,19 @@
 
 const pathStatus = "/v1/Status"
 
-// Status is what a control process tells of itself.
+// Status is the state that a control process reports.
 type Status struct {
 	ID       string        `json:"id"`
 	Role     string        `json:"role"`
 	Term     uint64        `json:"term"`
 	Leader   string        `json:"leader"`
-	Leading  bool          `json:"leading"` // it leads and its lease holds
-	Entry    uint64        `json:"entry"`   // newest entry, and
-	Commit   uint64        `json:"commit"`  // newest one that is known to be committed
+	Leading  bool          `json:"leading"` // it is the leader and its lease holds
+	Entry    uint64        `json:"entry"` // index of the newest entry
+	Commit   uint64        `json:"commit"` // index of the newest entry that is known to be committed
 	Revision int64         `json:"revision"`
 	Members  []wire.Member `json:"members"`
-	Changing bool          `json:"changing"`     // a change of members is under way, or one is missing
-	Borne    int           `json:"losses_borne"` // disks of members that may be lost now without a rest of the group
+	Changing bool          `json:"changing"` // a change of members is in progress, or a member is missing
+	Borne    int           `json:"losses_borne"` // number of members that may lose their disks now while a majority remains
 	Shards   []ShardStatus `json:"shards"`
 	Parts    []PartStatus  `json:"parts,omitempty"` // of the coordination state
 	Agents   int           `json:"agents"`
@@ -30,7 +30,7 @@
 	Dropped  Dropped       `json:"dropped"`
 }
 
-// ShardStatus is what a control process tells of one shard.
+// ShardStatus is the status of one shard.
 type ShardStatus struct {
 	Number uint32 `json:"number"`
 	Owned  bool   `json:"owned"`
@@ -38,7 +38,7 @@
 	Offset uint64 `json:"offset,omitempty"`
 }
 
-// PartStatus is what a control process tells of one part of the coordination state.
+// PartStatus is the status of one part of the coordination state.
 type PartStatus struct {
 	Number  int    `json:"number"`
 	Role    string `json:"role"`
@@ -48,9 +48,9 @@
 	Entry   uint64 `json:"entry"`
 	Commit  uint64 `json:"commit"`
 	Members int    `json:"members"`
-	Member  bool   `json:"member"`  // this process is one of them
-	TimeMS  int64  `json:"time_ms"` // the part's time, by which locks and history end
-	Queued  int    `json:"queued"`  // calls that wait for their turn or for a leader
+	Member  bool   `json:"member"` // whether this process is a member
+	TimeMS  int64  `json:"time_ms"` // the group's time, by which locks and history expire
+	Queued  int    `json:"queued"` // calls that wait in the leader's queue or for a leader
 	Watches int    `json:"watches"`
 }
 
@@ -61,7 +61,7 @@
 		TimeMS: r.GroupTime(now).Milliseconds(), Queued: len(p.queue), Watches: len(p.watches)}
 }
 
-// status collects the state; only the loop calls it.
+// status returns the current state. It must be called in the event loop.
 func (n *Node) status() Status {
 	now := n.now()
 	s := Status{ID: n.replica.Self().ID, Role: n.replica.Role().String(), Term: n.replica.Term(), Leader: n.replica.Leader(now).ID,
@@ -94,7 +94,7 @@
 	select {
 	case s := <-answer:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s) // a caller that has gone needs no answer
+		_ = json.NewEncoder(w).Encode(s) // an encoding error means that the client has disconnected
 	case <-r.Context().Done():
 	}
 }
--- a/control/world_applications_test.go
+++ b/control/world_applications_test.go
@@ -8,69 +8,69 @@
 )
 
 const (
-	callWay           = 8 // ms at most between a caller and a control address, one way
+	callWay           = 8 // one-way delay in ms at most between a caller and a control address
 	callSilence       = time.Second
-	shortestCallPause = 10 * time.Millisecond // before a call is sent elsewhere, doubled for each attempt
+	shortestCallPause = 10 * time.Millisecond // before a call is retried elsewhere; doubled for each attempt
 	longestCallPause  = 400 * time.Millisecond
-	longestHeldUp     = 8 * time.Second // for which a call may sit in a socket
+	longestHeldUp     = 8 * time.Second // for which a call may wait in a socket
 )
 
-// applications are the callers of a world, all that they have sent, and the rules that the answers must keep.
+// applications holds the simulated callers, the calls in flight, and the rules that the answers must satisfy.
 type applications struct {
 	world   *world
 	actors  []actor
 	flying  []*attempt
 	rules   *rules
 	counts  applicationCounts
-	quiet   bool // nothing new is begun
+	quiet   bool // nothing new is started
 	onReply func(*attempt)
 }
 
-// actor is one caller. It has at most one errand under way.
+// caller is one simulated caller. It has at most one task in progress.
 type actor interface {
 	step(a *applications)
 }
 
-// errand is what a caller wants done: one call, sent again until it has a clear answer, or until the caller gives it up.
+// task is one call, retried until it has a definite answer or its caller gives up.
 type errand struct {
 	command  wire.Command
 	began    time.Duration // when its first attempt was sent; 0 before
-	giveUp   time.Duration // when the caller stops sending it again
+	giveUp   time.Duration // when the caller stops retrying
 	tries    int
 	nextAt   time.Duration
-	current  *attempt // that the caller waits for
-	unclear  bool     // some attempt may have taken effect
+	current  *attempt // the attempt that the caller waits for
+	unclear  bool // some attempt may have taken effect
 	done     bool
-	answer   wire.Answer   // where it is clear
+	answer   wire.Answer // if it is definite
 	sent     time.Duration // of the attempt that was answered
 	answered time.Duration
 }
 
-// clear says whether the errand ended with an answer.
+// hasAnswer reports whether the task ended with an answer.
 func (e *errand) clear() bool { return e.done && e.answer.Outcome != 0 }
 
-// attempt is one HTTP call. It may be carried out long after the caller has gone elsewhere.
+// attempt is one HTTP call. It may be executed long after the caller has given it up.
 type attempt struct {
 	errand   *errand
-	before   any // what the rules noted as it was sent
+	before   any // what the rules recorded when it was sent
 	to       *machine
 	sent     time.Duration
 	arrives  time.Duration
-	life     *nodeProcess // that has the connection, once it has come
+	life     *nodeProcess // that has accepted the connection
 	since    time.Duration
-	entersAt time.Duration // when it reaches the loop
+	entersAt time.Duration // when it reaches the event loop
 	taken    bool
 	handle   *partCall
 	reply    *wire.Answer
-	left     bool // the answer is on its way
+	left     bool // the answer is in transit
 	replyAt  time.Duration
-	gone     bool // the caller waits for it no more
+	gone     bool // the caller doesn't wait for it any more
 	leftAt   time.Duration
-	told     bool // the process has heard that
+	told     bool // the process has noticed that
 	over     bool
 }
 
-// applicationCounts is what applications have played.
+// applicationCounts counts what the applications have done.
 type applicationCounts struct {
 	errands, attempts, unclear, notServed, silent, ended, late, lateDone, grants, renewals, lost, refusedLocks, overtime, finishes, numbers, puts,
 	mismatches, reads, watches, events, resumed, ownAgain, killedAfterAck, twoWiped, refusedPuts int
@@ -108,7 +108,7 @@
 	return &applications{world: w, rules: newRules(w), onReply: func(*attempt) {}}
 }
 
-// step lets all callers and calls go on.
+// step advances all callers and attempts.
 func (a *applications) step() {
 	for _, one := range a.actors {
 		one.step(a)
@@ -124,13 +124,13 @@
 	a.flying = kept
 }
 
-// begin makes an errand that a caller pursues for a while.
+// newTask creates a task that its caller retries for retryFor.
 func (a *applications) begin(command wire.Command, patience time.Duration) *errand {
 	a.counts.errands++
 	return &errand{command: command, giveUp: a.world.now + patience, nextAt: a.world.now}
 }
 
-// pursue sends an errand where that is due. It reports true once it has ended.
+// advance sends or retries a task if that is due. It returns true once the task has ended.
 func (a *applications) pursue(e *errand) bool {
 	now := a.world.now
 	switch {
@@ -146,7 +146,7 @@
 	return e.done
 }
 
-// anyAddress is a control address that callers may choose; one that was taken away is listed for a while.
+// anyAddress returns a control address that callers may choose; a removed machine stays listed for listLag.
 func (a *applications) anyAddress() *machine {
 	w := a.world
 	for {
@@ -156,7 +156,7 @@
 	}
 }
 
-// send makes one attempt at a machine. A few sit in a socket for long.
+// send makes one attempt at a machine. A few attempts wait in a socket for long.
 func (a *applications) send(e *errand, to *machine) *attempt {
 	w := a.world
 	if e.tries == 0 {
@@ -177,7 +177,7 @@
 	return time.Duration(a.world.random.IntN(callWay)) * time.Millisecond
 }
 
-// patience is for how long a caller waits for an answer.
+// timeout is how long a caller waits for an answer.
 func (e *errand) patience() time.Duration {
 	if e.command.Kind == wire.WatchGroup {
 		return callSilence + time.Duration(e.command.WaitMS)*time.Millisecond
@@ -185,7 +185,7 @@
 	return callSilence
 }
 
-// stepAttempt moves a call on: to the machine, into its loop, and back.
+// stepAttempt advances an attempt: to the machine, into its event loop, and back.
 func (a *applications) stepAttempt(f *attempt) {
 	w := a.world
 	if !f.over && f.life == nil && w.now >= f.arrives {
@@ -207,7 +207,7 @@
 	}
 }
 
-// arrive brings a call to a machine's socket.
+// arrive delivers an attempt to a machine's socket.
 func (a *applications) arrive(f *attempt) {
 	m, w := f.to, a.world
 	switch {
@@ -215,7 +215,7 @@
 		f.life = m.node
 	case w.now > f.sent+callSilence:
 		f.over = true
-	case !m.gone && w.random.IntN(2) == 0: // refused at once; else nothing is heard
+	case !m.gone && w.random.IntN(2) == 0: // refused at once; otherwise the caller gets no reaction
 		f.over = true
 		a.ended(f)
 	default:
@@ -223,7 +223,7 @@
 	}
 }
 
-// stepAtProcess has a running process take a call, send an answer, or hear that the caller has gone.
+// stepAtProcess has a running process receive a call, send an answer, or notice that the caller has disconnected.
 func (a *applications) stepAtProcess(f *attempt) {
 	w, node := a.world, f.life.node
 	switch {
@@ -249,7 +249,7 @@
 	}
 }
 
-// enter hands a call to the loop.
+// enter submits an attempt to the event loop.
 func (a *applications) enter(f *attempt) {
 	f.taken = true
 	if f.gone {
@@ -257,20 +257,20 @@
 	}
 	f.handle = f.life.node.takeCall(f.errand.command, f.since, func(answer wire.Answer) {
 		if f.reply != nil {
-			a.world.fail("%+v is answered twice", f.errand.command)
+			a.world.fail("%+v was answered twice", f.errand.command)
 		}
 		f.reply = &answer
 	})
 	f.life.node.Flush()
 }
 
-// connectionLost ends a call whose process has ended. An answer that had left still arrives.
+// connectionLost ends an attempt whose process has ended. An answer in transit still arrives.
 func (a *applications) connectionLost(f *attempt) {
 	if f.left {
 		return
 	}
 	f.over = true
-	if a.world.random.IntN(2) == 0 { // else nothing is heard
+	if a.world.random.IntN(2) == 0 { // otherwise the caller gets no reaction
 		a.ended(f)
 	}
 }
@@ -294,7 +294,7 @@
 		a.again(f.errand)
 		return
 	case wire.Invalid:
-		a.world.fail("%+v is called invalid", f.errand.command)
+		a.world.fail("%+v was rejected as invalid", f.errand.command)
 	}
 	f.gone, f.told = true, true
 	e := f.errand
@@ -302,7 +302,7 @@
 	a.rules.answeredCall(e, f)
 }
 
-// ended has the caller see that its connection has ended.
+// connectionClosed tells the caller that its connection has ended.
 func (a *applications) ended(f *attempt) {
 	if !f.gone {
 		a.counts.ended++
@@ -311,7 +311,7 @@
 	}
 }
 
-// goElsewhere has the caller leave a call whose outcome it doesn't know. The process may never hear of it.
+// abandon has the caller give up an attempt with unknown outcome. The process may never notice.
 func (a *applications) goElsewhere(f *attempt) {
 	f.gone = true
 	f.leftAt = a.world.now + a.way()
@@ -322,7 +322,7 @@
 	a.again(f.errand)
 }
 
-// again has an errand sent once more, after a pause that grows.
+// retryLater has a task sent once more, after a pause that grows.
 func (a *applications) again(e *errand) {
 	w := a.world
 	e.current = nil
--- a/control/world_callers_test.go
+++ b/control/world_callers_test.go
@@ -13,7 +13,7 @@
 	"ivybank/wire"
 )
 
-// plainParser checks configurations without the CUE schema, which takes milliseconds each.
+// plainParser checks configurations without the CUE schema, whose evaluation takes milliseconds each time.
 type plainParser struct{}
 
 func (plainParser) Parse(body []byte) (*config.Config, error) {
@@ -24,7 +24,7 @@
 	return c, c.Check()
 }
 
-// configText makes a valid configuration; mark tells two with the same revision apart.
+// configText returns a valid configuration; mark distinguishes configurations with the same revision.
 func configText(revision int64, mark string) string {
 	return fmt.Sprintf(`{"revision":%d,"routes":[{"name":"r-%s","hostname":"a.example","path_prefix":"/a/","route_type":"idempotent",`+
 		`"timeout_ms":1000,"target_ms":100,"backend":"service-0","max_attempts":2,"public":false}],"services":[{"name":"service-0"},`+
@@ -37,20 +37,20 @@
 	tenantBurst = 50
 )
 
-// operator sends changes and reads, one at a time, and each again until it has a clear answer.
+// operator makes one request at a time, an update or a read, and retries it until it has a definite answer.
 type operator struct {
 	world  *world
 	number int
 	made   int
-	known  int64 // revision that it takes for the current one
+	known  int64 // the revision that it believes to be current
 	order  *request
 	flying []*flight
 	nextAt time.Duration
-	quiet  bool // no new orders
-	follow bool // reads only
+	quiet  bool // no new updates
+	follow bool // only reads
 }
 
-// request is what an operator wants, in as many calls as it takes.
+// operatorRequest is what an operator wants, in as many calls as it takes.
 type request struct {
 	call   call
 	body   string
@@ -58,10 +58,10 @@
 	giveUp time.Duration
 }
 
-// flight is one HTTP call on its way.
+// operatorAttempt is one HTTP call in progress.
 type flight struct {
 	request   *request
-	index     int // in world.calls
+	index     int // in simulation.operatorCalls
 	to        *machine
 	arrives   time.Duration
 	asked     bool
@@ -96,7 +96,7 @@
 	}
 }
 
-// beginChange sends a change; now and then both operators send one on the same version in the same moment.
+// beginChange sends an update; at random both operators send one with the same base at the same moment.
 func (o *operator) beginChange() {
 	w := o.world
 	base := o.known
@@ -105,7 +105,7 @@
 	mark := fmt.Sprintf("%d-%d", o.number, o.made)
 	other := w.opers[(o.number+1)%len(w.opers)]
 	race := w.random.IntN(4) == 0 && other.order == nil
-	same := race && w.random.IntN(3) == 0 // the very same body
+	same := race && w.random.IntN(3) == 0 // with the same body
 	body := configText(revision, mark)
 	valid := w.random.IntN(12) > 0
 	if !valid {
@@ -133,7 +133,7 @@
 	o.send(r, nil, 0)
 }
 
-// send makes one call, to the machine that it was redirected to or to any.
+// send makes one call, to the machine of a redirect or to a random one.
 func (o *operator) send(r *request, to *machine, redirects int) {
 	w := o.world
 	for to == nil || !to.core || to.gone && w.now > to.goneAt+listLag {
@@ -172,7 +172,7 @@
 	}
 }
 
-// ask hands a call to the operator's handler of a control process.
+// ask passes a call to the operator handler of a control process.
 func (o *operator) ask(f *flight) {
 	w, node := o.world, f.to.node
 	answer := func(v verdict) {
@@ -190,7 +190,7 @@
 	node.handler.replace(httptest.NewRecorder(), r, answer)
 }
 
-// unanswered tries again elsewhere, or lets a request go. A call that was sent may still have its effect.
+// unanswered retries elsewhere or abandons a request. A call that was sent may still take effect.
 func (o *operator) unanswered(f *flight, sent bool) {
 	if f.givenUp {
 		return
@@ -273,13 +273,13 @@
 	o.again(f)
 }
 
-// readBack takes a configuration that was read. Its order is found by its body.
+// readBack checks a configuration that was read, and finds the update that made it by its body.
 func (o *operator) readBack(one *call, v verdict) {
 	w := o.world
 	w.counts.reads++
 	c, err := config.Read(v.body)
 	if err != nil {
-		w.fail("a read gave %q", v.body)
+		w.fail("a read returned %q", v.body)
 	}
 	o.known = c.Revision
 	w.noteBody(c.Revision, string(v.body))
@@ -291,20 +291,21 @@
 		}
 	}
 	if !found {
-		w.fail("a read gave revision %d, which nobody sent", c.Revision)
+		w.fail("a read returned revision %d, which no operator has sent", c.Revision)
 	}
 	o.finish()
 }
 
-// noteBody checks that a revision that is in force has one body everywhere.
+// noteBody checks that a committed revision has the same body everywhere.
 func (w *world) noteBody(revision int64, body string) {
 	if had, ok := w.bodies[revision]; ok && had != body {
-		w.fail("revision %d is %q and %q", revision, had, body)
+		w.fail("revision %d has two bodies: %q and %q", revision, had, body)
 	}
 	w.bodies[revision] = body
 }
 
-// routerStub stands for the router beside an agent: it checks what it is fed, and draws from a tenant's limit.
+// routerStub replaces the router beside an agent: it checks the updates that it receives, and draws from a tenant's
+// limit.
 type routerStub struct {
 	agent    *agentProcess
 	life     uint64
@@ -313,7 +314,7 @@
 	askAt    time.Duration
 	revision int64
 	hosts    [hostlist.Shards]wire.HostsOffset
-	ackedAt  int64 // newest revision that was acknowledged when the agent started
+	ackedAt  int64 // the newest revision that was acknowledged when the agent started
 	slow     *wire.SlowHosts
 }
 
@@ -328,7 +329,7 @@
 	return r
 }
 
-// restart is the end of a router and the start of the next, beside the same agent.
+// restart replaces the router by a new one beside the same agent.
 func (r *routerStub) restart() {
 	r.agent.agent.RouterDisconnected(r)
 	next := &routerStub{agent: r.agent, asked: map[uint64]time.Duration{}, life: r.agent.world.random.Uint64(), revision: r.revision,
@@ -337,7 +338,7 @@
 	r.agent.agent.OnRouterMessage(next, &wire.Message{Subscribe: &wire.Subscribe{}})
 }
 
-// step draws now and then; requests of an earlier life are numbered alike.
+// step draws from the limit at random intervals; numbers start again with each router, so they repeat.
 func (r *routerStub) step() {
 	w := r.agent.world
 	if w.now < r.askAt || r.revision == 0 {
@@ -351,7 +352,7 @@
 	r.agent.agent.OnRouterMessage(r, &wire.Message{QuotaRequest: ask})
 }
 
-// Send takes what the agent feeds.
+// Send receives an update from the agent.
 func (r *routerStub) Send(m *wire.Message) bool {
 	if m.SlowHosts != nil {
 		r.slow = m.SlowHosts
@@ -361,10 +362,10 @@
 	case m.Config != nil:
 		r.onConfig(m.Config)
 	case m.Group != nil:
-		w.fail("%s is fed members, which are nothing to it", r.agent.machine.ip)
+		w.fail("the router of %s received members, which only agents need", r.agent.machine.ip)
 	case m.Hosts != nil:
 		if m.Hosts.At.Before(r.hosts[m.Hosts.Shard]) {
-			w.fail("%s is fed hosts of %v after %v", r.agent.machine.ip, m.Hosts.At, r.hosts[m.Hosts.Shard])
+			w.fail("%s received hosts at %v after %v", r.agent.machine.ip, m.Hosts.At, r.hosts[m.Hosts.Shard])
 		}
 		r.hosts[m.Hosts.Shard] = m.Hosts.At
 	case m.QuotaGrant != nil:
@@ -376,18 +377,18 @@
 func (r *routerStub) onConfig(c *wire.Config) {
 	w := r.agent.world
 	if c.Revision < r.revision {
-		w.fail("%s is fed revision %d after %d", r.agent.machine.ip, c.Revision, r.revision)
+		w.fail("%s received revision %d after %d", r.agent.machine.ip, c.Revision, r.revision)
 	}
 	if r.revision == 0 {
 		w.counts.firstConfigs++
 		if c.Revision < r.ackedAt {
-			w.fail("%s begins with revision %d; %d had been acknowledged when it started", r.agent.machine.ip, c.Revision, r.ackedAt)
+			w.fail("%s received %d as its first revision; %d had been acknowledged when it started", r.agent.machine.ip, c.Revision, r.ackedAt)
 		}
 	}
 	r.revision = c.Revision
 	body, err := wire.Inflate(c.Body)
 	if err != nil {
-		w.fail("%s is fed a spoilt body", r.agent.machine.ip)
+		w.fail("%s received a body that can't be inflated", r.agent.machine.ip)
 	}
 	w.noteBody(c.Revision, string(body))
 }
@@ -399,7 +400,7 @@
 		return
 	}
 	if _, ok := r.asked[g.Number]; !ok {
-		w.fail("%s is granted what it did not ask for, or twice", r.agent.machine.ip)
+		w.fail("%s received a grant that it did not request, or received it twice", r.agent.machine.ip)
 	}
 	delete(r.asked, g.Number)
 	w.counts.grants++
--- a/control/world_checks_test.go
+++ b/control/world_checks_test.go
@@ -30,7 +30,7 @@
 		r.Committed().Position(), r.Members(), m.frozen, m.stalled, describeParts(m.node.node))
 }
 
-// check holds what must be true at any moment.
+// checkInvariants checks what must hold at any time.
 func (w *world) check() {
 	leading := ""
 	var owners [hostlist.Shards]string
@@ -41,7 +41,7 @@
 		n, now := m.node.node, m.node.Now()
 		if n.replica.Leading(now) {
 			if leading != "" {
-				w.fail("%s and %s lead", leading, n.replica.Self().ID)
+				w.fail("%s and %s are both leaders", leading, n.replica.Self().ID)
 			}
 			leading = n.replica.Self().ID
 			w.noteLeader(n)
@@ -51,7 +51,7 @@
 				continue
 			}
 			if owners[i] != "" {
-				w.fail("%s and %s own shard %d", owners[i], n.replica.Self().ID, i)
+				w.fail("%s and %s both own shard %d", owners[i], n.replica.Self().ID, i)
 			}
 			owners[i] = n.replica.Self().ID
 		}
@@ -66,7 +66,7 @@
 		w.counts.leaderChanges++
 	}
 	if c.Position().Less(w.membersAt) {
-		w.fail("%s leads with %v committed after %v", n.replica.Self().ID, c.Position(), w.membersAt)
+		w.fail("leader %s has %v committed after %v", n.replica.Self().ID, c.Position(), w.membersAt)
 	}
 	w.members, w.membersAt = c.Members, c.Position()
 	for _, m := range w.machines {
@@ -82,8 +82,8 @@
 	return id != "" && slices.ContainsFunc(w.members, func(o wire.Member) bool { return o.ID == id })
 }
 
-// bearsLossOf says whether one more disk may be lost, by the members of each group that were committed last, by those of
-// changes under way, and by those that a leader may change to with a machine that it knows to be ready.
+// toleratesLossOf reports whether one more disk may be lost, given the members of each group that were committed last,
+// those of changes in progress, and those that a leader may change to with a learner that is ready.
 func (w *world) bearsLossOf(lost *machine) bool {
 	kept := func(id string) bool {
 		return slices.ContainsFunc(w.machines, func(m *machine) bool { return m != lost && !m.gone && m.disk.identity.ID == id })
@@ -117,7 +117,7 @@
 	return all
 }
 
-// appendsUnderWay gives what leaders of a group have sent and has not arrived.
+// appendsInTransit returns the Append messages that leaders of a group have sent and that have not arrived.
 func (w *world) appendsUnderWay(group uint32) []*wire.Append {
 	var all []*wire.Append
 	for _, l := range w.links {
--- a/control/world_coordination_test.go
+++ b/control/world_coordination_test.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	coordinationSeedTime = 2 * time.Second // before the first trouble
+	coordinationSeedTime = 2 * time.Second // before the first fault
 	coordinationTroubles = 14 * time.Second
-	// answeredWithin is after how long without trouble all that is asked has its answer: well within recovery_s, 15 s.
+	// answeredWithin is how long after the last fault all calls have their answers: well within recovery_s, 15 s.
 	answeredWithin = 8 * time.Second
-	// grantedWithin is after how long every lock can be had: once the longest hold is over.
+	// grantedWithin is how long after the last fault every lock can be acquired: once the longest hold is over.
 	grantedWithin = longestHold + answeredWithin
-	// wholeWithin is after how long without trouble each group has all its members again.
+	// wholeWithin is how long after the last fault each group has all its members again.
 	wholeWithin = 10 * time.Second
 	finalPause  = 50 * time.Millisecond
 )
 
-// startApplications adds the callers of a run, once each group has a first put.
+// startApplications puts one key into each group, then adds the callers of a run.
 func (w *world) startApplications() {
 	a := w.applications
 	for group := range groupsOfWorld {
@@ -35,7 +35,7 @@
 	a.addWatchers(1)
 }
 
-// pursueUntilClear lets the world go on until an errand has a clear answer.
+// runUntilDone runs the simulation until a task has a definite answer.
 func (w *world) pursueUntilClear(e *errand) *errand {
 	w.t.Helper()
 	for began := w.now; !w.applications.pursue(e); {
@@ -45,13 +45,13 @@
 		}
 	}
 	if !e.clear() {
-		w.fail("no clear answer: %+v", e.command)
+		w.fail("no definite answer: %+v", e.command)
 	}
 	return e
 }
 
-// askAtEnd asks for all that there is, each again until it has a clear answer, and gives how long that took. Where a lock is
-// held, that is one; later on, each lock is given.
+// askAtEnd reads every key, draws every kind of number and requests every lock, and returns how long it took until all
+// calls had a definite answer. For a lock, HeldByOther is such an answer; takeAllLocks acquires them later.
 func (w *world) askAtEnd() time.Duration {
 	a, began := w.applications, w.now
 	a.quiet = true
@@ -78,14 +78,14 @@
 	return w.now - began
 }
 
-// watchAllFromTheBeginning has each group tell all its puts, which it remembers for longer than a run.
+// watchAllFromTheBeginning checks that each group returns all its puts, which it keeps for longer than a run.
 func (w *world) watchAllFromTheBeginning() {
 	for group := range groupsOfWorld {
 		for after := uint64(1); ; {
 			c := wire.Command{Kind: wire.WatchGroup, Name: groupName(group), After: after}
 			answer := w.pursueUntilClear(w.applications.begin(c, answeredWithin)).answer
 			if answer.Outcome == wire.Compacted {
-				w.fail("the history of %s doesn't reach back to the beginning", c.Name)
+				w.fail("the history of %s has been compacted", c.Name)
 			}
 			if len(answer.Events) == 0 {
 				break
@@ -95,7 +95,7 @@
 	}
 }
 
-// takeAllLocks has one caller take each lock once it is free.
+// takeAllLocks acquires each lock once it is free, with the same holder.
 func (w *world) takeAllLocks() time.Duration {
 	began := w.now
 	for name := range w.sortedLocks() {
@@ -105,7 +105,7 @@
 				break
 			}
 			if w.now > began+grantedWithin {
-				w.fail("lock %s isn't given", name)
+				w.fail("lock %s can't be acquired", name)
 			}
 			w.playUntil(w.now + finalPause)
 		}
@@ -113,7 +113,8 @@
 	return w.now - began
 }
 
-// finishCoordination ends all trouble, and checks the whole run. It gives how long it took until all had answers.
+// finishCoordination ends all faults and checks the whole run. It returns how long it took until all calls were
+// answered.
 func (w *world) finishCoordination() time.Duration {
 	w.settle()
 	settled := w.now
@@ -126,11 +127,11 @@
 	return took
 }
 
-// coordinationRun is what came of one schedule.
+// coordinationRun is the result of one schedule.
 type coordinationRun struct {
 	world    worldCounts
 	calls    applicationCounts
-	changes  int // of leaders of parts
+	changes  int // leader changes of parts
 	answered time.Duration
 }
 
@@ -158,7 +159,7 @@
 	return run
 }
 
-// TestCoordinationUnderRandomTroubles plays schedules on all processors. One that fails is played again by -seed and
+// TestCoordinationUnderRandomFaults runs schedules on all processors. A failed schedule is repeated with -seed and
 // -schedules 1.
 func TestCoordinationUnderRandomTroubles(t *testing.T) {
 	schedules := max(1, *worldSchedules/coordinationShare)
@@ -172,15 +173,15 @@
 		played.changes += r.changes
 		played.answered = max(played.answered, r.answered)
 	}
-	t.Logf("played %+v; %d changes of leaders; all answered %v after the last trouble at worst", played.world, played.changes, played.answered)
+	t.Logf("ran %+v; %d leader changes; all calls answered within %v of the last fault", played.world, played.changes, played.answered)
 	t.Logf("calls %v", &played.calls)
 	played.assertMuch(t)
 }
 
-// coordinationShare is how many schedules of the control side take the time of one with applications.
+// coordinationShare is how many schedules without applications take as long as one with applications.
 const coordinationShare = 2
 
-// assertMuch fails where the schedules have played too little of what they are for.
+// assertCoverage fails if the schedules have exercised too little of what they are meant to test.
 func (r *coordinationRun) assertMuch(t *testing.T) {
 	n, w, c := r.world.schedules, &r.world, &r.calls
 	if n < 20 {
@@ -198,25 +199,25 @@
 		"renewals":                          {c.renewals, 4 * n},
 		"renewals that were refused":        {c.lost, n / 2},
 		"locks begun again by their holder": {c.ownAgain, n},
-		"grants that came too late":         {c.overtime, n / 4},
+		"grants that arrived too late":         {c.overtime, n / 4},
 		"numbers":                           {c.numbers, 15 * n},
 		"puts":                              {c.puts, 20 * n},
 		"puts that were rejected":           {c.mismatches, 15 * n},
-		"puts that were refused for good":   {c.refusedPuts, n},
+		"puts that were never served":   {c.refusedPuts, n},
 		"reads":                             {c.reads, 40 * n},
 		"watches":                           {c.watches, 25 * n},
-		"watches taken up again":            {c.resumed, 2 * n},
+		"resumed watches":            {c.resumed, 2 * n},
 		"calls not served":                  {c.notServed, 50 * n},
 		"calls without an answer":           {c.silent + c.ended, 50 * n},
-		"calls carried out late":            {c.late, 10 * n},
+		"calls executed late":            {c.late, 10 * n},
 	} {
 		if played.count < played.least {
-			t.Errorf("%d schedules played too few %s: %d", n, what, played.count)
+			t.Errorf("%d schedules exercised too few %s: %d", n, what, played.count)
 		}
 	}
 }
 
-// The same seed plays the same run.
+// Two runs with the same seed are identical.
 func TestACoordinationRunRepeats(t *testing.T) {
 	for seed := range uint64(6) {
 		one, other := playCoordination(t, seed), playCoordination(t, seed)
--- a/control/world_crossings_test.go
+++ b/control/world_crossings_test.go
@@ -12,8 +12,8 @@
 	"ivybank/wire"
 )
 
-// The tests of this file play the crossings of two events that the design of the parts names, each on its own. Most of them fail
-// where the guard that they are for is taken out of the code.
+// The tests of this file cover the races between two events that the design of the parts names, each on its own. Most
+// of them fail if the check that they cover is removed from the code.
 
 const (
 	crossingLock  = "crossing"
@@ -21,7 +21,7 @@
 	crossingGroup = "crossing."
 )
 
-// servedWorld is one whose parts are all served.
+// newServedSimulation returns a simulation in which all parts are served.
 func servedWorld(t *testing.T, seed uint64, tolerate int) *world {
 	t.Helper()
 	w := newCoordinationWorld(t, seed, tolerate)
@@ -31,7 +31,7 @@
 	return w
 }
 
-// leaderOf is the machine that leads the part of a command.
+// leaderOf returns the machine that leads the part of a command.
 func (w *world) leaderOf(c wire.Command) *machine {
 	for _, m := range w.machines {
 		if m.node == nil {
@@ -41,22 +41,22 @@
 			return m
 		}
 	}
-	w.fail("nobody leads the part of %s", c.Name)
+	w.fail("the part of %s has no leader", c.Name)
 	return nil
 }
 
-// partOf is the part of a node that a command belongs to.
+// partOf returns the part of a node that a command belongs to.
 func partOf(n *Node, c *wire.Command) *part {
 	return n.parts[coordination.PartOf(c, len(n.parts))]
 }
 
-// followerOf is a machine that follows in the part of a command.
+// followerOf returns a machine that is a follower in the part of a command.
 func (w *world) followerOf(c wire.Command) *machine {
 	leader := w.leaderOf(c)
 	return w.machines[slices.IndexFunc(w.machines, func(m *machine) bool { return m != leader && m.node != nil })]
 }
 
-// tell hands a call to a machine's loop, and gives where its answer will be.
+// submit passes a call to a machine's event loop, and returns where its answer will be stored.
 func (w *world) tell(m *machine, c wire.Command) **wire.Answer {
 	if c.Kind == wire.ReplaceKey {
 		w.applications.rules.group(c.Name).sendingPut(&c, w.now)
@@ -67,7 +67,7 @@
 	return answer
 }
 
-// get hands a call to a machine and gives its answer; nil where there is none within a caller's patience.
+// call passes a call to a machine and returns its answer, or nil if there is none within the caller's timeout.
 func (w *world) get(m *machine, c wire.Command) *wire.Answer {
 	answer := w.tell(m, c)
 	for end := w.now + callSilence; *answer == nil && w.now < end; {
@@ -76,7 +76,7 @@
 	return *answer
 }
 
-// do pursues a command as callers do until it has a clear answer.
+// do retries a command as callers do until it has a definite answer.
 func (w *world) do(c wire.Command) wire.Answer {
 	return w.pursueUntilClear(w.applications.begin(c, answeredWithin)).answer
 }
@@ -99,8 +99,8 @@
 
 func getCommand() wire.Command { return wire.Command{Kind: wire.GetKey, Name: crossingKey} }
 
-// A call that a leader has proposed gets its true outcome or silence, never 503, when the leader is cut off amid it: here the
-// entry reaches no other disk, or one before the cut.
+// A call that a leader has proposed gets its true outcome or no answer, but never 503, if the leader is partitioned
+// meanwhile. In some runs the entry reaches no other disk, in others one before the partition.
 func TestProposedCallIsNeverRefused(t *testing.T) {
 	refused, shown := 0, 0
 	for seed := range uint64(60) {
@@ -121,7 +121,7 @@
 		}
 		if outcome == wire.NotServed {
 			refused++
-			assert.Equal(t, after.Value, "first", "seed %d: a put that was answered 503 shows", seed)
+			assert.Equal(t, after.Value, "first", "seed %d: a put that was answered 503 is visible", seed)
 		}
 		if outcome == wire.Done {
 			assert.Equal(t, after.Value, "second", "seed %d", seed)
@@ -131,7 +131,7 @@
 	assert.Equal(t, refused, 0)
 }
 
-// A call whose entry can't be committed, as all disks stand still, is left without an answer once its caller has gone elsewhere.
+// A call whose entry can't be committed, since all disks stall, is left unanswered once its caller has timed out.
 func TestCallOfAnEntryThatStandsStillIsLeft(t *testing.T) {
 	w := servedWorld(t, 3, 1)
 	leader := w.leaderOf(getCommand())
@@ -148,7 +148,7 @@
 	assert.Equal(t, w.do(getCommand()).Value, "first")
 }
 
-// A call that was passed on gets its true outcome or silence where the leader that has it ends.
+// A forwarded call gets its true outcome or no answer if the leader that received it ends.
 func TestPassedOnCallIsNeverRefused(t *testing.T) {
 	shown, silent := 0, 0
 	for seed := range uint64(60) {
@@ -163,20 +163,20 @@
 		if after.Value == "second" {
 			shown++
 		}
-		assert.Assert(t, *answer != nil, "seed %d: the caller waits forever", seed)
+		assert.Assert(t, *answer != nil, "seed %d: the call was never ended", seed)
 		switch (*answer).Outcome {
 		case wire.Done:
 			assert.Equal(t, after.Value, "second", "seed %d", seed)
 		case wire.NotServed:
-			assert.Equal(t, after.Value, "first", "seed %d: a put that was answered 503 shows", seed)
+			assert.Equal(t, after.Value, "first", "seed %d: a put that was answered 503 is visible", seed)
 		default:
 			silent++
 		}
 	}
-	assert.Assert(t, shown > 5 && silent > 5, "%d shown, %d without an answer", shown, silent)
+	assert.Assert(t, shown > 5 && silent > 5, "%d visible, %d without an answer", shown, silent)
 }
 
-// A leader that has stood still wakes with calls that were taken before, whose callers have long gone on: it drops them.
+// A leader that was frozen resumes with calls whose callers have timed out meanwhile: it must drop them.
 func TestCallThatIsOlderThanItsCallersPatienceIsDropped(t *testing.T) {
 	w := servedWorld(t, 1, 1)
 	leader := w.leaderOf(getCommand())
@@ -192,7 +192,7 @@
 	}
 }
 
-// What a call has waited in a follower counts at the leader too: it is too old there to be begun.
+// The time that a call has waited at a follower counts at the leader too: the call is too old to be started there.
 func TestCallThatWasPassedOnLateIsDropped(t *testing.T) {
 	w := servedWorld(t, 2, 1)
 	follower := w.followerOf(getCommand())
@@ -209,7 +209,7 @@
 	assert.Equal(t, w.do(getCommand()).Outcome, wire.NotFound)
 }
 
-// An old Finish that arrives once its holder has begun anew doesn't free the lock.
+// A Finish that arrives after its holder has acquired the lock again must not release the lock.
 func TestLateFinishFreesNothing(t *testing.T) {
 	w := servedWorld(t, 3, 1)
 	first := w.do(beginCommand("a", time.Second))
@@ -224,32 +224,33 @@
 	}
 }
 
-// A Begin that arrives twice leaves the caller with the older fence: it may go on, and its Finish costs no more than the hold.
+// A duplicate Begin leaves the caller with the older fence: it may continue, and its Finish delays others by one hold
+// at most.
 func TestLateBeginCostsItsHoldAtMost(t *testing.T) {
 	const hold = time.Second
 	w := servedWorld(t, 4, 1)
 	mine := w.do(beginCommand("a", hold))
-	again := w.get(w.anyCore(), beginCommand("a", hold)) // its caller has gone
+	again := w.get(w.anyCore(), beginCommand("a", hold)) // its caller has disconnected
 	assert.Assert(t, again != nil && again.Fence > mine.Fence)
 	assert.Equal(t, w.do(heartbeatCommand("a", mine.Fence, hold)).Outcome, wire.Done)
 	w.do(finishCommand("a", mine.Fence))
 	freed := w.now
 	for w.do(beginCommand("b", hold)).Outcome != wire.Done {
 		w.playUntil(w.now + 20*time.Millisecond)
-		assert.Assert(t, w.now < freed+hold+500*time.Millisecond, "still held")
+		assert.Assert(t, w.now < freed+hold+500*time.Millisecond, "the lock is still held")
 	}
 	assert.Equal(t, w.do(heartbeatCommand("a", mine.Fence, hold)).Outcome, wire.LockLost)
 	assert.Equal(t, w.do(heartbeatCommand("a", again.Fence, hold)).Outcome, wire.LockLost)
 }
 
-// The time of a part never goes faster than a steady clock: neither over a leader whose time went on from its disk, nor when
-// one that still counts by an earlier leader follows it.
+// The time of a part never runs faster than the monotonic clock: neither after a leader that continued from the time
+// on its disk, nor when a node that still follows an earlier leader's time succeeds it.
 func TestHoldLastsOverLeadersWhoseTimesDiffer(t *testing.T) {
 	const hold = 3 * time.Second
 	crossed := 0
 	for seed := range uint64(20) {
 		w := servedWorld(t, seed, 1)
-		w.playUntil(w.now + 3*time.Second) // without an entry: the disks' time falls behind
+		w.playUntil(w.now + 3*time.Second) // without an entry, so that the times on the disks fall behind
 		apart := w.machines[seed%3]
 		apart.frozen = w.now + time.Hour
 		for _, m := range w.machines {
@@ -271,13 +272,13 @@
 		}
 		for w.do(beginCommand("b", hold)).Outcome != wire.Done {
 			w.playUntil(w.now + 20*time.Millisecond)
-			assert.Assert(t, w.now < began+3*hold, "seed %d: still held", seed)
+			assert.Assert(t, w.now < began+3*hold, "seed %d: the lock is still held", seed)
 		}
 	}
-	assert.Assert(t, crossed > 3, "%d of 20 went over to the one whose time was ahead", crossed)
+	assert.Assert(t, crossed > 3, "only %d of 20 changed over to the machine whose time was ahead", crossed)
 }
 
-// playUntilLedBy lets the world go on until some machine serves a command's part, one of those that are meant.
+// runUntilLedBy runs the simulation until an accepted machine serves a command's part, and returns it.
 func (w *world) playUntilLedBy(c wire.Command, meant func(*machine) bool) *machine {
 	w.t.Helper()
 	for end := w.now + 10*time.Second; w.now < end; {
@@ -288,12 +289,12 @@
 			}
 		}
 	}
-	w.fail("nobody serves the part of %s", c.Name)
+	w.fail("the part of %s is not served", c.Name)
 	return nil
 }
 
-// A leader that is cut off answers nothing from memory once its lease is over, refuses what it has not begun so soon that
-// the caller can go on elsewhere, and keeps silent on what it has proposed.
+// A partitioned leader answers nothing from memory once its lease is over, refuses what it has not proposed soon
+// enough for the caller to retry elsewhere, and leaves what it has proposed unanswered.
 func TestLeaderThatIsCutOffKeepsItsPromises(t *testing.T) {
 	for seed := range uint64(20) {
 		w := servedWorld(t, seed, 1+int(seed%2))
@@ -319,7 +320,8 @@
 	}
 }
 
-// A watch that waits at a leader which loses its lease is told of the put that comes at the next one, within its own time.
+// A watch that waits at a leader which loses its lease gets the put at the next leader, within the watch's own
+// deadline.
 func TestWatchGoesOnAtTheNextLeader(t *testing.T) {
 	const wait = 8 * time.Second
 	for seed := range uint64(20) {
@@ -337,17 +339,18 @@
 		for *passedOn == nil && w.now < committed+300*time.Millisecond {
 			w.step()
 		}
-		assert.Assert(t, *passedOn != nil, "seed %d: not told", seed)
+		assert.Assert(t, *passedOn != nil, "seed %d: the watch got no event", seed)
 		assert.DeepEqual(t, (*passedOn).Events, []wire.Change{{Key: crossingKey, Value: "second", Revision: put.Revision}})
 	}
 }
 
-// leaderBeside is the machine that serves the crossing's key, another one than that.
+// leaderBeside returns the machine that serves crossingKey and isn't other.
 func (w *world) leaderBeside(other *machine) *machine {
 	return w.playUntilLedBy(getCommand(), func(m *machine) bool { return m != other })
 }
 
-// Watches go on from revisions that were told before all lost their power, and two of five their disks: nothing is skipped.
+// Watches continue from revisions that were known before all machines lost power, and two of five their disks: no put
+// is skipped.
 func TestWatchesResumeAfterAllPowerIsCut(t *testing.T) {
 	for seed := range uint64(8) {
 		w := servedWorld(t, seed, 2)
@@ -364,8 +367,8 @@
 	}
 }
 
-// A put that comes again has its first revision, or its rejection, whatever happened since: later puts, all power cut, a lost
-// disk.
+// A repeated put gets its first revision or its rejection again, whatever happened since: later puts, a power loss of
+// all, a lost disk.
 func TestPutThatComesAgainMuchLater(t *testing.T) {
 	for seed := range uint64(6) {
 		w := servedWorld(t, seed, 1)
@@ -385,7 +388,7 @@
 			trouble()
 			assert.DeepEqual(t, w.do(putCommand("first")), first)
 			assert.DeepEqual(t, w.do(second), secondAnswer)
-			assert.Equal(t, w.do(rejected).Outcome, wire.Mismatched, "seed %d, trouble %d", seed, i)
+			assert.Equal(t, w.do(rejected).Outcome, wire.Mismatched, "seed %d, fault %d", seed, i)
 			assert.Equal(t, w.do(getCommand()).Value, "third")
 		}
 	}
--- a/control/world_environment_test.go
+++ b/control/world_environment_test.go
@@ -22,7 +22,7 @@
 	p.writing, p.doneAt = s, p.world.now+p.world.pace.write()
 }
 
-// SaveTenures has the disk keep them after a while, or not at all where the process ends before.
+// SaveTenures stores them on the simulated disk after a while, or not at all if the process ends before.
 func (p *nodeProcess) SaveTenures(t lease.Tenures) {
 	w, m := p.world, p.machine
 	long := slices.Clone(t.Long)
@@ -64,7 +64,7 @@
 func (p *agentProcess) KnownControls() []string { return p.world.coreIPs() }
 func (p *agentProcess) Introduce(...string)     {}
 
-// KnownAgents is what peers tell of: all agents that there are.
+// KnownAgents returns all agents that exist.
 func (p *agentProcess) KnownAgents() []string {
 	var ips []string
 	for _, m := range p.world.machines {
@@ -75,7 +75,7 @@
 	return ips
 }
 
-// SendDatagram has it arrive where neither machine is down, frozen or cut off; one in twenty is lost.
+// SendDatagram delivers a datagram unless a machine is down, frozen or partitioned; one in twenty is lost.
 func (p *agentProcess) SendDatagram(ip string, m *wire.Message) {
 	w, from := p.world, p.machine.ip
 	to := w.machineAt(ip)
@@ -90,7 +90,7 @@
 	})
 }
 
-// coreIPs is what peers tell of: all control machines that there are.
+// controlIPs returns the addresses of all control machines that exist.
 func (w *world) coreIPs() []string {
 	var ips []string
 	for _, m := range w.machines {
--- a/control/world_faults_test.go
+++ b/control/world_faults_test.go
@@ -19,7 +19,7 @@
 
 const (
 	worldLength = 26 * time.Second
-	worldCalm   = 12 * time.Second // at the end
+	worldCalm   = 12 * time.Second // without faults, at the end
 	quotaWindow = 8 * time.Second
 )
 
@@ -44,7 +44,7 @@
 	return w.anyCore()
 }
 
-// ownerMachine is one that owns a shard.
+// ownerMachine returns the machine that owns shard 0, or a random one.
 func (w *world) ownerMachine() *machine {
 	for _, m := range w.machines {
 		if m.node != nil && m.node.node.shards[0].holder.Holds(m.node.Now()) {
@@ -68,19 +68,19 @@
 	}
 }
 
-// harm brings one trouble.
+// injectFault injects one random fault.
 func (w *world) harm() {
 	m := w.someCore()
 	switch w.random.IntN(23) {
-	case 0: // cut off for long, from the core or from all
+	case 0: // a long partition from the control machines or from all
 		span := 3*time.Second + w.randomSpan(9*time.Second)
 		w.isolate(m, span, true, true, w.random.IntN(2) == 0)
-	case 1: // one way
+	case 1: // a one-way partition
 		in := w.random.IntN(2) == 0
 		w.isolate(m, time.Second+w.randomSpan(6*time.Second), in, !in, w.random.IntN(2) == 0)
 	case 2:
 		w.split(w.randomSpan(6 * time.Second))
-	case 3: // killed as a cut heals, all the others: they have seen changes that it has not
+	case 3: // all others are killed as a partition ends; they have seen changes that m has not
 		w.isolate(m, 2*time.Second, true, true, false)
 		w.later(2*time.Second, func() { w.killOthers(m) })
 	case 4: // a minority misses changes, then one of the others loses its disk and the rest are down for a while
@@ -91,7 +91,7 @@
 		if w.bearsLossOf(m) {
 			w.wipe(m)
 		}
-	case 8: // a second loss as soon as the first is repaired, or while it is
+	case 8: // a second loss right after or during the repair of the first
 		if w.bearsLossOf(m) {
 			w.wipe(m)
 			w.later(w.randomSpan(4*time.Second), func() {
@@ -102,7 +102,7 @@
 		}
 	case 9:
 		w.killAll(w.random.IntN(2) == 0)
-	case 10: // all lose power, one its disk
+	case 10: // all lose power, and one its disk
 		if w.bearsLossOf(m) {
 			w.killAll(true)
 			w.wipe(m)
@@ -113,22 +113,22 @@
 		m.frozen = w.now + w.randomSpan(4*time.Second)
 	case 15:
 		w.replace(m)
-	case 16: // stopped by plan
+	case 16: // a planned stop
 		w.leave(m)
-	case 17: // agents: killed, cut off, stopped for a while; or a router alone
+	case 17: // agents are killed, partitioned or frozen, or a router restarts alone
 		w.harmAgent()
 	case 18:
 		w.ackLoss = w.random.Float64() * 0.9
 		w.later(3*time.Second, func() { w.ackLoss = 0 })
 	case 19:
 		w.resetConnections()
-	case 20, 21: // two machines no longer hear each other, or one the other
+	case 20, 21: // a partition between two machines, both ways or one way
 		other := w.anyCore()
 		w.cut[[2]string{m.ip, other.ip}] = w.now + w.randomSpan(6*time.Second)
 		if w.random.IntN(2) == 0 {
 			w.cut[[2]string{other.ip, m.ip}] = w.cut[[2]string{m.ip, other.ip}]
 		}
-	case 22: // a link carries one entry in the time in which several come
+	case 22: // a link takes as long for one entry as for several to be made
 		w.slow[[2]string{m.ip, w.anyCore().ip}] = w.now + w.randomSpan(6*time.Second)
 	}
 }
@@ -136,7 +136,7 @@
 type delayed struct {
 	at     time.Duration
 	act    func()
-	always bool // also once all trouble is over
+	always bool // runs even after all faults have ended
 }
 
 func (w *world) leave(m *machine) {
@@ -197,13 +197,13 @@
 	})
 }
 
-// replace takes a machine away for good; an empty one at another address takes its place, before or after.
+// replace removes a machine for good; an empty one at another address takes its place, before or after.
 func (w *world) replace(m *machine) {
 	if !w.bearsLossOf(m) || w.counts.replaced > 3*w.counts.schedules+6 {
 		return
 	}
 	w.counts.replaced++
-	if w.random.IntN(2) == 0 { // by plan: the new one first
+	if w.random.IntN(2) == 0 { // planned: the new one comes first
 		w.arrive(m)
 		w.later(time.Second+w.randomSpan(2*time.Second), func() {
 			w.leave(m)
@@ -280,7 +280,7 @@
 	}
 }
 
-// settle ends all trouble.
+// endFaults ends all faults.
 func (w *world) settle() {
 	w.calm, w.ackLoss = true, 0
 	clear(w.cut)
@@ -292,25 +292,25 @@
 	}
 }
 
-// checkEnd holds what must be true once all trouble is over.
+// checkEnd checks what must hold some time after all faults have ended.
 func (w *world) checkEnd() {
 	if len(w.members) != 2*w.tolerate+1 {
-		w.fail("members at the end: %s", describeMembers(w.members))
+		w.fail("wrong number of members at the end: %s", describeMembers(w.members))
 	}
 	for _, member := range w.members {
 		if m := w.machineAt(member.IP); m == nil || m.gone || m.disk.identity.ID != member.ID {
-			w.fail("%s is a member at the end, and is no more", member.ID)
+			w.fail("%s is a member at the end, but no longer exists", member.ID)
 		}
 	}
 	for _, o := range w.opers {
 		if o.order != nil {
-			w.fail("an operator has no clear answer at the end: %+v, flying %d", o.order, len(o.flying))
+			w.fail("an operator has no definite answer at the end: %+v, %d attempts in progress", o.order, len(o.flying))
 		}
 	}
 	leader := w.leaderMachine().node.node
 	for _, m := range w.machines {
 		if m.agent != nil && m.agent.router.revision != leader.state.Revision {
-			w.fail("agent %s has revision %d, in force is %d", m.ip, m.agent.router.revision, leader.state.Revision)
+			w.fail("agent %s has revision %d; the current one is %d", m.ip, m.agent.router.revision, leader.state.Revision)
 		}
 	}
 	for i := range hostlist.Shards {
@@ -327,11 +327,11 @@
 	w.checkGrants()
 	ok, err := linearizable(w.calls)
 	if err != nil || !ok {
-		w.fail("the operators' %d calls can't be explained by one register: %v\n%s", len(w.calls), err, w.printCalls())
+		w.fail("the operators' %d calls are not linearizable: %v\n%s", len(w.calls), err, w.printCalls())
 	}
 }
 
-// checkGrants holds the tenant's limit over every window, also over changes of its owner.
+// checkGrants checks the tenant's limit in every window, also across changes of its owner.
 func (w *world) checkGrants() {
 	bounds := w.settingsOf(w.machines[0], false).Bounds
 	most := (tenantRate*quotaWindow.Seconds() + tenantBurst) * (1 + bounds.QuotaOverage)
@@ -344,7 +344,7 @@
 			first++
 		}
 		if sum > most {
-			w.fail("%.0f granted within %v, %.0f allowed", sum, quotaWindow, most)
+			w.fail("%.0f granted within %v; %.0f are allowed", sum, quotaWindow, most)
 		}
 	}
 }
@@ -385,10 +385,10 @@
 	return w.counts
 }
 
-// playSchedules plays schedules of seeds from worldSeed on, on all processors, and gives what each has played.
+// runSchedules runs schedules with seeds from firstSeed on, on all processors, and returns their results.
 func playSchedules[T any](t *testing.T, schedules int, play func(t *testing.T, seed uint64) T) <-chan T {
 	results := make(chan T, schedules)
-	t.Run("play", func(t *testing.T) {
+	t.Run("run", func(t *testing.T) {
 		parts := min(schedules, 2*runtime.GOMAXPROCS(0))
 		for part := range parts {
 			t.Run(fmt.Sprint(part), func(t *testing.T) {
@@ -403,7 +403,7 @@
 	return results
 }
 
-// TestControlSideUnderRandomTroubles plays schedules on all processors. One that fails is played again by -seed and
+// TestControlUnderRandomFaults runs schedules on all processors. A failed schedule is repeated with -seed and
 // -schedules 1.
 func TestControlSideUnderRandomTroubles(t *testing.T) {
 	schedules := *worldSchedules
@@ -414,14 +414,14 @@
 	for c := range playSchedules(t, schedules, playWorld) {
 		played.add(c)
 	}
-	t.Logf("played %+v", played)
+	t.Logf("ran %+v", played)
 	n := played.schedules
 	if n < 50 {
 		return
 	}
 	if played.wipes < n/2 || played.repaired < n/4 || played.leaderChanges < 2*n || played.acked < 10*n || played.reads < 10*n ||
 		played.refused < n || played.unknown < n/4 || played.firstConfigs < 3*n || played.grants < 20*n || played.replaced < n/8 {
-		t.Errorf("the simulation does too little: %+v", played)
+		t.Errorf("the simulation exercised too little: %+v", played)
 	}
 }
 
--- a/control/world_groups_test.go
+++ b/control/world_groups_test.go
@@ -13,15 +13,15 @@
 	"ivybank/wire"
 )
 
-// partGroup is what a world has seen of the replica group of one coordination part.
+// partGroup is what a simulation has recorded about the replica group of one coordination part.
 type partGroup struct {
-	members    []wire.Member // of the newest entry that a leader with a lease had as committed
+	members    []wire.Member // of the newest entry that a leader with a valid lease had committed
 	at         replica.Position
 	lastLeader string
-	changes    int // of leader
+	changes    int // number of leader changes
 }
 
-// newCoordinationWorld makes a world of control processes alone, whose settings ask for coordination.
+// newCoordinationSimulation creates a simulation of control processes only, with coordination enabled.
 func newCoordinationWorld(t *testing.T, seed uint64, tolerate int) *world {
 	w := newWorld(t, seed, tolerate, "coord")
 	w.machines, w.opers = w.machines[:2*tolerate+1], nil
@@ -31,7 +31,7 @@
 	return w
 }
 
-// partLeader is the machine that leads a part, or any.
+// partLeader returns the machine that leads a part, or a random one.
 func (w *world) partLeader(number int) *machine {
 	for _, m := range w.machines {
 		if m.node != nil && m.node.node.parts[number].replica.Role() == replica.Leader {
@@ -41,14 +41,14 @@
 	return w.anyCore()
 }
 
-// servesPart says whether some process may answer for a part from memory.
+// servesPart reports whether some process may answer for a part from memory.
 func (w *world) servesPart(number int) bool {
 	return slices.ContainsFunc(w.machines, func(m *machine) bool {
 		return m.node != nil && m.running(w.now) && m.node.node.parts[number].replica.Leading(m.node.Now())
 	})
 }
 
-// servesAllParts says whether each part has a process that may answer from memory.
+// servesAllParts reports whether every part has a process that may answer from memory.
 func (w *world) servesAllParts() bool {
 	for number := range w.groups {
 		if !w.servesPart(number) {
@@ -58,7 +58,7 @@
 	return true
 }
 
-// checkParts holds for each part what check does for the configuration.
+// checkParts checks for each part what checkInvariants checks for the configuration's group.
 func (w *world) checkParts() {
 	for number := range w.groups {
 		leading := ""
@@ -68,7 +68,7 @@
 			}
 			r := m.node.node.parts[number].replica
 			if leading != "" {
-				w.fail("%s and %s lead part %d", leading, r.Self().ID, number)
+				w.fail("%s and %s are both leaders of part %d", leading, r.Self().ID, number)
 			}
 			leading = r.Self().ID
 			w.notePartLeader(number, r)
@@ -83,12 +83,12 @@
 		g.changes++
 	}
 	if committed.Position().Less(g.at) {
-		w.fail("%s leads part %d with %v committed after %v", r.Self().ID, number, committed.Position(), g.at)
+		w.fail("leader %s of part %d has %v committed after %v", r.Self().ID, number, committed.Position(), g.at)
 	}
 	g.members, g.at = committed.Members, committed.Position()
 }
 
-// partsBearLoss says whether each part keeps a quorum of its members with those machines that keep their disks.
+// partsTolerateLoss reports whether each part keeps a quorum if only the members accepted by kept keep their disks.
 func (w *world) partsBearLoss(kept func(id string) bool) bool {
 	for number := range w.groups {
 		for _, members := range w.partMembersUnderWay(number) {
@@ -100,7 +100,7 @@
 	return true
 }
 
-// partMembersUnderWay gives the members that a part has, and those that it may come to have by what is under way.
+// partMembersInProgress returns a part's members, and all sets of members that changes in progress may lead to.
 func (w *world) partMembersUnderWay(number int) [][]wire.Member {
 	g := &w.groups[number]
 	all := [][]wire.Member{g.members}
@@ -134,16 +134,16 @@
 	return all
 }
 
-// checkPartsEnd holds what must be true of the parts once all trouble is over: whole groups of machines that are there, and
-// one state at each position.
+// checkPartsEnd checks what must hold for the parts some time after all faults have ended: groups are complete, with
+// existing machines only, and there is one state at each position.
 func (w *world) checkPartsEnd() {
 	for number, g := range w.groups {
 		if len(g.members) != 2*w.tolerate+1 {
-			w.fail("members of part %d at the end: %s", number, describeMembers(g.members))
+			w.fail("wrong number of members of part %d at the end: %s", number, describeMembers(g.members))
 		}
 		for _, member := range g.members {
 			if m := w.machineAt(member.IP); m == nil || m.gone || m.disk.identity.ID != member.ID {
-				w.fail("%s is a member of part %d at the end, and is no more", member.ID, number)
+				w.fail("%s is a member of part %d at the end, but no longer exists", member.ID, number)
 			}
 		}
 		w.checkStatesAlike(number)
@@ -158,7 +158,7 @@
 		}
 		p := m.node.node.parts[number]
 		if p.replica.Role() == replica.Leader && p.replica.Uncommitted() {
-			continue // its machine stands at the entry before
+			continue // its state machine is at the previous entry
 		}
 		at, state := p.replica.Newest().Position(), p.machine.Snapshot()
 		if other, seen := states[at]; seen && !bytes.Equal(other, state) {
@@ -168,7 +168,7 @@
 	}
 }
 
-// describeParts tells how the parts of a node stand.
+// describeParts describes the state of a node's parts.
 func describeParts(n *Node) (all string) {
 	for _, p := range n.parts {
 		r := p.replica
@@ -178,7 +178,7 @@
 	return all
 }
 
-// playUntilServed lets the world go on until all parts are served, and gives how long that took.
+// runUntilServed runs the simulation until all parts are served, and returns how long that took.
 func (w *world) playUntilServed(longest time.Duration) time.Duration {
 	w.t.Helper()
 	began := w.now
@@ -191,7 +191,7 @@
 	return w.now - began
 }
 
-// sortedLocks gives the names of all locks that were asked for.
+// sortedLocks returns the names of all locks that were requested.
 func (w *world) sortedLocks() iter.Seq[string] {
 	return slices.Values(slices.Sorted(maps.Keys(w.applications.rules.locks)))
 }
--- a/control/world_harm_test.go
+++ b/control/world_harm_test.go
@@ -6,30 +6,30 @@
 	"ivybank/wire"
 )
 
-// harmCoordination brings one trouble: one of the world's, or one that is aimed at calls.
+// injectCoordinationFault injects one random fault: a general one, or one aimed at application calls.
 func (w *world) harmCoordination() {
 	switch w.random.IntN(15) {
-	case 0: // a leader stands still amid its calls, for long
+	case 0: // a leader freezes for long while it has calls
 		w.partLeader(w.random.IntN(coordinationParts)).frozen = w.now + time.Second + w.randomSpan(6*time.Second)
-	case 1: // power lost right after an acknowledgement
+	case 1: // a power loss right after an acknowledgement
 		w.killAfterAck()
-	case 2: // two disks lost at once, with the power of all others
+	case 2: // two disks are lost at once, while all others lose power
 		w.loseTwoDisks()
-	case 3: // a disk that is full for seconds
+	case 3: // a disk that accepts no writes for seconds
 		w.someCore().stalled = w.now + 2*time.Second + w.randomSpan(5*time.Second)
-	case 4: // a leader that hears others, and isn't heard, or the other way
+	case 4: // a leader that can only receive or only send
 		in := w.random.IntN(2) == 0
 		w.isolate(w.partLeader(w.random.IntN(coordinationParts)), time.Second+w.randomSpan(3*time.Second), in, !in, false)
-	case 5: // stopped by plan
+	case 5: // a planned stop
 		w.leave(w.partLeader(w.random.IntN(coordinationParts)))
-	case 6: // what a leader sends, or hears, comes seconds late
+	case 6: // frames from or to a leader are delayed by seconds
 		w.holdFrames(w.partLeader(w.random.IntN(coordinationParts)))
 	default:
 		w.harm()
 	}
 }
 
-// killAfterAck has the machine that acknowledges the next call lose its power, sometimes with all others.
+// killAfterAck cuts the power of the machine that acknowledges the next call, sometimes of all machines.
 func (w *world) killAfterAck() {
 	a := w.applications
 	all := w.random.IntN(3) == 0
@@ -49,7 +49,7 @@
 	}
 }
 
-// loseTwoDisks has two machines lose their disks and all lose their power in the same moment, where that is to be borne.
+// loseTwoDisks wipes two disks and cuts the power of all machines at the same moment, if the groups tolerate that.
 func (w *world) loseTwoDisks() {
 	first, second := w.someCore(), w.someCore()
 	if first == second || !w.bearsLossOf(first) {
@@ -63,10 +63,10 @@
 	}
 }
 
-// longestFrameHeld is for how long a frame may be held up on its way, while its connection seems to be well.
+// longestFrameHeld is the longest delay of a frame while its connection seems to work.
 const longestFrameHeld = 3 * time.Second
 
-// holdFrames has what a machine sends to some others, or what they send to it, come late.
+// holdFrames delays frames from a machine to some others, or from them to it.
 func (w *world) holdFrames(m *machine) {
 	until := w.now + 500*time.Millisecond + w.randomSpan(2*time.Second)
 	outward := w.random.IntN(2) == 0
@@ -82,7 +82,7 @@
 	}
 }
 
-// releaseFrames lets all that is held up come.
+// releaseFrames makes all delayed frames due.
 func (w *world) releaseFrames() {
 	if len(w.held) == 0 {
 		return
--- a/control/world_history_test.go
+++ b/control/world_history_test.go
@@ -8,30 +8,30 @@
 	"ivybank/wire"
 )
 
-// The histories of locks, numbers and groups of keys are held against sequential models: each call takes effect at one
-// moment between its sending and its answer.
+// The histories of locks, numbers and groups of keys are checked against sequential models: each call takes effect at
+// one moment between its sending and its answer.
 
-// historyPatience is for how long a verdict is searched, in real time.
+// historyTimeout is how long a history is checked at most, in real time.
 const historyPatience = 20 * time.Second
 
-// lockCall is a good call on a lock, or a Finish that was sent.
+// lockCall is a successful call on a lock, or a Finish that was sent.
 type lockCall struct {
 	kind   wire.CommandKind
 	holder string
 	fence  uint64
-	until  time.Duration // the caller counts itself holder before
+	until  time.Duration // the caller considers itself the holder until then
 	done   time.Duration
 }
 
-// lockState is what the model knows of a lock: who counts itself holder, and until when.
+// lockState is the state of a lock in the model: who considers itself the holder, and until when.
 type lockState struct {
 	holder string
 	fence  uint64
 	until  time.Duration
 }
 
-// lockModel gives a lock to another one only once its holder counts itself such no longer. Calls that got no answer have
-// no part in it: their callers know no fence.
+// lockModel gives a lock to another holder only once the previous one no longer considers itself the holder. Calls
+// without an answer are not included: their callers know no fence.
 var lockModel = porcupine.Model{
 	Init: func() any { return lockState{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -45,7 +45,7 @@
 			return c.fence >= s.fence, lockState{c.holder, c.fence, c.until}
 		case wire.HeartbeatLock:
 			return same && c.fence <= s.fence, lockState{s.holder, s.fence, max(s.until, c.until)}
-		default: // a Finish
+		default: // Finish
 			if same && c.fence == s.fence {
 				s.until = 0
 			}
@@ -54,13 +54,14 @@
 	},
 }
 
-// numberModel hands out rising numbers.
+// numberModel returns increasing numbers.
 var numberModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, _ any) (bool, any) { return input.(uint64) > state.(uint64), input },
 }
 
-// keyPut is a put that took effect, keyRead a call that told a key's revision, and groupRead one that told a group's.
+// keyPut is a put that took effect, keyRead a call that returned a key's revision, and groupRead one that returned a
+// group's.
 type (
 	keyPut struct {
 		key        string
@@ -74,13 +75,13 @@
 	groupRead struct{ revision uint64 }
 )
 
-// groupState is the newest revision of a group, and of each key of it.
+// groupState is the newest revision of a group, and of each of its keys.
 type groupState struct {
 	revision uint64
 	keys     [keysOfGroup]uint64
 }
 
-// groupModel is a register with compare-and-set for each key, and one count of revisions for all.
+// groupModel is a compare-and-set register for each key, with one revision counter for all.
 func groupModel(number func(key string) int) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return groupState{} },
@@ -104,8 +105,8 @@
 	}
 }
 
-// operations are the group's puts that took effect, with all reads. A put whose caller got no answer took effect before it was
-// first shown.
+// operations returns the group's puts that took effect, with all reads. A put without an answer took effect before it
+// was first shown.
 func (g *groupRules) operations() []porcupine.Operation {
 	all := g.history
 	for _, p := range g.puts {
@@ -121,7 +122,7 @@
 	return all
 }
 
-// checkHistories looks for an explanation of all answers.
+// checkHistories checks that all answers are linearizable.
 func (r *rules) checkHistories() {
 	for name, l := range r.locks {
 		r.checkHistory("lock "+name, lockModel, l.history)
@@ -137,6 +138,6 @@
 
 func (r *rules) checkHistory(name string, model porcupine.Model, history []porcupine.Operation) {
 	if verdict := porcupine.CheckOperationsTimeout(model, history, historyPatience); verdict != porcupine.Ok {
-		r.world.fail("the history of %s, of %d calls, is %s", name, len(history), verdict)
+		r.world.fail("checking the history of %s, of %d calls: %s", name, len(history), verdict)
 	}
 }
--- a/control/world_holders_test.go
+++ b/control/world_holders_test.go
@@ -10,7 +10,7 @@
 const (
 	shortestHold = 300 * time.Millisecond
 	longestHold  = 8 * time.Second
-	// renewals is how often a holder renews within the time of one hold.
+	// renewals is how many times a holder renews within one hold.
 	renewals = 3
 )
 
@@ -18,32 +18,32 @@
 type holdStyle int
 
 const (
-	holdBriefly holdStyle = iota // gives it back soon
-	holdOn                       // renews it for long
-	holdAnew                     // begins again while it holds
-	holdAndDie                   // forgets all, and comes back under the same name
+	holdBriefly holdStyle = iota // releases it soon
+	holdOn // renews it for long
+	holdAnew // begins again while it holds the lock
+	holdAndDie // restarts without its state, under the same name
 	holdAndSleep
 	holdStyles
 )
 
-// lockCaller takes locks under one holder name, one at a time.
+// lockCaller acquires locks under one holder name, one at a time.
 type lockCaller struct {
 	holder  string
 	locks   []string
-	elect   bool // it holds on whenever it can
+	elect   bool // renews whenever it can
 	lock    string
 	style   holdStyle
 	hold    time.Duration
 	errand  *errand
 	fence   uint64
-	until   time.Duration // it counts itself holder before; 0 while it doesn't
+	until   time.Duration // the caller considers itself the holder until then; 0 if it isn't
 	renewAt time.Duration
 	workEnd time.Duration
 	nextAt  time.Duration
-	wantsBy time.Duration // it asks for the lock until then
+	wantsBy time.Duration // it requests the lock until then
 }
 
-// step lets a holder go on.
+// step advances a holder.
 func (h *lockCaller) step(a *applications) {
 	now := a.world.now
 	if h.errand != nil {
@@ -101,7 +101,7 @@
 	h.errand = a.begin(h.command(wire.BeginLock), 3*time.Second)
 }
 
-// work does with a lock what the holder wants.
+// work uses the lock in the holder's style.
 func (h *lockCaller) work(a *applications) {
 	now := a.world.now
 	switch {
@@ -124,7 +124,7 @@
 	}
 }
 
-// relinquish gives up a lock whose time has run out; some callers tell so, and some try to renew it too late.
+// relinquish gives up a lock that has expired; some callers send a Finish, and some a late Heartbeat.
 func (h *lockCaller) relinquish(a *applications) {
 	if h.errand != nil {
 		a.drop(h.errand)
@@ -141,7 +141,7 @@
 	}
 }
 
-// finish gives the lock back. Some callers don't wait for the answer, and take the same lock again at once.
+// finish releases the lock. Some callers don't wait for the answer, and acquire the same lock again at once.
 func (h *lockCaller) finish(a *applications) {
 	w := a.world
 	a.counts.finishes++
@@ -160,7 +160,7 @@
 	h.nextAt = a.world.now + a.world.randomSpan(300*time.Millisecond)
 }
 
-// answered goes on after an errand.
+// answered continues after a task.
 func (h *lockCaller) answered(a *applications, e *errand) {
 	switch e.command.Kind {
 	case wire.BeginLock:
@@ -172,7 +172,7 @@
 	}
 }
 
-// begun takes the answer to a Begin. A caller that holds and gets none goes on with what it has.
+// begun handles the answer to a Begin. A holder that gets none continues with its current hold.
 func (h *lockCaller) begun(a *applications, e *errand) {
 	now := a.world.now
 	switch {
@@ -190,7 +190,7 @@
 	}
 }
 
-// holdUntil has the caller count itself holder, unless the time has run out before the answer came.
+// holdUntil makes the caller a holder, unless the hold expired before the answer arrived.
 func (h *lockCaller) holdUntil(a *applications, until time.Duration) {
 	w := a.world
 	if w.now >= until {
@@ -227,7 +227,7 @@
 	}
 }
 
-// drop has a caller leave an errand without a word.
+// drop has a caller give up a task without closing its connection.
 func (a *applications) drop(e *errand) {
 	if f := e.current; f != nil {
 		f.gone, f.leftAt = true, endless
@@ -237,7 +237,7 @@
 	a.rules.abandoned(e)
 }
 
-// addHolders adds callers that share a few locks: some for moments, one elected for long.
+// addHolders adds callers that share a few locks: some hold them briefly, others elect a long-term holder.
 func (a *applications) addHolders(count int) {
 	locks := []string{"l1", "l2", "l3", "l4"}
 	for i := range count {
--- a/control/world_keys_test.go
+++ b/control/world_keys_test.go
@@ -13,7 +13,7 @@
 	groupsOfWorld = 3
 	keysOfGroup   = 3
 	numberNames   = 2
-	putPatience   = 4 * time.Second // for which a put is sent again
+	putPatience   = 4 * time.Second // for which a put is retried
 	readPatience  = 3 * time.Second
 	watchPatience = 10 * time.Second
 )
@@ -22,17 +22,17 @@
 func keyName(group, key int) string { return fmt.Sprintf("%s%d", groupName(group), key) }
 func numberName(i int) string       { return fmt.Sprintf("n%d", i) }
 
-// keyNumber gives the place of a key in its group.
+// keyNumber returns the position of a key in its group.
 func keyNumber(key string) int { return int(key[strings.IndexByte(key, '.')+1] - '0') }
 
-// caller makes one call after the other.
+// sequentialCaller makes one call after the other.
 type caller struct {
 	next   func() *errand
 	took   func(*errand)
 	errand *errand
 	nextAt time.Duration
-	pause  time.Duration // at most, between two
-	goesOn bool          // also once nothing new should be begun
+	pause  time.Duration // the longest pause between two calls
+	goesOn bool // continues even when nothing new should be started
 }
 
 func (c *caller) step(a *applications) {
@@ -52,7 +52,7 @@
 	c.took(e)
 }
 
-// addNumberCallers adds callers that ask for numbers.
+// addNumberCallers adds callers that request numbers.
 func (a *applications) addNumberCallers(count int) {
 	for range count {
 		a.actors = append(a.actors, &caller{pause: 200 * time.Millisecond,
@@ -86,11 +86,11 @@
 	}
 }
 
-// putter puts unique values to keys, some over a revision that it knows.
+// putter puts unique values to keys, some with a condition on a revision that it knows.
 type putter struct {
 	number int
 	made   int
-	known  map[string]uint64 // the newest revision of a key that it was told
+	known  map[string]uint64 // the newest revision of a key that it was answered
 }
 
 // addPutters adds callers that put.
@@ -103,7 +103,7 @@
 	}
 }
 
-// next makes a put: to any revision, over the one that is known, or of a key that should not exist yet.
+// next returns a put: unconditional, over the known revision, or of a key that must not exist yet.
 func (p *putter) next(a *applications) wire.Command {
 	p.made++
 	key := a.anyKey()
@@ -119,7 +119,7 @@
 	return c
 }
 
-// patience is for how long a put is sent again. Now and then it is sent once: where that is answered 503, it may never show.
+// retryFor returns how long a put is retried. A put that is sent only once and answered 503 must never become visible.
 func (p *putter) patience(a *applications) time.Duration {
 	if a.world.random.IntN(4) == 0 {
 		return 0
@@ -139,21 +139,21 @@
 	}
 }
 
-// saved is a revision that a watcher was told.
+// watchedRevision is a revision that a watcher has received.
 type saved struct {
 	revision uint64
 	at       time.Duration
 }
 
-// watcher follows a group, and takes the watch up again from revisions that it was told before.
+// watcher watches a group, and resumes the watch from revisions that it has received.
 type watcher struct {
 	world *world
 	group string
 	told  []saved
-	from  saved // where the watch under way begins
+	from  saved // where the current watch starts
 }
 
-// addWatchers adds one or more watchers for each group.
+// addWatchers adds watchers for each group.
 func (a *applications) addWatchers(each int) {
 	for i := range each * groupsOfWorld {
 		x := &watcher{world: a.world, group: groupName(i % groupsOfWorld)}
@@ -163,7 +163,7 @@
 	}
 }
 
-// next goes on with the newest revision, now and then with an older one or anew.
+// next continues from the newest revision, or at random from an older one or the beginning.
 func (x *watcher) next(a *applications) *errand {
 	w := a.world
 	x.from = saved{}
@@ -185,7 +185,7 @@
 	}
 	if e.answer.Outcome == wire.Compacted {
 		if w.now-x.from.at < coordinationHistory {
-			w.fail("LOST: a watch of %s may not go on after %d, told at %v", x.group, x.from.revision, x.from.at)
+			w.fail("LOST: a watch of %s can't continue after revision %d, which was answered at %v", x.group, x.from.revision, x.from.at)
 		}
 		x.told = nil
 		return
--- a/control/world_network_test.go
+++ b/control/world_network_test.go
@@ -7,7 +7,7 @@
 	"ivybank/wire"
 )
 
-// link is a connection that its owner wants kept up.
+// link is a connection that its owner wants to maintain.
 type link struct {
 	world  *world
 	owner  *process
@@ -29,14 +29,14 @@
 	}
 }
 
-// connection carries frames both ways, in order. End 0 is that of the link's owner.
+// connection carries frames in both directions, in order. End 0 belongs to the link's owner.
 type connection struct {
 	world  *world
 	link   *link
 	server *nodeProcess
 	open   [2]bool
-	heard  [2]time.Duration // when an end last had a byte from the other
-	queue  [2][]frame       // to each end
+	heard  [2]time.Duration // when an end last received a byte from the other
+	queue  [2][]frame // frames to each end
 	agent  *subscriber
 }
 
@@ -45,7 +45,7 @@
 	message *wire.Message
 }
 
-// serverEnd is how the accepting process answers over a connection.
+// serverEnd sends for the process that has accepted a connection.
 type serverEnd struct{ *connection }
 
 func (e serverEnd) Send(m *wire.Message) bool { return e.send(false, m) }
@@ -83,21 +83,21 @@
 	return true
 }
 
-// checkFeed holds what a control process may say to agents: hosts and grants while it owns the shard, and that a
-// configuration is current while it leads.
+// checkFeed checks what a control process may send to agents: hosts and grants only while it owns the shard, and that a
+// configuration is current only while it is the leader.
 func (p *nodeProcess) checkFeed(m *wire.Message) {
 	now := p.Now()
 	switch {
 	case m.Hosts != nil && !p.node.shards[m.Hosts.Shard].holder.Holds(now):
-		p.world.fail("%s feeds hosts without the lease", p.machine.ip)
+		p.world.fail("%s sends hosts without the lease", p.machine.ip)
 	case m.QuotaGrant != nil && !p.node.shards[hostlist.ShardOf("t")].holder.Holds(now):
 		p.world.fail("%s grants from a limit without the lease", p.machine.ip)
 	case m.Config != nil && m.Config.Current && !p.node.replica.Leading(now):
-		p.world.fail("%s calls a configuration current without leading", p.machine.ip)
+		p.world.fail("%s confirms a configuration as current without being the leader", p.machine.ip)
 	}
 }
 
-// end closes one end. What it had sent is still delivered, or lost where it resets the connection.
+// end closes one end. What it has sent is still delivered, or is lost if the connection is reset.
 func (c *connection) end(end int) {
 	if !c.open[end] {
 		return
@@ -117,7 +117,7 @@
 	}
 }
 
-// connect tries to bring a link up.
+// connect tries to establish a link.
 func (w *world) connect(l *link) {
 	m := w.machineAt(l.to)
 	if l.owner.dead || l.closed || w.now < l.redial || !l.owner.machine.running(w.now) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// carry moves what is due over a connection, and ends it where an end has been silent for too long.
+// carry delivers the frames that are due, and closes an end that has heard nothing for silenceLimit.
 func (w *world) carry(c *connection) {
 	ips := [2]string{c.link.owner.machine.ip, c.server.machine.ip}
 	for end := range 2 {
--- a/control/world_parts_restart_test.go
+++ b/control/world_parts_restart_test.go
@@ -14,8 +14,8 @@
 	partRestartsPerWorld = 10
 )
 
-// restartAllParts has all machines lose their power and start again within a span, and gives how long after the last start
-// all parts are served.
+// restartAllParts cuts the power of all machines, starts them again within kind.span, and returns how long after the
+// last start all parts are served.
 func (w *world) restartAllParts(kind restartOfAll) restartOfAll {
 	for _, m := range w.machines {
 		w.kill(m, true)
@@ -39,7 +39,7 @@
 	return kind
 }
 
-// After all power was cut each part is served soon, whatever the times of links and disks.
+// After a power loss of all machines each part is served soon, whatever the latencies of links and disks.
 func TestAllPartsServedSoonAfterAllRestart(t *testing.T) {
 	var played []restartOfAll
 	for seed := range uint64(partRestarts / partRestartsPerWorld) {
@@ -55,8 +55,8 @@
 	assertSoon(t, "all parts served", played, partRestarts)
 }
 
-// All that was acknowledged is there after all power was cut: a number goes on, a key has its value, and a lock that is held
-// is given to no other one.
+// All acknowledged state survives a power loss of all machines: numbers continue, a key has its value, and a lock that
+// is held is given to nobody else.
 func TestAcknowledgedIsThereAfterAllRestart(t *testing.T) {
 	const hold = 6 * time.Second
 	number := wire.Command{Kind: wire.NextNumber, Name: "n"}
