--- a/control/world_parts_test.go
+++ b/control/world_parts_test.go
@@ -8,29 +8,29 @@
 	"ivybank/wire"
 )
 
-// coordinationHistory is the span of history that worlds keep.
+// coordinationHistory is how long simulations keep the history of puts.
 const coordinationHistory = 20 * time.Second
 
-// partDisk is what a machine's disk has kept of one part.
+// partDisk is what a machine's disk has stored of one part.
 type partDisk struct {
 	term     uint64
 	votedFor string
-	entries  []*wire.Entry // a whole one, and steps on top of it
-	members  []wire.Member // of the newest of them
+	entries  []*wire.Entry // a whole entry, and steps on top of it
+	members  []wire.Member // of the newest entry
 }
 
-// partsWrite is a write of parts that is under way.
+// partsWrite is a write of parts in progress.
 type partsWrite struct {
 	batch  *store.PartsBatch
 	doneAt time.Duration
 }
 
-// SaveParts has the disk keep a batch after a while.
+// SaveParts stores a batch on the simulated disk after a while.
 func (p *nodeProcess) SaveParts(b *store.PartsBatch) {
 	p.writingParts = &partsWrite{b, p.world.now + p.world.pace.write()}
 }
 
-// keepParts leaves a batch on a disk.
+// storeParts stores a batch on a disk.
 func (d *coreDisk) keepParts(b *store.PartsBatch) {
 	for _, s := range b.Saves {
 		if d.parts == nil {
@@ -50,15 +50,15 @@
 	}
 }
 
-// cutPartsShort leaves of a write of parts what the disk had when the process ended: all of it or nothing, as its frame is
-// checked.
+// cutPartsShort leaves either all or nothing of an interrupted write of parts on the disk, since the frame of a write
+// has a checksum.
 func (w *world) cutPartsShort(m *machine, b *store.PartsBatch) {
 	if w.random.IntN(2) == 0 {
 		m.disk.keepParts(b)
 	}
 }
 
-// startParts leads each part's machine to what the disk has kept.
+// startParts replays each part's state machine to what the disk has stored.
 func (m *machine) startParts(w *world) []PartStart {
 	var parts []PartStart
 	for i, empty := range partMachines(w.settingsOf(m, false)) {
@@ -82,7 +82,7 @@
 	return parts
 }
 
-// stepParts ends a write of parts whose time has come.
+// stepParts completes a write of parts that is due.
 func (p *nodeProcess) stepParts() {
 	w, m := p.world, p.machine
 	if p.writingParts == nil || w.now < max(p.writingParts.doneAt, m.stalled) {
@@ -95,5 +95,5 @@
 	p.node.Flush()
 }
 
-// partsRotation is after how many writes, on average, a disk asks for a whole one.
+// partsRotation is after how many writes, on average, a disk requests a whole one.
 const partsRotation = 50
--- a/control/world_rules_test.go
+++ b/control/world_rules_test.go
@@ -10,8 +10,8 @@
 	"ivybank/wire"
 )
 
-// rules are what the answers to applications must keep, checked with each answer. What a later answer shows to have been
-// wrong fails then, or at the end.
+// rules are what the answers to applications must satisfy. They are checked with each answer; an answer that only a
+// later one shows to be wrong fails then, or at the end.
 type rules struct {
 	world   *world
 	locks   map[string]*lockRules
@@ -23,12 +23,12 @@
 	return &rules{world: w, locks: map[string]*lockRules{}, numbers: map[string]*numberRules{}, groups: map[string]*groupRules{}}
 }
 
-// operation makes an entry of a history, from a call's sending to its answer.
+// operation returns an operation of a history, from a call's sending to its answer.
 func operation(input any, sent, done time.Duration) porcupine.Operation {
 	return porcupine.Operation{Input: input, Call: int64(sent), Return: int64(done)}
 }
 
-// sending notes an attempt, and gives what its answer is measured by.
+// sending records an attempt, and returns what its answer will be compared with.
 func (r *rules) sending(e *errand) any {
 	c := &e.command
 	switch c.Kind {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// answeredCall holds an answer against the rules.
+// answeredCall checks an answer against the rules.
 func (r *rules) answeredCall(e *errand, f *attempt) {
 	c := &e.command
 	switch c.Kind {
@@ -69,11 +69,11 @@
 	}
 }
 
-// abandoned notes that a caller has given an errand up.
+// abandoned records that a caller has given up a task.
 func (r *rules) abandoned(e *errand) {
 	if e.command.Kind == wire.ReplaceKey && !e.unclear {
 		r.world.applications.counts.refusedPuts++
-		r.group(e.command.Name).refuse(e.command.Value, "answered that it was not served")
+		r.group(e.command.Name).refuse(e.command.Value, "answered 503")
 	}
 }
 
@@ -99,25 +99,25 @@
 	return r.groups[name]
 }
 
-// hold is how a holder counts itself.
+// hold is how long a caller considers itself the holder of a lock.
 type hold struct {
-	until  time.Duration // it counts itself holder before
-	newest uint64        // fence that it received
+	until  time.Duration // exclusive
+	newest uint64 // the newest fence that it has received
 }
 
-// lockRules are those of one lock.
+// lockRules are the rules for one lock, and what they have recorded.
 type lockRules struct {
 	world   *world
 	name    string
 	holds   map[string]*hold
-	fences  map[uint64]string // who received each
+	fences  map[uint64]string // who received each fence
 	history []porcupine.Operation
 	granted int
-	// releasing is the place in the history of each Finish that is under way, by holder.
+	// releasing is the index in history of each holder's Finish in progress.
 	releasing map[string]int
 }
 
-// fencesBefore are those that had been received when a call went out.
+// fencesBefore are the fences that had been received when a call was sent.
 type fencesBefore struct{ own, others uint64 }
 
 func (l *lockRules) holdOf(holder string) *hold {
@@ -138,17 +138,17 @@
 	return b
 }
 
-// begun takes the answer to a Begin.
+// begun checks the answer to a Begin.
 func (l *lockRules) begun(e *errand, before fencesBefore) {
 	if e.answer.Outcome != wire.Done {
 		return
 	}
 	w, c, fence := l.world, &e.command, e.answer.Fence
 	if fence <= before.others || fence < before.own {
-		w.fail("ONE: %s gets lock %s with fence %d, after its own %d and another one's %d", c.Holder, l.name, fence, before.own, before.others)
+		w.fail("ONE: %s got lock %s with fence %d, after its own %d and another holder's %d", c.Holder, l.name, fence, before.own, before.others)
 	}
 	if other, had := l.fences[fence]; had && other != c.Holder {
-		w.fail("ONE: %s and %s get lock %s with fence %d", other, c.Holder, l.name, fence)
+		w.fail("ONE: %s and %s both got lock %s with fence %d", other, c.Holder, l.name, fence)
 	}
 	l.fences[fence] = c.Holder
 	l.granted++
@@ -161,17 +161,17 @@
 	}
 }
 
-// count has a holder count itself as such.
+// count records that a caller considers itself the holder, and checks that nobody else does.
 func (l *lockRules) count(holder string, until time.Duration) {
 	for name, h := range l.holds {
 		if name != holder && h.until > l.world.now {
-			l.world.fail("ONE: %s counts itself holder of %s, and %s does until %v", holder, l.name, name, h.until)
+			l.world.fail("ONE: %s considers itself holder of %s, and so does %s until %v", holder, l.name, name, h.until)
 		}
 	}
 	l.holdOf(holder).until = until
 }
 
-// renewed takes the answer to a Heartbeat. One that comes too late has no effect.
+// renewed checks the answer to a Heartbeat. A late answer has no effect.
 func (l *lockRules) renewed(e *errand) {
 	c := &e.command
 	if e.answer.Outcome != wire.Done {
@@ -184,7 +184,7 @@
 	}
 }
 
-// finishing notes that a caller gives a lock back: from the sending on it no longer counts itself holder.
+// finishing records that a caller releases a lock: from the sending on it no longer considers itself the holder.
 func (l *lockRules) finishing(c *wire.Command, first bool, now time.Duration) {
 	if !first {
 		return
@@ -199,12 +199,12 @@
 
 func (l *lockRules) finished(e *errand) {
 	if e.answer.Outcome != wire.Done {
-		l.world.fail("a Finish of lock %s is answered %d", l.name, e.answer.Outcome)
+		l.world.fail("a Finish of lock %s was answered with outcome %d", l.name, e.answer.Outcome)
 	}
 	l.history[l.releasing[e.command.Holder]].Return = int64(e.answered)
 }
 
-// numberRules are those of one name for numbers.
+// numberRules are the rules for one sequence of numbers, and what they have recorded.
 type numberRules struct {
 	world   *world
 	name    string
@@ -216,7 +216,7 @@
 func (n *numberRules) given(e *errand, before uint64) {
 	number := e.answer.Number
 	if e.answer.Outcome != wire.Done || n.all[number] || number <= before {
-		n.world.fail("ORDER: %s gives %+v; %d was given before, twice %v", n.name, e.answer, before, n.all[number])
+		n.world.fail("ORDER: %s returned %+v; %d had been returned before; duplicate: %v", n.name, e.answer, before, n.all[number])
 	}
 	n.all[number] = true
 	n.newest = max(n.newest, number)
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -17,18 +17,18 @@
 	"ivybank/wire"
 )
 
-// The world plays whole control processes, agents, routers' draws from limits and operators on a virtual clock, network
-// and disk, driven by one seed: the code of this package and of package agent as in service, behind their Environment.
-// After each step it checks what must hold at any time; at the end, that all came back, and that the operators' calls
-// can be explained by one register.
+// The simulation runs whole control processes, agents, routers' draws from limits, and operators on a virtual clock,
+// network and disk, driven by one seed. It runs the production code of this package and of package agent, behind their
+// Environment interfaces. After each step it checks the invariants; at the end, it checks that everything has
+// recovered, and that the operators' calls are linearizable.
 
 const (
 	worldStep     = 5 * time.Millisecond
 	nodeTick      = 25 * time.Millisecond
 	agentTick     = 200 * time.Millisecond
-	silenceLimit  = 1200 * time.Millisecond // of wire.Conn
-	frameDelay    = 12                      // ms at most, one way
-	callPatience  = time.Second             // of an operator
+	silenceLimit  = 1200 * time.Millisecond // as in wire.Conn
+	frameDelay    = 12 // in ms, at most, one way
+	callPatience  = time.Second // of an operator
 	internalPort  = "7000"
 	controlPort   = 8080
 	listedHosts   = 6
@@ -36,41 +36,41 @@
 	slowEntry     = 250 * time.Millisecond
 )
 
-// machine is one machine of a world, and its disk.
+// machine is one machine of a simulation, with its disk.
 type machine struct {
 	ip       string
 	core     bool
-	gone     bool // for good
+	gone     bool // permanently
 	goneAt   time.Duration
 	disk     coreDisk
-	stalled  time.Duration // writes end no earlier
+	stalled  time.Duration // writes complete no earlier
 	downTill time.Duration
-	frozen   time.Duration // until when its process stands still
-	wiped    bool          // and no member again yet
+	frozen   time.Duration // the process is suspended until then
+	wiped    bool // and not a member again yet
 	node     *nodeProcess
 	agent    *agentProcess
 }
 
-// coreDisk is what a control machine's disk has kept.
+// controlDisk is what a control machine's disk has stored.
 type coreDisk struct {
 	identity store.Identity
 	state    replica.Disk
 	tenures  []string
-	parts    []partDisk // nil where nothing was written yet
+	parts    []partDisk // nil before the first write
 }
 
 func (m *machine) running(now time.Duration) bool {
 	return (m.node != nil || m.agent != nil) && now >= m.frozen
 }
 
-// process is what a connection belongs to.
+// process is the process that a connection belongs to.
 type process struct {
 	machine *machine
 	born    time.Duration
 	dead    bool
 }
 
-// nodeProcess is one life of a control process.
+// nodeProcess is one incarnation of a control process.
 type nodeProcess struct {
 	process
 	world   *world
@@ -78,16 +78,16 @@
 	handler *operatorHandler
 	links   []*link
 	writing *replica.Save
-	// writingParts is the write of parts that is under way; nil for none.
+	// writingParts is the write of parts in progress, or nil.
 	writingParts *partsWrite
 	doneAt       time.Duration
-	reading      time.Duration // when the read of the list that is under way ends; 0 for none
+	reading      time.Duration // when the host list read in progress ends; 0 for none
 	ticked       time.Duration
 	leaveBy      time.Duration
-	parts        []*connection // connections that came from others
+	parts        []*connection // connections that others have opened
 }
 
-// agentProcess is one life of an agent, with a router beside it.
+// agentProcess is one incarnation of an agent, with a router beside it.
 type agentProcess struct {
 	process
 	world  *world
@@ -97,50 +97,50 @@
 	router *routerStub
 }
 
-// world is one simulated deployment.
+// simulation is one simulated deployment.
 type world struct {
 	t        *testing.T
 	seed     uint64
 	random   *rand.Rand
 	now      time.Duration
 	tolerate int
-	// guarantees are those of the settings: with "coord", applications use locks, numbers and keys.
+	// guarantees is the setting of that name: with "coord", applications use locks, numbers and keys.
 	guarantees []string
 	seeds      []string
 	machines   []*machine
 	links      []*link
-	cut        map[[2]string]time.Duration // one way, until when
-	slow       map[[2]string]time.Duration // links that take slowEntry for each entry, until when
-	held       map[[2]string]time.Duration // one way, whose frames may come seconds late, until when
+	cut        map[[2]string]time.Duration // one way; until when
+	slow       map[[2]string]time.Duration // links that take slowEntry for each entry; until when
+	held       map[[2]string]time.Duration // one way, links whose frames may be delayed by seconds; until when
 	ackLoss    float64
 	opers      []*operator
 	calls      []call
 	calm       bool
 	delayed    []delayed
 
-	ackedRevision int64 // newest that was acknowledged to an operator
+	ackedRevision int64 // the newest that was acknowledged to an operator
 	bodies        map[int64]string
-	members       []wire.Member // of the newest entry that a leader with a lease had as committed
+	members       []wire.Member // of the newest entry that a leader with a valid lease had committed
 	membersAt     replica.Position
 	lastLeader    string
 	grants        []grantTaken
 	counts        worldCounts
-	groups        []partGroup   // of the coordination parts; nil without them
-	applications  *applications // that call on locks, numbers and keys; nil for none
+	groups        []partGroup // of the coordination parts; nil without them
+	applications  *applications // that use locks, numbers and keys; nil for none
 	trace         func(format string, args ...any)
 	pace          worldPace
 }
 
-// worldPace is how fast a world's parts are.
+// simulationTiming is how long the operations of a simulation take.
 type worldPace struct {
 	step          time.Duration
-	frame         func(from, to string) time.Duration // on its way
+	frame         func(from, to string) time.Duration // latency of a frame
 	write         func() time.Duration
 	firstRedial   time.Duration // pauses between attempts to connect: from this
 	longestRedial time.Duration // to this
 }
 
-// roughPace has frames, writes and attempts to connect take times drawn from wide ranges.
+// randomTiming draws the durations of frames, writes and reconnects from wide ranges.
 func (w *world) roughPace() worldPace {
 	return worldPace{
 		step: worldStep,
@@ -159,7 +159,7 @@
 	}
 }
 
-// worldCounts is what a run has played.
+// simulationCounts counts what a run has exercised.
 type worldCounts struct {
 	steps, schedules, wipes, repaired, replaced, restarts, leaderChanges, acked, refused, unknown, reads, redirected, grants, crossed, firstConfigs, datagrams, relayed int
 }
@@ -254,8 +254,8 @@
 
 func (w *world) isCut(from, to string) bool { return w.cut[[2]string{from, to}] > w.now }
 
-// kill ends a machine's process. Its bytes on the way are still delivered, unless it loses its power too: then a write
-// that is under way is lost or kept, the vote before the entry.
+// kill ends a machine's process. What it has sent is still delivered, unless the machine loses power too. A write in
+// progress is lost or stored; the vote is stored before the entry.
 func (w *world) kill(m *machine, power bool) {
 	if p := m.node; p != nil {
 		p.dead = true
@@ -284,7 +284,7 @@
 	w.counts.restarts++
 }
 
-// cutShort leaves of a write what the disk had when the process ended.
+// cutShort leaves on the disk what an interrupted write has stored.
 func (w *world) cutShort(m *machine, s *replica.Save) {
 	kept := w.random.IntN(3)
 	if kept > 0 {
@@ -317,7 +317,7 @@
 	w.counts.wipes++
 }
 
-// step lets the world go on.
+// step advances the simulation by one step.
 func (w *world) step() {
 	w.now += w.pace.step
 	w.counts.steps++
@@ -368,7 +368,7 @@
 	}
 	if w.now < m.frozen {
 		if m.node != nil {
-			m.node.ticked = w.now // what has come meanwhile is met before the next tick
+			m.node.ticked = w.now // process what has arrived meanwhile before the next tick
 		}
 		return
 	}
@@ -410,7 +410,7 @@
 	}
 }
 
-// hosts is the platform's list; one of them is replaced now and then.
+// hosts returns the platform's host list; over time its hosts are replaced.
 func (w *world) hosts() []wire.Host {
 	var hosts []wire.Host
 	generation := int(w.now / (2 * time.Second))
