--- a/control/points_test.go
+++ b/control/scenarios_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// ask makes a call at a machine, beside the operators, and returns its answer if there is one within callTimeout.
+// ask makes a call at a machine, beside the operators, and returns its answer if there is one within operatorTimeout.
 func (w *world) ask(m *machine, base int64, body string) (verdict, bool) {
 	var answer *verdict
 	take := func(v verdict) { answer = &v }
