--- a/control/applications.go
+++ b/control/applications.go
@@ -13,7 +13,7 @@
 
 const (
 	maxCallBytes   = 32 << 10 // bytes of a request body
-	retryCallAfter = "0.05" // Retry-After in seconds
+	retryCallAfter = "0.05"   // Retry-After in seconds
 )
 
 // applicationCall describes one HTTP call of the application API.
--- a/control/calls.go
+++ b/control/calls.go
@@ -20,7 +20,7 @@
 	leaderPatience = 150 * time.Millisecond
 	rerouteEvery   = 50 * time.Millisecond // between attempts to forward the same call
 	watchInterval  = 25 * time.Millisecond // between checks for watches that have expired
-	maxBatch       = 256 // commands in one log entry
+	maxBatch       = 256                   // commands in one log entry
 	maxQueuedCalls = 2048
 	maxWatches     = 4096
 )
@@ -31,7 +31,7 @@
 	part    *part
 	since   time.Duration // when it was received from the caller
 	until   time.Duration // deadline of a watch
-	passed  bool // forwarded by another process, which retries by itself if necessary
+	passed  bool          // forwarded by another process, which retries by itself if necessary
 	retryAt time.Duration // the earliest time of the next attempt to forward it
 	answer  func(wire.Answer)
 }
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -23,10 +23,10 @@
 
 const (
 	unknown  outcome = iota // no answer or a 5xx: it may have taken effect, or may do so later
-	accept // 200
-	conflict // 412: another version was current, and this update had not been accepted
-	invalid // 400: the update is not valid on the current version
-	nothing // a redirect, or a refusal because of overload: no effect
+	accept                  // 200
+	conflict                // 412: another version was current, and this update had not been accepted
+	invalid                 // 400: the update is not valid on the current version
+	nothing                 // a redirect, or a refusal because of overload: no effect
 )
 
 // version is one configuration that may be current; the zero version is the state before the first.
@@ -188,21 +188,21 @@
 		calls []call
 		ok    bool
 	}{
-		"sequential":                  {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), read(after, 5, 6)}, true},
-		"repeated":                           {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, accept), read(a, 5, 6)}, true},
-		"repeated after others":              {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), replace(0, a, 5, 6, accept), read(after, 7, 8)}, true},
-		"two accepted on one version":                   {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, accept)}, false},
-		"one of two accepted on one version":            {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(a, 6, 7)}, true},
-		"the rejected one is read":                    {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(b, 6, 7)}, false},
-		"rejected after it was accepted":           {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, conflict)}, false},
-		"no answer, then rejected":             {[]call{lost(0, a, 1), replace(0, b, 2, 3, accept), replace(0, a, 4, 5, conflict)}, true},
-		"no answer, took effect":                  {[]call{lost(0, a, 1), read(a, 5, 6)}, true},
-		"no answer, no effect":              {[]call{lost(0, a, 1), read(version{}, 5, 6)}, true},
-		"no answer, took effect after a read":     {[]call{lost(0, a, 1), read(version{}, 2, 3), read(a, 5, 6)}, true},
-		"no answer, took effect, then lost":       {[]call{lost(0, a, 1), read(a, 2, 3), read(version{}, 5, 6)}, false},
-		"an old version is read":               {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), read(a, 5, 6)}, false},
+		"sequential":                          {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), read(after, 5, 6)}, true},
+		"repeated":                            {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, accept), read(a, 5, 6)}, true},
+		"repeated after others":               {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), replace(0, a, 5, 6, accept), read(after, 7, 8)}, true},
+		"two accepted on one version":         {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, accept)}, false},
+		"one of two accepted on one version":  {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(a, 6, 7)}, true},
+		"the rejected one is read":            {[]call{replace(0, a, 1, 5, accept), replace(0, b, 1, 5, conflict), read(b, 6, 7)}, false},
+		"rejected after it was accepted":      {[]call{replace(0, a, 1, 2, accept), replace(0, a, 3, 4, conflict)}, false},
+		"no answer, then rejected":            {[]call{lost(0, a, 1), replace(0, b, 2, 3, accept), replace(0, a, 4, 5, conflict)}, true},
+		"no answer, took effect":              {[]call{lost(0, a, 1), read(a, 5, 6)}, true},
+		"no answer, no effect":                {[]call{lost(0, a, 1), read(version{}, 5, 6)}, true},
+		"no answer, took effect after a read": {[]call{lost(0, a, 1), read(version{}, 2, 3), read(a, 5, 6)}, true},
+		"no answer, took effect, then lost":   {[]call{lost(0, a, 1), read(a, 2, 3), read(version{}, 5, 6)}, false},
+		"an old version is read":              {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 4, accept), read(a, 5, 6)}, false},
 		"an old version is read concurrently": {[]call{replace(0, a, 1, 2, accept), replace(3, after, 3, 6, accept), read(a, 4, 5)}, true},
-		"acknowledged and lost":                {[]call{replace(0, a, 1, 2, accept), read(version{}, 3, 4)}, false},
+		"acknowledged and lost":               {[]call{replace(0, a, 1, 2, accept), read(version{}, 3, 4)}, false},
 	} {
 		ok, err := linearizable(one.calls)
 		assert.NilError(t, err)
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -35,12 +35,12 @@
 		now     time.Duration
 		missing float64
 	}{
-		"another process held the lease":        {now: longAgo, lostAt: 0},
+		"another process held the lease":   {now: longAgo, lostAt: 0},
 		"this process has just lost it":    {now: longAgo, lostAt: longAgo, missing: late},
 		"this process lost it a while ago": {now: longAgo, lostAt: longAgo - quota.LongestDelay},
-		"this process has just started":        {now: 0, lostAt: -longAgo, missing: late},
-		"all have just restarted":         {node: Node{resumed: true, resumedAt: longAgo}, now: longAgo, missing: late},
-		"all restarted a while ago":          {node: Node{resumed: true, resumedAt: longAgo - lease.Duration}, now: longAgo},
+		"this process has just started":    {now: 0, lostAt: -longAgo, missing: late},
+		"all have just restarted":          {node: Node{resumed: true, resumedAt: longAgo}, now: longAgo, missing: late},
+		"all restarted a while ago":        {node: Node{resumed: true, resumedAt: longAgo - lease.Duration}, now: longAgo},
 	} {
 		got := filled(&c.node, &shard{lostAt: c.lostAt}, c.now)
 		assert.Assert(t, got >= 500-c.missing-1 && got <= 500-c.missing+1, "%s: %v", name, got)
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -13,7 +13,7 @@
 type nodeCounts struct {
 	set          *metrics.Set
 	roleChanges  *metrics.Counter
-	unknownCalls *metrics.Counter // requests without a matching route
+	unknownCalls *metrics.Counter             // requests without a matching route
 	partWait     *metrics.PrometheusHistogram // from receipt to answer of an application call, without watches
 }
 
@@ -25,12 +25,12 @@
 
 // Values of the reason labels.
 const (
-	refusedNoLeader  refusal = "no_leader" // no leader was known or reachable
-	refusedNotLeader refusal = "not_leader" // another process forwarded the call to this one, which isn't the leader
-	refusedWaited    refusal = "waited_long" // the call waited too long in the leader's queue
-	refusedQueueFull refusal = "queue_full" // the part's queue was full
-	silentLate       silence = "late" // the call was or became older than callerTimeout
-	silentLeaderLost silence = "leader_lost" // this process lost the leadership while the entry was in flight
+	refusedNoLeader  refusal = "no_leader"      // no leader was known or reachable
+	refusedNotLeader refusal = "not_leader"     // another process forwarded the call to this one, which isn't the leader
+	refusedWaited    refusal = "waited_long"    // the call waited too long in the leader's queue
+	refusedQueueFull refusal = "queue_full"     // the part's queue was full
+	silentLate       silence = "late"           // the call was or became older than callerTimeout
+	silentLeaderLost silence = "leader_lost"    // this process lost the leadership while the entry was in flight
 	silentPassed     silence = "reply_not_come" // the call was forwarded, and no reply can arrive any more
 )
 
--- a/control/node.go
+++ b/control/node.go
@@ -58,29 +58,29 @@
 	state       *store.State // decoded from the committed entry
 	stateAt     replica.Position
 	tenants     map[string]*config.Tenant // of the committed configuration, by name
-	services    map[string]bool // names of the services in the committed configuration
-	memberSince replica.Position // the entry whose members were applied last
-	members     []wire.Member // of that entry
+	services    map[string]bool           // names of the services in the committed configuration
+	memberSince replica.Position          // the entry whose members were applied last
+	members     []wire.Member             // of that entry
 	groupAt     time.Duration
 	subscribers []*subscriber
 	feed        *wire.Config // the committed configuration as it is published
 	feedMessage *wire.Message
 
 	replicas    []*replica.Replica // the configuration's group, then those of the parts; each is a separate replica group
-	parts       []*part // of the coordination state; empty without coordination
+	parts       []*part            // of the coordination state; empty without coordination
 	savingParts bool
-	wholeParts  bool // the next write of the parts has to include everything
+	wholeParts  bool                   // the next write of the parts has to include everything
 	passed      map[uint64]*passedCall // by number of the request
 	nextPassed  uint64
 
 	granter   *lease.Granter
-	tenuresOn bool // a write of the granter's tenures is in progress
+	tenuresOn bool          // a write of the granter's tenures is in progress
 	tenuresAt time.Duration // the earliest time of the next write
 	shards    [hostlist.Shards]*shard
 	reading   bool
 	readAt    time.Duration
 	readSince time.Duration // when the current read began
-	resumed   bool // lease grants have resumed early, since all members had restarted
+	resumed   bool          // lease grants have resumed early, since all members had restarted
 	resumedAt time.Duration
 
 	validator parser
@@ -105,15 +105,15 @@
 
 // Dropped counts rejected messages, by cause.
 type Dropped struct {
-	EarlierLife   int64 `json:"earlier_life"` // replies to requests of an earlier incarnation of this process
-	NotMember     int64 `json:"not_member"` // lease requests from processes that are not members
-	QuotaNotOwned int64 `json:"quota_not_owned"` // quota requests for limits that this process doesn't own or tenants that don't exist
-	UnknownPart   int64 `json:"unknown_part"` // messages for parts that this process doesn't have
-	OtherFleet    int64 `json:"other_fleet"` // connections from processes of other fleets
-	Oversized     int64 `json:"oversized"` // frames over the size limit; the connection is closed
-	UnknownKind   int64 `json:"unknown_kind"` // frames with an unknown kind of message; the connection is closed
-	NoGreeting    int64 `json:"no_greeting"` // the first frame was not a Hello; the connection is closed
-	Malformed     int64 `json:"malformed"` // frames that can't be decoded; the connection is closed
+	EarlierLife   int64 `json:"earlier_life"`    // replies to requests of an earlier incarnation of this process
+	NotMember     int64 `json:"not_member"`      // lease requests from processes that are not members
+	QuotaNotOwned int64 `json:"quota_not_owned"` // quota requests for limits of other owners or unknown tenants
+	UnknownPart   int64 `json:"unknown_part"`    // messages for parts that this process doesn't have
+	OtherFleet    int64 `json:"other_fleet"`     // connections from processes of other fleets
+	Oversized     int64 `json:"oversized"`       // frames over the size limit; the connection is closed
+	UnknownKind   int64 `json:"unknown_kind"`    // frames with an unknown kind of message; the connection is closed
+	NoGreeting    int64 `json:"no_greeting"`     // the first frame was not a Hello; the connection is closed
+	Malformed     int64 `json:"malformed"`       // frames that can't be decoded; the connection is closed
 }
 
 // CountInvalidFrame counts an invalid frame that ended its connection. Other errors are ignored.
--- a/control/operator.go
+++ b/control/operator.go
@@ -16,7 +16,7 @@
 	pathGet          = "/v1/Config.Get"
 	baseHeader       = "Base-Version"
 	maxOrderBytes    = 8 << 20 // leaves room in wire.MaxFrame for what the state adds to an entry
-	maxOrdersRead    = 16 // request bodies that are read at the same time
+	maxOrdersRead    = 16      // request bodies that are read at the same time
 	operatorHeaders  = 3 * time.Second
 	operatorIdle     = 15 * time.Second
 	operatorRead     = 10 * time.Second
--- a/control/parts.go
+++ b/control/parts.go
@@ -32,7 +32,7 @@
 	queue      []*partCall // not yet in a log entry
 	proposed   []*partCall // of the entry in flight; nil if there is none
 	proposedAt replica.Position
-	watches    []*partCall // watches that wait for a put; only at a leader
+	watches    []*partCall      // watches that wait for a put; only at a leader
 	watchedAt  replica.Position // the committed entry at the last check of the watches
 	watchAgain time.Duration
 }
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -46,9 +46,9 @@
 	members int
 	sync    time.Duration
 	span    time.Duration // within which the machines start
-	regions bool // the members are in two regions
+	regions bool          // the members are in two regions
 	took    time.Duration // from the last start until a leader may act; 0 or less if one could before
-	roles   string // the members' roles over time, after the last start
+	roles   string        // the members' roles over time, after the last start
 }
 
 func (r restartOfAll) String() string {
--- a/control/scenarios_test.go
+++ b/control/scenarios_test.go
@@ -365,11 +365,11 @@
 		status int
 	}{
 		"truncated":       {before.Revision, configText(next, "x")[:150], http.StatusBadRequest},
-		"empty":         {before.Revision, " ", http.StatusBadRequest},
+		"empty":           {before.Revision, " ", http.StatusBadRequest},
 		"same revision":   {before.Revision, configText(before.Revision, "x"), http.StatusBadRequest},
 		"older revision":  {before.Revision, configText(1, "x"), http.StatusBadRequest},
 		"older base":      {before.Revision - 1, configText(next, "x"), http.StatusPreconditionFailed},
-		"future base":    {next, configText(next+1, "x"), http.StatusPreconditionFailed},
+		"future base":     {next, configText(next+1, "x"), http.StatusPreconditionFailed},
 		"unknown service": {before.Revision, strings.Replace(configText(next, "x"), `"backend":"service-0"`, `"backend":"other"`, 1), http.StatusBadRequest},
 	} {
 		v, ok := w.ask(leader, one.base, one.body)
--- a/control/shards.go
+++ b/control/shards.go
@@ -38,10 +38,10 @@
 	term   uint64 // fencing number of the lease under which table is maintained
 	table  *hostlist.Table
 	limits *quota.Owner
-	paces  paces // of the shard's hosts
+	paces  paces         // of the shard's hosts
 	since  time.Duration // when this node acquired the shard
 	lostAt time.Duration // when this node noticed that it had lost the shard
-	began  bool // the limits have got their start amounts
+	began  bool          // the limits have got their start amounts
 	whole  *wire.Message // the whole table as it was last encoded
 }
 
--- a/control/simulation_applications_test.go
+++ b/control/simulation_applications_test.go
@@ -39,9 +39,9 @@
 	tries    int
 	nextAt   time.Duration
 	current  *attempt // the attempt that the caller waits for
-	unclear  bool // some attempt may have taken effect
+	unclear  bool     // some attempt may have taken effect
 	done     bool
-	answer   wire.Answer // if it is definite
+	answer   wire.Answer   // if it is definite
 	sent     time.Duration // of the attempt that was answered
 	answered time.Duration
 }
--- a/control/simulation_coordination_test.go
+++ b/control/simulation_coordination_test.go
@@ -199,17 +199,17 @@
 		"renewals":                          {c.renewals, 4 * n},
 		"renewals that were refused":        {c.lost, n / 2},
 		"locks begun again by their holder": {c.ownAgain, n},
-		"grants that arrived too late":         {c.overtime, n / 4},
+		"grants that arrived too late":      {c.overtime, n / 4},
 		"numbers":                           {c.numbers, 15 * n},
 		"puts":                              {c.puts, 20 * n},
 		"puts that were rejected":           {c.mismatches, 15 * n},
-		"puts that were never served":   {c.refusedPuts, n},
+		"puts that were never served":       {c.refusedPuts, n},
 		"reads":                             {c.reads, 40 * n},
 		"watches":                           {c.watches, 25 * n},
-		"resumed watches":            {c.resumed, 2 * n},
+		"resumed watches":                   {c.resumed, 2 * n},
 		"calls not served":                  {c.notServed, 50 * n},
 		"calls without an answer":           {c.silent + c.ended, 50 * n},
-		"calls executed late":            {c.late, 10 * n},
+		"calls executed late":               {c.late, 10 * n},
 	} {
 		if played.count < played.least {
 			t.Errorf("%d schedules exercised too few %s: %d", n, what, played.count)
--- a/control/simulation_group_rules_test.go
+++ b/control/simulation_group_rules_test.go
@@ -15,9 +15,9 @@
 	name    string
 	puts    map[string]*putSent // by value
 	shown   map[uint64]putShown // by revision
-	covered map[uint64]bool // revisions within the range of some watch
-	acked   map[string]uint64 // by key, the newest revision that was answered to a put
-	newest  uint64 // the newest revision that was answered to any put
+	covered map[uint64]bool     // revisions within the range of some watch
+	acked   map[string]uint64   // by key, the newest revision that was answered to a put
+	newest  uint64              // the newest revision that was answered to any put
 	named   []namedRevision
 	history []porcupine.Operation // reads, watches and rejections
 }
@@ -27,11 +27,11 @@
 	key        string
 	ifRevision *uint64
 	sent       time.Duration // its first attempt
-	before     uint64 // the newest revision of the group that had been answered then
-	revision   uint64 // its revision, once an answer has shown it
+	before     uint64        // the newest revision of the group that had been answered then
+	revision   uint64        // its revision, once an answer has shown it
 	shownAt    time.Duration // when the first answer showed it
 	ackedAt    time.Duration // of the first acknowledgement; 0 for none
-	refused    string // why it must never become visible; "" if it may
+	refused    string        // why it must never become visible; "" if it may
 }
 
 // putShown is a put that an answer has shown.
--- a/control/simulation_holders_test.go
+++ b/control/simulation_holders_test.go
@@ -19,9 +19,9 @@
 
 const (
 	holdBriefly holdStyle = iota // releases it soon
-	holdOn // renews it for long
-	holdAnew // begins again while it holds the lock
-	holdAndDie // restarts without its state, under the same name
+	holdOn                       // renews it for long
+	holdAnew                     // begins again while it holds the lock
+	holdAndDie                   // restarts without its state, under the same name
 	holdAndSleep
 	holdStyles
 )
--- a/control/simulation_keys_test.go
+++ b/control/simulation_keys_test.go
@@ -32,7 +32,7 @@
 	errand *errand
 	nextAt time.Duration
 	pause  time.Duration // the longest pause between two calls
-	goesOn bool // continues even when nothing new should be started
+	goesOn bool          // continues even when nothing new should be started
 }
 
 func (c *caller) step(a *applications) {
--- a/control/simulation_network_test.go
+++ b/control/simulation_network_test.go
@@ -36,7 +36,7 @@
 	server *nodeProcess
 	open   [2]bool
 	heard  [2]time.Duration // when an end last received a byte from the other
-	queue  [2][]frame // frames to each end
+	queue  [2][]frame       // frames to each end
 	agent  *subscriber
 }
 
--- a/control/simulation_rules_test.go
+++ b/control/simulation_rules_test.go
@@ -102,7 +102,7 @@
 // hold is how long a caller considers itself the holder of a lock.
 type hold struct {
 	until  time.Duration // exclusive
-	newest uint64 // the newest fence that it has received
+	newest uint64        // the newest fence that it has received
 }
 
 // lockRules are the rules for one lock, and what they have recorded.
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -27,8 +27,8 @@
 	nodeTick      = 25 * time.Millisecond
 	agentTick     = 200 * time.Millisecond
 	silenceLimit  = 1200 * time.Millisecond // as in wire.Conn
-	frameDelay    = 12 // in ms, at most, one way
-	callPatience  = time.Second // of an operator
+	frameDelay    = 12                      // in ms, at most, one way
+	callPatience  = time.Second             // of an operator
 	internalPort  = "7000"
 	controlPort   = 8080
 	listedHosts   = 6
@@ -46,7 +46,7 @@
 	stalled  time.Duration // writes complete no earlier
 	downTill time.Duration
 	frozen   time.Duration // the process is suspended until then
-	wiped    bool // and not a member again yet
+	wiped    bool          // and not a member again yet
 	node     *nodeProcess
 	agent    *agentProcess
 }
@@ -125,7 +125,7 @@
 	lastLeader    string
 	grants        []grantTaken
 	counts        worldCounts
-	groups        []partGroup // of the coordination parts; nil without them
+	groups        []partGroup   // of the coordination parts; nil without them
 	applications  *applications // that use locks, numbers and keys; nil for none
 	trace         func(format string, args ...any)
 	pace          worldPace
--- a/control/status.go
+++ b/control/status.go
@@ -17,11 +17,11 @@
 	Term     uint64        `json:"term"`
 	Leader   string        `json:"leader"`
 	Leading  bool          `json:"leading"` // it is the leader and its lease holds
-	Entry    uint64        `json:"entry"` // index of the newest entry
-	Commit   uint64        `json:"commit"` // index of the newest entry that is known to be committed
+	Entry    uint64        `json:"entry"`   // index of the newest entry
+	Commit   uint64        `json:"commit"`  // index of the newest entry that is known to be committed
 	Revision int64         `json:"revision"`
 	Members  []wire.Member `json:"members"`
-	Changing bool          `json:"changing"` // a change of members is in progress, or a member is missing
+	Changing bool          `json:"changing"`     // a change of members is in progress, or a member is missing
 	Borne    int           `json:"losses_borne"` // number of members that may lose their disks now while a majority remains
 	Shards   []ShardStatus `json:"shards"`
 	Parts    []PartStatus  `json:"parts,omitempty"` // of the coordination state
@@ -48,9 +48,9 @@
 	Entry   uint64 `json:"entry"`
 	Commit  uint64 `json:"commit"`
 	Members int    `json:"members"`
-	Member  bool   `json:"member"` // whether this process is a member
+	Member  bool   `json:"member"`  // whether this process is a member
 	TimeMS  int64  `json:"time_ms"` // the group's time, by which locks and history expire
-	Queued  int    `json:"queued"` // calls that wait in the leader's queue or for a leader
+	Queued  int    `json:"queued"`  // calls that wait in the leader's queue or for a leader
 	Watches int    `json:"watches"`
 }
 
