--- a/control/history_test.go
+++ b/control/history_test.go
@@ -18,7 +18,7 @@
 	readCall
 )
 
-// outcome is what the operator knows about the effect of a call.
+// callOutcome is what the operator knows about the effect of a call.
 type outcome int
 
 const (
--- a/control/node.go
+++ b/control/node.go
@@ -86,7 +86,7 @@
 	validator parser
 	proposal  *proposal
 	queue     []*proposal
-	queued    int // bytes
+	queued    int // size of the queued bodies in bytes
 	stopping  bool
 	releases  []*wire.Message // of leases that have been given up; sent at releaseAt
 	releaseAt time.Duration
--- a/control/simulation_holders_test.go
+++ b/control/simulation_holders_test.go
@@ -10,7 +10,7 @@
 const (
 	shortestHold = 300 * time.Millisecond
 	longestHold  = 8 * time.Second
-	// renewals is how many times a holder renews within one hold.
+	// renewalsPerHold is how many times a holder renews within one hold.
 	renewals = 3
 )
 
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// beginChange sends an update; at random both operators send one with the same base at the same moment.
+// beginUpdate sends an update; at random both operators send one with the same base at the same moment.
 func (o *operator) beginChange() {
 	w := o.world
 	base := o.known
@@ -296,7 +296,7 @@
 	o.finish()
 }
 
-// noteBody checks that a committed revision has the same body everywhere.
+// recordBody checks that a committed revision has the same body everywhere.
 func (w *world) noteBody(revision int64, body string) {
 	if had, ok := w.bodies[revision]; ok && had != body {
 		w.fail("revision %d has two bodies: %q and %q", revision, had, body)
--- a/control/simulation_rules_test.go
+++ b/control/simulation_rules_test.go
@@ -23,7 +23,7 @@
 	return &rules{world: w, locks: map[string]*lockRules{}, numbers: map[string]*numberRules{}, groups: map[string]*groupRules{}}
 }
 
-// operation returns an operation of a history, from a call's sending to its answer.
+// newOperation returns an operation of a history, from a call's sending to its answer.
 func operation(input any, sent, done time.Duration) porcupine.Operation {
 	return porcupine.Operation{Input: input, Call: int64(sent), Return: int64(done)}
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-// count records that a caller considers itself the holder, and checks that nobody else does.
+// countHolder records that a caller considers itself the holder, and checks that nobody else does.
 func (l *lockRules) count(holder string, until time.Duration) {
 	for name, h := range l.holds {
 		if name != holder && h.until > l.world.now {
@@ -184,7 +184,7 @@
 	}
 }
 
-// finishing records that a caller releases a lock: from the sending on it no longer considers itself the holder.
+// finishSent records that a caller releases a lock: from the sending on it no longer considers itself the holder.
 func (l *lockRules) finishing(c *wire.Command, first bool, now time.Duration) {
 	if !first {
 		return
