--- a/control/hostlist/reader.go
+++ b/control/hostlist/reader.go
@@ -19,7 +19,7 @@
 	maxPages     = 200
 )
 
-// ErrStatus says that the platform answered with anything but 200.
+// ErrStatus reports that the platform replied with a status other than 200.
 var ErrStatus = errors.New("hostlist: unexpected status")
 
 type listedInstance struct {
@@ -36,19 +36,19 @@
 	NextToken *string          `json:"next_token"`
 }
 
-// Reader asks the platform for its list.
+// Reader reads the platform's list of hosts.
 type Reader struct {
 	address string
 	client  *http.Client
 }
 
-// NewReader makes a reader of the platform at host:port.
+// NewReader returns a reader for the platform at host:port.
 func NewReader(address string) *Reader {
 	transport := &http.Transport{MaxIdleConns: 1, DisableCompression: true, IdleConnTimeout: 10 * time.Second}
 	return &Reader{address: address, client: &http.Client{Transport: transport, Timeout: callTimeout}}
 }
 
-// Read gets the whole list, page by page.
+// Read reads the complete list, page by page. It returns either all pages or an error.
 func (r *Reader) Read(ctx context.Context) ([]wire.Host, error) {
 	var hosts []wire.Host
 	token := ""
@@ -66,7 +66,7 @@
 		}
 		token = *page.NextToken
 	}
-	return nil, errors.New("hostlist: the list doesn't end")
+	return nil, errors.New("hostlist: list has too many pages")
 }
 
 func (r *Reader) page(ctx context.Context, token string) (*listPage, error) {
--- a/control/hostlist/table.go
+++ b/control/hostlist/table.go
@@ -1,5 +1,5 @@
-// Package hostlist reads the platform's list of hosts and keeps each shard's table of them, with the changes that a
-// feed is made of.
+// Package hostlist reads the platform's list of hosts, and keeps each shard's table of them with the changes that
+// make up a feed.
 package hostlist
 
 import (
@@ -11,33 +11,33 @@
 	"ivybank/wire"
 )
 
-// Shards is the number of parts that services and tenants are divided into.
+// ShardCount is the number of shards that services and tenants are divided into.
 const Shards = 2
 
-// keptChanges is how many changes a subscriber may be behind before it gets the whole table.
-const keptChanges = 256
+// maxKeptChanges is how many changes a subscriber may be behind before it gets the full table.
+const maxKeptChanges = 256
 
-// ShardOf gives the shard of a service or tenant.
+// ShardOf returns the shard of a service or tenant.
 func ShardOf(name string) uint32 { return uint32(xxhash.Sum64String(name) % Shards) }
 
-// Table is one shard's table. It is not safe for concurrent use.
+// Table is one shard's table of hosts. It is not safe for concurrent use.
 type Table struct {
-	shard   uint32
-	at      wire.HostsOffset
-	hosts   map[string]wire.Host
-	changes []*wire.Hosts // the newest ones, in order
-	whole   *wire.Hosts   // the whole table as of at, once it was asked for
+	shard    uint32
+	at       wire.HostsOffset
+	hosts    map[string]wire.Host
+	changes  []*wire.Hosts // the newest changes, in order
+	snapshot *wire.Hosts   // cached full table as of at; nil before it was first requested
 }
 
-// NewTable makes the table of an owner that has just begun under a fencing number.
+// NewTable returns the empty table of an owner that has just started with a fencing number.
 func NewTable(shard uint32, term uint64) *Table {
 	return &Table{shard: shard, at: wire.HostsOffset{Term: term}, hosts: map[string]wire.Host{}}
 }
 
-// At is the position of the newest change.
+// At returns the position of the newest change.
 func (t *Table) At() wire.HostsOffset { return t.at }
 
-// Replace takes a newly read list and returns the change, or nil where there is none.
+// Replace replaces the table with a newly read list, and returns the change; nil if there is none.
 func (t *Table) Replace(listed []wire.Host) *wire.Hosts {
 	next := make(map[string]wire.Host, len(listed))
 	change := &wire.Hosts{Shard: t.shard}
@@ -59,13 +59,13 @@
 	t.at.Offset++
 	change.At, change.Whole, t.hosts = t.at, first, next
 	t.changes = append(t.changes, change)
-	if len(t.changes) > keptChanges {
-		t.changes = slices.Clone(t.changes[len(t.changes)-keptChanges:])
+	if len(t.changes) > maxKeptChanges {
+		t.changes = slices.Clone(t.changes[len(t.changes)-maxKeptChanges:])
 	}
 	return change
 }
 
-// Since gives what a subscriber lacks that holds the table as of at: changes, or the whole table.
+// Since returns what a subscriber that has the table as of at is missing: changes, or the full table.
 func (t *Table) Since(at wire.HostsOffset) []*wire.Hosts {
 	if t.at.Offset == 0 || at == t.at {
 		return nil
@@ -77,12 +77,12 @@
 	return []*wire.Hosts{t.Snapshot()}
 }
 
-// Snapshot gives the whole table.
+// Snapshot returns the full table.
 func (t *Table) Snapshot() *wire.Hosts {
-	if t.whole == nil || t.whole.At != t.at {
-		t.whole = &wire.Hosts{Shard: t.shard, At: t.at, Whole: true, Updated: slices.Collect(maps.Values(t.hosts))}
+	if t.snapshot == nil || t.snapshot.At != t.at {
+		t.snapshot = &wire.Hosts{Shard: t.shard, At: t.at, Whole: true, Updated: slices.Collect(maps.Values(t.hosts))}
 	}
-	return t.whole
+	return t.snapshot
 }
 
 // Replica is a subscriber's copy of one shard's table. It is not safe for concurrent use.
@@ -91,10 +91,11 @@
 	Hosts map[string]wire.Host
 }
 
-// Apply takes a change. It reports false where one is missing and the subscriber has to ask anew.
+// Apply applies a change. It returns false if an earlier change is missing, and the subscriber has to subscribe
+// again.
 func (r *Replica) Apply(c *wire.Hosts) bool {
 	if c.At.Before(r.At) {
-		return true // of an owner before, or come late: what is held is newer
+		return true // from an earlier owner, or delayed: this copy is newer
 	}
 	if c.Whole {
 		r.At, r.Hosts = c.At, make(map[string]wire.Host, len(c.Updated))
--- a/control/hostlist/table_test.go
+++ b/control/hostlist/table_test.go
@@ -14,7 +14,8 @@
 	"ivybank/wire"
 )
 
-// TestReplicasFollow changes a table at random. Replicas that miss changes ask from their offset and end up alike.
+// TestReplicasFollow changes a table at random. Replicas that miss changes request those since their offset, and end
+// up equal to the table.
 func TestReplicasFollow(t *testing.T) {
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 4))
@@ -23,15 +24,15 @@
 		var listed []wire.Host
 		for range 400 {
 			listed = change(listed, random)
-			if random.IntN(100) == 0 { // another owner
+			if random.IntN(100) == 0 { // a new owner takes over
 				term++
 				table = NewTable(0, term)
 			}
-			news := table.Replace(listed)
-			if news == nil || random.IntN(10) == 0 {
-				continue // nothing new, or it is lost
+			update := table.Replace(listed)
+			if update == nil || random.IntN(10) == 0 {
+				continue // no change, or the message is lost
 			}
-			if !replica.Apply(news) {
+			if !replica.Apply(update) {
 				for _, missed := range table.Since(replica.At) {
 					assert.Assert(t, replica.Apply(missed))
 				}
@@ -55,15 +56,15 @@
 	return next
 }
 
-func TestFarBehindGetsTheWholeTable(t *testing.T) {
+func TestReplicaFarBehindGetsTheFullTable(t *testing.T) {
 	table := NewTable(0, 1)
-	for i := range keptChanges + 10 {
+	for i := range maxKeptChanges + 10 {
 		table.Replace([]wire.Host{{ID: fmt.Sprint(i)}})
 	}
 	missed := table.Since(wire.HostsOffset{Term: 1, Offset: 2})
 	assert.Equal(t, len(missed), 1)
 	assert.Assert(t, missed[0].Whole)
-	assert.Equal(t, len(table.Since(wire.HostsOffset{Term: 1, Offset: keptChanges})), 10)
+	assert.Equal(t, len(table.Since(wire.HostsOffset{Term: 1, Offset: maxKeptChanges})), 10)
 	assert.Equal(t, len(table.Since(table.At())), 0)
 }
 
@@ -84,7 +85,7 @@
 	}
 }
 
-func TestReaderGivesNoPartOfAList(t *testing.T) {
+func TestReaderReturnsNoPartialList(t *testing.T) {
 	for name, answer := range map[string]http.HandlerFunc{
 		"over the rate": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTooManyRequests) },
 		"no list":       func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "[") },
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -11,21 +11,22 @@
 	"ivybank/wire"
 )
 
-// group plays members that ask each other over a network that delays, loses and cuts, on a virtual clock.
+// group simulates members that request leases of each other over a network that delays, loses and cuts, on a virtual
+// clock.
 type group struct {
-	random   *rand.Rand
-	now      time.Duration
-	granters []*Granter
-	holders  []*Holder
-	down     []time.Duration // until when
-	posts    []post
-	cut      [][]time.Duration
-	owners   map[uint64]int
-	late     bool // messages may be held up for long
-	disks    []*tenureDisk
+	random        *rand.Rand
+	now           time.Duration
+	granters      []*Granter
+	holders       []*Holder
+	down          []time.Duration // time until which each member is down
+	messages      []message
+	cut           [][]time.Duration
+	owners        map[uint64]int
+	delayMessages bool // messages may be delayed for long
+	disks         []*tenureDisk
 }
 
-// tenureDisk is where a granter's tenures are kept.
+// tenureDisk is the disk for a granter's tenure record.
 type tenureDisk struct {
 	kept    []string
 	writing *Tenures
@@ -33,11 +34,12 @@
 }
 
 const (
-	testSpan    = 4 * time.Second // after which a holder is long in office
-	startWithin = time.Second     // of its first moment, in which one may be told that it follows such a holder
+	testLongTenure = 4 * time.Second // holding time that makes a tenure long
+	// startWithin is the time from the first holding within which a holder may be told that it follows a long tenure.
+	startWithin = time.Second
 )
 
-type post struct {
+type message struct {
 	due      time.Duration
 	from, to int
 	request  *wire.LeaseRequest
@@ -49,7 +51,7 @@
 func newGroup(seed uint64, size int) *group {
 	g := &group{random: rand.New(rand.NewPCG(seed, 3)), owners: map[uint64]int{}}
 	for i := range size {
-		g.granters = append(g.granters, NewGranter(testSpan, nil, 0))
+		g.granters = append(g.granters, NewGranter(testLongTenure, nil, 0))
 		g.holders = append(g.holders, g.holder(i))
 		g.disks = append(g.disks, &tenureDisk{})
 		g.cut = append(g.cut, make([]time.Duration, size))
@@ -64,7 +66,7 @@
 	return h
 }
 
-func (g *group) enough(has func(string) bool) bool {
+func (g *group) hasQuorum(has func(string) bool) bool {
 	n := 0
 	for i := range g.granters {
 		if has(strconv.Itoa(i)) {
@@ -74,20 +76,20 @@
 	return 2*n > len(g.granters)
 }
 
-func (g *group) send(p post) {
+func (g *group) send(p message) {
 	if p.from == p.to || g.cut[p.from][p.to] <= g.now && g.random.IntN(30) > 0 {
 		p.due = g.now + time.Duration(g.random.IntN(15))*time.Millisecond
-		if g.late && g.random.IntN(10) == 0 { // held up on the way, past the end of the process that asked
+		if g.delayMessages && g.random.IntN(10) == 0 { // delayed beyond the end of the process that sent the request
 			p.due += time.Duration(g.random.IntN(2000)) * time.Millisecond
 		}
 		if p.from == p.to {
 			p.due = g.now
 		}
-		g.posts = append(g.posts, p)
+		g.messages = append(g.messages, p)
 	}
 }
 
-// writeDisks has tenures kept some milliseconds after they have changed.
+// writeDisks stores tenure records some milliseconds after they have changed.
 func (g *group) writeDisks() {
 	for i, d := range g.disks {
 		if g.down[i] > g.now {
@@ -113,25 +115,25 @@
 		}
 		if q := h.Tick(g.granters[i].HeldByOther(resource, strconv.Itoa(i), g.now), g.now); q != nil {
 			for to := range g.granters {
-				g.send(post{from: i, to: to, request: q})
+				g.send(message{from: i, to: to, request: q})
 			}
 		}
 	}
-	for n := 0; n < len(g.posts); n++ {
-		p := g.posts[n]
+	for n := 0; n < len(g.messages); n++ {
+		p := g.messages[n]
 		if p.due > g.now {
 			continue
 		}
-		g.posts[n] = g.posts[len(g.posts)-1]
-		g.posts = g.posts[:len(g.posts)-1]
+		g.messages[n] = g.messages[len(g.messages)-1]
+		g.messages = g.messages[:len(g.messages)-1]
 		n--
 		if g.down[p.to] > g.now {
 			continue
 		}
 		if p.request != nil {
-			g.send(post{from: p.to, to: p.from, reply: g.granters[p.to].Answer(p.request, g.now)})
+			g.send(message{from: p.to, to: p.from, reply: g.granters[p.to].Answer(p.request, g.now)})
 		} else {
-			g.holders[p.to].Replied(strconv.Itoa(p.from), p.reply, g.enough, g.now)
+			g.holders[p.to].Replied(strconv.Itoa(p.from), p.reply, g.hasQuorum, g.now)
 		}
 	}
 	for i, h := range g.holders {
@@ -142,7 +144,7 @@
 	return holding
 }
 
-func (g *group) kill(i int, until time.Duration) {
+func (g *group) kill(i int, restartAt time.Duration) {
 	d := g.disks[i]
 	if d.writing != nil && g.random.IntN(2) == 0 {
 		d.kept = d.writing.Long
@@ -151,22 +153,22 @@
 	if g.random.IntN(5) == 0 {
 		d.kept = nil // a lost disk
 	}
-	g.down[i] = until
-	g.granters[i] = NewGranter(testSpan, d.kept, until)
+	g.down[i] = restartAt
+	g.granters[i] = NewGranter(testLongTenure, d.kept, restartAt)
 	g.holders[i] = g.holder(i)
 }
 
-func (g *group) harm() {
+func (g *group) injectFault() {
 	i, j := g.random.IntN(len(g.holders)), g.random.IntN(len(g.holders))
-	until := g.now + time.Duration(g.random.IntN(2500))*time.Millisecond
+	ends := g.now + time.Duration(g.random.IntN(2500))*time.Millisecond
 	switch g.random.IntN(3) {
-	case 0: // killed: it forgets all but what its disk has kept
-		g.kill(i, until)
+	case 0: // killed: it forgets everything that is not on its disk
+		g.kill(i, ends)
 	case 1:
-		g.cut[i][j] = until
+		g.cut[i][j] = ends
 	case 2:
 		for other := range g.holders {
-			g.cut[i][other], g.cut[other][i] = until, until
+			g.cut[i][other], g.cut[other][i] = ends, ends
 		}
 	}
 }
@@ -174,11 +176,11 @@
 func TestOneHolderAtATime(t *testing.T) {
 	for seed := range uint64(400) {
 		g := newGroup(seed, 3+2*int(seed%2))
-		g.late = seed%4 > 1
+		g.delayMessages = seed%4 > 1
 		held := 0
 		for g.now < 20*time.Second {
 			if g.now < 14*time.Second && g.random.IntN(150) == 0 {
-				g.harm()
+				g.injectFault()
 			}
 			holding := g.step()
 			assert.Assert(t, len(holding) <= 1, "seed %d at %v: %v hold it", seed, g.now, holding)
@@ -190,11 +192,11 @@
 				held++
 			}
 		}
-		assert.Assert(t, held > 1000, "seed %d: held for %d steps only", seed, held)
+		assert.Assert(t, held > 1000, "seed %d: held for only %d steps", seed, held)
 	}
 }
 
-func TestTermIsSteadyInCalm(t *testing.T) {
+func TestTermIsStableWithoutFaults(t *testing.T) {
 	g := newGroup(1, 3)
 	for g.now < 3*time.Second {
 		g.step()
@@ -208,7 +210,7 @@
 	assert.Equal(t, g.holders[holding[0]].Term(), term)
 }
 
-func TestFeedRaisesTheTerm(t *testing.T) {
+func TestRaisedFloorRaisesTheTerm(t *testing.T) {
 	g := newGroup(1, 3)
 	for g.now < 3*time.Second {
 		g.step()
@@ -216,24 +218,25 @@
 	h := g.holders[g.step()[0]]
 	h.AtLeast(100 << saltBits)
 	for g.now < 4*time.Second {
-		assert.Equal(t, len(g.step()), 1, "it is held on while the term rises")
+		assert.Equal(t, len(g.step()), 1, "it stays held while the term rises")
 	}
 	assert.Assert(t, h.Term() > 100<<saltBits)
 }
 
-// A process that has just started counts its rounds from one again: what was granted to its earlier life is not for it.
-func TestGrantToAnEarlierLifeDoesNotCount(t *testing.T) {
+// A process that has just started numbers its rounds from one again: what was granted to its earlier incarnation
+// doesn't count for it.
+func TestGrantToAnEarlierIncarnationDoesNotCount(t *testing.T) {
 	all := func(has func(string) bool) bool { return has("a") && has("b") }
 	earlier := NewHolder(resource, "a", 0x10001, 0)
 	asked := earlier.Tick(false, 0)
-	late := &wire.LeaseReply{Resource: resource, Granted: true, Term: asked.Term, Round: asked.Round, Life: asked.Life}
-	// Even a life that happens to draw the same fencing number counts answers to its own requests alone.
+	delayed := &wire.LeaseReply{Resource: resource, Granted: true, Term: asked.Term, Round: asked.Round, Life: asked.Life}
+	// Even an incarnation that happens to draw the same fencing number only counts replies to its own requests.
 	holder := NewHolder(resource, "a", 0x20001, time.Second)
 	again := holder.Tick(false, time.Second)
 	assert.Equal(t, again.Round, asked.Round)
 	assert.Equal(t, again.Term, asked.Term)
 	for _, from := range []string{"a", "b"} {
-		assert.Assert(t, !holder.Replied(from, late, all, time.Second))
+		assert.Assert(t, !holder.Replied(from, delayed, all, time.Second))
 	}
 	assert.Assert(t, !holder.Holds(time.Second))
 	own := &wire.LeaseReply{Resource: resource, Granted: true, Term: again.Term, Round: again.Round, Life: again.Life}
@@ -243,7 +246,7 @@
 	assert.Assert(t, holder.Holds(time.Second))
 }
 
-// An answer that comes after the lease has lapsed doesn't bring it back under the same fencing number.
+// A reply that arrives after the lease has lapsed doesn't revive it under the same fencing number.
 func TestLapsedLeaseIsNotRevived(t *testing.T) {
 	all := func(has func(string) bool) bool { return has("a") && has("b") }
 	h := NewHolder(resource, "a", 7, 0)
@@ -262,7 +265,7 @@
 	assert.Assert(t, again != nil && again.Term > first.Term)
 }
 
-// An answer to a renewal that was on its way when the lease was given up doesn't bring it back.
+// A reply to a renewal that was in flight when the lease was released doesn't revive it.
 func TestReleasedLeaseIsNotRevived(t *testing.T) {
 	all := func(has func(string) bool) bool { return has("a") && has("b") }
 	h := NewHolder(resource, "a", 7, 0)
--- a/control/lease/tenure.go
+++ b/control/lease/tenure.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// tenures is what a member remembers of how long each resource was held, so that a holder that follows one which was long in
-// office can be told apart from one in a quick row. A member vouches for a new holder once at most in each span, also
-// over restarts: the memory of a long tenure is off its disk before it vouches. As any two majorities share a member, so
-// do all members together.
+// tenures records, for one member, how long each resource was held, so that a holder that follows a long tenure can
+// be told apart from one in a quick succession of holders. A member confirms a long tenure to a new holder at most
+// once in each span, also across restarts: the record of the long tenure is off its disk before it confirms. As any
+// two majorities share a member, the members together also confirm at most once.
 type tenures struct {
-	span    time.Duration
-	long    map[string]bool   // by resource: held by one holder for the span since this member vouched last
-	vouches map[string]uint64 // change whose save lets this member vouch for the present holder; 0 for none
-	changes uint64
-	saved   uint64 // changes that are on disk
+	span time.Duration
+	long map[string]bool // by resource: held by one holder for the span since this member last confirmed
+	// confirmAfter is, by resource, the change that has to be on disk before this member confirms to the current
+	// holder; 0 if it doesn't confirm.
+	confirmAfter map[string]uint64
+	changes      uint64
+	saved        uint64 // number of changes that are on disk
 }
 
 func newTenures(span time.Duration, long []string) tenures {
-	t := tenures{span: span, long: map[string]bool{}, vouches: map[string]uint64{}}
+	t := tenures{span: span, long: map[string]bool{}, confirmAfter: map[string]uint64{}}
 	for _, resource := range long {
 		t.long[resource] = true
 	}
 	return t
 }
 
-// begin takes a new holder, or a new term of the same.
+// begin records a new holder, or a new term of the same holder.
 func (t *tenures) begin(resource string) {
-	t.vouches[resource] = 0
+	t.confirmAfter[resource] = 0
 	if t.long[resource] {
 		delete(t.long, resource)
 		t.changes++
-		t.vouches[resource] = t.changes
+		t.confirmAfter[resource] = t.changes
 	}
 }
 
-// renew takes that a holder has been in office for some time.
+// renew records for how long the current holder has held a resource.
 func (t *tenures) renew(resource string, held time.Duration) {
 	if held >= t.span && !t.long[resource] {
 		t.long[resource] = true
@@ -43,18 +45,18 @@
 	}
 }
 
-func (t *tenures) vouchesFor(resource string) bool {
-	needed := t.vouches[resource]
+func (t *tenures) confirms(resource string) bool {
+	needed := t.confirmAfter[resource]
 	return needed > 0 && needed <= t.saved
 }
 
-// Tenures is what a granter wants to have on disk.
+// LongTenures is the tenure record that a granter needs to have on disk.
 type Tenures struct {
-	Long   []string // resources whose holder was long in office
+	Long   []string // resources whose holder had a long tenure
 	Change uint64
 }
 
-// UnsavedTenures gives what is not on disk yet.
+// UnsavedTenures returns the record to write if it has changed since it was last saved.
 func (g *Granter) UnsavedTenures() (Tenures, bool) {
 	t := &g.tenures
 	if t.changes == t.saved {
@@ -67,5 +69,5 @@
 	return unsaved, true
 }
 
-// TenuresSaved tells that they are on disk.
+// TenuresSaved reports that a record is on disk.
 func (g *Granter) TenuresSaved(t Tenures) { g.tenures.saved = max(g.tenures.saved, t.Change) }
--- a/control/pace/pace.go
+++ b/control/pace/pace.go
@@ -1,6 +1,6 @@
-// Package pace finds the hosts that stream much more slowly than others of their service, from what all routers saw. One
-// router alone sends a host a request each half minute in a large fleet, and learns of a slow one too late. Free of I/O;
-// time is handed in.
+// Package slowhost finds hosts that stream much more slowly than others of their service, from what all routers
+// observe. In a large fleet a single router sends a host one request every half minute, so on its own it detects a
+// slow host too late. The package does no I/O; time is passed in.
 package pace
 
 import (
@@ -12,35 +12,35 @@
 )
 
 const (
-	// gain is the weight of a new sample in what a host takes.
-	gain = 0.15
-	// fadeAfter is how long what is known of a host holds from which nothing comes; then it is forgotten.
-	fadeAfter = 1500 * time.Millisecond
-	// leastSamples is how often a host has to be heard of before anything is said of it.
-	leastSamples = 4
-	// leastHosts is how many hosts of a service have to be known to be compared.
-	leastHosts = 4
-	// leastRatio is how many times as slow as the median a host has to be, to be told of.
-	leastRatio = 1.5
-	// shortestGap bounds what can be told apart.
-	shortestGap = 100 * time.Microsecond
+	// minSampleWeight is the weight of a new sample in a host's average once there are many samples.
+	minSampleWeight = 0.15
+	// hostTTL is how long a host without new samples is remembered.
+	hostTTL = 1500 * time.Millisecond
+	// minSamples is the number of samples that a host needs before it is judged.
+	minSamples = 4
+	// minHosts is the number of hosts of a service that have to be known for a comparison.
+	minHosts = 4
+	// minRatio is how many times as slow as the median a host has to be to be reported.
+	minRatio = 1.5
+	// minGap is the shortest interval between events that is distinguished.
+	minGap = 100 * time.Microsecond
 )
 
-// host is the mean logarithm of the time between a host's events, in seconds.
+// host holds the average logarithm of the interval between a host's events, in seconds.
 type host struct {
-	service string
-	log     float64
-	samples int
-	at      time.Duration
+	service  string
+	meanLog  float64
+	samples  int
+	lastSeen time.Duration
 }
 
-// Table compares the hosts of one shard's services. It is not safe for concurrent use.
+// Detector compares the hosts of one shard's services. It is not safe for concurrent use.
 type Table struct{ hosts map[string]*host }
 
-// NewTable makes a table that knows nothing.
+// NewDetector returns a detector without samples.
 func NewTable() *Table { return &Table{hosts: map[string]*host{}} }
 
-// Observe takes the time between events of a host's streams, as one router saw it.
+// Observe adds a sample: the interval between events of a host's streams, as one router observed it.
 func (t *Table) Observe(service, id string, gap, now time.Duration) {
 	h := t.hosts[id]
 	if h == nil {
@@ -48,20 +48,21 @@
 		t.hosts[id] = h
 	}
 	h.samples++
-	h.log += max(gain, 1/float64(h.samples)) * (math.Log(max(gap, shortestGap).Seconds()) - h.log)
-	h.at = now
+	h.meanLog += max(minSampleWeight, 1/float64(h.samples)) * (math.Log(max(gap, minGap).Seconds()) - h.meanLog)
+	h.lastSeen = now
 }
 
-// Slow gives the hosts that are much slower than the median of their service, and forgets those from which nothing comes.
+// Slow returns the hosts that are much slower than the median of their service, and removes those without recent
+// samples.
 func (t *Table) Slow(now time.Duration) []wire.SlowHost {
 	logs := map[string][]float64{}
 	for id, h := range t.hosts {
-		if now > h.at+fadeAfter {
+		if now > h.lastSeen+hostTTL {
 			delete(t.hosts, id)
 			continue
 		}
-		if h.samples >= leastSamples {
-			logs[h.service] = append(logs[h.service], h.log)
+		if h.samples >= minSamples {
+			logs[h.service] = append(logs[h.service], h.meanLog)
 		}
 	}
 	for _, all := range logs {
@@ -70,10 +71,10 @@
 	var slow []wire.SlowHost
 	for id, h := range t.hosts {
 		all := logs[h.service]
-		if len(all) < leastHosts || h.samples < leastSamples {
+		if len(all) < minHosts || h.samples < minSamples {
 			continue
 		}
-		if ratio := math.Exp(h.log - all[len(all)/2]); ratio >= leastRatio {
+		if ratio := math.Exp(h.meanLog - all[len(all)/2]); ratio >= minRatio {
 			slow = append(slow, wire.SlowHost{ID: id, Ratio: ratio})
 		}
 	}
--- a/control/pace/pace_test.go
+++ b/control/pace/pace_test.go
@@ -12,12 +12,13 @@
 const (
 	hosts    = 40
 	usualGap = 28 * time.Millisecond
-	// interval is that between samples of the whole fleet: 20 a second from each host.
+	// interval is the time between samples of the whole fleet, which gives 20 samples a second from each host.
 	interval = 1250 * time.Microsecond
 )
 
-// play has hosts stream, each slower than usual by a factor. One sample in ten is of a host that reads a long prompt.
-func play(t *Table, random *rand.Rand, from, to time.Duration, factor func(host int) float64) {
+// feed simulates streams of all hosts, each slower than usual by a factor. One sample in ten is from a host that is
+// processing a long prompt.
+func feed(t *Table, random *rand.Rand, from, to time.Duration, factor func(host int) float64) {
 	for now := from; now < to; now += interval {
 		h := random.IntN(hosts)
 		gap := float64(usualGap) * (0.9 + 0.2*random.Float64()) * factor(h)
@@ -28,7 +29,7 @@
 	}
 }
 
-func usually(int) float64 { return 1 }
+func atUsualSpeed(int) float64 { return 1 }
 
 func slowIDs(t *Table, now time.Duration) map[string]float64 {
 	found := map[string]float64{}
@@ -38,16 +39,16 @@
 	return found
 }
 
-func TestSlowHostsAreFoundWithinASecondAndForgiven(t *testing.T) {
+func TestSlowHostsAreFoundWithinASecondAndRecover(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	table := NewTable()
-	wrong := 0
+	falsePositives := 0
 	for now := time.Duration(0); now < 5*time.Second; now += 250 * time.Millisecond {
-		play(table, random, now, now+250*time.Millisecond, usually)
-		wrong += len(table.Slow(now + 250*time.Millisecond))
+		feed(table, random, now, now+250*time.Millisecond, atUsualSpeed)
+		falsePositives += len(table.Slow(now + 250*time.Millisecond))
 	}
-	assert.Assert(t, wrong <= 20*hosts/5, "%d of %d", wrong, 20*hosts)
-	play(table, random, 5*time.Second, 6*time.Second, func(h int) float64 {
+	assert.Assert(t, falsePositives <= 20*hosts/5, "%d of %d", falsePositives, 20*hosts)
+	feed(table, random, 5*time.Second, 6*time.Second, func(h int) float64 {
 		if h < 8 {
 			return 3.2
 		}
@@ -57,21 +58,21 @@
 	for h := range 8 {
 		assert.Assert(t, found[fmt.Sprint(h)] > 2, "host %d: %v", h, found)
 	}
-	play(table, random, 6*time.Second, 8*time.Second, usually)
-	forgiven := slowIDs(table, 8*time.Second)
-	assert.Assert(t, len(forgiven) <= hosts/4, "%v", forgiven)
+	feed(table, random, 6*time.Second, 8*time.Second, atUsualSpeed)
+	stillSlow := slowIDs(table, 8*time.Second)
+	assert.Assert(t, len(stillSlow) <= hosts/4, "%v", stillSlow)
 }
 
-func TestAllSlowIsNoneSlow(t *testing.T) {
+func TestUniformlySlowServiceHasNoSlowHosts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	table := NewTable()
-	play(table, random, 0, 5*time.Second, func(int) float64 { return 4 })
+	feed(table, random, 0, 5*time.Second, func(int) float64 { return 4 })
 	assert.Assert(t, len(table.Slow(5*time.Second)) <= hosts/4)
 }
 
-func TestServicesAreNotCompared(t *testing.T) {
+func TestHostsOfDifferentServicesAreNotCompared(t *testing.T) {
 	table := NewTable()
-	for i := range 10 * leastSamples {
+	for i := range 10 * minSamples {
 		for h := range 8 {
 			table.Observe("quick", fmt.Sprint("quick", h), usualGap, time.Duration(i))
 			table.Observe("slow", fmt.Sprint("slow", h), 10*usualGap, time.Duration(i))
@@ -80,11 +81,11 @@
 	assert.Equal(t, len(table.Slow(time.Second)), 0)
 }
 
-func TestSilentHostsAreForgotten(t *testing.T) {
+func TestSilentHostsAreRemoved(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 4))
 	table := NewTable()
-	play(table, random, 0, time.Second, usually)
-	table.Slow(time.Second + 2*fadeAfter)
+	feed(table, random, 0, time.Second, atUsualSpeed)
+	table.Slow(time.Second + 2*hostTTL)
 	assert.Equal(t, len(table.hosts), 0)
 }
 
--- a/control/quota/owner.go
+++ b/control/quota/owner.go
@@ -1,5 +1,5 @@
-// Package quota keeps tenants' limits for a whole fleet. The owner of a shard has one token bucket for each limit, and
-// routers draw from it as they need. Free of I/O; time is handed in.
+// Package quota enforces tenants' limits for a whole fleet. The owner of a shard has one token bucket for each limit,
+// and routers draw from it as they need. It does no I/O; time is passed in.
 package quota
 
 import (
@@ -8,58 +8,60 @@
 )
 
 const (
-	// aheadPart of what a bucket holds beyond a request may be drawn ahead of need at once.
-	aheadPart = 0.25
-	// LongestDelay is how long a request may have to wait until the bucket has filled for it, and longestQueue how much of
-	// that may be for others before it. Between the last grant of one owner and the first of the next at least as long passes.
-	LongestDelay = 100 * time.Millisecond
-	longestQueue = 50 * time.Millisecond
-	shortestWait = 20 * time.Millisecond
-	longestWait  = 2 * time.Second
-	// costMemory is the time in which a bucket forgets how large its requests were.
-	costMemory = 10 * time.Second
-	// leastSweep is the number of buckets from which on full ones are forgotten.
-	leastSweep = 1024
+	// aheadShare is the part of a bucket's level beyond a request that may be granted ahead of need.
+	aheadShare = 0.25
+	// MaxDelay is how long a request may have to wait until the bucket has filled for it, and maxQueueDelay how
+	// much of that may be due to requests before it. At least MaxDelay passes between the last grant of one owner
+	// and the first of the next.
+	LongestDelay  = 100 * time.Millisecond
+	maxQueueDelay = 50 * time.Millisecond
+	minRetryWait  = 20 * time.Millisecond
+	maxRetryWait  = 2 * time.Second
+	// costDecay is the time constant with which a bucket forgets how large its requests were.
+	costDecay = 10 * time.Second
+	// minSweepSize is the number of buckets from which on full ones are removed.
+	minSweepSize = 1024
 )
 
-// Ask is what a router asks of a limit, in the limit's unit.
+// Request is what a router requests of a limit, in the limit's unit.
 type Ask struct {
-	Need float64 // for the request at hand
-	Want float64 // with what soon follows
+	Need float64 // amount for the request at hand
+	Want float64 // amount including requests expected soon
 }
 
-// Grant is the owner's answer.
+// Grant is the owner's answer to a Request.
 type Grant struct {
 	Amount float64       // 0, or at least what was needed
-	Spare  float64       // what the router may use on top, while no owner answers it
-	Delay  time.Duration // before which the amount may not be used, from when the answer is made
-	Valid  time.Duration // for which it may be used then, counted from the question and the delay
-	Empty  time.Duration // until the bucket holds enough for a request like this one, where nothing was granted
+	Spare  float64       // what the router may use in addition, while no owner answers it
+	Delay  time.Duration // time from the answer before which the amount may not be used
+	Valid  time.Duration // time for which it may be used, counted from the request plus the delay
+	Empty  time.Duration // if nothing was granted, time until the bucket holds enough for a request like this one
 }
 
 type bucket struct {
-	limit   Limit   // by which it was filled last
-	level   float64 // below 0 by what is granted for later
-	spare   float64 // likewise, of what routers may use while no owner answers
+	limit   Limit   // limit by which it was last filled
+	level   float64 // negative by what is granted ahead of the fill
+	spare   float64 // level of the spare amount, which routers may use while no owner answers
 	at      time.Duration
-	largest float64 // request of late
+	largest float64 // largest recent request, decaying
 }
 
 // Owner keeps the buckets of one shard's limits.
 type Owner struct {
 	buckets map[string]*bucket
 	since   time.Duration
-	started bool // buckets have got their start amount
-	sweepAt int  // number of buckets
+	started bool // buckets have received their start amount
+	sweepAt int  // number of buckets at which full ones are removed
 }
 
-// NewOwner makes an owner that has just taken over. Its buckets are empty, as what the one before it gave out is not
-// known: so any number of owners in a row grant no more than one would, but for the start amounts.
+// NewOwner returns an owner that has just taken over. Its buckets are empty, as it doesn't know what the previous
+// owner granted, so any succession of owners grants no more than a single owner would, except for the start amounts.
 func NewOwner(now time.Duration) *Owner {
-	return &Owner{buckets: map[string]*bucket{}, since: now, sweepAt: leastSweep}
+	return &Owner{buckets: map[string]*bucket{}, since: now, sweepAt: minSweepSize}
 }
 
-// AddStart puts the start amount of each limit in. To be called once at most, for an owner that follows one long in office.
+// AddStartAmount adds the start amount of each limit. It may be called at most once, for an owner that follows a long
+// tenure.
 func (o *Owner) AddStart(now time.Duration) {
 	o.started = true
 	for name, b := range o.buckets {
@@ -68,22 +70,23 @@
 	}
 }
 
-// Take draws from a bucket: all that is needed, and up to what is wanted where there is plenty; or nothing. What the
-// bucket doesn't hold yet is granted with a delay, so that what is used by any moment has been filled by then. Requests are
-// let in by what the largest ones of late need, so that small ones don't keep the bucket too empty for them.
+// Take draws from a bucket: all that is needed, and up to what is wanted if there is plenty; or nothing. What the
+// bucket doesn't hold yet is granted with a delay, so that whatever is used by any moment has been filled by then.
+// Admission is based on what the largest recent requests need, so that small ones don't keep the bucket too empty for
+// large ones.
 func (o *Owner) Take(name string, l Limit, ask Ask, now time.Duration) Grant {
-	if !(ask.Need >= 0 && ask.Need <= l.Capacity) { // not a number, or more than there ever is
-		return Grant{Empty: longestWait}
+	if !(ask.Need >= 0 && ask.Need <= l.Capacity) { // negative, not a number, or more than the bucket can ever hold
+		return Grant{Empty: maxRetryWait}
 	}
 	b := o.bucket(name, l, now)
 	b.largest = max(min(ask.Need, l.Capacity/2), b.largest)
-	if enough := l.enough(max(ask.Need, b.largest)); b.level < enough {
-		return Grant{Empty: l.wait(enough - b.level)}
+	if required := l.admissionLevel(max(ask.Need, b.largest)); b.level < required {
+		return Grant{Empty: l.timeToGain(required - b.level)}
 	}
-	ahead := max(0, min(ask.Want-ask.Need, (b.level-ask.Need)*aheadPart))
+	ahead := max(0, min(ask.Want-ask.Need, (b.level-ask.Need)*aheadShare))
 	amount := ask.Need + ahead
 	b.level -= amount
-	spare := min(sparePart*amount, b.spare)
+	spare := min(sparePerGrant*amount, b.spare)
 	b.spare -= spare
 	grant := Grant{Amount: amount, Spare: spare, Valid: l.Validity}
 	if b.level < 0 {
@@ -92,20 +95,20 @@
 	return grant
 }
 
-// enough is how full a bucket has to be for requests of a size to be let in.
-func (l *Limit) enough(size float64) float64 {
-	return max(size-l.Rate*LongestDelay.Seconds(), -l.Rate*longestQueue.Seconds())
+// admissionLevel returns the level that a bucket needs for requests of a size to be admitted.
+func (l *Limit) admissionLevel(size float64) float64 {
+	return max(size-l.Rate*LongestDelay.Seconds(), -l.Rate*maxQueueDelay.Seconds())
 }
 
-// wait is how long a bucket takes to gain an amount.
-func (l *Limit) wait(missing float64) time.Duration {
-	if l.Rate <= 0 || missing/l.Rate >= longestWait.Seconds() {
-		return longestWait
+// timeToGain returns how long a bucket takes to gain an amount, bounded.
+func (l *Limit) timeToGain(missing float64) time.Duration {
+	if l.Rate <= 0 || missing/l.Rate >= maxRetryWait.Seconds() {
+		return maxRetryWait
 	}
-	return max(seconds(missing/l.Rate), shortestWait)
+	return max(seconds(missing/l.Rate), minRetryWait)
 }
 
-// bucket gives the bucket of a limit, filled up to now.
+// bucket returns the bucket of a limit, filled up to now.
 func (o *Owner) bucket(name string, l Limit, now time.Duration) *bucket {
 	b := o.buckets[name]
 	if b == nil {
@@ -119,12 +122,12 @@
 	passed := max(0, (now - b.at).Seconds())
 	b.level = min(b.level+l.Rate*passed, l.Capacity)
 	b.spare = min(b.spare+l.SpareRate*passed, l.SpareCapacity)
-	b.largest = min(b.largest*math.Exp(-passed/costMemory.Seconds()), l.Capacity/2)
+	b.largest = min(b.largest*math.Exp(-passed/costDecay.Seconds()), l.Capacity/2)
 	b.at, b.limit = max(b.at, now), l
 	return b
 }
 
-// sweep forgets full buckets where there are many: one that is made anew is filled as far.
+// sweep removes full buckets once there are many: one that is created anew is filled to the same level.
 func (o *Owner) sweep() {
 	if len(o.buckets) < o.sweepAt {
 		return
@@ -134,5 +137,5 @@
 			delete(o.buckets, name)
 		}
 	}
-	o.sweepAt = max(leastSweep, 2*len(o.buckets))
+	o.sweepAt = max(minSweepSize, 2*len(o.buckets))
 }
--- a/control/quota/owner_test.go
+++ b/control/quota/owner_test.go
@@ -23,7 +23,7 @@
 	return &config.Tenant{Name: "t", RatePerS: rate, Burst: burst}
 }
 
-// TestPartsOfALimitAddUp is the inequality by which a limit holds, for limits of all sizes.
+// TestPartsOfALimitAddUp checks the inequality by which a limit holds, for limits of all sizes.
 func TestPartsOfALimitAddUp(t *testing.T) {
 	for _, rate := range []float64{0, 0.01, 1, 100, 1_000, 29_000, 520_000, 1e9} {
 		for _, burst := range []float64{0, 1, rate, 20 * rate} {
@@ -54,14 +54,14 @@
 	assert.Assert(t, l.Capacity >= 2 && l.Capacity < 3, "%+v", l)
 }
 
-// drawn is what owners granted, by time.
+// drawn is an amount granted, and when it may be used.
 type drawn struct {
 	at     time.Duration
 	amount float64
 }
 
-// most is the largest sum within any span.
-func most(all []drawn, span time.Duration) float64 {
+// largestSum returns the largest sum within any span.
+func largestSum(all []drawn, span time.Duration) float64 {
 	slices.SortStableFunc(all, func(a, b drawn) int { return cmp.Compare(a.at, b.at) })
 	largest, sum, first := 0.0, 0.0, 0
 	for _, d := range all {
@@ -75,7 +75,7 @@
 	return largest
 }
 
-// TestOwnersInARowGrantNoMoreThanOne draws all there is, from owners that follow each other at any pace.
+// TestOwnersInARowGrantNoMoreThanOne draws everything available, from owners that replace each other at any rate.
 func TestOwnersInARowGrantNoMoreThanOne(t *testing.T) {
 	for _, pace := range []time.Duration{time.Hour, 4 * time.Second, 700 * time.Millisecond, 50 * time.Millisecond} {
 		for seed := range uint64(20) {
@@ -86,7 +86,7 @@
 			for range 4000 {
 				now += time.Duration(random.IntN(10)) * time.Millisecond
 				if now >= next {
-					now += LongestDelay // for as long nobody grants
+					now += LongestDelay // nobody grants during this time
 					owner, next = NewOwner(now), now+time.Duration(random.Int64N(int64(2*pace)))
 				}
 				need := 20_000 * random.Float64()
@@ -97,17 +97,17 @@
 				all, spare = append(all, drawn{now + grant.Delay, grant.Amount}), append(spare, drawn{now, grant.Spare})
 			}
 			for _, span := range []time.Duration{0, time.Second, window, window + limit.Validity} {
-				sum, bound := most(all, max(span, 1)), limit.Capacity+limit.Rate*span.Seconds()
+				sum, bound := largestSum(all, max(span, 1)), limit.Capacity+limit.Rate*span.Seconds()
 				assert.Assert(t, sum <= bound*(1+1e-9), "pace %v, seed %d: %v within %v, %v is the bound", pace, seed, sum, span, bound)
-				sum, bound = most(spare, max(span, 1)), limit.SpareCapacity+limit.SpareRate*span.Seconds()
+				sum, bound = largestSum(spare, max(span, 1)), limit.SpareCapacity+limit.SpareRate*span.Seconds()
 				assert.Assert(t, sum <= bound*(1+1e-9), "pace %v, seed %d: spare %v within %v, %v is the bound", pace, seed, sum, span, bound)
 			}
 		}
 	}
 }
 
-// TestStartAmountIsPutInOnce gives an owner its start amount before and after it has met a tenant.
-func TestStartAmountIsPutInOnce(t *testing.T) {
+// TestStartAmountIsAddedOnce gives an owner its start amount before and after the first request of a tenant.
+func TestStartAmountIsAddedOnce(t *testing.T) {
 	limit := LimitOf(tenant(100_000, 100_000), &bounds)
 	all := func(o *Owner, now time.Duration) (sum float64) {
 		for {
@@ -134,7 +134,7 @@
 	assert.Assert(t, all(full, time.Hour) <= limit.Capacity, "a bucket holds no more than that")
 }
 
-// TestNoRequestTakesABucketBelowZero asks for amounts of any size, each of which a request may cost.
+// TestNoRequestTakesABucketBelowZero requests amounts of any size, each of which a request may cost.
 func TestNoRequestTakesABucketBelowZero(t *testing.T) {
 	limit := LimitOf(tenant(1000, 1000), &bounds)
 	owner, now := NewOwner(0), time.Duration(0)
@@ -144,14 +144,14 @@
 		if need >= 0 && need <= limit.Capacity {
 			assert.Equal(t, grant.Amount, need)
 		} else {
-			assert.Assert(t, grant.Amount == 0 && grant.Empty == longestWait, "%v: %+v", need, grant)
+			assert.Assert(t, grant.Amount == 0 && grant.Empty == maxRetryWait, "%v: %+v", need, grant)
 		}
 		assert.Assert(t, owner.buckets["t"] == nil || owner.buckets["t"].level >= 0)
 	}
 }
 
-// TestRequestsWaitForTheBucketInOrder has more requests come at once than an empty bucket holds: some wait, each for those
-// before it, and the others are told when there is room for one like them, and not before.
+// TestRequestsWaitForTheBucketInOrder sends more requests at once than an empty bucket can serve: some wait, each for
+// those before it, and the others are told when there will be room for one like them, and are refused before.
 func TestRequestsWaitForTheBucketInOrder(t *testing.T) {
 	limit := LimitOf(tenant(100_000, 100_000), &bounds)
 	owner, last, refused := NewOwner(0), time.Duration(0), time.Duration(0)
@@ -159,7 +159,7 @@
 		grant := owner.Take("t", limit, Ask{Need: 1_000, Want: 9_000}, 0)
 		if grant.Amount > 0 {
 			assert.Equal(t, refused, time.Duration(0), "none after one that was refused")
-			assert.Equal(t, grant.Amount, 1_000.0, "nothing is drawn ahead of others")
+			assert.Equal(t, grant.Amount, 1_000.0, "nothing is granted ahead of need")
 			assert.Equal(t, grant.Delay, last+10*time.Millisecond)
 			last = grant.Delay
 			continue
@@ -167,13 +167,13 @@
 		assert.Assert(t, refused == 0 || grant.Empty == refused)
 		refused = grant.Empty
 	}
-	assert.Assert(t, last >= longestQueue && last <= LongestDelay, "%v", last)
-	assert.Equal(t, refused, shortestWait)
-	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, 5*time.Millisecond).Amount == 0, "there is none yet")
+	assert.Assert(t, last >= maxQueueDelay && last <= LongestDelay, "%v", last)
+	assert.Equal(t, refused, minRetryWait)
+	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, 5*time.Millisecond).Amount == 0, "there is no room yet")
 	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, refused).Amount > 0, "there is room again")
 }
 
-// TestLargeRequestsAreNotStarvedBySmallOnes has both ask for far more than there is.
+// TestLargeRequestsAreNotStarvedBySmallOnes has both sizes demand far more than there is.
 func TestLargeRequestsAreNotStarvedBySmallOnes(t *testing.T) {
 	limit := LimitOf(tenant(100_000, 100_000), &bounds)
 	owner, served := NewOwner(0), map[float64]int{}
@@ -187,12 +187,12 @@
 		}
 		asked++
 	}
-	assert.Assert(t, served[9_200] < asked/2, "there was too much of it to show anything")
+	assert.Assert(t, served[9_200] < asked/2, "demand was too low to show anything")
 	assert.Assert(t, served[9_200] > served[200]*8/10, "%v of %d each", served, asked)
 }
 
-// TestWholeLimitIsUsable draws with demand above the limit, and counts what is granted.
-func TestWholeLimitIsUsable(t *testing.T) {
+// TestEntireLimitIsUsable draws with demand above the limit, and sums up what is granted.
+func TestEntireLimitIsUsable(t *testing.T) {
 	for _, rate := range []float64{29_000, 100_000, 520_000} {
 		limit := LimitOf(tenant(rate, rate), &bounds)
 		owner, sum := NewOwner(0), 0.0
@@ -203,13 +203,13 @@
 	}
 }
 
-// TestTenantBelowItsLimitIsNotRefused sends within rate and burst, in bursts as large as they may be.
+// TestTenantBelowItsLimitIsNotRefused sends within rate and burst, in bursts as large as allowed.
 func TestTenantBelowItsLimitIsNotRefused(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 6))
 		rate := 29_000 + 500_000*random.Float64()
 		limit := LimitOf(tenant(rate, rate), &bounds)
-		owner, own := NewOwner(0), rate // own is the bucket that the tenant keeps to
+		owner, own := NewOwner(0), rate // own is the token bucket that the tenant itself keeps to
 		for now := 20 * time.Second; now < 80*time.Second; now += 5 * time.Millisecond {
 			own = min(own+rate*0.005, rate)
 			for need := 200 + 9_000*random.Float64(); own >= need && random.IntN(3) > 0; need = 200 + 9_000*random.Float64() {
@@ -221,8 +221,8 @@
 	}
 }
 
-// TestLowerLimitBindsAtOnce changes a limit in all ways at one owner, twice within a window too.
-func TestLowerLimitBindsAtOnce(t *testing.T) {
+// TestLowerLimitAppliesAtOnce changes a limit of one owner in all ways, also twice within a window.
+func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	high, low := tenant(100_000, 200_000), tenant(10_000, 5_000)
 	for name, next := range map[string]*config.Tenant{
 		"rate and burst": low, "rate": tenant(10_000, 200_000), "burst": tenant(100_000, 5_000), "nothing": tenant(0, 0),
@@ -235,7 +235,7 @@
 				grant := owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, now)
 				all = append(all, drawn{now + grant.Delay, grant.Amount})
 			}
-			return most(all, window)
+			return largestSum(all, window)
 		}
 		draw(LimitOf(high, &bounds), time.Second)
 		now += 10 * time.Second // full again
@@ -248,25 +248,25 @@
 	}
 }
 
-// TestTenantThatIsRemovedAndAddedGetsNothingTwice takes a limit away for a moment.
-func TestTenantThatIsRemovedAndAddedGetsNothingTwice(t *testing.T) {
+// TestRemovedAndReaddedTenantGetsNothingTwice removes a limit for a moment, during which full buckets are removed.
+func TestRemovedAndReaddedTenantGetsNothingTwice(t *testing.T) {
 	limit := LimitOf(tenant(1_000, 1_000), &bounds)
 	owner := NewOwner(0)
 	now := time.Hour
 	assert.Assert(t, owner.Take("t", limit, Ask{Need: limit.Capacity, Want: limit.Capacity}, now).Amount > 0)
-	for i := range 3 * leastSweep { // others come meanwhile, so that full buckets are forgotten
+	for i := range 3 * minSweepSize { // other tenants arrive in the meantime, so that full buckets are removed
 		owner.Take(fmt.Sprint("other-", i), limit, Ask{Need: 1, Want: 1}, now)
 		now += time.Microsecond
 	}
 	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, now).Amount == 0, "it has drawn all it had")
 }
 
-// TestFullBucketsAreForgotten keeps memory bounded where tenants come and go.
-func TestFullBucketsAreForgotten(t *testing.T) {
+// TestFullBucketsAreRemoved checks that memory stays bounded as tenants come and go.
+func TestFullBucketsAreRemoved(t *testing.T) {
 	limit := LimitOf(tenant(1_000, 1_000), &bounds)
 	owner := NewOwner(0)
-	for i := range 20 * leastSweep {
+	for i := range 20 * minSweepSize {
 		owner.Take(fmt.Sprint("tenant-", i), limit, Ask{Need: 0, Want: 0}, time.Hour)
 	}
-	assert.Assert(t, len(owner.buckets) <= 2*leastSweep, "%d buckets", len(owner.buckets))
+	assert.Assert(t, len(owner.buckets) <= 2*minSweepSize, "%d buckets", len(owner.buckets))
 }
--- a/control/replica/clock.go
+++ b/control/replica/clock.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// groupClock is a group's time, by which its state expires. Between two moments of it never passes more than between
-// them by the steady clocks, also where the leader changes: what is granted for a while by one leader holds for as long
-// with the next. And it never falls from entry to entry. Steps of the time of day touch nothing.
+// groupClock is a group's logical time, by which its replicated state expires. Between two readings of it no more
+// time passes than between them on the steady clocks, even if the leader changes in between, so what one leader
+// grants for a duration lasts at least as long under the next. It never falls from entry to entry. Changes of the
+// time of day have no effect on it.
 //
-// A leader's time goes on by its steady clock from what it was told by the one before. As a message takes time, each
-// leader's time lies behind that of the one before: so what a leader of a later term tells replaces what is known, also by
-// an earlier time, while what one leader tells is counted on from the message that came soonest. Who wins has heard of
-// each term of which an entry is committed, or holds that entry on disk, whose time is counted on from the start. The time
-// stands still while no process runs.
+// A leader's time continues on its steady clock from what the previous leader reported. Because messages take time,
+// each leader's time lags behind its predecessor's. A report by the leader of a later term therefore replaces the
+// known time even if it is earlier, while among reports by one leader the one that arrived with the least delay
+// counts. The winner of an election has heard of each term that has a committed entry, or has that entry on disk and
+// continues from its time as of its own start. The time stands still while no process runs.
 type groupClock struct {
-	term    uint64        // whose leader told it, in this life or by an entry
-	known   time.Duration // the group's time
-	knownAt time.Duration // on the steady clock
+	term    uint64        // of the leader that reported it, during this run or in a stored entry
+	known   time.Duration // group time
+	knownAt time.Duration // steady-clock time at which known held
 }
 
-// at gives the group's time at a moment of the steady clock.
+// at returns the group time at a steady-clock time.
 func (c *groupClock) at(now time.Duration) time.Duration { return c.known + max(0, now-c.knownAt) }
 
-// observe takes a moment of the group's time that the leader of a term has told.
-func (c *groupClock) observe(term uint64, told, now time.Duration) {
-	if term > c.term || term == c.term && told > c.at(now) {
-		*c = groupClock{term, told, now}
+// observe records the group time that the leader of a term reported.
+func (c *groupClock) observe(term uint64, reported, now time.Duration) {
+	if term > c.term || term == c.term && reported > c.at(now) {
+		*c = groupClock{term, reported, now}
 	}
 }
 
-// reach takes the time of an entry that is to be followed by one of a new leader.
-func (c *groupClock) reach(told, now time.Duration) {
-	if told > c.at(now) {
-		c.known, c.knownAt = told, now
+// raiseTo raises the time to that of an entry which a new leader's first entry is to follow.
+func (c *groupClock) raiseTo(reported, now time.Duration) {
+	if reported > c.at(now) {
+		c.known, c.knownAt = reported, now
 	}
 }
 
-// GroupTime gives the group's time as far as this replica knows it. It is the group's own only at a leader.
+// GroupTime returns the group time as far as this replica knows it. It is authoritative only on the leader.
 func (r *Replica) GroupTime(now time.Duration) time.Duration { return r.clock.at(now) }
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -11,25 +11,26 @@
 func (r *Replica) startPreVote(now time.Duration) {
 	r.role, r.leader = PreCandidate, wire.Member{}
 	r.round = r.random.Uint64() | 1
-	r.votes = map[string]bool{r.self.ID: now >= r.heardAt+LeaseDuration}
-	r.freshVotes = map[string]bool{r.self.ID: r.fresh}
+	r.votes = map[string]bool{r.self.ID: now >= r.leaderHeardAt+LeaseDuration}
+	r.restartVotes = map[string]bool{r.self.ID: r.justRestarted}
 	r.scheduleElection(now)
 	r.requestVotes(&wire.VoteRequest{Term: r.disk.Term + 1, PreVote: true, Round: r.round})
 	r.countVotes(now)
 }
 
-// startElection stands in a new term. freshRound is that of the pre-vote in which all members told that they had just
-// restarted, else 0; transfer says that the leader has given its lease up and asked for the election.
-func (r *Replica) startElection(freshRound uint64, transfer bool, now time.Duration) {
-	r.role, r.freshRound = Candidate, freshRound
+// startElection stands for leader in a new term. restartRound is the pre-vote round in which all members reported
+// that they have just restarted, else 0; transfer says that the leader has given up its lease and asked for this
+// election.
+func (r *Replica) startElection(restartRound uint64, transfer bool, now time.Duration) {
+	r.role, r.restartRound = Candidate, restartRound
 	r.round = r.random.Uint64() | 1
 	r.disk.Term++
 	r.disk.VotedFor = r.self.ID
 	r.requestSave(false, true)
 	r.votes = map[string]bool{}
 	r.scheduleElection(now)
-	r.failed++ // unless it wins
-	r.requestVotes(&wire.VoteRequest{Term: r.disk.Term, Round: r.round, FreshRound: freshRound, Transfer: transfer})
+	r.failedElections++ // reset if it wins
+	r.requestVotes(&wire.VoteRequest{Term: r.disk.Term, Round: r.round, FreshRound: restartRound, Transfer: transfer})
 }
 
 func (r *Replica) requestVotes(q *wire.VoteRequest) {
@@ -44,17 +45,17 @@
 	}
 }
 
-// onVoteRequest answers a candidate. A learner votes too, as the newest entry, which names it a member, may not have
-// reached it; the candidate counts the votes of its own members alone.
+// onVoteRequest answers a candidate. A learner votes too, because the newest entry, which names it a member, may not
+// have reached it yet; the candidate only counts votes of its own members.
 func (r *Replica) onVoteRequest(from wire.Member, q *wire.VoteRequest, now time.Duration) {
 	reply := &wire.VoteReply{Term: r.disk.Term, PreVote: q.PreVote, Round: q.Round}
 	upToDate := !(Position{Term: q.LastTerm, Index: q.LastIndex}).Less(r.disk.Entry.Position())
 	willing := q.Term >= r.disk.Term && upToDate
-	if reply.Fresh = q.PreVote && r.fresh && willing && !r.standsBefore(q); reply.Fresh {
-		r.freshTold[q.Candidate] = q.Round
-		r.yieldTo(now)
+	if reply.Fresh = q.PreVote && r.justRestarted && willing && !r.hasPriorityOver(q); reply.Fresh {
+		r.restartConfirmed[q.Candidate] = q.Round
+		r.yieldElection(now)
 	}
-	if !willing || r.leaderHeard(now) && !r.leaseIsOver(q) {
+	if !willing || r.leaderHeard(now) && !r.noLeaseLeft(q) {
 		r.send(from, &wire.Message{VoteReply: reply})
 		return
 	}
@@ -81,10 +82,11 @@
 	r.sendAfterSave(from, &wire.Message{VoteReply: reply})
 }
 
-// standsBefore says whether this replica comes before a candidate where all members have just restarted: the one with the
-// newest entry does, and among equals the one that comes first in the group's order. So only one can get the word of all that they
-// have, and two never stand against each other on its strength. One whose disk doesn't keep up leaves its place to others.
-func (r *Replica) standsBefore(q *wire.VoteRequest) bool {
+// hasPriorityOver reports whether this replica goes before a candidate when all members have just restarted. The one
+// with the newest entry goes first, and among equals the one that comes first in the group's order. So only one
+// candidate can collect the confirmation of all members, and two never stand against each other because of it. A
+// replica whose disk doesn't keep up gives way.
+func (r *Replica) hasPriorityOver(q *wire.VoteRequest) bool {
 	if !r.IsMember() || r.leave.started || !r.termDurable() {
 		return false
 	}
@@ -92,43 +94,43 @@
 	return others.Less(own) || own == others && r.group.before(r.self.ID, q.Candidate)
 }
 
-// yieldTo lets another replica that has also just restarted stand first.
-func (r *Replica) yieldTo(now time.Duration) {
+// yieldElection lets another replica that has also just restarted stand first.
+func (r *Replica) yieldElection(now time.Duration) {
 	if r.role == Candidate {
 		return
 	}
 	r.role = Follower
-	r.yieldUntil = now + freshYield
-	r.electAt = max(r.electAt, r.yieldUntil+time.Duration(r.random.Int64N(int64(freshInterval))))
+	r.yieldUntil = now + restartYieldTime
+	r.electionAt = max(r.electionAt, r.yieldUntil+time.Duration(r.random.Int64N(int64(restartPollInterval))))
 }
 
-// PeerReachable tells that the replica at an address can be asked and can answer from now on. One that has just restarted
-// asks at once whether all members have, unless it lets another one stand first.
+// PeerReachable reports that the replica at an address can now be asked and can answer. A replica that has just
+// restarted immediately asks whether all members have, unless it is letting another one stand first.
 func (r *Replica) PeerReachable(ip string, now time.Duration) {
-	canStand := r.fresh && r.IsMember() && !r.leave.started && (r.role == Follower || r.role == PreCandidate)
+	canStand := r.justRestarted && r.IsMember() && !r.leave.started && (r.role == Follower || r.role == PreCandidate)
 	isMember := slices.ContainsFunc(r.Members(), func(m wire.Member) bool { return m.IP == ip })
 	if canStand && isMember && now >= r.yieldUntil {
 		r.startPreVote(now)
 	}
 }
 
-// leaderHeard says whether a leader may count on this replica's word that it elects no other one.
+// leaderHeard reports whether a leader may still rely on this replica electing no other leader.
 func (r *Replica) leaderHeard(now time.Duration) bool {
-	return now < r.heardAt+LeaseDuration || r.Leading(now)
+	return now < r.leaderHeardAt+LeaseDuration || r.Leading(now)
 }
 
-// leaseIsOver says whether a request for a vote shows that no lease of a leader is left: the leader of the term before
-// gave it up, or all members have restarted, and this life of this one has said so in that very round.
-func (r *Replica) leaseIsOver(q *wire.VoteRequest) bool {
+// noLeaseLeft reports whether a vote request proves that no leader's lease is left: either the leader of the term
+// before gave it up, or all members have restarted and this process has confirmed its own restart in that very round.
+func (r *Replica) noLeaseLeft(q *wire.VoteRequest) bool {
 	if q.Transfer && !q.PreVote && q.Term == r.disk.Term+1 {
 		return true
 	}
-	return q.FreshRound != 0 && r.fresh && r.freshTold[q.Candidate] == q.FreshRound
+	return q.FreshRound != 0 && r.justRestarted && r.restartConfirmed[q.Candidate] == q.FreshRound
 }
 
 func (r *Replica) onVoteReply(from wire.Member, p *wire.VoteReply, now time.Duration) {
 	if p.Fresh && r.role == PreCandidate && p.Round == r.round {
-		r.noteFresh(from)
+		r.noteRestarted(from)
 		r.countVotes(now)
 	}
 	if !p.Granted {
@@ -146,12 +148,12 @@
 }
 
 func (r *Replica) countVotes(now time.Duration) {
-	if r.role == Candidate && r.saved >= r.sequence {
+	if r.role == Candidate && r.savedSequence >= r.sequence {
 		r.votes[r.self.ID] = true // the own vote counts once it is on disk
 	}
 	won := Quorum(r.Members(), func(id string) bool { return r.votes[id] })
 	switch {
-	case r.role == PreCandidate && r.fresh && r.allRestarted():
+	case r.role == PreCandidate && r.justRestarted && r.allRestarted():
 		r.startElection(r.round, false, now)
 	case r.role == PreCandidate && won:
 		r.startElection(0, false, now)
@@ -160,21 +162,21 @@
 	}
 }
 
-// noteFresh takes a replica's word that it has heard no leader since it started. One that is no member, at a member's
-// address, is that machine without its disk: the member is no more.
-func (r *Replica) noteFresh(from wire.Member) {
+// noteRestarted records that a replica has heard no leader since it started. A replica that is not a member but has a
+// member's address is that member's machine after it lost its disk, so the member no longer exists.
+func (r *Replica) noteRestarted(from wire.Member) {
 	for _, m := range r.Members() {
 		if m.ID == from.ID || m.IP == from.IP {
-			r.freshVotes[m.ID] = true
+			r.restartVotes[m.ID] = true
 		}
 	}
 }
 
-// allRestarted says whether all members have told that they heard no leader since they started. A leader is a member:
-// so none is left that could still count on its lease.
+// allRestarted reports whether all members have said that they heard no leader since they started. As a leader is
+// itself a member, none is left that could rely on its lease.
 func (r *Replica) allRestarted() bool {
 	for _, m := range r.Members() {
-		if !r.freshVotes[m.ID] {
+		if !r.restartVotes[m.ID] {
 			return false
 		}
 	}
@@ -182,21 +184,21 @@
 }
 
 func (r *Replica) becomeLeader(now time.Duration) {
-	r.role, r.leader, r.ledSince, r.fresh, r.failed = Leader, r.self, now, false, 0
-	r.peers, r.beats, r.made = map[string]*peer{}, map[uint64]time.Duration{}, map[uint64]time.Duration{}
-	r.nextBeat = now
+	r.role, r.leader, r.leaderSince, r.justRestarted, r.failedElections = Leader, r.self, now, false, 0
+	r.peers, r.heartbeatSentAt, r.madeAt = map[string]*peer{}, map[uint64]time.Duration{}, map[uint64]time.Duration{}
+	r.nextHeartbeat = now
 	if r.machine != nil {
-		r.clock.reach(r.disk.Entry.Time, now)
+		r.clock.raiseTo(r.disk.Entry.Time, now)
 		r.refreshPeers(now)
 		for _, p := range r.peers {
-			p.received = r.disk.Entry.Position() // most have it; one that hasn't says so, and gets what it lacks
+			p.received = r.disk.Entry.Position() // one that doesn't have it says so, and gets what it lacks
 		}
 	}
-	// What it holds is committed only by an entry of its own term.
+	// The existing entry is only committed by an entry of the leader's own term.
 	r.appendUnchanged(r.disk.Entry.Members, now)
 }
 
-// onTransfer stands at once, as the leader of this term has given its lease up.
+// onTransfer starts an election at once, as the leader of this term has given up its lease.
 func (r *Replica) onTransfer(from wire.Member, q *wire.Transfer, now time.Duration) {
 	if q.Term == r.disk.Term && r.role == Follower && r.leader.ID == from.ID && r.IsMember() && !r.leave.started {
 		r.startElection(0, true, now)
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -8,31 +8,31 @@
 	"ivybank/wire"
 )
 
-// beatsKept is for how many heartbeats the leader knows when it sent them.
-const beatsKept = 1024
+// maxTrackedHeartbeats is the number of newest heartbeats whose send time the leader remembers.
+const maxTrackedHeartbeats = 1024
 
-// entriesTimed is for how many of its entries the leader knows when it made them.
-const entriesTimed = 64
+// maxTimedEntries is the number of newest entries whose creation time the leader remembers.
+const maxTimedEntries = 64
 
 // peer is what a leader knows of another replica.
 type peer struct {
-	member    wire.Member
-	stored    Position      // on its disk
-	received  Position      // in its memory, perhaps not yet on disk
-	ackedSent time.Duration // when the newest acknowledged heartbeat was sent
-	heard     time.Duration
-	sent      Position // entry that is on its way to it,
-	sentBeat  uint64   // and the heartbeat that carries it; 0 for none
-	leavingAt time.Duration
-	storedAt  time.Duration // when it last told of a newer entry on its disk
-	lag       time.Duration // between the making of that entry and that word
+	member          wire.Member
+	stored          Position      // on its disk
+	received        Position      // in its memory, possibly not on disk yet
+	ackedSentAt     time.Duration // when the newest heartbeat that it acknowledged was sent
+	heard           time.Duration
+	sent            Position // entry in flight to it
+	sentInHeartbeat uint64   // heartbeat that carries that entry; 0 if none is in flight
+	leavingAt       time.Duration
+	storedAt        time.Duration // when it last acknowledged a newer entry on its disk
+	lag             time.Duration // time from the creation of that entry to that acknowledgement
 }
 
 func newPeer(m wire.Member, now time.Duration) *peer {
-	return &peer{member: m, ackedSent: unreachableMark, heard: now, leavingAt: unreachableMark, storedAt: unreachableMark}
+	return &peer{member: m, ackedSentAt: neverHeard, heard: now, leavingAt: neverHeard, storedAt: neverHeard}
 }
 
-// refreshPeers keeps one record for each other member.
+// refreshPeers keeps exactly one record for each other member.
 func (r *Replica) refreshPeers(now time.Duration) {
 	members := r.Members()
 	for _, m := range members {
@@ -54,10 +54,10 @@
 }
 
 func (r *Replica) tickLeader(now time.Duration) {
-	if now >= r.nextBeat {
+	if now >= r.nextHeartbeat {
 		r.broadcast(now)
 	}
-	lost := now > r.ledSince+LeaseDuration && now > r.leaseStart(now)+LeaseDuration+electionSpread
+	lost := now > r.leaderSince+LeaseDuration && now > r.leaseStart(now)+LeaseDuration+maxElectionJitter
 	if lost {
 		r.becomeFollower(r.disk.Term, now)
 		return
@@ -65,23 +65,23 @@
 	r.changeMembers(now)
 }
 
-// startBeat numbers the next heartbeat.
-func (r *Replica) startBeat(now time.Duration) {
-	r.beat++
-	r.beats[r.beat] = now
-	delete(r.beats, r.beat-beatsKept)
+// startHeartbeat numbers the next heartbeat.
+func (r *Replica) startHeartbeat(now time.Duration) {
+	r.heartbeatNumber++
+	r.heartbeatSentAt[r.heartbeatNumber] = now
+	delete(r.heartbeatSentAt, r.heartbeatNumber-maxTrackedHeartbeats)
 }
 
-// broadcast sends a heartbeat to all.
+// broadcast sends a heartbeat to all members and learners.
 func (r *Replica) broadcast(now time.Duration) {
-	r.startBeat(now)
-	r.nextBeat = now + HeartbeatInterval
+	r.startHeartbeat(now)
+	r.nextHeartbeat = now + HeartbeatInterval
 	for _, id := range sortedIDs(r.peers) {
 		r.sendAppend(r.peers[id], now)
 	}
 	for _, id := range sortedIDs(r.learners) {
 		l := r.learners[id]
-		if now > l.heard+learnerSilence {
+		if now > l.heard+maxLearnerSilence {
 			delete(r.learners, id)
 			continue
 		}
@@ -89,41 +89,42 @@
 	}
 }
 
-// sortedIDs fixes the order in which peers are served, so that a run repeats.
+// sortedIDs fixes the order in which peers are served, so that simulation runs are repeatable.
 func sortedIDs(peers map[string]*peer) []string { return slices.Sorted(maps.Keys(peers)) }
 
-// sendAppend sends the newest heartbeat, with the newest entry where the peer lacks it. Only one entry is on its way to a
-// peer at a time: over a link that is slower than the orders come, it gets those that are newest when the link is free.
+// sendAppend sends the newest heartbeat, with the newest entry if the peer lacks it. Only one entry is in flight to a
+// peer at a time: if the link is slower than the rate of proposals, the peer gets whatever is newest once the link is
+// free.
 func (r *Replica) sendAppend(p *peer, now time.Duration) {
-	a := &wire.Append{Term: r.disk.Term, Leader: r.self.ID, LeaderIP: r.self.IP, Round: r.beat,
-		Commit: r.committed.Position(), FreshRound: r.freshRound}
+	a := &wire.Append{Term: r.disk.Term, Leader: r.self.ID, LeaderIP: r.self.IP, Round: r.heartbeatNumber,
+		Commit: r.committed.Position(), FreshRound: r.restartRound}
 	if r.machine != nil {
 		a.Time = r.clock.at(now)
 	}
 	newest := r.disk.Entry.Position()
-	if p.received != newest && p.sentBeat == 0 {
+	if p.received != newest && p.sentInHeartbeat == 0 {
 		if a.Steps = r.stepsFrom(p.received); a.Steps == nil {
-			a.Entry = r.wholeEntry()
+			a.Entry = r.fullEntry()
 		}
-		p.sent, p.sentBeat = newest, r.beat
+		p.sent, p.sentInHeartbeat = newest, r.heartbeatNumber
 	}
 	r.send(p.member, &wire.Message{Append: a})
 }
 
-// leaseStart is when the newest heartbeat was sent that a quorum has acknowledged.
+// leaseStart returns the send time of the newest heartbeat that a quorum has acknowledged.
 func (r *Replica) leaseStart(now time.Duration) time.Duration {
 	starts := []time.Duration{now}
 	for _, p := range r.peers {
-		starts = append(starts, p.ackedSent)
+		starts = append(starts, p.ackedSentAt)
 	}
 	slices.Sort(starts)
 	slices.Reverse(starts)
 	for _, start := range starts {
-		if Quorum(r.Members(), func(id string) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].ackedSent >= start }) {
+		if Quorum(r.Members(), func(id string) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].ackedSentAt >= start }) {
 			return start
 		}
 	}
-	return unreachableMark
+	return neverHeard
 }
 
 func (r *Replica) onAppend(from wire.Member, a *wire.Append, now time.Duration) {
@@ -134,23 +135,23 @@
 	if a.Term > r.disk.Term || r.role != Follower {
 		r.becomeFollower(a.Term, now)
 	}
-	r.leader, r.heardAt = wire.Member{ID: a.Leader, IP: a.LeaderIP}, now
-	r.fresh, r.failed = false, 0
-	if r.freshRound = a.FreshRound; r.freshTold[a.Leader] != a.FreshRound {
-		r.freshRound = 0 // an earlier life of this process was asked, not this one
+	r.leader, r.leaderHeardAt = wire.Member{ID: a.Leader, IP: a.LeaderIP}, now
+	r.justRestarted, r.failedElections = false, 0
+	if r.restartRound = a.FreshRound; r.restartConfirmed[a.Leader] != a.FreshRound {
+		r.restartRound = 0 // the confirmation was given by an earlier run of this process, not by this one
 	}
 	r.scheduleElection(now)
 	r.clock.observe(a.Term, a.Time, now)
-	r.followCommit(a) // of the entry before, where a stream of orders always brings the next one along
+	r.followCommit(a) // commits the entry before, as under a steady stream each message carries the next entry
 	if a.Entry != nil && r.disk.Entry.Position().Less(a.Entry.Position()) {
-		r.takeWhole(a.Entry)
+		r.takeFull(a.Entry)
 		r.followCommit(a)
 	}
 	for _, step := range a.Steps {
 		r.takeStep(step)
 		r.followCommit(a)
 	}
-	// The heartbeat needs no write; what is stored is told as it stands on disk.
+	// The heartbeat is acknowledged without waiting for a write; Stored is what is on disk now.
 	if r.termDurable() {
 		r.send(from, r.appendReply(a.Round, r.durable))
 	}
@@ -159,8 +160,8 @@
 	}
 }
 
-// followCommit takes the newest entry as committed where the leader says so: of that very entry, or of a later one of
-// its own, as a leader makes its next entry only once the one before is committed.
+// followCommit marks the newest entry committed if the leader's commit position covers it: that very entry, or a
+// later one of the same leader, as a leader makes its next entry only once the one before is committed.
 func (r *Replica) followCommit(a *wire.Append) {
 	at := r.disk.Entry.Position()
 	ofThisLeader := at.Term == a.Term && a.Commit.Term == a.Term && !a.Commit.Less(at)
@@ -174,8 +175,8 @@
 		Received: r.disk.Entry.Position()}}
 }
 
-// onAppendReply takes a follower's word. It belongs to this leadership, as only one process leads a term, and that
-// process leads it once; the round tells when the heartbeat was sent.
+// onAppendReply processes a follower's acknowledgement. One with the current term belongs to this leadership, as only
+// one process leads a term, and leads it only once; the round tells when the heartbeat was sent.
 func (r *Replica) onAppendReply(from wire.Member, p *wire.AppendReply, now time.Duration) {
 	if p.Term > r.disk.Term {
 		r.becomeFollower(p.Term, now)
@@ -192,33 +193,33 @@
 		return
 	}
 	other.heard = now
-	if sent, ok := r.beats[p.Round]; ok {
-		other.ackedSent = max(other.ackedSent, sent)
+	if sent, ok := r.heartbeatSentAt[p.Round]; ok {
+		other.ackedSentAt = max(other.ackedSentAt, sent)
 	}
 	other.received = p.Received
-	if p.Round >= other.sentBeat {
-		other.sentBeat = 0 // the entry has come, or was lost with its connection
+	if p.Round >= other.sentInHeartbeat {
+		other.sentInHeartbeat = 0 // the entry has arrived, or was lost with its connection
 	}
 	if other.stored.Less(p.Stored) {
 		other.stored, other.storedAt, other.lag = p.Stored, now, r.age(p.Stored, now)
 		r.advanceCommit(now)
 	}
-	if r.role == Leader && other.sentBeat == 0 && other.received != r.disk.Entry.Position() {
-		r.startBeat(now) // an answer to it is one to this entry
+	if r.role == Leader && other.sentInHeartbeat == 0 && other.received != r.disk.Entry.Position() {
+		r.startHeartbeat(now) // the reply to this heartbeat then acknowledges this entry
 		r.sendAppend(other, now)
 	}
 }
 
-// age is how long ago this leader made an entry; longer than any bound where that isn't known.
+// age returns how long ago this leader made an entry; if unknown, a value longer than any bound.
 func (r *Replica) age(at Position, now time.Duration) time.Duration {
-	made, ok := r.made[at.Index]
+	madeAt, ok := r.madeAt[at.Index]
 	if !ok || at.Term != r.disk.Term {
-		return now - unreachableMark
+		return now - neverHeard
 	}
-	return now - made
+	return now - madeAt
 }
 
-// advanceCommit commits the newest entry once a quorum has it on disk. A change of members that is due comes before
+// advanceCommit commits the newest entry once a quorum has it on disk. A pending membership change goes before
 // whatever is proposed next.
 func (r *Replica) advanceCommit(now time.Duration) {
 	newest := r.disk.Entry.Position()
@@ -235,7 +236,7 @@
 	}
 }
 
-// hasStored says whether a member has an entry, or a newer one, on its disk.
+// hasStored reports whether a member has an entry, or a newer one, on its disk.
 func (r *Replica) hasStored(id string, at Position) bool {
 	if id == r.self.ID {
 		return !r.durable.Less(at)
--- a/control/replica/machine.go
+++ b/control/replica/machine.go
@@ -9,36 +9,38 @@
 	"ivybank/wire"
 )
 
-// stepsKept is for how many steps a replica can lead others on without the whole state.
-const stepsKept = 64
+// maxKeptSteps bounds the steps that a replica keeps to bring others up to date without sending the full state.
+const maxKeptSteps = 64
 
-// stepBytesKept bounds the commands of these steps: they may all go in one message, and each member holds them.
-const stepBytesKept = 1 << 20
+// maxKeptStepBytes bounds the commands of these steps in bytes: all of them may go into one message, and each member
+// holds them in memory.
+const maxKeptStepBytes = 1 << 20
 
-// mostUnsaved and mostUnsavedBytes bound the steps, and their commands, that wait to be written one by one.
+// Bounds on the steps, and on the bytes of their commands, that wait to be written to disk one by one.
 const (
-	mostUnsaved      = 1024
-	mostUnsavedBytes = 1 << 20
+	maxUnsavedSteps = 1024
+	maxUnsavedBytes = 1 << 20
 )
 
-// ErrGap says that a step doesn't follow the entry before it.
+// ErrGap reports a step that doesn't follow the entry before it.
 var ErrGap = errors.New("replica: a step is missing")
 
-// Machine is a replicated state that commands lead on from entry to entry. Each replica's machine stands at its newest
-// entry; a leader's stands at the newest one that is committed. Its methods belong to the replica's loop.
+// StateMachine is replicated state that commands advance from entry to entry. A follower's machine is at its newest
+// entry; a leader's is at the newest committed one. Its methods are only called from the replica's event loop.
 type Machine interface {
-	// Apply leads on to the next entry, which was made at a moment of the group's time. It depends on nothing else.
+	// Apply advances to the next entry, which was made at a group time. The result must depend on nothing else.
 	Apply(commands []byte, at time.Duration)
-	// Snapshot gives the whole state.
+	// Snapshot returns the full state.
 	Snapshot() []byte
-	// SnapshotAfter gives the whole state as it will be after further commands.
+	// SnapshotAfter returns the full state as it will be once further commands are applied; the machine itself
+	// doesn't change.
 	SnapshotAfter(commands []byte, at time.Duration) []byte
-	// Restore takes a whole state in place of the one before; nil is the empty one.
+	// Restore replaces the state with a full one; nil is the empty state.
 	Restore(value []byte) error
 }
 
-// Replay leads a machine from the empty state through what a disk has kept, and gives the newest entry. The first entry is
-// whole.
+// Replay advances a machine from the empty state through the entries found on disk and returns the newest one. The
+// first entry must be a full one.
 func Replay(machine Machine, entries []*wire.Entry) (*wire.Entry, error) {
 	var newest *wire.Entry
 	for _, e := range entries {
@@ -50,16 +52,16 @@
 			continue
 		}
 		if newest == nil || newest.Position() != e.After {
-			return nil, fmt.Errorf("%w: %v follows %v", ErrGap, e.Position(), newest.Position())
+			return nil, fmt.Errorf("%w: step %v is stored after entry %v", ErrGap, e.Position(), newest.Position())
 		}
 		machine.Apply(e.Commands, e.Time)
-		newest = follow(newest, e)
+		newest = resolveStep(newest, e)
 	}
 	return newest, nil
 }
 
-// follow gives a step as the entry that it leads to: with members and fleet.
-func follow(before, step *wire.Entry) *wire.Entry {
+// resolveStep returns a step as the entry that it leads to, with members and fleet filled in.
+func resolveStep(before, step *wire.Entry) *wire.Entry {
 	next := *step
 	if next.Members == nil {
 		next.Members = before.Members
@@ -68,8 +70,8 @@
 	return &next
 }
 
-// stepOf gives an entry as it is sent and stored where the one before is known.
-func stepOf(before, e *wire.Entry) *wire.Entry {
+// toStep returns an entry in the form in which it is sent and stored where the entry before it is known.
+func toStep(before, e *wire.Entry) *wire.Entry {
 	step := *e
 	if slices.Equal(before.Members, e.Members) {
 		step.Members = nil
@@ -78,32 +80,32 @@
 	return &step
 }
 
-// keepUnsaved remembers an entry for the next Save. While a disk stands still, more and more come: beyond a bound the whole
-// state takes their place.
-func (r *Replica) keepUnsaved(sent *wire.Entry) {
+// queueUnsaved queues an entry for the next Save. While a disk write hangs the queue keeps growing; beyond a bound
+// the full state takes the place of the queued steps.
+func (r *Replica) queueUnsaved(sent *wire.Entry) {
 	if !sent.IsStep() {
-		r.unsaved, r.saveWhole = nil, false
+		r.unsaved, r.saveFull = nil, false
 	}
-	if r.saveWhole {
+	if r.saveFull {
 		return
 	}
 	r.unsaved = append(r.unsaved, sent)
-	if len(r.unsaved) > mostUnsaved || sent.IsStep() && commandBytes(r.unsaved) > mostUnsavedBytes {
-		r.unsaved, r.saveWhole = nil, true
+	if len(r.unsaved) > maxUnsavedSteps || sent.IsStep() && commandBytes(r.unsaved) > maxUnsavedBytes {
+		r.unsaved, r.saveFull = nil, true
 	}
 }
 
-// takeUnsaved gives the entries that lead from the last Save, or from a whole entry, to the newest one.
+// takeUnsaved returns and clears the entries that lead from the last Save, or from a full entry, to the newest one.
 func (r *Replica) takeUnsaved() []*wire.Entry {
 	entries := r.unsaved
-	if r.saveWhole {
-		entries = []*wire.Entry{r.wholeEntry()}
+	if r.saveFull {
+		entries = []*wire.Entry{r.fullEntry()}
 	}
-	r.unsaved, r.saveWhole = nil, false
+	r.unsaved, r.saveFull = nil, false
 	return entries
 }
 
-// commandBytes is the size of the commands of entries.
+// commandBytes returns the total size of the commands of entries, in bytes.
 func commandBytes(entries []*wire.Entry) int {
 	size := 0
 	for _, e := range entries {
@@ -112,18 +114,18 @@
 	return size
 }
 
-// keepStep remembers a step so that others can be led on by it.
+// keepStep keeps a step so that others can be brought up to date with it.
 func (r *Replica) keepStep(step *wire.Entry) {
 	if len(r.steps) > 0 && r.steps[len(r.steps)-1].Position() != step.After {
 		r.steps = nil
 	}
 	r.steps = append(r.steps, step)
-	for len(r.steps) > stepsKept || len(r.steps) > 1 && commandBytes(r.steps) > stepBytesKept {
+	for len(r.steps) > maxKeptSteps || len(r.steps) > 1 && commandBytes(r.steps) > maxKeptStepBytes {
 		r.steps = slices.Delete(r.steps, 0, 1)
 	}
 }
 
-// stepsFrom gives the steps from an entry to the newest one; nil where they aren't known.
+// stepsFrom returns the steps from an entry to the newest one; nil if they are not all kept.
 func (r *Replica) stepsFrom(at Position) []*wire.Entry {
 	for i, step := range r.steps {
 		if step.After == at {
@@ -133,27 +135,27 @@
 	return nil
 }
 
-// wholeEntry gives the newest entry with the whole state.
-func (r *Replica) wholeEntry() *wire.Entry {
+// fullEntry returns the newest entry with the full state.
+func (r *Replica) fullEntry() *wire.Entry {
 	newest := r.disk.Entry
 	if r.machine == nil {
 		return newest
 	}
-	if r.whole.Position() == newest.Position() {
-		return r.whole
+	if r.lastFull.Position() == newest.Position() {
+		return r.lastFull
 	}
-	whole := *newest
-	whole.After, whole.Commands = Position{}, nil
+	full := *newest
+	full.After, full.Commands = Position{}, nil
 	if r.unapplied != nil {
-		whole.Value = r.machine.SnapshotAfter(r.unapplied.Commands, r.unapplied.Time)
+		full.Value = r.machine.SnapshotAfter(r.unapplied.Commands, r.unapplied.Time)
 	} else {
-		whole.Value = r.machine.Snapshot()
+		full.Value = r.machine.Snapshot()
 	}
-	r.whole = &whole
-	return r.whole
+	r.lastFull = &full
+	return r.lastFull
 }
 
-// applyNewest brings the machine of a leader, or of one that has just ceased to be one, to its newest entry.
+// applyNewest applies the newest entry to the machine of a leader, or of one that has just stepped down.
 func (r *Replica) applyNewest() {
 	if r.unapplied == nil {
 		return
@@ -163,28 +165,28 @@
 	r.machine.Apply(e.Commands, e.Time)
 }
 
-// takeWhole has a follower take an entry that replaces all before it.
-func (r *Replica) takeWhole(e *wire.Entry) {
+// takeFull has a follower accept an entry that replaces all before it.
+func (r *Replica) takeFull(e *wire.Entry) {
 	if r.machine != nil {
 		if e.IsStep() || r.machine.Restore(e.Value) != nil {
-			return // no process of ours sends one: it isn't stored, so it isn't told as stored
+			return // our processes never send one; it isn't stored, so it must not be acknowledged as stored
 		}
-		r.steps, r.whole = nil, nil
+		r.steps, r.lastFull = nil, nil
 	}
 	r.storeEntry(e, e)
 }
 
-// takeStep has a follower take an entry that follows its newest one.
+// takeStep has a follower accept a step that follows its newest entry.
 func (r *Replica) takeStep(step *wire.Entry) {
 	if r.machine == nil || r.disk.Entry == nil || step.After != r.disk.Entry.Position() || !step.After.Less(step.Position()) {
 		return
 	}
 	r.machine.Apply(step.Commands, step.Time)
 	r.keepStep(step)
-	r.storeEntry(follow(r.disk.Entry, step), step)
+	r.storeEntry(resolveStep(r.disk.Entry, step), step)
 }
 
-// TakeWholeSave hands out a write of all that there is to find again after a restart, where there is something.
+// TakeFullSave returns a write of everything that has to be found after a restart, even if no write is pending.
 func (r *Replica) TakeWholeSave() *Save {
 	s := r.TakeSave()
 	if s == nil {
@@ -192,7 +194,7 @@
 	}
 	s.EntryChanged, s.VoteChanged, s.Entries = r.disk.Entry != nil, true, nil
 	if s.EntryChanged {
-		s.Entries = []*wire.Entry{r.wholeEntry()}
+		s.Entries = []*wire.Entry{r.fullEntry()}
 	}
 	return s
 }
--- a/control/replica/machine_test.go
+++ b/control/replica/machine_test.go
@@ -13,13 +13,13 @@
 	"ivybank/wire"
 )
 
-// longestStart is for how long a process may run before it makes its replica.
-const longestStart = 300 * time.Millisecond
+// maxStartupTime is the longest time for which a process runs before it creates its replica.
+const maxStartupTime = 300 * time.Millisecond
 
-// wholeSaveEvery is how many writes there are for one of all that there is to find again.
-const wholeSaveEvery = 20
+// fullSaveOneIn makes one write in so many, on average, a full one.
+const fullSaveOneIn = 20
 
-// chainMachine holds the newest command and a hash over all that were applied, and when.
+// chainMachine holds the newest command, and a hash over all commands that were applied and their times.
 type chainMachine struct {
 	newest string
 	hash   uint64
@@ -51,40 +51,40 @@
 	return err
 }
 
-// machineCounts is what a run has played of a group with a machine.
+// machineCounts counts events of a simulation run of a group with a state machine.
 type machineCounts struct {
-	steps, wholes, gaps, replays, replayedSteps, wholeSaves, endedWrites, uncommittedAtEnd int
+	steps, fulls, gaps, replays, replayedSteps, fullSaves, finishedWrites, uncommittedAtEnd int
 }
 
 func (c *machineCounts) add(o machineCounts) {
 	c.steps += o.steps
-	c.wholes += o.wholes
+	c.fulls += o.fulls
 	c.gaps += o.gaps
 	c.replays += o.replays
 	c.replayedSteps += o.replayedSteps
-	c.wholeSaves += o.wholeSaves
-	c.endedWrites += o.endedWrites
+	c.fullSaves += o.fullSaves
+	c.finishedWrites += o.finishedWrites
 	c.uncommittedAtEnd += o.uncommittedAtEnd
 }
 
-// machineChecks is what the simulation knows of a group with a machine.
+// machineChecks is what the simulation has recorded about a group with a state machine.
 type machineChecks struct {
-	states  map[Position]chainMachine  // at a position
-	entries map[Position]*wire.Entry   // as any replica holds it
-	made    map[Position]time.Duration // when it was first seen, which is when it was made
+	states  map[Position]chainMachine  // state at each position
+	entries map[Position]*wire.Entry   // entry at each position, as any replica holds it
+	madeAt  map[Position]time.Duration // when an entry was first seen, which is when it was made
 	acked   *wire.Entry                // newest entry that a leader acknowledged
-	leading map[string]bool            // replicas that had the role with an uncommitted entry
+	leading map[string]bool            // replicas that led with an uncommitted entry
 }
 
 func newMachineChecks() *machineChecks {
 	return &machineChecks{states: map[Position]chainMachine{}, entries: map[Position]*wire.Entry{},
-		made: map[Position]time.Duration{}, leading: map[string]bool{}}
+		madeAt: map[Position]time.Duration{}, leading: map[string]bool{}}
 }
 
-// steady is a node's own steady clock.
-func (s *sim) steady(n *simNode) time.Duration { return s.now - n.origin }
+// steadyNow returns a node's own steady-clock time.
+func (s *sim) steadyNow(n *simNode) time.Duration { return s.now - n.origin }
 
-// content is what a leader answers from.
+// content is the value that a leader serves from.
 func (n *simNode) content() []byte {
 	if n.machine == nil {
 		return n.replica.Committed().Value
@@ -92,7 +92,7 @@
 	return []byte(n.machine.newest)
 }
 
-// replay leads a new machine through what has reached the disk.
+// replay creates a new machine and advances it through what has reached the disk.
 func (s *sim) replay(n *simNode) {
 	n.machine = &chainMachine{}
 	newest, err := Replay(n.machine, n.journal)
@@ -100,47 +100,47 @@
 		s.fail("%s: %v", n.ip, err)
 	}
 	if newest.Position() != n.disk.Entry.Position() {
-		s.fail("%s has saved %v and finds %v", n.ip, n.disk.Entry.Position(), newest.Position())
+		s.fail("%s has saved %v but loads %v", n.ip, n.disk.Entry.Position(), newest.Position())
 	}
 	n.disk.Entry = newest
 	s.replays++
 	s.replayedSteps += max(0, len(n.journal)-1)
 }
 
-// takeSave takes the write that is due; now and then it is one of everything, due or not.
+// takeSave takes the pending write; now and then it takes a full one instead.
 func (s *sim) takeSave(n *simNode) *Save {
-	n.writingWhole = s.machines != nil && s.random.IntN(wholeSaveEvery) == 0 && n.replica.pending != nil
-	if n.writingWhole {
-		s.wholeSaves++
+	n.writingFull = s.machines != nil && s.random.IntN(fullSaveOneIn) == 0 && n.replica.pending != nil
+	if n.writingFull {
+		s.fullSaves++
 		return n.replica.TakeWholeSave()
 	}
 	return n.replica.TakeSave()
 }
 
-// endWrite lets the write that is under way as a process stops reach its disk or not.
-func (s *sim) endWrite(n *simNode) {
+// finishWrite randomly lets the write in progress at the time a process stops reach its disk or not.
+func (s *sim) finishWrite(n *simNode) {
 	if s.machines != nil && n.writing != nil && s.random.IntN(2) == 0 {
 		n.journal, n.disk = n.journalAfter(n.writing), n.writing.Disk
-		s.endedWrites++
+		s.finishedWrites++
 	}
 }
 
-// journalAfter is what the disk holds once a write is done.
+// journalAfter returns what the disk holds once a write is done.
 func (n *simNode) journalAfter(done *Save) []*wire.Entry {
-	if n.writingWhole {
+	if n.writingFull {
 		return done.Entries
 	}
 	return append(slices.Clone(n.journal), done.Entries...)
 }
 
-// countAppend counts how entries come.
+// countAppend counts in which form entries arrive.
 func (s *sim) countAppend(n *simNode, a *wire.Append) {
 	if s.machines == nil || a == nil || a.Term < n.replica.Term() {
 		return
 	}
 	at := n.replica.Newest().Position()
 	if a.Entry != nil && at.Less(a.Entry.Position()) {
-		s.wholes++
+		s.fulls++
 	}
 	for _, step := range a.Steps {
 		switch {
@@ -153,7 +153,7 @@
 	}
 }
 
-// machineAt is the position at which a replica's machine stands.
+// machineAt returns the position of a replica's machine.
 func machineAt(r *Replica) Position {
 	if r.unapplied != nil {
 		return r.unapplied.After
@@ -161,7 +161,8 @@
 	return r.disk.Entry.Position()
 }
 
-// checkMachines checks that a position names one entry and one state, and that a leader answers from what is committed.
+// checkMachines checks that a position identifies one entry and one state, and that a leader serves from what is
+// committed.
 func (s *sim) checkMachines() {
 	if s.machines == nil {
 		return
@@ -183,14 +184,14 @@
 	}
 	known := s.machines.entries[e.Position()]
 	if known == nil {
-		s.machines.entries[e.Position()], s.machines.made[e.Position()] = e, s.now
+		s.machines.entries[e.Position()], s.machines.madeAt[e.Position()] = e, s.now
 		if before := s.machines.entries[e.After]; before != nil && e.Time < before.Time {
 			s.fail("%s has %v of %v after %v of %v", n.ip, e.Position(), e.Time, before.Position(), before.Time)
 		}
 		return
 	}
 	if !slices.Equal(known.Members, e.Members) || known.Fleet != e.Fleet || known.Time != e.Time {
-		s.fail("%s has %+v, another one %+v", n.ip, e, known)
+		s.fail("%s has entry %+v, another replica %+v", n.ip, e, known)
 	}
 }
 
@@ -199,11 +200,11 @@
 	at := machineAt(r)
 	known, ok := s.machines.states[at]
 	if ok && known != state {
-		s.fail("%s has %+v at %v, another one %+v", n.ip, state, at, known)
+		s.fail("%s has state %+v at %v, another replica %+v", n.ip, state, at, known)
 	}
 	s.machines.states[at] = state
-	if r.Leading(s.steady(n)) && at != r.Committed().Position() {
-		s.fail("%s answers from %v, committed is %v", n.ip, at, r.Committed().Position())
+	if r.Leading(s.steadyNow(n)) && at != r.Committed().Position() {
+		s.fail("%s serves from %v, but %v is committed", n.ip, at, r.Committed().Position())
 	}
 	id := r.Self().ID
 	if s.machines.leading[id] && r.Role() != Leader {
@@ -212,30 +213,30 @@
 	s.machines.leading[id] = r.Role() == Leader && r.Uncommitted()
 }
 
-// checkTime checks that the group's time never falls, and never goes faster than the clock on the wall: not within a
-// leadership nor from one to the next, so that what was granted for a while by one leader holds for as long with the next.
+// checkTime checks that the group time never falls and never runs faster than real time, neither within a leadership
+// nor from one to the next, so that what one leader grants for a duration lasts at least as long under the next.
 func (s *sim) checkTime(n *simNode) {
 	r := n.replica
-	if r.GroupTime(s.steady(n)) > s.now {
-		s.fail("%s: the group's time is %v", n.ip, r.GroupTime(s.steady(n)))
+	if r.GroupTime(s.steadyNow(n)) > s.now {
+		s.fail("%s: the group time is %v, ahead of real time", n.ip, r.GroupTime(s.steadyNow(n)))
 	}
-	if !r.Leading(s.steady(n)) {
+	if !r.Leading(s.steadyNow(n)) {
 		return
 	}
 	before, now := s.machines.acked, r.Committed()
 	if before != nil && before.Position() != now.Position() {
-		passed := s.machines.made[now.Position()] - s.machines.made[before.Position()]
-		if told := now.Time - before.Time; told < 0 || told > passed {
-			s.fail("%s: %v by the group's time from %v to %v, which were made in %v", n.ip, told, before.Position(), now.Position(), passed)
+		passed := s.machines.madeAt[now.Position()] - s.machines.madeAt[before.Position()]
+		if elapsed := now.Time - before.Time; elapsed < 0 || elapsed > passed {
+			s.fail("%s: the group time advanced %v from %v to %v, which were made %v apart", n.ip, elapsed, before.Position(), now.Position(), passed)
 		}
 	}
 	s.machines.acked = now
 }
 
-// What one leader tells is counted on from the message that came soonest, and what a later one tells replaces it.
+// Among one leader's reports the one with the shortest delay counts, and a later leader's report replaces them.
 func TestGroupTimeIsThatOfTheNewestLeader(t *testing.T) {
 	c := groupClock{knownAt: 10 * time.Second}
-	assert.Equal(t, c.at(10*time.Second), time.Duration(0), "what ran before counts for nothing")
+	assert.Equal(t, c.at(10*time.Second), time.Duration(0), "time before the start doesn't count")
 	c.observe(1, 5*time.Second, 11*time.Second)
 	c.observe(1, 6*time.Second, 13*time.Second) // a second late
 	assert.Equal(t, c.at(13*time.Second), 7*time.Second)
@@ -243,13 +244,13 @@
 	assert.Equal(t, c.at(14*time.Second), 7500*time.Millisecond)
 	c.observe(1, 20*time.Second, 14*time.Second)
 	assert.Equal(t, c.at(14*time.Second), 7500*time.Millisecond)
-	c.reach(7*time.Second, 14*time.Second)
+	c.raiseTo(7*time.Second, 14*time.Second)
 	assert.Equal(t, c.at(14*time.Second), 7500*time.Millisecond, "an entry may be older")
-	c.reach(8*time.Second, 14*time.Second)
+	c.raiseTo(8*time.Second, 14*time.Second)
 	assert.Equal(t, c.at(15*time.Second), 9*time.Second)
 }
 
-func TestGroupTimeGoesOnFromTheDisk(t *testing.T) {
+func TestGroupTimeContinuesFromTheDisk(t *testing.T) {
 	s := newSim(t, 1, 3)
 	entry := *s.nodes[0].disk.Entry
 	entry.Time = time.Minute
@@ -257,7 +258,8 @@
 	assert.Equal(t, r.GroupTime(5*time.Second), time.Minute+time.Second)
 }
 
-// A leader whose newest entry is from a leader before the one that it heard last goes on from that entry's time.
+// A leader whose newest entry was made under a leader before the one that it heard last continues from that entry's
+// time.
 func TestGroupTimeNeverFallsFromEntryToEntry(t *testing.T) {
 	s := newSim(t, 1, 3)
 	founded := s.nodes[0].disk.Entry
@@ -273,18 +275,18 @@
 	assert.Equal(t, r.Newest().Time, step.Time)
 }
 
-// A change of leader costs the group's time no more than a message takes, and a restart of all what lies between the newest
-// entry and the start.
+// A change of leader costs the group time no more than the delay of a message. A restart of all replicas costs the
+// time between the newest entry and the start.
 func TestGroupTimeLosesLittle(t *testing.T) {
 	const longestMessage = 20*time.Millisecond + simStep
 	for seed := range uint64(20) {
 		s := newSimOf(t, seed, 3, 0, newMachineChecks())
-		s.calmDisk = true
-		s.playUntil(2 * time.Second)
-		lag := func() time.Duration { return s.now - s.leader().replica.GroupTime(s.steady(s.leader())) }
+		s.fastDisks = true
+		s.runUntil(2 * time.Second)
+		lag := func() time.Duration { return s.now - s.leader().replica.GroupTime(s.steadyNow(s.leader())) }
 		before, old := lag(), s.leader()
 		s.stop(old)
-		old.downTil = s.now + time.Hour
+		old.downUntil = s.now + time.Hour
 		for s.leader() == nil {
 			s.step()
 		}
@@ -293,24 +295,24 @@
 	}
 }
 
-// A whole entry needs none of the steps before it on the disk.
-func TestWholeEntryReplacesTheStepsThatWaitToBeSaved(t *testing.T) {
+// Once a full entry has come, the steps before it need not be written any more.
+func TestFullEntryReplacesUnsavedSteps(t *testing.T) {
 	s := newSim(t, 1, 3)
 	leader := s.members[1]
 	founded := s.nodes[0].disk.Entry
 	r := NewWithMachine(s.members[0], Group{Target: 3}, Disk{Entry: founded}, &chainMachine{}, s.random, 0)
 	step := &wire.Entry{Term: 1, Index: 2, After: founded.Position(), Commands: []byte("1/1")}
-	whole := &wire.Entry{Term: 1, Index: 5, Members: founded.Members, Value: (&chainMachine{newest: "4/4"}).Snapshot()}
+	full := &wire.Entry{Term: 1, Index: 5, Members: founded.Members, Value: (&chainMachine{newest: "4/4"}).Snapshot()}
 	r.Receive(leader, &wire.Message{Append: &wire.Append{Term: 1, Leader: leader.ID, Steps: []*wire.Entry{step}}}, 0)
-	r.Receive(leader, &wire.Message{Append: &wire.Append{Term: 1, Leader: leader.ID, Entry: whole}}, 0)
-	assert.DeepEqual(t, r.TakeSave().Entries, []*wire.Entry{whole})
+	r.Receive(leader, &wire.Message{Append: &wire.Append{Term: 1, Leader: leader.ID, Entry: full}}, 0)
+	assert.DeepEqual(t, r.TakeSave().Entries, []*wire.Entry{full})
 
 	r.Receive(leader, &wire.Message{Append: &wire.Append{Term: 1, Leader: leader.ID, Steps: []*wire.Entry{step}}}, 0)
-	assert.Equal(t, r.Newest().Position(), whole.Position(), "a step that came late")
+	assert.Equal(t, r.Newest().Position(), full.Position(), "a step that arrives late is ignored")
 	assert.Assert(t, r.TakeSave() == nil)
 }
 
-// followSteps has a new follower take a number of steps, none of which its disk gets.
+// followSteps has a new follower accept a number of steps, none of which reaches its disk.
 func followSteps(t *testing.T, count int, command []byte) (*Replica, *chainMachine) {
 	t.Helper()
 	s := newSim(t, 1, 3)
@@ -324,14 +326,14 @@
 	return r, machine
 }
 
-// While a disk stood still, all steps were kept in memory until it went on.
-func TestStepsThatWaitForTheDiskAreBounded(t *testing.T) {
+// Guards against unbounded memory use while a disk hangs: all unsaved steps used to be kept until it continued.
+func TestUnsavedStepsAreBounded(t *testing.T) {
 	for _, steps := range []struct {
 		count   int
 		command []byte
-	}{{3 * mostUnsaved, []byte("1/1")}, {8, []byte(strings.Repeat("x", mostUnsavedBytes/4))}} {
+	}{{3 * maxUnsavedSteps, []byte("1/1")}, {8, []byte(strings.Repeat("x", maxUnsavedBytes/4))}} {
 		r, machine := followSteps(t, steps.count, steps.command)
-		assert.Assert(t, len(r.unsaved) <= mostUnsaved && commandBytes(r.unsaved) <= mostUnsavedBytes)
+		assert.Assert(t, len(r.unsaved) <= maxUnsavedSteps && commandBytes(r.unsaved) <= maxUnsavedBytes)
 		save := r.TakeSave()
 		assert.Equal(t, len(save.Entries), 1)
 		replayed := &chainMachine{}
@@ -343,25 +345,25 @@
 	}
 }
 
-// Others are led on by steps of a bounded size in all, or by the whole state.
-func TestStepsThatAreKeptForOthersAreBounded(t *testing.T) {
-	r, _ := followSteps(t, stepsKept, []byte(strings.Repeat("x", stepBytesKept/4)))
-	assert.Assert(t, len(r.steps) > 0 && commandBytes(r.steps) <= stepBytesKept)
+// Steps that are kept to bring others up to date are bounded in total size; beyond it the full state is sent.
+func TestKeptStepsAreBounded(t *testing.T) {
+	r, _ := followSteps(t, maxKeptSteps, []byte(strings.Repeat("x", maxKeptStepBytes/4)))
+	assert.Assert(t, len(r.steps) > 0 && commandBytes(r.steps) <= maxKeptStepBytes)
 }
 
 func TestRandomFaultsWithAMachine(t *testing.T) {
-	schedules := simSchedule
+	schedules := simSchedules
 	if testing.Short() {
 		schedules /= 10
 	}
 	var played simCounts
 	for seed := range uint64(schedules) {
-		played.add(playSchedule(t, seed, newMachineChecks()))
+		played.add(runSchedule(t, seed, newMachineChecks()))
 	}
 	t.Logf("played %+v", played)
 	assert.Assert(t, played.commits > schedules*20 && played.wipes > schedules/2 && played.repaired > schedules/2)
 	assert.Assert(t, played.leaderChanges > schedules*2 && played.leaves > schedules/4)
-	assert.Assert(t, played.steps > schedules*50 && played.wholes > schedules && played.gaps > schedules/2, "%+v", played)
-	assert.Assert(t, played.replays > schedules*3 && played.replayedSteps > schedules*10 && played.wholeSaves > schedules*5, "%+v", played)
-	assert.Assert(t, played.uncommittedAtEnd > schedules/4 && played.endedWrites > schedules/2, "%+v", played)
+	assert.Assert(t, played.steps > schedules*50 && played.fulls > schedules && played.gaps > schedules/2, "%+v", played)
+	assert.Assert(t, played.replays > schedules*3 && played.replayedSteps > schedules*10 && played.fullSaves > schedules*5, "%+v", played)
+	assert.Assert(t, played.uncommittedAtEnd > schedules/4 && played.finishedWrites > schedules/2, "%+v", played)
 }
--- a/control/replica/members.go
+++ b/control/replica/members.go
@@ -7,23 +7,31 @@
 	"ivybank/wire"
 )
 
-// Members change one at a time, and only on top of a committed entry of the leader's own term: so any majority of the
-// members before shares one with any majority after (Ongaro 2014, section 4). An entry's own members decide on it.
+// Members change one at a time, and only on top of a committed entry of the leader's own term, so any majority of the
+// old members shares a member with any majority of the new ones (Ongaro 2014, section 4). An entry is decided on by
+// its own members.
 //
-// A member whose machine has come back without its disk is dropped before the new identity is taken in: it can't vote
-// again, and the smaller group needs no one that the larger one didn't. A member that is only silent, or leaves, may
-// come back with its disk: then the other machine is taken in first, so that its disk counts in between.
+// A member whose machine has come back without its disk is removed before its new identity is added: the old identity
+// can't vote again, and the smaller group needs no one that the larger one didn't. A member that is only silent, or
+// is leaving, may come back with its disk: then its replacement is added first, so that its disk counts in the
+// meantime.
 
 const (
-	learnerSilence = 1500 * time.Millisecond // after which a learner is forgotten
-	heardLately    = 2*HeartbeatInterval + 40*time.Millisecond
-	readyLag       = 500 * time.Millisecond // within which a learner that is ready stores what is new
-	readyMemory    = time.Second            // for which that holds
-	leaveMemory    = 3 * time.Second        // for which a member that told of leaving is one, unless it is heard again
-	leaveInterval  = 60 * time.Millisecond  // between its requests
+	// maxLearnerSilence is the time without a message after which a learner is dropped.
+	maxLearnerSilence = 1500 * time.Millisecond
+	// maxContactAge is the time since the last message within which a learner counts as reachable.
+	maxContactAge = 2*HeartbeatInterval + 40*time.Millisecond
+	// maxReadyLag is the time within which a learner has to store a new entry to count as ready.
+	maxReadyLag = 500 * time.Millisecond
+	// readyValidity is how long such a measurement is valid.
+	readyValidity = time.Second
+	// leavingValidity is how long a leave request marks a member as leaving, unless the member is heard from again.
+	leavingValidity = 3 * time.Second
+	// leaveRetryInterval is the time between leave requests of one replica.
+	leaveRetryInterval = 60 * time.Millisecond
 )
 
-// changeMembers makes the entry of the change of members that is due, and reports whether there was one.
+// changeMembers makes the entry for a pending membership change, and reports whether there was one.
 func (r *Replica) changeMembers(now time.Duration) bool {
 	if r.leave.started || !r.Leading(now) || r.Uncommitted() {
 		return false
@@ -59,11 +67,12 @@
 	return slices.DeleteFunc(slices.Clone(members), func(m wire.Member) bool { return m.ID == id })
 }
 
-// wipedMember gives a member at whose address another identity has been heard: that machine without its disk.
+// wipedMember returns the ID of a member at whose address another identity has been heard, which is the same machine
+// after it lost its disk; "" if there is none.
 func (r *Replica) wipedMember(now time.Duration) string {
 	for _, id := range sortedIDs(r.learners) {
 		l := r.learners[id]
-		if l.stored.Term != r.disk.Term || now > l.heard+heardLately {
+		if l.stored.Term != r.disk.Term || now > l.heard+maxContactAge {
 			continue
 		}
 		for _, m := range r.Members() {
@@ -75,13 +84,13 @@
 	return ""
 }
 
-// replaceableMember gives the member that is about to stop, else the one that has been silent for longest and long
-// enough; "" for none.
+// replaceableMember returns the ID of a member that is leaving, else of the one that has been silent the longest if
+// that exceeds the member timeout; "" if there is none.
 func (r *Replica) replaceableMember(now time.Duration) string {
 	gone, since := "", now
 	for _, id := range sortedIDs(r.peers) {
 		p := r.peers[id]
-		if p.leaves(now) {
+		if p.isLeaving(now) {
 			return id
 		}
 		if now >= p.heard+r.group.MemberSilence && p.heard < since {
@@ -91,8 +100,8 @@
 	return gone
 }
 
-// surplusMember gives the member that has to go where there is one too many: the one that was to be replaced, else the
-// one that was taken in last.
+// surplusMember returns the ID of the member to remove when there is one too many: the replaceable one, else the one
+// added last.
 func (r *Replica) surplusMember(now time.Duration) string {
 	if id := r.replaceableMember(now); id != "" {
 		return id
@@ -106,21 +115,21 @@
 	return ""
 }
 
-// leaves says whether a member has told that it is about to stop, and wasn't heard anew since.
-func (p *peer) leaves(now time.Duration) bool {
-	return now < p.leavingAt+leaveMemory && p.heard < p.leavingAt+readyLag
+// isLeaving reports whether a member has announced that it is about to stop, and has not been heard from since.
+func (p *peer) isLeaving(now time.Duration) bool {
+	return now < p.leavingAt+leavingValidity && p.heard < p.leavingAt+maxReadyLag
 }
 
-// readyLearner gives a learner that may become a member. Where its vote will be needed for a majority that could do
-// without it now, it has to be up to date.
+// readyLearner returns a learner that may become a member. If adding it raises the size of a majority, its vote will
+// be needed, so it has to be up to date.
 func (r *Replica) readyLearner(now time.Duration) *peer {
 	raisesMajority := len(r.Members())%2 == 1
 	for _, id := range sortedIDs(r.learners) {
 		l := r.learners[id]
-		if now > l.heard+heardLately || l.stored.Term != r.disk.Term {
+		if now > l.heard+maxContactAge || l.stored.Term != r.disk.Term {
 			continue
 		}
-		upToDate := l.stored == r.disk.Entry.Position() || now < l.storedAt+readyMemory && l.lag < readyLag
+		upToDate := l.stored == r.disk.Entry.Position() || now < l.storedAt+readyValidity && l.lag < maxReadyLag
 		if upToDate || !raisesMajority {
 			return l
 		}
@@ -128,7 +137,7 @@
 	return nil
 }
 
-// Learners gives those that a leader feeds so that they can become members.
+// Learners returns the replicas that the leader replicates to so that they can become members.
 func (r *Replica) Learners() []wire.Member {
 	var all []wire.Member
 	for _, id := range sortedIDs(r.learners) {
@@ -137,7 +146,7 @@
 	return all
 }
 
-// onJoinRequest takes in a learner, or notes that a member is about to stop.
+// onJoinRequest adds a learner, or notes that a member is about to stop.
 func (r *Replica) onJoinRequest(from wire.Member, q *wire.JoinRequest, now time.Duration) {
 	if r.role != Leader || from.ID != q.Member.ID || from.ID == r.self.ID {
 		return
@@ -153,49 +162,50 @@
 	if l == nil {
 		l = newPeer(q.Member, now)
 		r.learners[from.ID] = l
-		r.startBeat(now)
+		r.startHeartbeat(now)
 		r.sendAppend(l, now)
 	}
 	l.heard = now
 }
 
-// onLeaving lets a member stop once a majority of those that stay has all that was acknowledged on disk, and no machine
-// that could take its place is still to be taken in.
+// onLeaving lets a member stop once a majority of the remaining members has everything acknowledged on disk, and no
+// learner is ready to be added in its place.
 func (r *Replica) onLeaving(from wire.Member, now time.Duration) {
 	if p := r.peers[from.ID]; p != nil {
 		p.leavingAt = now
-		if r.readyLearner(now) != nil || !r.staySafely(from.ID) {
+		if r.readyLearner(now) != nil || !r.safeWithout(from.ID) {
 			return
 		}
 	}
 	if !r.Leading(now) {
-		return // it may not know yet what was acknowledged
+		return // a leader without a lease may not know everything that was acknowledged
 	}
 	r.send(from, &wire.Message{LeaveReply: &wire.LeaveReply{Term: r.disk.Term}})
 }
 
-// staySafely says whether a majority of the members without one has what was acknowledged.
-func (r *Replica) staySafely(leaver string) bool {
+// safeWithout reports whether a majority of the other members has everything that was acknowledged on disk.
+func (r *Replica) safeWithout(leaver string) bool {
 	at := r.committed.Position()
 	return Quorum(without(r.Members(), leaver), func(id string) bool { return r.hasStored(id, at) })
 }
 
-// leaveState is how far this replica is in stopping.
+// leaveState is the progress of this replica's own departure.
 type leaveState struct {
-	started  bool
-	done     bool
-	nextAsk  time.Duration
-	handedTo wire.Member // it gave its lease to this one,
-	handedIn uint64      // as the leader of this term; 0 for never
+	started        bool
+	done           bool
+	nextRequestAt  time.Duration
+	transferTarget wire.Member // member that this replica handed its lease to
+	transferTerm   uint64      // term in which it did so as leader; 0 for never
 }
 
-// StartLeaving tells that this process is about to stop. It no longer stands for leader; as one it hands over.
+// StartLeaving announces that this process is about to stop. It no longer stands for leader; if it leads, it hands
+// over.
 func (r *Replica) StartLeaving(now time.Duration) {
-	r.leave.started, r.leave.nextAsk = true, now
+	r.leave.started, r.leave.nextRequestAt = true, now
 	r.tickLeave(now)
 }
 
-// LeaveDone says whether a leader has answered that this process may stop.
+// LeaveDone reports whether this process may stop, by a leader's answer.
 func (r *Replica) LeaveDone() bool { return r.leave.done }
 
 func (r *Replica) tickLeave(now time.Duration) {
@@ -207,31 +217,31 @@
 		return
 	}
 	leader := r.Leader(now)
-	if r.leave.handedIn != 0 && r.leave.handedIn == r.disk.Term && leader.ID == "" && now >= r.leave.nextAsk {
-		r.sendTransfer(now) // the one before may be lost: nobody has stood yet
+	if r.leave.transferTerm != 0 && r.leave.transferTerm == r.disk.Term && leader.ID == "" && now >= r.leave.nextRequestAt {
+		r.sendTransfer(now) // no one has stood for leader yet, so the previous message may be lost
 		return
 	}
-	if leader.ID == "" || now < r.leave.nextAsk {
+	if leader.ID == "" || now < r.leave.nextRequestAt {
 		return
 	}
-	r.leave.nextAsk = now + leaveInterval
+	r.leave.nextRequestAt = now + leaveRetryInterval
 	r.send(leader, &wire.Message{JoinRequest: &wire.JoinRequest{Member: r.self, Leaving: true}})
 }
 
-// handOver gives the lease up once a majority of the others has the newest entry, and has the one of them that was heard
-// last, and doesn't leave too, stand at once.
+// handOver gives up the lease once a majority of the others has the newest entry, and tells one of those that have it
+// to start an election at once: the most recently heard one that isn't leaving too.
 func (r *Replica) handOver(now time.Duration) {
 	if len(r.Members()) == 1 {
 		r.leave.done = true
 		return
 	}
-	if r.Uncommitted() || !r.staySafely(r.self.ID) {
+	if r.Uncommitted() || !r.safeWithout(r.self.ID) {
 		return
 	}
 	var next *peer
 	for _, id := range sortedIDs(r.peers) {
 		p := r.peers[id]
-		if p.stored == r.disk.Entry.Position() && !p.leaves(now) && (next == nil || p.heard > next.heard) {
+		if p.stored == r.disk.Entry.Position() && !p.isLeaving(now) && (next == nil || p.heard > next.heard) {
 			next = p
 		}
 	}
@@ -239,14 +249,14 @@
 		return
 	}
 	r.becomeFollower(r.disk.Term, now)
-	r.leave.handedTo, r.leave.handedIn = next.member, r.disk.Term
+	r.leave.transferTarget, r.leave.transferTerm = next.member, r.disk.Term
 	r.sendTransfer(now)
 }
 
-// sendTransfer has the member that the lease was given to stand at once.
+// sendTransfer tells the chosen member to start an election at once.
 func (r *Replica) sendTransfer(now time.Duration) {
-	r.leave.nextAsk = now + leaveInterval
-	r.send(r.leave.handedTo, &wire.Message{Transfer: &wire.Transfer{Term: r.leave.handedIn}})
+	r.leave.nextRequestAt = now + leaveRetryInterval
+	r.send(r.leave.transferTarget, &wire.Message{Transfer: &wire.Transfer{Term: r.leave.transferTerm}})
 }
 
 func (r *Replica) onLeaveReply(from wire.Member, p *wire.LeaveReply) {
--- a/control/replica/members_test.go
+++ b/control/replica/members_test.go
@@ -11,11 +11,12 @@
 	"ivybank/wire"
 )
 
-// repairBound is within what a machine that lost its disk is a member again once it runs, without further faults.
-const repairBound = 2 * time.Second
+// maxRepairTime bounds the time from the start of a machine that lost its disk until it is a member again, without
+// further faults.
+const maxRepairTime = 2 * time.Second
 
-// settledMember says whether a node counts in the newest committed entry, and no change of members is under way.
-func (s *sim) settledMember(n *simNode) bool {
+// isSettledMember reports whether a node is in the newest committed entry and no membership change is in progress.
+func (s *sim) isSettledMember(n *simNode) bool {
 	leader := s.leader()
 	if leader == nil || n.replica == nil {
 		return false
@@ -24,43 +25,43 @@
 	return containsID(committed.Members, n.member().ID) && len(committed.Members) == s.target
 }
 
-func TestWipedMemberIsBackInTimeUnderAnyStreamOfOrders(t *testing.T) {
+func TestWipedMemberReturnsInTimeAtAnyProposalRate(t *testing.T) {
 	for _, every := range []int{1, 4, 10, 25, 1_000_000} {
 		worst, joint := time.Duration(0), time.Duration(0)
 		for seed := range uint64(30) {
-			s := calmSim(t, seed)
+			s := newCalmSim(t, seed)
 			s.rate = every
 			n := s.nodes[seed%3]
 			s.wipe(n)
-			n.downTil = s.now + 300*time.Millisecond
-			began := n.downTil
+			n.downUntil = s.now + 300*time.Millisecond
+			began := n.downUntil
 			var changedAt time.Duration
-			for !s.settledMember(n) {
+			for !s.isSettledMember(n) {
 				s.step()
 				if leader := s.leader(); changedAt == 0 && leader != nil && len(leader.replica.Members()) < s.target {
 					changedAt = s.now
 				}
-				assert.Assert(t, s.now < began+repairBound, "seed %d, one order in %d steps: no member after %v", seed, every, repairBound)
+				assert.Assert(t, s.now < began+maxRepairTime, "seed %d, one proposal in %d steps: not a member after %v", seed, every, maxRepairTime)
 			}
 			worst, joint = max(worst, s.now-began), max(joint, s.now-changedAt)
 		}
-		t.Logf("one order in %d steps of 5 ms while idle: member again after %v at worst, the group changing for %v", every, worst, joint)
+		t.Logf("one proposal in %d steps of 5 ms while idle: member again after %v at worst, membership change in progress for %v", every, worst, joint)
 	}
 }
 
-func TestWipedMemberIsBackInTimeWithASlowDisk(t *testing.T) {
+func TestWipedMemberReturnsInTimeWithASlowDisk(t *testing.T) {
 	for seed := range uint64(30) {
-		s := calmSim(t, seed)
+		s := newCalmSim(t, seed)
 		n := s.nodes[seed%3]
 		s.wipe(n)
-		n.downTil = s.now + 300*time.Millisecond
-		began := n.downTil
-		for !s.settledMember(n) {
+		n.downUntil = s.now + 300*time.Millisecond
+		began := n.downUntil
+		for !s.isSettledMember(n) {
 			s.step()
 			if n.writing != nil {
-				n.doneAt = max(n.doneAt, n.started+400*time.Millisecond) // its first writes
+				n.doneAt = max(n.doneAt, n.started+400*time.Millisecond) // delay its first writes
 			}
-			assert.Assert(t, s.now < began+repairBound, "seed %d", seed)
+			assert.Assert(t, s.now < began+maxRepairTime, "seed %d", seed)
 		}
 	}
 }
@@ -69,9 +70,9 @@
 	worst := time.Duration(0)
 	for seed := range uint64(20) {
 		s := newSimWithSpares(t, seed, 3, 1)
-		s.calmDisk = true
+		s.fastDisks = true
 		s.rate = 1 + int(seed%4)*10
-		s.playUntil(3 * time.Second)
+		s.runUntil(3 * time.Second)
 		var cutOff *simNode
 		for _, n := range s.nodes[:3] {
 			if n.replica.Role() != Leader {
@@ -79,10 +80,10 @@
 			}
 		}
 		s.isolateFor(cutOff, 20*time.Second)
-		s.playUntil(22 * time.Second)
+		s.runUntil(22 * time.Second)
 		assert.Assert(t, !containsID(s.members, cutOff.member().ID), "seed %d: it was not replaced", seed)
 		assert.Equal(t, len(s.members), 3)
-		s.playUntil(23 * time.Second)
+		s.runUntil(23 * time.Second)
 		heard := s.now
 		for s.leader() == nil || s.leader().replica.learners[cutOff.member().ID] == nil {
 			s.step()
@@ -90,42 +91,42 @@
 		}
 		for cutOff.replica.IsMember() {
 			s.step()
-			assert.Assert(t, s.now < heard+time.Second, "seed %d: it does not know that it is no member", seed)
+			assert.Assert(t, s.now < heard+time.Second, "seed %d: it does not know that it was removed", seed)
 		}
 		worst = max(worst, s.now-heard)
-		// And it counts again as soon as another one is gone.
+		// It becomes a member again as soon as another one is gone.
 		other := s.nodes[slices.IndexFunc(s.nodes, func(n *simNode) bool { return n != cutOff && n != s.leader() })]
 		s.stop(other)
-		other.downTil = s.now + time.Hour
+		other.downUntil = s.now + time.Hour
 		gone := s.now
 		for !containsID(s.members, cutOff.member().ID) {
 			s.step()
-			assert.Assert(t, s.now < gone+simSilence+repairBound, "seed %d: it does not take the place of another one", seed)
+			assert.Assert(t, s.now < gone+simMemberTimeout+maxRepairTime, "seed %d: it does not take the place of another one", seed)
 		}
 	}
-	t.Logf("a replaced member knows it and learns %v after it was heard at worst", worst)
+	t.Logf("a replaced member knows of its removal and is a learner %v after it was heard at worst", worst)
 }
 
 func TestMemberIsNotReplacedForAShortSilence(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimWithSpares(t, seed, 3, 1)
-		s.calmDisk = true
-		s.playUntil(3 * time.Second)
+		s.fastDisks = true
+		s.runUntil(3 * time.Second)
 		before := s.members
 		n := s.nodes[seed%3]
-		s.isolateFor(n, simSilence-LeaseDuration-electionSpread)
-		s.playUntil(s.now + 5*time.Second)
+		s.isolateFor(n, simMemberTimeout-LeaseDuration-maxElectionJitter)
+		s.runUntil(s.now + 5*time.Second)
 		assert.DeepEqual(t, s.members, before)
 	}
 }
 
 func TestLeavingLeaderHandsOver(t *testing.T) {
 	for seed := range uint64(30) {
-		s := calmSim(t, seed)
+		s := newCalmSim(t, seed)
 		leader := s.leader()
 		began := s.now
 		s.leave(leader)
-		leader.downTil = began + time.Hour
+		leader.downUntil = began + time.Hour
 		for leader.replica != nil && !leader.replica.LeaveDone() {
 			s.step()
 		}
@@ -137,14 +138,14 @@
 				stored++
 			}
 		}
-		assert.Assert(t, stored >= 1) // the new leader's commit stands on both
-		leader.downTil = s.now + time.Hour
+		assert.Assert(t, stored >= 1) // the new leader's commit is on both
+		leader.downUntil = s.now + time.Hour
 	}
 }
 
 func TestLeavingLeaderHandsOverToOneThatStays(t *testing.T) {
 	for seed := range uint64(30) {
-		s := calmSim(t, seed)
+		s := newCalmSim(t, seed)
 		leader := s.leader()
 		var other *simNode
 		for _, n := range s.nodes {
@@ -152,8 +153,8 @@
 				other = n
 			}
 		}
-		other.replica.StartLeaving(s.now) // and it is still there for a while
-		for !leader.replica.peers[other.member().ID].leaves(s.now) {
+		other.replica.StartLeaving(s.now) // it has announced its departure but keeps running for a while
+		for !leader.replica.peers[other.member().ID].isLeaving(s.now) {
 			s.step()
 		}
 		began := s.now
@@ -166,14 +167,14 @@
 	}
 }
 
-// What a member held when it was let go stands on a majority of the others: the loss of its disk and of another one
-// loses nothing that was acknowledged.
-func TestLeavingMemberWaitsForThoseThatStay(t *testing.T) {
+// When a member is allowed to leave, everything acknowledged so far is on a majority of the others, so losing its
+// disk and one more loses nothing that was acknowledged.
+func TestLeavingMemberWaitsForRemainingMembers(t *testing.T) {
 	waited := 0
 	for seed := range uint64(60) {
 		s := newSim(t, seed, 5)
-		s.calmDisk = true
-		s.playUntil(2 * time.Second)
+		s.fastDisks = true
+		s.runUntil(2 * time.Second)
 		var leaver *simNode
 		lagging := 0
 		for _, n := range s.nodes {
@@ -186,13 +187,13 @@
 				n.stalled = s.now + 700*time.Millisecond // the leader commits with the leaver and one other
 			}
 		}
-		s.playUntil(s.now + 100*time.Millisecond)
+		s.runUntil(s.now + 100*time.Millisecond)
 		began := s.now
 		s.leave(leaver)
 		acked := s.ackedAt
 		for !leaver.replica.LeaveDone() {
 			s.step()
-			assert.Assert(t, s.now < leaver.leaveBy, "seed %d: it was never let go", seed)
+			assert.Assert(t, s.now < leaver.leaveBy, "seed %d: it was never allowed to leave", seed)
 		}
 		have := 0
 		for _, n := range s.nodes {
@@ -205,17 +206,17 @@
 			waited++
 		}
 	}
-	assert.Assert(t, waited > 30, "only %d had to wait: the trouble was not brought about", waited)
+	assert.Assert(t, waited > 30, "only %d had to wait: the condition under test did not occur", waited)
 }
 
-func TestPlannedReplacementTakesTheNewMachineInFirst(t *testing.T) {
+func TestPlannedReplacementAddsTheNewMachineFirst(t *testing.T) {
 	for seed := range uint64(30) {
 		s := newSimWithSpares(t, seed, 3, 1)
-		s.calmDisk = true
-		s.playUntil(3 * time.Second)
+		s.fastDisks = true
+		s.runUntil(3 * time.Second)
 		leaver, least := s.nodes[seed%3], 3
 		s.leave(leaver)
-		leaver.downTil = s.now + time.Hour
+		leaver.downUntil = s.now + time.Hour
 		for containsID(s.members, leaver.member().ID) || len(s.members) != 3 {
 			s.step()
 			least = min(least, len(s.members))
@@ -225,10 +226,10 @@
 	}
 }
 
-// Over a link that carries one entry in the time in which three come, a follower gets those that are newest when the
-// link is free; no more than one waits for it.
+// Over a link that needs as long for one entry as three proposals take, a follower gets the entries that are newest
+// whenever the link is free; no more than one waits for it.
 func TestSlowLinkCarriesOneEntryAtATime(t *testing.T) {
-	s := calmSim(t, 3)
+	s := newCalmSim(t, 3)
 	var slow *simNode
 	for _, n := range s.nodes {
 		if n != s.leader() {
@@ -254,7 +255,7 @@
 					freeAt = max(freeAt, s.now) + carries
 				}
 			}
-			s.messages[i].due = max(m.due, freeAt) // all else waits behind it
+			s.messages[i].due = max(m.due, freeAt) // everything else queues behind it
 		}
 		most = max(most, waiting)
 		if at := slow.disk.Entry.Position(); before.Less(at) {
@@ -262,53 +263,55 @@
 			before, lastStored = at, s.now
 		}
 	}
-	assert.Assert(t, most <= 2, "%d entries on the way at once", most)
+	assert.Assert(t, most <= 2, "%d entries in flight at once", most)
 	assert.Assert(t, gap < 4*carries, "%v between entries that it stored", gap)
 	assert.Assert(t, s.leader() != nil)
 	s.idle = true
-	s.playUntil(s.now + 2*time.Second)
+	s.runUntil(s.now + 2*time.Second)
 	assert.Equal(t, slow.replica.Committed().Position(), s.ackedAt)
 }
 
-// Under a stream in which each entry brings the commit of the one before, followers know what is committed.
+// Under a steady stream of proposals, in which each entry carries the commit of the one before, followers know what
+// is committed.
 func TestFollowersKnowWhatIsCommittedUnderAStream(t *testing.T) {
-	s := calmSim(t, 5)
+	s := newCalmSim(t, 5)
 	for range 400 {
 		s.step()
 		for _, n := range s.nodes {
 			behind := versionOf([]byte(s.acked)) - versionOf(n.replica.Committed().Value)
-			assert.Assert(t, behind <= 8, "%s knows %d orders less than were acknowledged", n.ip, behind)
+			assert.Assert(t, behind <= 8, "%s is %d acknowledged proposals behind", n.ip, behind)
 		}
 	}
 }
 
-func TestManyOrdersWhileOneIsAway(t *testing.T) {
+func TestManyProposalsWhileOneReplicaIsDown(t *testing.T) {
 	for seed := range uint64(10) {
-		s := calmSim(t, seed)
+		s := newCalmSim(t, seed)
 		away := s.nodes[seed%3]
 		s.stop(away)
-		away.downTil = s.now + time.Hour
+		away.downUntil = s.now + time.Hour
 		for had := s.commits; s.commits < had+1000; {
 			s.step()
 		}
-		away.downTil = s.now
+		away.downUntil = s.now
 		began := s.now
 		for away.replica == nil || away.replica.Committed().Position().Less(s.ackedAt) {
 			s.step()
 			assert.Assert(t, s.now < began+time.Second, "seed %d: not caught up", seed)
 			for _, n := range s.nodes {
 				if n.replica != nil {
-					assert.Assert(t, len(n.replica.beats) <= beatsKept && len(n.replica.made) <= entriesTimed+1)
+					assert.Assert(t, len(n.replica.heartbeatSentAt) <= maxTrackedHeartbeats && len(n.replica.madeAt) <= maxTimedEntries+1)
 				}
 			}
 		}
 	}
 }
 
-// The answer to a pre-vote of an earlier round says nothing of now: the one that gave it may lead since.
-func TestLateWordOfARestartDoesNotCount(t *testing.T) {
+// A reply to an earlier pre-vote round says nothing about the present: the replica that gave it may have become
+// leader since.
+func TestLateRestartConfirmationDoesNotCount(t *testing.T) {
 	now := time.Duration(0)
-	group := Group{Target: 3, MemberSilence: simSilence}
+	group := Group{Target: 3, MemberSilence: simMemberTimeout}
 	var members []wire.Member
 	for i := range 3 {
 		ip := fmt.Sprintf("10.0.0.%d", i+1)
@@ -330,11 +333,12 @@
 	assert.Equal(t, r.Role(), Candidate)
 }
 
-// A member that has restarted after the others had told that they all did grants its vote by its own word alone.
-func TestWordOfAnEarlierLifeDoesNotCount(t *testing.T) {
+// A member that restarts after the others had confirmed that all had restarted only grants its vote on a confirmation
+// that it gave in its current run.
+func TestRestartConfirmationOfAnEarlierRunDoesNotCount(t *testing.T) {
 	s := newSim(t, 1, 3)
 	members := s.members
-	group := Group{Target: 3, MemberSilence: simSilence}
+	group := Group{Target: 3, MemberSilence: simMemberTimeout}
 	asked := New(members[1], group, Disk{Entry: Found(members, nil)}, s.random, 0)
 	ask := &wire.VoteRequest{Term: 1, Candidate: members[0].ID, LastIndex: 1, PreVote: true, Round: 77}
 	asked.Receive(members[0], &wire.Message{VoteRequest: ask}, 0)
@@ -346,7 +350,7 @@
 	restarted.Receive(members[0], &wire.Message{VoteRequest: stand}, 0)
 	assert.Assert(t, !restarted.TakeMessages()[0].Message.VoteReply.Granted)
 	restarted.Receive(members[0], heartbeat, 0)
-	assert.Assert(t, !restarted.AllRestarted(), "leases of its earlier life may be in force")
+	assert.Assert(t, !restarted.AllRestarted(), "leases granted in its earlier run may be in force")
 
 	asked.Receive(members[0], &wire.Message{VoteRequest: stand}, 0)
 	asked.Saved(asked.TakeSave(), 0)
@@ -355,8 +359,8 @@
 	assert.Assert(t, asked.AllRestarted())
 }
 
-// A process that has granted or held a lease since it started doesn't count as one that has just restarted.
-func TestLeaseSinceTheStartEndsTheRestart(t *testing.T) {
+// A process that has granted or held a lease since it started doesn't count as just restarted.
+func TestLeaseParticipationEndsTheJustRestartedState(t *testing.T) {
 	s := newSim(t, 1, 3)
 	r := s.nodes[0].replica
 	r.JoinedLease()
@@ -365,13 +369,13 @@
 	assert.Assert(t, !r.TakeMessages()[0].Message.VoteReply.Fresh)
 }
 
-// A follower that has heard no leader for as long as an election takes names none.
+// A follower that has heard no leader for as long as an election takes reports none.
 func TestFollowerForgetsALeaderThatIsSilent(t *testing.T) {
-	s := calmSim(t, 2)
+	s := newCalmSim(t, 2)
 	for _, n := range s.nodes {
 		if n.replica.Role() != Leader {
 			assert.Assert(t, n.replica.Leader(s.now).ID != "")
-			assert.Assert(t, n.replica.Leader(s.now+LeaseDuration+2*electionSpread).ID == "")
+			assert.Assert(t, n.replica.Leader(s.now+LeaseDuration+2*maxElectionJitter).ID == "")
 		}
 	}
 }
--- a/control/replica/sim_test.go
+++ b/control/replica/sim_test.go
@@ -10,15 +10,15 @@
 	"ivybank/wire"
 )
 
-// The simulation plays a group on a virtual clock, network and disk, driven by one seed. It checks after each step
-// that no two leaders act in one term, that leases exclude each other, and that what was acknowledged is never lost.
+// The simulation runs a group on a virtual clock, network and disk, driven by one seed. After each step it checks
+// that no two leaders act in one term, that leases exclude each other, and that nothing acknowledged is ever lost.
 
 const (
-	simStep     = 5 * time.Millisecond
-	simLength   = 20 * time.Second
-	simCalm     = 8 * time.Second // at the end: no new trouble, and disks are fast; cuts go on for up to 5 s of it
-	simSchedule = 600
-	simSilence  = 2 * time.Second // after which a member may be replaced
+	simStep          = 5 * time.Millisecond
+	simLength        = 20 * time.Second
+	simQuietEnd      = 8 * time.Second // final part without new faults or slow disks; cuts go on for up to 5 s of it
+	simSchedules     = 600
+	simMemberTimeout = 2 * time.Second // silence after which a member may be replaced
 )
 
 type simMessage struct {
@@ -29,26 +29,26 @@
 }
 
 type simNode struct {
-	ip      string
-	replica *Replica
-	disk    Disk // what has reached the disk
-	writing *Save
-	doneAt  time.Duration
-	downTil time.Duration
-	stalled time.Duration
-	lives   int
-	wiped   bool          // and no member again yet
-	started time.Duration // of this life
-	leaveBy time.Duration // when it stops at the latest, once it leaves
-
-	// Of a group with a machine:
-	machine      *chainMachine
-	journal      []*wire.Entry // what has reached the disk
-	origin       time.Duration // of the steady clock of this life, which runs for a while before there is a replica
-	writingWhole bool
+	ip          string
+	replica     *Replica
+	disk        Disk // what has reached the disk
+	writing     *Save
+	doneAt      time.Duration
+	downUntil   time.Duration
+	stalled     time.Duration
+	incarnation int
+	wiped       bool          // and not a member again yet
+	started     time.Duration // start of the current run
+	leaveBy     time.Duration // deadline by which it stops once it is leaving
+
+	// Used in a group with a state machine:
+	machine     *chainMachine
+	journal     []*wire.Entry // what has reached the disk
+	origin      time.Duration // of the steady clock of the current run, which starts before the replica does
+	writingFull bool
 }
 
-// simCounts is what a run has played.
+// simCounts counts events of a simulation run.
 type simCounts struct {
 	schedules, wipes, repaired, leaderChanges, commits, leaves, transfers int
 	machineCounts
@@ -73,22 +73,22 @@
 	target   int
 	nodes    []*simNode
 	messages []simMessage
-	cut      map[[2]string]time.Duration // one way, until when
+	cut      map[[2]string]time.Duration // one-way cuts, with the time at which each ends
 	acked    string                      // newest value that a leader acknowledged
 	ackedAt  Position
-	members  []wire.Member // of the newest entry that a leader with a lease had as committed
+	members  []wire.Member // of the newest entry that a leader with a lease reported as committed
 	leaders  map[uint64]string
 	lastLead string
 	values   int
 	simCounts
-	calmDisk bool
-	idle     bool           // no orders
-	rate     int            // one order in so many steps in which there could be one; 0 for each
-	pace     int            // longest time between faults, in ms
-	machines *machineChecks // nil where each entry is whole
+	fastDisks     bool
+	idle          bool           // no proposals
+	rate          int            // one proposal in so many steps in which there could be one; 0 for each step
+	faultInterval int            // longest time between faults, in ms
+	machines      *machineChecks // nil if each entry is full
 }
 
-// newSim makes a group of founders, and spares that have empty disks.
+// newSim returns a group of founders and no spares.
 func newSim(t *testing.T, seed uint64, size int) *sim { return newSimWithSpares(t, seed, size, 0) }
 
 func newSimWithSpares(t *testing.T, seed uint64, size, spares int) *sim {
@@ -97,14 +97,14 @@
 
 func newSimOf(t *testing.T, seed uint64, size, spares int, machines *machineChecks) *sim {
 	s := &sim{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), cut: map[[2]string]time.Duration{}, target: size,
-		leaders: map[uint64]string{}, pace: []int{150, 600, 2500}[seed%3], machines: machines}
+		leaders: map[uint64]string{}, faultInterval: []int{150, 600, 2500}[seed%3], machines: machines}
 	var founders []wire.Member
 	for i := range size + spares {
 		n := &simNode{ip: fmt.Sprintf("10.0.0.%d", i+1)}
 		if i < size {
 			founders = append(founders, n.member())
 		} else {
-			n.lives = 1
+			n.incarnation = 1
 		}
 		s.nodes = append(s.nodes, n)
 	}
@@ -121,11 +121,11 @@
 
 func (s *sim) start(n *simNode) {
 	n.started, n.leaveBy = s.now, 0
-	group := Group{Target: s.target, MemberSilence: simSilence}
+	group := Group{Target: s.target, MemberSilence: simMemberTimeout}
 	if s.machines != nil {
 		s.replay(n)
-		n.origin = s.now - time.Duration(s.random.Int64N(int64(longestStart)))
-		n.replica = NewWithMachine(n.member(), group, n.disk, n.machine, s.random, s.steady(n))
+		n.origin = s.now - time.Duration(s.random.Int64N(int64(maxStartupTime)))
+		n.replica = NewWithMachine(n.member(), group, n.disk, n.machine, s.random, s.steadyNow(n))
 		return
 	}
 	n.replica = New(n.member(), group, n.disk, s.random, s.now)
@@ -141,7 +141,7 @@
 
 func (s *sim) describe(n *simNode) string {
 	if n.replica == nil {
-		return fmt.Sprintf("%s/%d is down, entry %v", n.ip, n.lives, n.disk.Entry.Position())
+		return fmt.Sprintf("%s/%d is down, entry %v", n.ip, n.incarnation, n.disk.Entry.Position())
 	}
 	r := n.replica
 	return fmt.Sprintf("%s %v term %d entry %v committed %v members %v", r.self.ID, r.Role(), r.Term(), r.disk.Entry.Position(),
@@ -152,7 +152,7 @@
 	s.now += simStep
 	for _, n := range s.nodes {
 		if n.replica == nil {
-			if s.now >= n.downTil {
+			if s.now >= n.downUntil {
 				s.start(n)
 			}
 			continue
@@ -161,8 +161,8 @@
 			s.stop(n)
 			continue
 		}
-		n.replica.Tick(s.steady(n))
-		if n.replica.NeedsToJoin(s.steady(n)) {
+		n.replica.Tick(s.steadyNow(n))
+		if n.replica.NeedsToJoin(s.steadyNow(n)) {
 			for _, other := range s.nodes {
 				if other != n {
 					s.post(n, other.ip, &wire.Message{JoinRequest: &wire.JoinRequest{Member: n.replica.Self()}})
@@ -177,7 +177,7 @@
 			done := n.writing
 			n.disk, n.writing = done.Disk, nil
 			n.journal = n.journalAfter(done)
-			n.replica.Saved(done, s.steady(n))
+			n.replica.Saved(done, s.steadyNow(n))
 			s.flush(n)
 		}
 	}
@@ -185,10 +185,10 @@
 }
 
 func (n *simNode) member() wire.Member {
-	if n.lives == 0 {
+	if n.incarnation == 0 {
 		return wire.Member{ID: n.ip + "/founder", IP: n.ip}
 	}
-	return wire.Member{ID: fmt.Sprintf("%s/%d", n.ip, n.lives), IP: n.ip}
+	return wire.Member{ID: fmt.Sprintf("%s/%d", n.ip, n.incarnation), IP: n.ip}
 }
 
 func (s *sim) post(from *simNode, to string, m *wire.Message) {
@@ -213,10 +213,10 @@
 	}
 }
 
-// writeTime is short as a rule, and now and then longer than an election takes.
+// writeTime is usually short, and occasionally longer than an election takes.
 func (s *sim) writeTime() time.Duration {
 	longest := 30
-	if !s.calmDisk && s.random.IntN(10) == 0 {
+	if !s.fastDisks && s.random.IntN(10) == 0 {
 		longest = 1500
 	}
 	return time.Duration(s.random.IntN(longest)) * time.Millisecond
@@ -233,14 +233,14 @@
 		for _, n := range s.nodes {
 			if n.ip == m.to && n.replica != nil {
 				s.countAppend(n, m.body.Append)
-				n.replica.Receive(m.from, m.body, s.steady(n))
+				n.replica.Receive(m.from, m.body, s.steadyNow(n))
 				s.flush(n)
 			}
 		}
 	}
 }
 
-// check holds the invariants, and acts as operators who send the next order as soon as one is acknowledged.
+// check verifies the invariants, and acts as a client that proposes the next value as soon as one is acknowledged.
 func (s *sim) check() {
 	s.checkMachines()
 	leading := ""
@@ -255,7 +255,7 @@
 			}
 			s.leaders[r.Term()] = r.Self().ID
 		}
-		if !r.Leading(s.steady(n)) {
+		if !r.Leading(s.steadyNow(n)) {
 			continue
 		}
 		if leading != "" {
@@ -270,7 +270,7 @@
 		if !r.Uncommitted() && !s.idle && n.leaveBy == 0 && s.random.IntN(max(1, s.rate)) == 0 {
 			s.values++
 			next := fmt.Sprintf("%d/%d", versionOf(n.content())+1, s.values)
-			if _, err := r.Propose([]byte(next), s.steady(n)); err != nil {
+			if _, err := r.Propose([]byte(next), s.steadyNow(n)); err != nil {
 				s.fail("leader refuses: %v", err)
 			}
 			s.checkMachines()
@@ -279,12 +279,12 @@
 	}
 }
 
-// acknowledge takes what a leader with a lease holds as committed: a version that was acknowledged is followed by
-// versions made on top of it alone.
+// acknowledge checks what a leader with a lease holds as committed: a version that was acknowledged may only be
+// followed by versions built on top of it.
 func (s *sim) acknowledge(c *wire.Entry, content []byte) {
 	had, now := versionOf([]byte(s.acked)), versionOf(content)
 	if now < had || now == had && s.acked != "" && s.acked != string(content) {
-		s.fail("%q was acknowledged, now the leader has %q", s.acked, content)
+		s.fail("%q was acknowledged, but the leader now has %q", s.acked, content)
 	}
 	if s.acked != string(content) {
 		s.commits++
@@ -299,28 +299,28 @@
 	}
 }
 
-// versionOf reads the number of a value.
+// versionOf returns the number of a value.
 func versionOf(value []byte) (version int) {
 	_, _ = fmt.Sscanf(string(value), "%d/", &version)
 	return version
 }
 
-// harm brings one fault of those that a deployment bears at once.
-func (s *sim) harm() {
+// injectFault injects one fault that a deployment has to tolerate.
+func (s *sim) injectFault() {
 	n := s.nodes[s.random.IntN(len(s.nodes))]
 	other := s.nodes[s.random.IntN(len(s.nodes))]
 	switch kind := s.random.IntN(14); {
 	case kind == 0: // killed, disk kept
 		s.stop(n)
-	case kind == 1 && s.bearsLossOf(n) && (!n.wiped || s.random.IntN(3) == 0): // comes back without its disk
+	case kind == 1 && s.toleratesLossOf(n) && (!n.wiped || s.random.IntN(3) == 0): // comes back without its disk
 		s.wipe(n)
 	case kind == 2: // cut one way
 		s.cut[[2]string{n.ip, other.ip}] = s.now + time.Duration(s.random.IntN(2000))*time.Millisecond
-	case kind >= 3 && kind < 5: // the disk stalls; any number of them may
+	case kind >= 3 && kind < 5: // the disk stalls; any number of disks may
 		n.stalled = s.now + time.Duration(s.random.IntN(2000))*time.Millisecond
 	case kind == 5: // cut off, one way or both
 		s.isolate(n, s.random.IntN(2) == 0)
-	case kind >= 6 && kind < 9 && s.bearsLossOf(n) && (!n.wiped || s.random.IntN(3) == 0): // loses its disk as the leader is cut off
+	case kind >= 6 && kind < 9 && s.toleratesLossOf(n) && (!n.wiped || s.random.IntN(3) == 0): // loses its disk while the leader is cut off
 		for _, leader := range s.nodes {
 			if leader.replica != nil && leader.replica.Role() == Leader && leader != n {
 				s.isolate(leader, true)
@@ -331,24 +331,24 @@
 		for _, n := range s.nodes {
 			s.stop(n)
 		}
-	case kind == 10 && s.bearsLossOf(n) && !n.wiped: // all lose power, and one its disk
+	case kind == 10 && s.toleratesLossOf(n) && !n.wiped: // all lose power, and one loses its disk
 		for _, n := range s.nodes {
 			s.stop(n)
 		}
 		s.wipe(n)
-	case kind == 11 && n.replica != nil && n.leaveBy == 0: // stops by plan
+	case kind == 11 && n.replica != nil && n.leaveBy == 0: // planned stop
 		s.leave(n)
-	case kind == 12: // half from half
+	case kind == 12: // network split into two halves
 		s.split(time.Duration(s.random.IntN(4000)) * time.Millisecond)
 	case kind == 13: // cut off for long enough to be replaced
-		s.isolateFor(n, simSilence+time.Duration(s.random.IntN(3000))*time.Millisecond)
+		s.isolateFor(n, simMemberTimeout+time.Duration(s.random.IntN(3000))*time.Millisecond)
 	}
 }
 
 func (s *sim) leave(n *simNode) {
 	n.leaveBy = s.now + 2*time.Second
 	s.leaves++
-	n.replica.StartLeaving(s.steady(n))
+	n.replica.StartLeaving(s.steadyNow(n))
 	s.flush(n)
 }
 
@@ -379,36 +379,36 @@
 
 func (s *sim) wipe(n *simNode) {
 	s.stop(n)
-	n.lives++
+	n.incarnation++
 	n.wiped = true
 	s.wipes++
 	n.disk, n.journal = Disk{}, nil
 }
 
-// bearsLossOf says whether one more disk may be lost: a majority of the members that were committed last still has
-// its own, and so it is with each change of members that is under way. Whether they are up, or hear each other, doesn't
+// toleratesLossOf reports whether one more disk may be lost: a majority of the members committed last still has its
+// disk, and likewise for each membership change in progress. Whether the members run or can reach each other doesn't
 // matter.
-func (s *sim) bearsLossOf(lost *simNode) bool {
+func (s *sim) toleratesLossOf(lost *simNode) bool {
 	kept := func(id string) bool {
 		return slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n != lost && n.member().ID == id })
 	}
-	borne := Quorum(s.members, kept)
-	for _, e := range s.entriesUnderWay() {
-		borne = borne && (e == nil || e.Position().Less(s.ackedAt) || Quorum(e.Members, kept))
+	tolerated := Quorum(s.members, kept)
+	for _, e := range s.entriesInFlight() {
+		tolerated = tolerated && (e == nil || e.Position().Less(s.ackedAt) || Quorum(e.Members, kept))
 	}
 	for _, n := range s.nodes {
 		if n.replica == nil {
 			continue
 		}
-		for _, learner := range n.replica.Learners() { // one that is ready may be taken in at any moment
-			borne = borne && Quorum(append(slices.Clone(s.members), learner), kept)
+		for _, learner := range n.replica.Learners() { // a ready learner may be added at any moment
+			tolerated = tolerated && Quorum(append(slices.Clone(s.members), learner), kept)
 		}
 	}
-	return borne
+	return tolerated
 }
 
-// entriesUnderWay gives the newest entries of all disks and processes, and those in messages.
-func (s *sim) entriesUnderWay() []*wire.Entry {
+// entriesInFlight returns the newest entries of all disks and processes, and those in messages.
+func (s *sim) entriesInFlight() []*wire.Entry {
 	var all []*wire.Entry
 	for _, n := range s.nodes {
 		all = append(all, n.disk.Entry)
@@ -428,38 +428,39 @@
 }
 
 func (s *sim) stop(n *simNode) {
-	s.endWrite(n)
+	s.finishWrite(n)
 	n.replica, n.writing, n.stalled = nil, nil, 0
-	n.downTil = s.now + time.Duration(50+s.random.IntN(2500))*time.Millisecond
+	n.downUntil = s.now + time.Duration(50+s.random.IntN(2500))*time.Millisecond
 }
 
-// checkRepaired checks that the group is whole at the end: each machine is a member again, but for spares.
+// checkRepaired checks that the group is complete at the end: it has the target size, and each member is a current
+// identity of a machine.
 func (s *sim) checkRepaired() {
 	if len(s.members) != s.target {
 		s.fail("%d members at the end", len(s.members))
 	}
 	for _, m := range s.members {
 		if !slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n.member().ID == m.ID }) {
-			s.fail("%s is a member at the end, and is no more", m.ID)
+			s.fail("%s is still a member at the end, but no machine has this identity", m.ID)
 		}
 	}
 }
 
-func playSchedule(t *testing.T, seed uint64, machines *machineChecks) simCounts {
+func runSchedule(t *testing.T, seed uint64, machines *machineChecks) simCounts {
 	spares := int(seed / 6 % 2)
 	s := newSimOf(t, seed, 3+2*int(seed/3%2), spares, machines)
 	s.rate = []int{1, 1, 4, 20}[seed/12%4]
-	nextHarm := 2 * time.Second
+	nextFault := 2 * time.Second
 	for s.now < simLength {
-		s.calmDisk = s.now >= simLength-simCalm
-		if s.now >= nextHarm && !s.calmDisk {
-			s.harm()
-			nextHarm = s.now + time.Duration(s.random.IntN(s.pace))*time.Millisecond
+		s.fastDisks = s.now >= simLength-simQuietEnd
+		if s.now >= nextFault && !s.fastDisks {
+			s.injectFault()
+			nextFault = s.now + time.Duration(s.random.IntN(s.faultInterval))*time.Millisecond
 		}
 		s.step()
 	}
-	if !slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n.replica != nil && n.replica.Leading(s.steady(n)) }) {
-		s.fail("nobody leads after the calm")
+	if !slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n.replica != nil && n.replica.Leading(s.steadyNow(n)) }) {
+		s.fail("nobody leads after the fault-free phase")
 	}
 	s.checkRepaired()
 	s.schedules = 1
@@ -467,13 +468,13 @@
 }
 
 func TestRandomFaults(t *testing.T) {
-	schedules := simSchedule
+	schedules := simSchedules
 	if testing.Short() {
 		schedules /= 10
 	}
 	var played simCounts
 	for seed := range uint64(schedules) {
-		played.add(playSchedule(t, seed, nil))
+		played.add(runSchedule(t, seed, nil))
 	}
 	t.Logf("played %+v", played)
 	if played.commits < schedules*20 || played.wipes < schedules/2 || played.repaired < schedules/2 ||
--- a/control/store/files.go
+++ b/control/store/files.go
@@ -1,5 +1,6 @@
-// Package store keeps a control process's state on its disk, and defines what the replicated state holds.
-// Each version is a file of its own: written aside, synced, renamed, and the folder synced; then older ones go.
+// Package store keeps a control process's state on disk, and defines the content of the replicated configuration
+// state. Each version is a file of its own: written under a temporary name, synced, renamed, and the directory
+// synced; then older versions are removed.
 package store
 
 import (
@@ -19,27 +20,27 @@
 )
 
 const (
-	identityKind = "member"
-	voteKind     = "vote"
-	entryKind    = "entry"
-	tenureKind   = "tenure"
-	asideSuffix  = ".tmp"
-	spoiltPrefix = "spoilt."
-	filePerm     = 0o600
-	folderPerm   = 0o700
-	checksumSize = 8
-	numberBase   = 10
+	identityKind  = "member"
+	voteKind      = "vote"
+	entryKind     = "entry"
+	tenureKind    = "tenure"
+	tempSuffix    = ".tmp"
+	corruptPrefix = "spoilt."
+	filePerm      = 0o600
+	folderPerm    = 0o700
+	checksumSize  = 8
+	numberBase    = 10
 )
 
-// ErrDamaged says that a file isn't what was written. A file has its name only once its content is on disk, so this is
-// no write that was cut short: the disk has lost what it had told to keep.
+// ErrCorrupt reports a file whose content isn't what was written. A file gets its name only once its content is on
+// disk, so this can't be an interrupted write: the disk has lost data that it had confirmed as stored.
 var ErrDamaged = errors.New("store: damaged file")
 
-// Identity is who a replica is. It is written once, when the disk is new.
+// Identity is the identity of a replica. It is written once, when the disk is new.
 type Identity struct {
 	ID       string        `cbor:"1,keyasint"`
 	Founder  bool          `cbor:"2,keyasint"`
-	Founders []wire.Member `cbor:"3,keyasint,omitempty"` // whom a founder founds the group with
+	Founders []wire.Member `cbor:"3,keyasint,omitempty"` // the members with which a founder founds the group
 }
 
 type vote struct {
@@ -47,62 +48,64 @@
 	For  string `cbor:"2,keyasint"`
 }
 
-// Folder is the data folder of one control process. Only one goroutine uses it at a time.
+// DataDir is the data directory of one control process. Only one goroutine may use it at a time.
 type Folder struct {
 	files fileSystem
 	next  uint64 // number of the next file
 	parts journal
 
-	namesSynced bool // all names that an earlier process left are on disk
+	namesSynced bool // all file names that an earlier process left are on disk
 }
 
-// Open makes the folder where it is missing.
+// Open opens the data directory, and creates it if it is missing.
 func Open(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderPerm); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	return openFolder(osFolder(path)), nil
+	return openDir(osDir(path)), nil
 }
 
-// openFolder takes a folder over. What was written aside by an earlier process was never part of the state.
-func openFolder(files fileSystem) *Folder {
-	names, _ := files.names() // what can't be listed now fails at the first read
+// openDir opens an existing directory and removes temporary files of earlier processes, which were never part of the
+// state.
+func openDir(files fileSystem) *Folder {
+	names, _ := files.names() // if listing fails now, the first read fails too
 	for _, name := range names {
-		if strings.HasSuffix(name, asideSuffix) {
+		if strings.HasSuffix(name, tempSuffix) {
 			_ = files.remove(name)
 		}
 	}
 	return &Folder{files: files, next: 1}
 }
 
-// Identity gives who this disk belongs to; ok is false on an empty disk.
-func (f *Folder) Identity() (id Identity, ok bool, err error) {
-	ok, err = f.newest(identityKind, &id)
+// Identity returns the identity stored on this disk; ok is false on an empty disk.
+func (d *Folder) Identity() (id Identity, ok bool, err error) {
+	ok, err = d.newest(identityKind, &id)
 	return id, ok, err
 }
 
-// SaveIdentity writes who this disk belongs to.
-func (f *Folder) SaveIdentity(id Identity) error { return f.write(identityKind, id) }
+// SaveIdentity writes the identity of this disk's replica.
+func (d *Folder) SaveIdentity(id Identity) error { return d.write(identityKind, id) }
 
-// Load reads what a replica had saved.
-func (f *Folder) Load() (replica.Disk, error) {
+// Load reads the state that a replica had saved.
+func (d *Folder) Load() (replica.Disk, error) {
 	var v vote
 	var e wire.Entry
-	if _, err := f.newest(voteKind, &v); err != nil {
+	if _, err := d.newest(voteKind, &v); err != nil {
 		return replica.Disk{}, err
 	}
-	found, err := f.newest(entryKind, &e)
+	found, err := d.newest(entryKind, &e)
 	if err != nil {
 		return replica.Disk{}, err
 	}
 	if !found {
-		return v.with(nil), nil
+		return v.withEntry(nil), nil
 	}
-	return v.with(&e), nil
+	return v.withEntry(&e), nil
 }
 
-// with gives what a replica finds: no vote in the term of an entry that is newer than the vote.
-func (v vote) with(e *wire.Entry) replica.Disk {
+// withEntry returns the state that a replica starts from: without a vote if the entry's term is newer than the
+// vote's.
+func (v vote) withEntry(e *wire.Entry) replica.Disk {
 	if e != nil && e.Term > v.Term {
 		return replica.Disk{Term: e.Term, Entry: e}
 	}
@@ -110,92 +113,93 @@
 }
 
 // Save writes what has changed. After an error it may be called again.
-func (f *Folder) Save(s *replica.Save) error {
+func (d *Folder) Save(s *replica.Save) error {
 	if s.VoteChanged {
-		if err := f.write(voteKind, vote{s.Disk.Term, s.Disk.VotedFor}); err != nil {
+		if err := d.write(voteKind, vote{s.Disk.Term, s.Disk.VotedFor}); err != nil {
 			return err
 		}
 	}
 	if s.EntryChanged {
-		return f.write(entryKind, s.Disk.Entry)
+		return d.write(entryKind, s.Disk.Entry)
 	}
 	return nil
 }
 
-// Tenures gives the resources whose holder was long in office, by the newest file.
-func (f *Folder) Tenures() (long []string, err error) {
-	_, err = f.newest(tenureKind, &long)
+// LongTenures returns the resources whose holder had a long tenure, from the newest file.
+func (d *Folder) Tenures() (long []string, err error) {
+	_, err = d.newest(tenureKind, &long)
 	return long, err
 }
 
-// SaveTenures writes them.
-func (f *Folder) SaveTenures(long []string) error { return f.write(tenureKind, long) }
+// SaveLongTenures writes the resources whose holder had a long tenure.
+func (d *Folder) SaveTenures(long []string) error { return d.write(tenureKind, long) }
 
-// SetAside renames all files of a spoilt disk, so that none of them is read again and what is left of them can be looked
-// at. Those that were set aside before go. The identity goes first: without what it promised, it must not be found again.
-func (f *Folder) SetAside() error {
-	names, err := f.files.names()
+// Quarantine renames all files of a corrupt disk, so that none is read again but their content can be examined. Files
+// of an earlier quarantine are removed. The identity goes first: it must not be found again without the state that it
+// made promises about.
+func (d *Folder) SetAside() error {
+	names, err := d.files.names()
 	if err != nil {
 		return err
 	}
 	var identities, others []string
 	for _, name := range names {
 		switch {
-		case strings.HasPrefix(name, spoiltPrefix):
-			_ = f.files.remove(name)
+		case strings.HasPrefix(name, corruptPrefix):
+			_ = d.files.remove(name)
 		case strings.HasPrefix(name, identityKind+"-"):
 			identities = append(identities, name)
 		default:
 			others = append(others, name)
 		}
 	}
-	if err := f.setAside(identities); err != nil {
+	if err := d.quarantine(identities); err != nil {
 		return err
 	}
-	return f.setAside(others)
+	return d.quarantine(others)
 }
 
-// setAside returns once the files have their new names on disk.
-func (f *Folder) setAside(names []string) error {
+// quarantine renames files and returns once the new names are on disk.
+func (d *Folder) quarantine(names []string) error {
 	for _, name := range names {
-		if err := f.files.rename(name, spoiltPrefix+name); err != nil {
+		if err := d.files.rename(name, corruptPrefix+name); err != nil {
 			return err
 		}
 	}
-	return f.files.sync()
+	return d.files.sync()
 }
 
-// write stores a version and then removes the older ones of its kind.
-func (f *Folder) write(kind string, v any) error {
+// write stores a new version of a kind and then removes the older ones.
+func (d *Folder) write(kind string, v any) error {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	_, err = f.replace(kind, binary.BigEndian.AppendUint64(body, xxhash.Sum64(body)))
+	_, err = d.replace(kind, binary.BigEndian.AppendUint64(body, xxhash.Sum64(body)))
 	return err
 }
 
-// replace writes the newest file of a kind and then removes the older ones. Once it gives a name, the file has that name,
-// though after an error it may lose it at a loss of power.
-func (f *Folder) replace(kind string, data []byte) (name string, err error) {
-	older, err := f.list(kind)
+// replace writes the newest file of a kind and then removes the older ones. If it returns a name, the file has that
+// name, though after an error a power loss may undo the renaming.
+func (d *Folder) replace(kind string, data []byte) (name string, err error) {
+	older, err := d.list(kind)
 	if err != nil {
 		return "", err
 	}
-	name = fileName(kind, f.next)
-	f.next++ // no name is used twice, as a name that is renamed may lead to what it led to before
-	if err := f.files.write(name+asideSuffix, data); err != nil {
-		_ = f.files.remove(name + asideSuffix)
+	name = fileName(kind, d.next)
+	d.next++ // names are never reused, as a renamed name may lead to its former content after a power loss
+	if err := d.files.write(name+tempSuffix, data); err != nil {
+		_ = d.files.remove(name + tempSuffix)
 		return "", err
 	}
-	if err := f.files.rename(name+asideSuffix, name); err != nil {
+	if err := d.files.rename(name+tempSuffix, name); err != nil {
 		return "", err
 	}
-	if err := f.files.sync(); err != nil {
+	if err := d.files.sync(); err != nil {
 		return name, err
 	}
 	for _, n := range older {
-		_ = f.files.remove(fileName(kind, n)) // it may come back, and is older then
+		_ = d.files.remove(fileName(kind, n)) // a power loss may bring it back, but it is not the newest then
 	}
 	return name, nil
 }
@@ -204,35 +208,35 @@
 	return kind + "-" + strconv.FormatUint(number, numberBase)
 }
 
-// list gives the numbers of a kind's files and moves f.next past all that are there.
-func (f *Folder) list(kind string) ([]uint64, error) {
-	names, err := f.files.names()
+// list returns the numbers of a kind's files, and moves d.next beyond the numbers of all files present.
+func (d *Folder) list(kind string) ([]uint64, error) {
+	names, err := d.files.names()
 	if err != nil {
 		return nil, err
 	}
 	var numbers []uint64
 	for _, name := range names {
-		of, number, ok := strings.Cut(strings.TrimSuffix(name, asideSuffix), "-")
+		of, number, ok := strings.Cut(strings.TrimSuffix(name, tempSuffix), "-")
 		n, err := strconv.ParseUint(number, numberBase, 64)
 		if !ok || err != nil {
 			continue
 		}
-		f.next = max(f.next, n+1)
-		if of == kind && !strings.HasSuffix(name, asideSuffix) {
+		d.next = max(d.next, n+1)
+		if of == kind && !strings.HasSuffix(name, tempSuffix) {
 			numbers = append(numbers, n)
 		}
 	}
 	return numbers, nil
 }
 
-// newest reads the newest file of a kind into v. It reports false where there is none. An older one in its place is no
-// help: a vote that it doesn't know of might be given twice.
-func (f *Folder) newest(kind string, v any) (bool, error) {
-	name, err := f.newestName(kind)
+// newest reads the newest file of a kind into v. It returns false if there is none. It never falls back to an older
+// file: a vote that the older file doesn't record might be given twice.
+func (d *Folder) newest(kind string, v any) (bool, error) {
+	name, err := d.newestName(kind)
 	if err != nil || name == "" {
 		return false, err
 	}
-	data, err := f.files.read(name)
+	data, err := d.files.read(name)
 	if err != nil {
 		return false, err
 	}
@@ -242,16 +246,16 @@
 	return true, nil
 }
 
-// newestName gives the name of the newest file of a kind; "" where there is none. An earlier process may have been killed
-// between a rename and its sync: who finds the new name takes it for stored, so it is synced first.
-func (f *Folder) newestName(kind string) (string, error) {
-	if !f.namesSynced {
-		if err := f.files.sync(); err != nil {
+// newestName returns the name of the newest file of a kind; "" if there is none. An earlier process may have been
+// killed between a rename and its sync, and a reader of the new name takes it for durable, so names are synced first.
+func (d *Folder) newestName(kind string) (string, error) {
+	if !d.namesSynced {
+		if err := d.files.sync(); err != nil {
 			return "", err
 		}
-		f.namesSynced = true
+		d.namesSynced = true
 	}
-	numbers, err := f.list(kind)
+	numbers, err := d.list(kind)
 	if err != nil || len(numbers) == 0 {
 		return "", err
 	}
--- a/control/store/files_test.go
+++ b/control/store/files_test.go
@@ -26,7 +26,7 @@
 	assert.NilError(t, f.Save(&replica.Save{Disk: disk, EntryChanged: true, VoteChanged: true}))
 }
 
-func TestNewestVersionIsFoundAgain(t *testing.T) {
+func TestNewestVersionIsLoaded(t *testing.T) {
 	path := t.TempDir()
 	f := open(t, path)
 	for i := range uint64(12) {
@@ -41,7 +41,7 @@
 	assert.Equal(t, len(files), 2, "one vote and one entry are kept")
 }
 
-func TestWhatWasWrittenAsideIsSkipped(t *testing.T) {
+func TestTemporaryFilesAreIgnored(t *testing.T) {
 	path := t.TempDir()
 	save(t, open(t, path), 1, 5)
 	for name, data := range map[string]string{"entry-90.tmp": "torn", "vote-91.tmp": "", "entry-x": "odd", "other": ""} {
@@ -55,13 +55,14 @@
 	disk, err = open(t, path).Load()
 	assert.NilError(t, err)
 	assert.Equal(t, disk.Entry.Index, uint64(6))
-	aside, err := filepath.Glob(filepath.Join(path, "*"+asideSuffix))
+	aside, err := filepath.Glob(filepath.Join(path, "*"+tempSuffix))
 	assert.NilError(t, err)
-	assert.Equal(t, len(aside), 0, "they don't pile up")
+	assert.Equal(t, len(aside), 0, "temporary files don't accumulate")
 }
 
-// A file that has its name was whole on disk: where the newest is not, no older one is served, and no vote given by it.
-func TestSpoiltVersionIsNamedAndNeverServedFrom(t *testing.T) {
+// A file that has its final name was completely on disk. If the newest one is corrupt, no older one is used in its
+// place, and no vote is given based on it.
+func TestCorruptVersionIsReportedAndNeverUsed(t *testing.T) {
 	for _, name := range []string{"entry-90", "vote-90", "member-90"} {
 		for _, data := range []string{"torn in the middle", ""} {
 			path := t.TempDir()
@@ -81,15 +82,15 @@
 			disk, err := f.Load()
 			assert.NilError(t, err)
 			assert.Assert(t, disk.Entry == nil && disk.Term == 0 && disk.VotedFor == "")
-			kept, err := os.ReadFile(filepath.Join(path, spoiltPrefix+name))
+			kept, err := os.ReadFile(filepath.Join(path, corruptPrefix+name))
 			assert.NilError(t, err)
 			assert.Equal(t, string(kept), data)
-			assert.NilError(t, f.SetAside(), "a second time leaves room")
+			assert.NilError(t, f.SetAside(), "earlier quarantined files are removed")
 		}
 	}
 }
 
-func TestEveryFlippedByteIsNoticed(t *testing.T) {
+func TestEveryFlippedByteIsDetected(t *testing.T) {
 	path := t.TempDir()
 	save(t, open(t, path), 3, 7)
 	entries, err := filepath.Glob(filepath.Join(path, "entry-*"))
@@ -97,15 +98,15 @@
 	data, err := os.ReadFile(entries[0])
 	assert.NilError(t, err)
 	for i := range data {
-		spoilt := append([]byte{}, data...)
-		spoilt[i] ^= 1
-		assert.NilError(t, os.WriteFile(entries[0], spoilt, 0o600))
+		corrupt := append([]byte{}, data...)
+		corrupt[i] ^= 1
+		assert.NilError(t, os.WriteFile(entries[0], corrupt, 0o600))
 		_, err := open(t, path).Load()
 		assert.ErrorIs(t, err, ErrDamaged, "byte %d", i)
 	}
 }
 
-func TestIdentityOutlivesARestart(t *testing.T) {
+func TestIdentitySurvivesARestart(t *testing.T) {
 	path := t.TempDir()
 	_, known, err := open(t, path).Identity()
 	assert.NilError(t, err)
@@ -117,7 +118,7 @@
 	assert.DeepEqual(t, id, Identity{ID: "a", Founder: true})
 }
 
-func TestStateTakesOnlyTheNextVersion(t *testing.T) {
+func TestStateAcceptsOnlyTheNextVersion(t *testing.T) {
 	s := &State{}
 	one, err := s.Next(0, 3, []byte("one"))
 	assert.NilError(t, err)
@@ -127,17 +128,17 @@
 	assert.ErrorContains(t, err, "not above")
 	two, err := one.Next(3, 4, []byte("two"))
 	assert.NilError(t, err)
-	assert.Assert(t, two.Accepted(DigestOf(0, []byte("one"))), "an older order is recognised")
-	assert.Assert(t, !two.Accepted(DigestOf(3, []byte("one"))), "the base counts")
+	assert.Assert(t, two.Accepted(DigestOf(0, []byte("one"))), "an older update is recognised")
+	assert.Assert(t, !two.Accepted(DigestOf(3, []byte("one"))), "the base revision is part of the digest")
 }
 
-func TestStateKeepsTheNewestOrders(t *testing.T) {
+func TestStateKeepsTheNewestUpdates(t *testing.T) {
 	s := &State{}
-	for i := range int64(maxOrders + 5) {
+	for i := range int64(maxRememberedUpdates + 5) {
 		next, err := s.Next(i, i+1, []byte(strings.Repeat("x", int(i%7))))
 		assert.NilError(t, err)
 		s = next
 	}
-	assert.Equal(t, len(s.Orders), maxOrders)
-	assert.Assert(t, s.Accepted(DigestOf(maxOrders+4, []byte(strings.Repeat("x", (maxOrders+4)%7)))))
+	assert.Equal(t, len(s.Orders), maxRememberedUpdates)
+	assert.Assert(t, s.Accepted(DigestOf(maxRememberedUpdates+4, []byte(strings.Repeat("x", (maxRememberedUpdates+4)%7)))))
 }
--- a/control/store/filesystem.go
+++ b/control/store/filesystem.go
@@ -6,43 +6,44 @@
 	"path/filepath"
 )
 
-// fileSystem is one folder of a disk. Names have no path.
+// fileSystem is one directory on a disk. File names contain no path.
 type fileSystem interface {
-	// write makes a file and returns once its content is on disk.
+	// write creates a file and returns once its content is on disk.
 	write(name string, data []byte) error
-	// append adds to the end of a file and returns once all of its content is on disk. After an error any part may be there.
+	// append appends to a file and returns once all of its content is on disk. After an error any part of the data
+	// may be there.
 	append(name string, data []byte) error
-	// truncate sets a file's length. It lasts once the file is synced, by append or syncFile.
+	// truncate sets a file's length in bytes. It is only durable once the file is synced, by append or syncFile.
 	truncate(name string, length int64) error
-	// syncFile returns once a file's content is on disk as it is now.
+	// syncFile returns once a file's present content is on disk.
 	syncFile(name string) error
 	read(name string) ([]byte, error)
 	rename(from, to string) error
 	remove(name string) error
 	names() ([]string, error)
-	// sync returns once all names of the folder are on disk as they are now.
+	// sync returns once the present file names of the directory are on disk.
 	sync() error
 }
 
-// osFolder is a folder of the operating system.
-type osFolder string
+// osDir is a directory of the operating system's file system.
+type osDir string
 
-func (f osFolder) path(name string) string { return filepath.Join(string(f), name) }
+func (f osDir) path(name string) string { return filepath.Join(string(f), name) }
 
-func (f osFolder) write(name string, data []byte) error {
+func (f osDir) write(name string, data []byte) error {
 	return f.writeSynced(name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, data)
 }
 
-func (f osFolder) append(name string, data []byte) error {
+func (f osDir) append(name string, data []byte) error {
 	return f.writeSynced(name, os.O_WRONLY|os.O_APPEND, data)
 }
 
-func (f osFolder) syncFile(name string) error {
+func (f osDir) syncFile(name string) error {
 	return f.writeSynced(name, os.O_WRONLY, nil)
 }
 
 // writeSynced opens a file, writes to it and syncs it.
-func (f osFolder) writeSynced(name string, flags int, data []byte) error {
+func (f osDir) writeSynced(name string, flags int, data []byte) error {
 	file, err := os.OpenFile(f.path(name), flags, filePerm)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -60,14 +61,14 @@
 	return nil
 }
 
-func (f osFolder) truncate(name string, length int64) error {
+func (f osDir) truncate(name string, length int64) error {
 	if err := os.Truncate(f.path(name), length); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
 }
 
-func (f osFolder) read(name string) ([]byte, error) {
+func (f osDir) read(name string) ([]byte, error) {
 	data, err := os.ReadFile(f.path(name))
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -75,21 +76,21 @@
 	return data, nil
 }
 
-func (f osFolder) rename(from, to string) error {
+func (f osDir) rename(from, to string) error {
 	if err := os.Rename(f.path(from), f.path(to)); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
 }
 
-func (f osFolder) remove(name string) error {
+func (f osDir) remove(name string) error {
 	if err := os.Remove(f.path(name)); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
 }
 
-func (f osFolder) names() ([]string, error) {
+func (f osDir) names() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -101,7 +102,7 @@
 	return names, nil
 }
 
-func (f osFolder) sync() error {
+func (f osDir) sync() error {
 	folder, err := os.Open(string(f))
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
--- a/control/store/parts.go
+++ b/control/store/parts.go
@@ -13,98 +13,102 @@
 	"ivybank/wire"
 )
 
-// The coordination parts share one journal: a file "parts-N" that begins with all that any part has to find again, and
-// goes on with one frame for each batch that was saved since. A new file is written aside, synced, renamed, and the folder
-// synced; then the older one goes.
+// The coordination parts share one journal: a file "parts-N" that begins with everything that any part has to find
+// again, followed by one frame for each batch saved since. A new file is written under a temporary name, synced,
+// renamed, and the directory synced; then the older one is removed.
 //
-// A frame is the length of its body, a checksum of that length, the body, and a checksum of the body. Both checksums also
-// cover the place in the file, so no bytes within a body pass for a frame.
+// A frame consists of the length of its body, a checksum of that length, the body, and a checksum of the body. Both
+// checksums also cover the offset in the file, so bytes within a body are never mistaken for a frame.
 //
-// Frames are synced one by one: after a loss of power only the last one can be torn. It is cut off, as nobody was told
-// that it is on disk. A bad frame that a valid one follows, and a bad first frame, which was synced before the file got
-// its name, are damage.
+// Frames are synced one by one, so after a power loss only the last one can be torn. A torn frame is cut off, as
+// nobody was told that it is on disk. A bad frame followed by a valid one is corruption, and so is a bad first frame,
+// which was synced before the file got its name.
 //
-// Its limit: a last frame that was synced and whose bytes change afterwards can't be told from one that was torn, as a torn
-// write may have its full length. What that frame promised is forgotten then.
+// Known limit: a last frame that was synced and whose bytes change afterwards can't be distinguished from a torn one,
+// as a torn write may have its full length. What that frame recorded is then lost.
 
 const (
 	partsKind = "parts"
-	// leastWanted and growth say when a journal is to begin anew: once it is longer than leastWanted and has grown to so many
-	// times its first frame.
-	leastWanted = 1 << 20 // bytes
-	growth      = 4
+	// A journal is rewritten once it is longer than minRewriteSize bytes and than rewriteGrowthFactor times its first
+	// frame.
+	minRewriteSize      = 1 << 20
+	rewriteGrowthFactor = 4
 
-	lengthSize   = 4 // bytes, as is the checksum of the length
+	lengthSize   = 4 // bytes, also of the checksum of the length
 	headerSize   = 2 * lengthSize
-	leastFrame   = headerSize + checksumSize + 1
-	longestFrame = math.MaxInt32 // bytes of a body
+	minFrameSize = headerSize + checksumSize + 1
+	maxFrameBody = math.MaxInt32 // bytes of a body
 )
 
 var (
-	errNotLoaded = errors.New("store: the parts on this disk were not loaded")
-	errNotWhole  = errors.New("store: a whole batch of the parts failed and has to come again")
-	errTooLong   = errors.New("store: batch too long")
-	errTorn      = errors.New("first frame torn")
-	errFrame     = errors.New("bad frame before a valid one")
-	errPart      = errors.New("no such part")
-	errOrder     = errors.New("an older entry follows a newer one")
+	errNotLoaded      = errors.New("store: the parts journal on this disk has not been loaded")
+	errNeedsFullBatch = errors.New("store: a full parts batch failed and has to be saved again")
+	errTooLong        = errors.New("store: parts batch too long")
+	errTorn           = errors.New("first frame is torn or corrupt")
+	errFrame          = errors.New("corrupt frame before a valid one")
+	errPart           = errors.New("no such part")
+	errOrder          = errors.New("an older entry follows a newer one")
 )
 
-// PartsBatch is what several parts of the coordination state have to write at the same time: one write and one sync for
-// all of them.
+// PartsBatch holds what several parts of the coordination state have to write at the same time: one write and one
+// sync for all of them.
 type PartsBatch struct {
-	// Whole says that Saves holds everything that any part has to find again, so that older files are no longer needed.
+	// Full says that Saves holds everything that any part has to find again, so that older files are no longer
+	// needed.
 	Whole bool
 	Saves []PartSave
 }
 
 // PartSave is what one part has to write.
 type PartSave struct {
-	Part int // from 0
+	Part int // index of the part, from 0
 	Save *replica.Save
 }
 
 // journal is the file that batches are appended to.
 type journal struct {
-	name   string // "" before the first
-	length int64  // of what is valid
+	name   string // "" before the first file
+	length int64  // length of the valid frames
 	first  int64  // length of the first frame
-	torn   bool   // bytes beyond length may be there
+	torn   bool   // there may be bytes beyond length
 
-	unconfirmed bool // its name may not be on disk yet: the batch that it began with is to come again
-	whole       bool // that batch is whole
+	unconfirmed bool // the name may not be on disk yet, so its first batch has to be saved again
+	full        bool // its first batch is full
 }
 
-// wantsWhole says whether it has grown so long that it should begin anew.
-func (j *journal) wantsWhole() bool { return j.length > max(leastWanted, growth*j.first) }
+// wantsRewrite reports whether the journal has grown so long that a full batch should begin a new file.
+func (j *journal) wantsRewrite() bool {
+	return j.length > max(minRewriteSize, rewriteGrowthFactor*j.first)
+}
 
-// partRecord is what a frame holds of one part.
+// partRecord is the content of a frame for one part.
 type partRecord struct {
 	Part    int           `cbor:"1,keyasint"`
 	Vote    vote          `cbor:"2,keyasint"`
 	Entries []*wire.Entry `cbor:"3,keyasint,omitempty"`
 }
 
-// SaveParts returns once a batch is on disk. wantsWhole asks for a whole one next, as the file has grown. After an error it
-// may be called again with the same batch, or with a whole one. Parts on the disk have to be loaded before.
-func (f *Folder) SaveParts(b *PartsBatch) (wantsWhole bool, err error) {
+// SaveParts returns once a batch is on disk. wantsFull asks for a full batch next, as the file has grown. After an
+// error it may be called again with the same batch, or with a full one. If the disk holds parts, they have to be
+// loaded first.
+func (d *Folder) SaveParts(b *PartsBatch) (wantsFull bool, err error) {
 	body, err := cbor.Marshal(recordsOf(b))
 	if err != nil {
 		return false, fmt.Errorf("store: %w", err)
 	}
-	if len(body) > longestFrame {
+	if len(body) > maxFrameBody {
 		return false, errTooLong
 	}
-	begins, err := f.beginsJournal(b)
+	begins, err := d.beginsJournal(b)
 	if err != nil {
 		return false, err
 	}
 	if begins {
-		err = f.beginJournal(body, b.Whole)
+		err = d.beginJournal(body, b.Whole)
 	} else {
-		err = f.appendFrame(body)
+		err = d.appendFrame(body)
 	}
-	return f.parts.wantsWhole(), err
+	return d.parts.wantsRewrite(), err
 }
 
 func recordsOf(b *PartsBatch) []partRecord {
@@ -116,48 +120,48 @@
 	return records
 }
 
-// beginsJournal says whether a batch is the first of a file: one that is whole, or the first of all.
-func (f *Folder) beginsJournal(b *PartsBatch) (bool, error) {
-	j := &f.parts
+// beginsJournal reports whether a batch has to begin a new file: a full batch does, and so does the very first one.
+func (d *Folder) beginsJournal(b *PartsBatch) (bool, error) {
+	j := &d.parts
 	switch {
 	case b.Whole:
 		return true, nil
-	case j.unconfirmed && j.whole:
-		return false, errNotWhole
+	case j.unconfirmed && j.full:
+		return false, errNeedsFullBatch
 	case j.unconfirmed:
 		return true, nil
 	case j.name != "":
 		return false, nil
 	}
-	there, err := f.newestName(partsKind)
+	there, err := d.newestName(partsKind)
 	if err == nil && there != "" {
 		err = errNotLoaded
 	}
 	return true, err
 }
 
-// beginJournal starts a new file. Until it has its name, the old one stays in use.
-func (f *Folder) beginJournal(body []byte, whole bool) error {
+// beginJournal starts a new file. The old one stays in use until the new one has its name.
+func (d *Folder) beginJournal(body []byte, full bool) error {
 	frame := frameOf(body, 0)
-	name, err := f.replace(partsKind, frame)
+	name, err := d.replace(partsKind, frame)
 	if name != "" {
 		length := int64(len(frame))
-		f.parts = journal{name: name, length: length, first: length, unconfirmed: err != nil, whole: whole}
+		d.parts = journal{name: name, length: length, first: length, unconfirmed: err != nil, full: full}
 	}
 	return err
 }
 
-// appendFrame adds to the file, in place of what an earlier write may have left behind its end.
-func (f *Folder) appendFrame(body []byte) error {
-	j := &f.parts
+// appendFrame appends a frame, overwriting what a failed write may have left behind the last valid one.
+func (d *Folder) appendFrame(body []byte) error {
+	j := &d.parts
 	if j.torn {
-		if err := f.files.truncate(j.name, j.length); err != nil {
+		if err := d.files.truncate(j.name, j.length); err != nil {
 			return err
 		}
 	}
 	frame := frameOf(body, j.length)
 	j.torn = true
-	if err := f.files.append(j.name, frame); err != nil {
+	if err := d.files.append(j.name, frame); err != nil {
 		return err
 	}
 	j.torn = false
@@ -165,9 +169,10 @@
 	return nil
 }
 
-// LoadParts reads what was saved, and leads each part's machine from the empty state to its newest entry. A part's entries
-// follow founded, the entry that its group was founded with, or a whole one; nil for no founder.
-func (f *Folder) LoadParts(machines []replica.Machine, founded *wire.Entry) ([]replica.Disk, error) {
+// LoadParts reads what was saved, and advances each part's state machine from the empty state to its newest entry. A
+// part's entries follow founded, the entry that its group was founded with, or a full entry; founded is nil for a
+// replica that is no founder.
+func (d *Folder) LoadParts(machines []replica.Machine, founded *wire.Entry) ([]replica.Disk, error) {
 	for _, m := range machines {
 		if err := m.Restore(nil); err != nil {
 			return nil, fmt.Errorf("store: %w", err)
@@ -176,29 +181,29 @@
 	if len(machines) == 0 {
 		return nil, nil
 	}
-	batches, err := f.loadJournal()
+	batches, err := d.loadJournal()
 	if err != nil {
 		return nil, err
 	}
 	disks, err := replay(machines, founded, batches)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %s: %w", ErrDamaged, f.parts.name, err)
+		return nil, fmt.Errorf("%w: %s: %w", ErrDamaged, d.parts.name, err)
 	}
 	return disks, nil
 }
 
-// loadJournal reads the newest file. An earlier process may have been killed between a write and its sync: who finds the
-// frame takes it for stored, so it is synced first.
-func (f *Folder) loadJournal() ([][]partRecord, error) {
-	f.parts = journal{}
-	name, err := f.newestName(partsKind)
+// loadJournal reads the newest file. An earlier process may have been killed between a write and its sync, and a
+// reader of the frame takes it for durable, so the file is synced first.
+func (d *Folder) loadJournal() ([][]partRecord, error) {
+	d.parts = journal{}
+	name, err := d.newestName(partsKind)
 	if err != nil || name == "" {
 		return nil, err
 	}
-	if err := f.files.syncFile(name); err != nil {
+	if err := d.files.syncFile(name); err != nil {
 		return nil, err
 	}
-	data, err := f.files.read(name)
+	data, err := d.files.read(name)
 	if err != nil {
 		return nil, err
 	}
@@ -207,11 +212,11 @@
 		return nil, fmt.Errorf("%w: %s: %w", ErrDamaged, name, err)
 	}
 	j.name = name
-	f.parts = j
+	d.parts = j
 	return batches, nil
 }
 
-// readJournal reads all frames up to one that was torn.
+// readJournal reads all frames up to the first torn one.
 func readJournal(data []byte) (j journal, batches [][]partRecord, err error) {
 	size := int64(len(data))
 	for j.length < size {
@@ -239,7 +244,7 @@
 	return j, batches, nil
 }
 
-// replay leads the machines through the batches of a journal.
+// replay advances the machines through the batches of a journal.
 func replay(machines []replica.Machine, founded *wire.Entry, batches [][]partRecord) ([]replica.Disk, error) {
 	votes := make([]vote, len(machines))
 	chains := make([][]*wire.Entry, len(machines))
@@ -266,7 +271,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("part %d: %w", part, err)
 		}
-		disks[part] = votes[part].with(newest)
+		disks[part] = votes[part].withEntry(newest)
 	}
 	return disks, nil
 }
@@ -283,7 +288,7 @@
 	return nil
 }
 
-// frameOf makes the frame of a body at a place in the file.
+// frameOf returns the frame of a body at an offset in the file.
 func frameOf(body []byte, at int64) []byte {
 	frame := make([]byte, 0, headerSize+len(body)+checksumSize)
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
@@ -292,10 +297,10 @@
 	return binary.BigEndian.AppendUint64(frame, checksumAt(at, body))
 }
 
-// frameAt gives the body of the frame at a place; nil where there is no valid one.
+// frameAt returns the body of the frame at an offset; nil if there is no valid one.
 func frameAt(data []byte, at int64) []byte {
 	rest := data[at:]
-	if len(rest) < leastFrame {
+	if len(rest) < minFrameSize {
 		return nil
 	}
 	length := rest[:lengthSize]
@@ -314,7 +319,7 @@
 	return body
 }
 
-// hasFrameAfter says whether any valid frame begins behind a place.
+// hasFrameAfter reports whether a valid frame begins anywhere beyond an offset.
 func hasFrameAfter(data []byte, at int64) bool {
 	for at++; at < int64(len(data)); at++ {
 		if frameAt(data, at) != nil {
@@ -324,7 +329,7 @@
 	return false
 }
 
-// checksumAt is the checksum of bytes at a place in the file.
+// checksumAt returns the checksum of bytes at an offset in the file.
 func checksumAt(at int64, data []byte) uint64 {
 	return xxhash.Sum64(binary.BigEndian.AppendUint64(nil, uint64(at))) ^ xxhash.Sum64(data)
 }
--- a/control/store/parts_power_test.go
+++ b/control/store/parts_power_test.go
@@ -6,13 +6,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// journalPlay plays one process after another on one disk that fails.
-type journalPlay struct {
-	t      *testing.T
-	disk   *faultyDisk
-	folder *Folder
-	now    process
-	// possible is what may be found: what was found or confirmed last, then what was tried since.
+// journalRun runs one process after another on one faulty disk.
+type journalRun struct {
+	t    *testing.T
+	disk *faultyDisk
+	dir  *Folder
+	now  process
+	// possible lists the states that may be loaded: the last one that was loaded or confirmed, then those tried
+	// since.
 	possible []process
 	journalCounts
 }
@@ -34,10 +35,10 @@
 }
 
 // try saves a batch that leads to the present state.
-func (p *journalPlay) try(b *PartsBatch) error {
+func (p *journalRun) try(b *PartsBatch) error {
 	p.possible = append(p.possible, p.now.clone())
-	before := p.folder.parts
-	_, err := p.folder.SaveParts(b)
+	before := p.dir.parts
+	_, err := p.dir.SaveParts(b)
 	if err != nil {
 		p.failed++
 		if b.Whole {
@@ -46,7 +47,7 @@
 		return err
 	}
 	p.saved++
-	if before.name != p.folder.parts.name {
+	if before.name != p.dir.parts.name {
 		p.rotations++
 	} else if before.torn {
 		p.retriedInPlace++
@@ -55,8 +56,9 @@
 	return nil
 }
 
-// save tries a batch until it is on disk, or the power or the process is gone. In between it may become a whole one, of more.
-func (p *journalPlay) save(b *PartsBatch) error {
+// save retries a batch until it is on disk, or the power or the process is gone. A retry may use a full batch
+// instead, of a newer state.
+func (p *journalRun) save(b *PartsBatch) error {
 	random := p.disk.random
 	for tries := 0; ; tries++ {
 		err := p.try(b)
@@ -64,31 +66,31 @@
 			return err
 		}
 		if tries == 5 {
-			p.disk.full, p.disk.refused = false, 0
+			p.disk.noSpace, p.disk.failOneIn = false, 0
 		}
 		switch random.IntN(6) {
 		case 0:
-			b = p.now.whole()
+			b = p.now.full()
 		case 1:
 			p.now.next(random)
-			b = p.now.whole()
+			b = p.now.full()
 		case 2:
-			return err // the process ends before it could try again
+			return err // the process is killed before it could retry
 		}
 	}
 }
 
-// restart starts the next process, after a loss of power or as one is killed.
-func (p *journalPlay) restart() {
-	if p.disk.steps == 0 || p.disk.random.IntN(3) > 0 {
+// restart starts the next process, after a power loss or after the process was killed.
+func (p *journalRun) restart() {
+	if p.disk.opsLeft == 0 || p.disk.random.IntN(3) > 0 {
 		p.disk.losePower()
 		p.powerCuts++
 	} else {
-		p.disk.steps, p.disk.refused, p.disk.full = -1, 0, false
+		p.disk.opsLeft, p.disk.failOneIn, p.disk.noSpace = -1, 0, false
 		p.kills++
 	}
-	p.folder = openFolder(p.disk)
-	found, err := loadProcess(p.folder)
+	p.dir = openDir(p.disk)
+	found, err := loadProcess(p.dir)
 	assert.NilError(p.t, err)
 	at := -1
 	for i, possible := range p.possible {
@@ -100,36 +102,36 @@
 	if at > 0 {
 		p.keptUnconfirmed++
 	}
-	if p.folder.parts.torn {
+	if p.dir.parts.torn {
 		p.tornTails++
 	}
 	p.now, p.possible = found, []process{found.clone()}
 }
 
-// trouble has the disk fail soon, or now and then.
-func (p *journalPlay) trouble() {
+// injectFault makes the disk fail soon or intermittently, or not at all.
+func (p *journalRun) injectFault() {
 	switch random := p.disk.random; random.IntN(8) {
 	case 0, 1:
-		p.disk.steps = random.IntN(8)
+		p.disk.opsLeft = random.IntN(8)
 	case 2:
-		p.disk.full = true
+		p.disk.noSpace = true
 	case 3:
-		p.disk.refused = 2 + random.IntN(4)
+		p.disk.failOneIn = 2 + random.IntN(4)
 	}
 }
 
-func playJournal(t *testing.T, seed uint64) journalCounts {
-	p := &journalPlay{t: t, disk: newFaultyDisk(seed), now: newProcess()}
+func runJournal(t *testing.T, seed uint64) journalCounts {
+	p := &journalRun{t: t, disk: newFaultyDisk(seed), now: newProcess()}
 	p.possible = []process{p.now.clone()}
-	p.folder = openFolder(p.disk)
-	_, err := loadProcess(p.folder)
+	p.dir = openDir(p.disk)
+	_, err := loadProcess(p.dir)
 	assert.NilError(t, err)
 	for range 40 {
-		p.trouble()
+		p.injectFault()
 		var b *PartsBatch
 		if p.disk.random.IntN(6) == 0 {
 			p.now.next(p.disk.random)
-			b = p.now.whole()
+			b = p.now.full()
 		} else {
 			b = p.now.next(p.disk.random)
 		}
@@ -140,16 +142,16 @@
 	return p.journalCounts
 }
 
-// What SaveParts was done with is found again after each loss of power and each kill, wherever they strike. Of what was
-// tried since, a prefix may be found; once it was found it stays.
-func TestPowerMayFailAtAnyStepOfAJournal(t *testing.T) {
+// A batch that SaveParts confirmed is found again after each power loss and each kill, wherever they strike. Of the
+// batches tried since, a prefix may be found; once found it stays.
+func TestPowerLossAtAnyJournalOperation(t *testing.T) {
 	seeds := uint64(2000)
 	if testing.Short() {
 		seeds /= 10
 	}
 	var played journalCounts
 	for seed := range seeds {
-		played.add(playJournal(t, seed))
+		played.add(runJournal(t, seed))
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
@@ -161,72 +163,73 @@
 	assert.Assert(t, played.tornTails > least/4 && played.keptUnconfirmed > least/4)
 }
 
-// A full disk keeps what it has, whether a batch is appended or begins a new file; the same batch is stored once there is
-// room.
+// A full disk keeps its journal, whether a batch is appended or begins a new file; the same batch is saved once there
+// is space.
 func TestFullDiskKeepsTheJournal(t *testing.T) {
 	for seed := range uint64(50) {
-		for _, whole := range []bool{false, true} {
+		for _, full := range []bool{false, true} {
 			d := newFaultyDisk(seed)
-			f := openFolder(d)
+			f := openDir(d)
 			p := newProcess()
-			savedParts(t, f, p.whole())
-			savedParts(t, f, p.next(d.random))
+			mustSaveParts(t, f, p.full())
+			mustSaveParts(t, f, p.next(d.random))
 			before := p.clone()
 			b := p.next(d.random)
-			if whole {
-				b = p.whole()
+			if full {
+				b = p.full()
 			}
-			d.full = true
+			d.noSpace = true
 			for range 10 {
 				_, err := f.SaveParts(b)
-				assert.ErrorIs(t, err, errFull)
+				assert.ErrorIs(t, err, errNoSpace)
 			}
 			files, err := d.names()
 			assert.NilError(t, err)
-			assert.Equal(t, len(files), 1, "what was written aside makes room again: %v", files)
-			d.full = false
-			savedParts(t, f, b)
-			assert.Assert(t, foundProcess(t, openFolder(d)).equal(p))
+			assert.Equal(t, len(files), 1, "the temporary file is removed: %v", files)
+			d.noSpace = false
+			mustSaveParts(t, f, b)
+			assert.Assert(t, loadedProcess(t, openDir(d)).equal(p))
 			assert.Assert(t, !before.equal(p))
 		}
 	}
 }
 
-// What was written aside in vain may be back after a loss of power. No later file gets its name, as the rename of that name
-// may be what the disk kept.
-func TestNoNameIsUsedTwice(t *testing.T) {
+// A temporary file of a failed write may reappear after a power loss. No later file may get its name, as the disk may
+// have kept the rename of that name.
+func TestFileNamesAreNeverReused(t *testing.T) {
 	d := newFaultyDisk(1)
-	f := openFolder(d)
+	f := openDir(d)
 	p := newProcess()
-	d.full = true
-	_, err := f.SaveParts(p.whole())
-	assert.ErrorIs(t, err, errFull)
-	d.full = false
+	d.noSpace = true
+	_, err := f.SaveParts(p.full())
+	assert.ErrorIs(t, err, errNoSpace)
+	d.noSpace = false
 	failed := d.changed[0].to
-	savedParts(t, f, p.whole())
-	assert.Assert(t, failed != f.parts.name+asideSuffix)
+	mustSaveParts(t, f, p.full())
+	assert.Assert(t, failed != f.parts.name+tempSuffix)
 }
 
-// A spoilt disk is set aside as a whole: wherever the power fails, the identity isn't found without what it promised.
-func TestPowerMayFailAsADiskIsSetAside(t *testing.T) {
+// A corrupt disk is quarantined as a whole: wherever the power fails, the identity is never found without the state
+// that it made promises about.
+func TestPowerLossDuringQuarantine(t *testing.T) {
 	identityKept, allAside := 0, 0
 	for seed := range uint64(2000) {
 		d := newFaultyDisk(seed)
-		f := openFolder(d)
+		f := openDir(d)
 		p := newProcess()
 		assert.NilError(t, f.SaveIdentity(Identity{ID: "a"}))
 		save(t, f, 3, 5)
 		p[0].vote("b")
-		savedParts(t, f, p.whole())
-		d.steps = d.random.IntN(8)
+		mustSaveParts(t, f, p.full())
+		d.opsLeft = d.random.IntN(8)
 		err := f.SetAside()
 		d.losePower()
-		f = openFolder(d)
+		f = openDir(d)
 		_, known, identityErr := f.Identity()
 		assert.NilError(t, identityErr)
 		disk, loadErr := f.Load()
 		assert.NilError(t, loadErr)
-		found := foundProcess(t, f)
+		found := loadedProcess(t, f)
 		if known {
 			identityKept++
 			assert.Assert(t, disk.Term == 3 && disk.Entry != nil && found.equal(p), "seed %d", seed)
