--- a/control/store/parts_test.go
+++ b/control/store/parts_test.go
@@ -20,7 +20,7 @@
 
 const testParts = 3
 
-// listMachine holds all commands that it was given.
+// listMachine holds the concatenation of all commands applied to it.
 type listMachine struct{ state []byte }
 
 func (m *listMachine) Apply(commands []byte, _ time.Duration) { m.state = append(m.state, commands...) }
@@ -53,7 +53,7 @@
 	machine listMachine
 }
 
-// step leads a part on by a command and gives what it has to write.
+// step advances a part by a command and returns what it has to write.
 func (p *partState) step(command []byte) *replica.Save {
 	before := p.disk.Entry
 	next := &wire.Entry{Term: p.disk.Term, Index: before.Index + 1, After: before.Position(), Commands: command}
@@ -70,8 +70,8 @@
 	return &replica.Save{Disk: p.disk, VoteChanged: true}
 }
 
-// whole gives all that a part has to find again.
-func (p *partState) whole() *replica.Save {
+// full returns everything that a part has to find again.
+func (p *partState) full() *replica.Save {
 	e := *p.disk.Entry
 	e.After, e.Commands, e.Value = replica.Position{}, nil, p.machine.Snapshot()
 	return &replica.Save{Disk: p.disk, EntryChanged: true, VoteChanged: true, Entries: []*wire.Entry{&e}}
@@ -81,7 +81,7 @@
 	return partState{disk: p.disk, machine: listMachine{p.machine.Snapshot()}}
 }
 
-// process is all parts of one process.
+// process is the state of all parts of one process.
 type process []partState
 
 func newProcess() process {
@@ -100,15 +100,15 @@
 	return c
 }
 
-func (p process) whole() *PartsBatch {
+func (p process) full() *PartsBatch {
 	b := &PartsBatch{Whole: true}
 	for part := range p {
-		b.Saves = append(b.Saves, PartSave{part, p[part].whole()})
+		b.Saves = append(b.Saves, PartSave{part, p[part].full()})
 	}
 	return b
 }
 
-// next leads some parts on, and gives the batch.
+// next advances some parts, and returns the batch.
 func (p process) next(random *rand.Rand) *PartsBatch {
 	b := &PartsBatch{}
 	for part := range p {
@@ -166,23 +166,23 @@
 	return true
 }
 
-func savedParts(t *testing.T, f *Folder, b *PartsBatch) (wantsWhole bool) {
+func mustSaveParts(t *testing.T, f *Folder, b *PartsBatch) (wantsFull bool) {
 	t.Helper()
-	wantsWhole, err := f.SaveParts(b)
+	wantsFull, err := f.SaveParts(b)
 	assert.NilError(t, err)
-	return wantsWhole
+	return wantsFull
 }
 
-func foundProcess(t *testing.T, f *Folder) process {
+func loadedProcess(t *testing.T, f *Folder) process {
 	t.Helper()
 	p, err := loadProcess(f)
 	assert.NilError(t, err)
 	return p
 }
 
-func journalPath(t *testing.T, folder string) string {
+func journalPath(t *testing.T, dir string) string {
 	t.Helper()
-	names, err := filepath.Glob(filepath.Join(folder, partsKind+"-*"))
+	names, err := filepath.Glob(filepath.Join(dir, partsKind+"-*"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 1)
 	return names[0]
@@ -193,15 +193,15 @@
 	random := rand.New(rand.NewPCG(1, 7))
 	p := newProcess()
 	f := open(t, path)
-	assert.Assert(t, foundProcess(t, f).equal(p), "an empty disk holds the founding entry")
+	assert.Assert(t, loadedProcess(t, f).equal(p), "an empty disk holds the founding entry")
 	for round := range 200 {
-		savedParts(t, f, p.next(random))
+		mustSaveParts(t, f, p.next(random))
 		if round%20 == 19 {
-			savedParts(t, f, p.whole())
+			mustSaveParts(t, f, p.full())
 		}
 		if round%7 == 6 {
 			f = open(t, path)
-			found := foundProcess(t, f)
+			found := loadedProcess(t, f)
 			assert.Assert(t, found.equal(p), "round %d", round)
 			p = found
 		}
@@ -215,75 +215,75 @@
 	assert.DeepEqual(t, disks, make([]replica.Disk, testParts))
 }
 
-func TestPartsThatWereNotLoadedAreNotReplaced(t *testing.T) {
+func TestPartsThatWereNotLoadedAreNotOverwritten(t *testing.T) {
 	path := t.TempDir()
 	p := newProcess()
-	savedParts(t, open(t, path), p.whole())
+	mustSaveParts(t, open(t, path), p.full())
 	_, err := open(t, path).SaveParts(&PartsBatch{Saves: []PartSave{{0, p[0].vote("b")}}})
 	assert.ErrorIs(t, err, errNotLoaded)
 }
 
-// A new file may have its name already where the write of a whole batch fails: nothing less may go on from there.
-func TestWholeBatchThatFailedIsNotReplacedByLess(t *testing.T) {
+// If writing a full batch fails, the new file may already have its name, so only another full batch may follow.
+func TestOnlyAFullBatchMayFollowAFailedFullBatch(t *testing.T) {
 	d := newFaultyDisk(1)
-	f := openFolder(d)
+	f := openDir(d)
 	p := newProcess()
-	savedParts(t, f, p.whole())
-	d.steps = 2 // written aside and renamed
-	_, err := f.SaveParts(p.whole())
+	mustSaveParts(t, f, p.full())
+	d.opsLeft = 2 // written under a temporary name and renamed
+	_, err := f.SaveParts(p.full())
 	assert.ErrorIs(t, err, errPower)
-	d.steps = -1
+	d.opsLeft = -1
 	_, err = f.SaveParts(&PartsBatch{Saves: []PartSave{{0, p[0].vote("b")}}})
-	assert.ErrorIs(t, err, errNotWhole)
-	savedParts(t, f, p.whole())
-	assert.Assert(t, foundProcess(t, openFolder(d)).equal(p))
+	assert.ErrorIs(t, err, errNeedsFullBatch)
+	mustSaveParts(t, f, p.full())
+	assert.Assert(t, loadedProcess(t, openDir(d)).equal(p))
 }
 
-func TestTermOfAnEntryEndsAnOlderVote(t *testing.T) {
+func TestNewerEntryTermDropsAnOlderVote(t *testing.T) {
 	f := open(t, t.TempDir())
 	e := &wire.Entry{Term: 5, Index: 3}
-	savedParts(t, f, &PartsBatch{Saves: []PartSave{{0, &replica.Save{Disk: replica.Disk{Term: 4, VotedFor: "b", Entry: e}, Entries: []*wire.Entry{e}}}}})
-	p := foundProcess(t, f)
+	mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, &replica.Save{Disk: replica.Disk{Term: 4, VotedFor: "b", Entry: e}, Entries: []*wire.Entry{e}}}}})
+	p := loadedProcess(t, f)
 	assert.Equal(t, p[0].disk.Term, uint64(5))
 	assert.Equal(t, p[0].disk.VotedFor, "")
 }
 
-func TestJournalAsksForAWholeBatchOnceItHasGrown(t *testing.T) {
-	for _, first := range []int{10, leastWanted} {
+func TestJournalAsksForAFullBatchOnceItHasGrown(t *testing.T) {
+	for _, first := range []int{10, minRewriteSize} {
 		f := open(t, t.TempDir())
 		p := newProcess()
 		p[0].step(make([]byte, first))
-		assert.Assert(t, !savedParts(t, f, p.whole()))
+		assert.Assert(t, !mustSaveParts(t, f, p.full()))
 		size := 0
-		for !savedParts(t, f, &PartsBatch{Saves: []PartSave{{0, p[0].step(make([]byte, 10_000))}}}) {
+		for !mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, p[0].step(make([]byte, 10_000))}}}) {
 			size += 10_000
 		}
-		bound := max(leastWanted, (growth-1)*first)
+		bound := max(minRewriteSize, (rewriteGrowthFactor-1)*first)
 		assert.Assert(t, size > bound-50_000 && size < bound+50_000, "asked for after %d bytes", size)
-		assert.Assert(t, !savedParts(t, f, p.whole()))
+		assert.Assert(t, !mustSaveParts(t, f, p.full()))
 	}
 }
 
-// A part that doesn't exist, a step without the one before, an entry that is older than the one before it, and a state that
-// the machine can't read are damage.
-func TestInconsistentJournalIsDamage(t *testing.T) {
-	whole := &wire.Entry{Term: 2, Index: 5, Value: []byte("v")}
+// A nonexistent part, a step without the entry before it, an entry older than the one before it, and a state that the
+// machine can't decode are corruption.
+func TestInconsistentJournalIsCorrupt(t *testing.T) {
+	full := &wire.Entry{Term: 2, Index: 5, Value: []byte("v")}
 	for _, c := range []struct {
 		part    int
 		entries []*wire.Entry
 		cause   error
 	}{
-		{testParts, []*wire.Entry{whole}, errPart},
-		{-1, []*wire.Entry{whole}, errPart},
+		{testParts, []*wire.Entry{full}, errPart},
+		{-1, []*wire.Entry{full}, errPart},
 		{1, []*wire.Entry{{Term: 2, Index: 6, After: replica.Position{Term: 2, Index: 5}}}, replica.ErrGap},
-		{1, []*wire.Entry{whole, {Term: 2, Index: 4}}, errOrder},
-		{1, []*wire.Entry{whole, nil}, errOrder},
-		{1, []*wire.Entry{whole, {Term: 2, Index: 7, After: replica.Position{Term: 2, Index: 6}}}, replica.ErrGap},
+		{1, []*wire.Entry{full, {Term: 2, Index: 4}}, errOrder},
+		{1, []*wire.Entry{full, nil}, errOrder},
+		{1, []*wire.Entry{full, {Term: 2, Index: 7, After: replica.Position{Term: 2, Index: 6}}}, replica.ErrGap},
 		{1, []*wire.Entry{{Term: 2, Index: 5, Value: []byte("unreadable")}}, ErrDamaged},
 	} {
 		f := open(t, t.TempDir())
 		disk := replica.Disk{Term: 2}
-		savedParts(t, f, &PartsBatch{Saves: []PartSave{{c.part, &replica.Save{Disk: disk, Entries: c.entries}}}})
+		mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{c.part, &replica.Save{Disk: disk, Entries: c.entries}}}})
 		machines := newMachines()
 		_, err := loadWith(f, machines)
 		assert.ErrorIs(t, err, ErrDamaged)
@@ -295,11 +295,11 @@
 		for part, m := range machines {
 			assert.Equal(t, len(m.Snapshot()), 0, "the machine of part %d is empty again", part)
 		}
-		savedParts(t, f, newProcess().next(rand.New(rand.NewPCG(1, 1))))
+		mustSaveParts(t, f, newProcess().next(rand.New(rand.NewPCG(1, 1))))
 	}
 }
 
-// smallJournal writes a journal of four frames and gives where they begin, and what was saved by each.
+// smallJournal writes a journal of four frames and returns the offset of each, and the state saved by each.
 func smallJournal(t *testing.T, path string) (starts []int, saved []process) {
 	t.Helper()
 	f := open(t, path)
@@ -307,17 +307,17 @@
 	for frame := range 4 {
 		starts = append(starts, int(f.parts.length))
 		if frame == 0 {
-			savedParts(t, f, p.whole())
+			mustSaveParts(t, f, p.full())
 		} else {
-			savedParts(t, f, &PartsBatch{Saves: []PartSave{{1, p[1].vote("b")}, {2, p[2].step([]byte("command"))}}})
+			mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{1, p[1].vote("b")}, {2, p[2].step([]byte("command"))}}})
 		}
 		saved = append(saved, p.clone())
 	}
 	return starts, saved
 }
 
-// A byte that differs in the last frame can't be told from a write that was torn, as one may have its full length.
-func TestEveryFlippedByteOfAJournalIsNoticed(t *testing.T) {
+// A changed byte in the last frame can't be distinguished from a torn write, which may have its full length.
+func TestEveryFlippedByteOfAJournalIsDetected(t *testing.T) {
 	path := t.TempDir()
 	starts, saved := smallJournal(t, path)
 	name := journalPath(t, path)
@@ -326,9 +326,9 @@
 	last := starts[len(starts)-1]
 	for i := range data {
 		for _, mask := range []byte{1, 0x80, 0xff} {
-			spoilt := slices.Clone(data)
-			spoilt[i] ^= mask
-			assert.NilError(t, os.WriteFile(name, spoilt, filePerm))
+			corrupt := slices.Clone(data)
+			corrupt[i] ^= mask
+			assert.NilError(t, os.WriteFile(name, corrupt, filePerm))
 			found, err := loadProcess(open(t, path))
 			if i < last {
 				assert.ErrorIs(t, err, ErrDamaged, "byte %d", i)
@@ -340,7 +340,7 @@
 	}
 }
 
-// What was torn is cut off, and what is written next is found again.
+// A torn frame is cut off, and what is written next is found again.
 func TestTornTailIsCutOff(t *testing.T) {
 	path := t.TempDir()
 	starts, saved := smallJournal(t, path)
@@ -358,35 +358,35 @@
 			f := open(t, path)
 			found, err := loadProcess(f)
 			if end < starts[1] {
-				assert.ErrorIs(t, err, ErrDamaged, "the first frame had its name")
+				assert.ErrorIs(t, err, ErrDamaged, "the first frame was synced before the file got its name")
 				continue
 			}
 			assert.NilError(t, err)
-			whole := 0
-			for whole+1 < len(starts) && starts[whole+1] <= end {
-				whole++
+			complete := 0
+			for complete+1 < len(starts) && starts[complete+1] <= end {
+				complete++
 			}
-			assert.Assert(t, found.equal(saved[whole-1]), "%d of %d bytes", end, last)
-			savedParts(t, f, &PartsBatch{Saves: []PartSave{{0, found[0].vote("c")}}})
-			assert.Assert(t, foundProcess(t, open(t, path)).equal(found), "%d of %d bytes", end, last)
+			assert.Assert(t, found.equal(saved[complete-1]), "%d of %d bytes", end, last)
+			mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, found[0].vote("c")}}})
+			assert.Assert(t, loadedProcess(t, open(t, path)).equal(found), "%d of %d bytes", end, last)
 		}
 	}
 }
 
-// A value may hold the bytes of a frame: at another place they are none.
-func TestBytesOfAFrameInAValueAreNoFrame(t *testing.T) {
+// A value may contain the bytes of a frame: at another offset they are not a valid frame.
+func TestFrameBytesWithinAValueAreNotAFrame(t *testing.T) {
 	path := t.TempDir()
 	f := open(t, path)
 	p := newProcess()
-	savedParts(t, f, p.whole())
+	mustSaveParts(t, f, p.full())
 	saved := p.clone()
 	body := []byte("body")
 	value := binary.BigEndian.AppendUint64(slices.Clone(frameOf(body, 0)), 0)
-	savedParts(t, f, &PartsBatch{Saves: []PartSave{{0, p[0].step(value)}}})
+	mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, p[0].step(value)}}})
 	name := journalPath(t, path)
 	data, err := os.ReadFile(name)
 	assert.NilError(t, err)
 	data[len(data)-1] ^= 1
 	assert.NilError(t, os.WriteFile(name, data, filePerm))
-	assert.Assert(t, foundProcess(t, open(t, path)).equal(saved))
+	assert.Assert(t, loadedProcess(t, open(t, path)).equal(saved))
 }
--- a/control/store/power_test.go
+++ b/control/store/power_test.go
@@ -16,65 +16,65 @@
 var errPower = errors.New("power lost")
 
 var (
-	errFull  = errors.New("no space left")
-	errInput = errors.New("input/output error")
-	errNone  = errors.New("no such file")
+	errNoSpace  = errors.New("no space left")
+	errIO       = errors.New("input/output error")
+	errNotExist = errors.New("no such file")
 )
 
-// faultyDisk is a folder that loses power or fails after a number of steps. What was made, renamed or removed since the
-// last sync of the folder is lost or kept, each by itself. A file keeps what its last sync covered; what was written later
-// is there, missing or torn.
+// faultyDisk is a directory that loses power or fails after a number of operations. Files created, renamed or removed
+// since the last directory sync are lost or kept, each independently. A file keeps what its last sync covered; later
+// writes are present, missing or torn.
 type faultyDisk struct {
-	random  *rand.Rand
-	content map[string]*diskFile // as a running process sees it
-	durable map[string]*diskFile // as of the last sync of the folder
-	changed []change             // since then
-	steps   int                  // until the power fails; below 0 never
-	full    bool
-	refused int // one step in so many fails while the power stays; 0 for none
+	random    *rand.Rand
+	content   map[string]*diskFile // as a running process sees it
+	durable   map[string]*diskFile // as of the last directory sync
+	changed   []change             // changes of names since then
+	opsLeft   int                  // operations until the power fails; never if below 0
+	noSpace   bool
+	failOneIn int // one operation in so many fails while the power stays on; 0 for none
 }
 
-// diskFile is the content that any of its names leads to.
+// diskFile is a file's content, independent of its name.
 type diskFile struct {
-	content []byte // as a running process sees it
-	synced  []byte
-	later   []laterWrite // since its last sync
+	content  []byte // as a running process sees it
+	synced   []byte
+	unsynced []unsyncedWrite // writes since its last sync
 }
 
-// laterWrite puts data at a place, or sets the length to it.
-type laterWrite struct {
+// unsyncedWrite writes data at an offset, or truncates the file to it.
+type unsyncedWrite struct {
 	at       int
 	data     []byte
 	truncate bool
 }
 
 type change struct {
-	from, to string // to is "" for a removal, from "" for a new file
+	from, to string // to is "" for a removal, from is "" for a new file
 	file     *diskFile
 }
 
 func newFaultyDisk(seed uint64) *faultyDisk {
-	return &faultyDisk{random: rand.New(rand.NewPCG(seed, 5)), content: map[string]*diskFile{}, durable: map[string]*diskFile{}, steps: -1}
+	return &faultyDisk{random: rand.New(rand.NewPCG(seed, 5)), content: map[string]*diskFile{}, durable: map[string]*diskFile{}, opsLeft: -1}
 }
 
-func (d *faultyDisk) step() error {
-	if d.steps == 0 {
+func (d *faultyDisk) beginOp() error {
+	if d.opsLeft == 0 {
 		return errPower
 	}
-	d.steps--
-	if d.refused > 0 && d.random.IntN(d.refused) == 0 {
-		return errInput
+	d.opsLeft--
+	if d.failOneIn > 0 && d.random.IntN(d.failOneIn) == 0 {
+		return errIO
 	}
 	return nil
 }
 
-func (f *diskFile) put(w laterWrite) {
-	f.content = w.on(f.content)
-	f.later = append(f.later, w)
+func (f *diskFile) put(w unsyncedWrite) {
+	f.content = w.applyTo(f.content)
+	f.unsynced = append(f.unsynced, w)
 }
 
-// on gives a file's content after a write.
-func (w laterWrite) on(content []byte) []byte {
+// applyTo returns a file's content after the write.
+func (w unsyncedWrite) applyTo(content []byte) []byte {
 	changed := make([]byte, max(len(content), w.at+len(w.data)))
 	copy(changed, content)
 	copy(changed[w.at:], w.data)
@@ -84,12 +84,12 @@
 	return changed
 }
 
-func (f *diskFile) sync() { f.synced, f.later = f.content, nil }
+func (f *diskFile) sync() { f.synced, f.unsynced = f.content, nil }
 
-// losePower leaves what the file may hold after a loss of power.
+// losePower reduces the file to a content that it may have after a power loss.
 func (f *diskFile) losePower(random *rand.Rand) {
 	allGone := random.IntN(4) == 0
-	for _, w := range f.later {
+	for _, w := range f.unsynced {
 		switch random.IntN(3) {
 		case 0: // missing
 			continue
@@ -97,13 +97,13 @@
 			w.data = torn(random, w.data)
 		}
 		if !allGone {
-			f.synced = w.on(f.synced)
+			f.synced = w.applyTo(f.synced)
 		}
 	}
-	f.content, f.later = f.synced, nil
+	f.content, f.unsynced = f.synced, nil
 }
 
-// torn gives a part of a write: cut short, or with zeros in places.
+// torn returns part of a write: cut short, or with a range of zeros.
 func torn(random *rand.Rand, data []byte) []byte {
 	at, end := random.IntN(len(data)+1), random.IntN(len(data)+1)
 	if random.IntN(2) == 0 {
@@ -121,44 +121,44 @@
 	if err := d.writeSynced(file, data); err != nil {
 		return err
 	}
-	d.durable[name] = file // a new file lasts once it is synced itself
+	d.durable[name] = file // a new file is durable once it is synced itself
 	return nil
 }
 
 func (d *faultyDisk) append(name string, data []byte) error {
 	file, ok := d.content[name]
 	if !ok {
-		return errNone
+		return errNotExist
 	}
 	return d.writeSynced(file, data)
 }
 
-// writeSynced writes some of the data and fails, or writes and syncs all of it.
+// writeSynced writes part of the data and fails, or writes and syncs all of it.
 func (d *faultyDisk) writeSynced(file *diskFile, data []byte) error {
-	err := d.step()
-	if d.full {
-		err = errFull
+	err := d.beginOp()
+	if d.noSpace {
+		err = errNoSpace
 	}
 	if err != nil {
 		written := len(data) - d.random.IntN(len(data)+1)*d.random.IntN(2)
-		file.put(laterWrite{at: len(file.content), data: data[:written]})
+		file.put(unsyncedWrite{at: len(file.content), data: data[:written]})
 		return err
 	}
-	file.put(laterWrite{at: len(file.content), data: data})
+	file.put(unsyncedWrite{at: len(file.content), data: data})
 	file.sync()
 	return nil
 }
 
 func (d *faultyDisk) truncate(name string, length int64) error {
-	if err := d.step(); err != nil {
+	if err := d.beginOp(); err != nil {
 		return err
 	}
-	d.content[name].put(laterWrite{at: int(length), truncate: true})
+	d.content[name].put(unsyncedWrite{at: int(length), truncate: true})
 	return nil
 }
 
 func (d *faultyDisk) syncFile(name string) error {
-	if err := d.step(); err != nil {
+	if err := d.beginOp(); err != nil {
 		return err
 	}
 	d.content[name].sync()
@@ -168,13 +168,13 @@
 func (d *faultyDisk) read(name string) ([]byte, error) {
 	file, ok := d.content[name]
 	if !ok {
-		return nil, errNone
+		return nil, errNotExist
 	}
 	return slices.Clone(file.content), nil
 }
 
 func (d *faultyDisk) rename(from, to string) error {
-	if err := d.step(); err != nil {
+	if err := d.beginOp(); err != nil {
 		return err
 	}
 	d.content[to] = d.content[from]
@@ -184,7 +184,7 @@
 }
 
 func (d *faultyDisk) remove(name string) error {
-	if err := d.step(); err != nil {
+	if err := d.beginOp(); err != nil {
 		return err
 	}
 	delete(d.content, name)
@@ -195,14 +195,14 @@
 func (d *faultyDisk) names() ([]string, error) { return slices.Sorted(maps.Keys(d.content)), nil }
 
 func (d *faultyDisk) sync() error {
-	if err := d.step(); err != nil {
+	if err := d.beginOp(); err != nil {
 		return err
 	}
 	d.durable, d.changed = maps.Clone(d.content), nil
 	return nil
 }
 
-// losePower leaves what a disk may hold after a loss of power.
+// losePower reduces the disk to a state that it may have after a power loss.
 func (d *faultyDisk) losePower() {
 	for _, c := range d.changed {
 		switch kept := d.random.IntN(2) == 0; {
@@ -221,21 +221,21 @@
 	for _, name := range slices.Sorted(maps.Keys(d.durable)) {
 		d.durable[name].losePower(d.random)
 	}
-	d.content, d.changed, d.steps, d.refused, d.full = maps.Clone(d.durable), nil, -1, 0, false
+	d.content, d.changed, d.opsLeft, d.failOneIn, d.noSpace = maps.Clone(d.durable), nil, -1, 0, false
 }
 
-// What a write has been told to be done for is there after each loss of power, wherever it strikes; a write that it cut
-// short is there whole or not at all.
-func TestPowerMayFailAtAnyStep(t *testing.T) {
+// A write that was confirmed is present after each power loss, at whatever operation it strikes; an interrupted write
+// is there completely or not at all.
+func TestPowerLossAtAnyOperation(t *testing.T) {
 	torn, finished := 0, 0
 	for seed := range uint64(4000) {
 		d := newFaultyDisk(seed)
-		f := openFolder(d)
+		f := openDir(d)
 		assert.NilError(t, f.SaveIdentity(Identity{ID: "a"}))
 		done, tried := replica.Disk{}, replica.Disk{}
 		for version := uint64(1); version < 30; version++ {
 			if d.random.IntN(3) == 0 {
-				d.steps = d.random.IntN(12)
+				d.opsLeft = d.random.IntN(12)
 			}
 			tried = replica.Disk{Term: version, VotedFor: "b", Entry: &wire.Entry{Term: version, Index: version, Value: make([]byte, d.random.IntN(200))}}
 			err := f.Save(&replica.Save{Disk: tried, EntryChanged: true, VoteChanged: true})
@@ -243,15 +243,15 @@
 				done = tried
 				finished++
 			}
-			if err == nil && d.steps != 0 && d.random.IntN(4) > 0 {
+			if err == nil && d.opsLeft != 0 && d.random.IntN(4) > 0 {
 				continue
 			}
 			if d.random.IntN(3) == 0 {
-				d.steps = -1 // only the process ends
+				d.opsLeft = -1 // only the process is killed
 			} else {
 				d.losePower()
 			}
-			f = openFolder(d)
+			f = openDir(d)
 			id, known, err := f.Identity()
 			assert.NilError(t, err, "seed %d version %d", seed, version)
 			assert.Assert(t, known && id.ID == "a")
@@ -266,27 +266,27 @@
 			done = disk
 		}
 	}
-	assert.Assert(t, torn > 100 && finished > 10000, "%d writes that were cut short but kept, %d done", torn, finished)
+	assert.Assert(t, torn > 100 && finished > 10000, "%d interrupted writes that were kept, %d completed", torn, finished)
 }
 
 func samePosition(a, b replica.Disk) bool { return a.Entry.Position() == b.Entry.Position() }
 
-func TestFullDiskKeepsWhatItHas(t *testing.T) {
+func TestFullDiskKeepsItsContent(t *testing.T) {
 	d := newFaultyDisk(1)
-	f := openFolder(d)
+	f := openDir(d)
 	first := &replica.Save{Disk: replica.Disk{Term: 1, Entry: &wire.Entry{Term: 1, Index: 1}}, EntryChanged: true, VoteChanged: true}
 	second := &replica.Save{Disk: replica.Disk{Term: 2, Entry: &wire.Entry{Term: 2, Index: 2}}, EntryChanged: true, VoteChanged: true}
 	assert.NilError(t, f.Save(first))
-	d.full = true
+	d.noSpace = true
 	for range 10 {
 		assert.Assert(t, f.Save(second) != nil)
 	}
-	disk, err := openFolder(d).Load()
+	disk, err := openDir(d).Load()
 	assert.NilError(t, err)
 	assert.Equal(t, disk.Entry.Index, uint64(1))
-	d.full = false
+	d.noSpace = false
 	assert.NilError(t, f.Save(second))
-	disk, err = openFolder(d).Load()
+	disk, err = openDir(d).Load()
 	assert.NilError(t, err)
 	assert.Equal(t, disk.Entry.Index, uint64(2))
 }
--- a/control/store/state.go
+++ b/control/store/state.go
@@ -10,16 +10,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxOrders is how many accepted orders are remembered.
-const maxOrders = 4096
+// maxRememberedUpdates is how many accepted updates are remembered.
+const maxRememberedUpdates = 4096
 
-// ErrConflict says that an order is based on a version that isn't the current one.
+// ErrConflict reports an update that is based on a version that isn't the current one. Its text is sent in an
+// HTTP body.
 var ErrConflict = errors.New("another version is in place")
 
-// Digest recognises an order by what it is.
+// Digest identifies an update by its content.
 type Digest [16]byte
 
-// DigestOf gives the digest of an order: the version that it is based on, and its body.
+// DigestOf returns the digest of an update: of the version that it is based on, and its body.
 func DigestOf(base int64, body []byte) Digest {
 	h := sha256.New()
 	h.Write(binary.BigEndian.AppendUint64(nil, uint64(base)))
@@ -29,14 +30,14 @@
 	return d
 }
 
-// State is what the configuration shard replicates.
+// State is the replicated state of the configuration group.
 type State struct {
 	Revision int64    `cbor:"1,keyasint"` // 0 before the first configuration
-	Body     []byte   `cbor:"2,keyasint"` // as the operator sent it
-	Orders   []Digest `cbor:"3,keyasint"` // accepted orders, oldest first
+	Body     []byte   `cbor:"2,keyasint"` // configuration as the operator sent it
+	Orders   []Digest `cbor:"3,keyasint"` // accepted updates, oldest first
 }
 
-// Decode reads a replicated value; an empty one is the state before the first configuration.
+// Decode decodes a replicated value; an empty one is the state before the first configuration.
 func Decode(value []byte) (*State, error) {
 	s := &State{}
 	if len(value) == 0 {
@@ -48,13 +49,14 @@
 	return s, nil
 }
 
-// Encode writes a state as a replicated value.
+// Encode encodes a state as a replicated value.
 func (s *State) Encode() ([]byte, error) { return cbor.Marshal(s) }
 
-// Accepted says whether exactly this order was taken before.
+// Accepted reports whether exactly this update was accepted before.
 func (s *State) Accepted(d Digest) bool { return slices.Contains(s.Orders, d) }
 
-// Next gives the state after an order for a configuration that was found valid.
+// Next returns the state after an update to a configuration that was found valid. It fails with ErrConflict if base
+// isn't the current revision.
 func (s *State) Next(base, revision int64, body []byte) (*State, error) {
 	if base != s.Revision {
 		return nil, ErrConflict
@@ -62,7 +64,7 @@
 	if revision <= s.Revision {
 		return nil, fmt.Errorf("revision %d is not above the current one, %d", revision, s.Revision)
 	}
-	orders := s.Orders[max(0, len(s.Orders)+1-maxOrders):]
-	orders = append(slices.Clone(orders), DigestOf(base, body))
-	return &State{Revision: revision, Body: body, Orders: orders}, nil
+	updates := s.Orders[max(0, len(s.Orders)+1-maxRememberedUpdates):]
+	updates = append(slices.Clone(updates), DigestOf(base, body))
+	return &State{Revision: revision, Body: body, Orders: updates}, nil
 }
--- a/membership/message_test.go
+++ b/membership/message_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/poll"
 )
 
-// TestMessagesGoBetweenProcesses has one process take messages of another beside the samples of peers.
+// TestMessagesGoBetweenProcesses sends messages between two processes on the port that also carries peer samples.
 func TestMessagesGoBetweenProcesses(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -22,17 +22,17 @@
 	assert.NilError(t, err)
 	two, err := Listen(Peer{IP: ip(2)}, port)
 	assert.NilError(t, err)
-	taken := make(chan string, 8)
+	received := make(chan string, 8)
 	two.OnMessage(func(from string, message []byte) bool {
-		taken <- from + " " + string(message)
+		received <- from + " " + string(message)
 		return len(message) > 1
 	})
 	go one.Run(ctx)
 	go two.Run(ctx)
 	one.Send(ip(2), []byte("hello"))
-	assert.Equal(t, <-taken, ip(1)+" hello")
+	assert.Equal(t, <-received, ip(1)+" hello")
 	one.Send(ip(2), []byte("x"))
-	assert.Equal(t, <-taken, ip(1)+" x")
+	assert.Equal(t, <-received, ip(1)+" x")
 	two.Send(ip(1), []byte("nobody takes it"))
 	one.Send("no address", []byte("lost"))
 	counted := func(s *Service, n int64) func(poll.LogT) poll.Result {
--- a/membership/service.go
+++ b/membership/service.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	shuffleInterval = 2 * time.Second
-	largestDatagram = 2048
+	shuffleInterval  = 2 * time.Second
+	maxDatagramBytes = 2048
 )
 
-// datagram is what goes over the network.
+// datagram is the content of a UDP datagram: a sample of peers or a message.
 type datagram struct {
 	Answer  bool   `cbor:"1,keyasint,omitempty"`
 	Sample  []Peer `cbor:"2,keyasint"`
-	Message []byte `cbor:"3,keyasint,omitempty"` // of the process, for the one at the other end; then there is no sample
+	Message []byte `cbor:"3,keyasint,omitempty"` // application message; there is no sample then
 }
 
 // Service runs a view over UDP, on one port that is the same on all machines. It is safe for concurrent use.
 type Service struct {
-	mu   sync.Mutex
-	view *View
-	conn *net.UDPConn
-	port int
-	take func(from string, message []byte) bool
-	// Spoilt counts datagrams that could not be read.
+	mu     sync.Mutex
+	view   *View
+	conn   *net.UDPConn
+	port   int
+	handle func(from string, message []byte) bool
+	// Malformed counts datagrams that could not be decoded.
 	Spoilt atomic.Int64
 }
 
-// Listen opens the port of a machine.
+// Listen opens the UDP port on a machine's address.
 func Listen(self Peer, port int) (*Service, error) {
 	address, err := net.ResolveUDPAddr("udp4", net.JoinHostPort(self.IP, strconv.Itoa(port)))
 	if err != nil {
@@ -50,7 +50,7 @@
 	return &Service{view: NewView(self, random), conn: conn, port: port}, nil
 }
 
-// Introduce adds machines that are known from elsewhere.
+// AddPeers adds machines that are known from elsewhere, such as seeds.
 func (s *Service) Introduce(control bool, ips ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,10 +59,10 @@
 	}
 }
 
-// ControlIPs gives the machines with control processes that this one has heard of.
+// ControlIPs returns the addresses of the known machines with control processes.
 func (s *Service) ControlIPs() []string { return s.ips(true) }
 
-// AgentIPs gives the other machines that this one has heard of.
+// AgentIPs returns the addresses of the other known machines.
 func (s *Service) AgentIPs() []string { return s.ips(false) }
 
 func (s *Service) ips(control bool) []string {
@@ -77,18 +77,19 @@
 	return ips
 }
 
-// OnMessage has messages of other processes taken. take reports false for one that it can't read. To be called before Run.
-func (s *Service) OnMessage(take func(from string, message []byte) bool) { s.take = take }
+// OnMessage sets the handler for messages of other processes. handle returns false for a message that it can't decode.
+// OnMessage has to be called before Run.
+func (s *Service) OnMessage(handle func(from string, message []byte) bool) { s.handle = handle }
 
-// Send sends a message to the process at an address. It may be lost.
+// Send sends a message to the process at an address. The message may be lost.
 func (s *Service) Send(ip string, message []byte) {
 	s.send(net.ParseIP(ip), &datagram{Message: message})
 }
 
-// Close gives the port back.
+// Close closes the port.
 func (s *Service) Close() { s.conn.Close() }
 
-// Run shuffles until the context ends.
+// Run exchanges samples and receives datagrams until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
 	defer stop()
@@ -118,7 +119,7 @@
 }
 
 func (s *Service) receive() {
-	buffer := make([]byte, largestDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := s.conn.ReadFromUDP(buffer)
 		if err != nil {
@@ -133,7 +134,7 @@
 			continue
 		}
 		if len(d.Message) > 0 {
-			if s.take == nil || !s.take(from.IP.String(), d.Message) {
+			if s.handle == nil || !s.handle(from.IP.String(), d.Message) {
 				s.Spoilt.Add(1)
 			}
 			continue
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,6 +1,6 @@
-// Package membership lets the processes of a fleet find each other without any list of them: each keeps a small
-// partial view of the others and shuffles part of it with one of them at a time (peer sampling). The view is free of
-// I/O; Service carries it over datagrams.
+// Package membership lets the processes of a fleet discover each other without a complete list of them: each keeps a
+// small partial view of the others, and exchanges part of it with one of them at a time (peer sampling by shuffling).
+// The view does no I/O; Service runs it over UDP.
 package membership
 
 import (
@@ -17,26 +17,26 @@
 // Peer is one machine of the fleet.
 type Peer struct {
 	IP      string `cbor:"1,keyasint"`
-	Control bool   `cbor:"2,keyasint,omitempty"` // it runs a control process
-	Age     uint32 `cbor:"3,keyasint,omitempty"` // shuffles since it spoke for itself
+	Control bool   `cbor:"2,keyasint,omitempty"` // the machine runs a control process
+	Age     uint32 `cbor:"3,keyasint,omitempty"` // shuffles since this information came from the peer itself
 }
 
-// View is one process's partial view. It is not safe for concurrent use.
+// View is one process's partial view of the fleet. It is not safe for concurrent use.
 type View struct {
-	self   Peer
-	peers  []Peer
-	random *rand.Rand
-	asked  string // peer of the shuffle that is under way
-	sent   []Peer
+	self    Peer
+	peers   []Peer
+	random  *rand.Rand
+	pending string // IP of the peer of the exchange in progress; "" for none
+	sent    []Peer
 }
 
-// NewView makes a view that knows nobody.
+// NewView returns an empty view.
 func NewView(self Peer, random *rand.Rand) *View { return &View{self: self, random: random} }
 
-// Peers gives the present view.
+// Peers returns a copy of the current view.
 func (v *View) Peers() []Peer { return slices.Clone(v.peers) }
 
-// Introduce adds a peer that is known from elsewhere, as a seed.
+// AddPeer adds a peer that is known from elsewhere, such as a seed.
 func (v *View) Introduce(p Peer) {
 	if p.IP != v.self.IP && !v.knows(p.IP) {
 		v.add(p)
@@ -47,12 +47,12 @@
 	return slices.ContainsFunc(v.peers, func(p Peer) bool { return p.IP == ip })
 }
 
-// Shuffle begins an exchange with the peer that was heard of the longest ago. One that didn't answer the exchange before
-// is forgotten. It reports false where nobody is known.
+// Shuffle begins an exchange with the peer whose information is oldest. A peer that didn't reply in the previous
+// exchange is removed. ok is false if no peer is known.
 func (v *View) Shuffle() (to string, sample []Peer, ok bool) {
-	if v.asked != "" {
-		v.remove(v.asked)
-		v.asked = ""
+	if v.pending != "" {
+		v.remove(v.pending)
+		v.pending = ""
 	}
 	if len(v.peers) == 0 {
 		return "", nil, false
@@ -61,37 +61,37 @@
 		v.peers[i].Age++
 	}
 	oldest := slices.MaxFunc(v.peers, func(a, b Peer) int { return cmp.Compare(a.Age, b.Age) })
-	v.asked = oldest.IP
+	v.pending = oldest.IP
 	v.sent = v.sample(oldest.IP)
 	return oldest.IP, append([]Peer{v.self}, v.sent...), true
 }
 
-// Asked takes the sample of a peer that began an exchange, and gives the answer.
+// HandleRequest merges the sample of a peer that began an exchange, and returns the sample to reply with.
 func (v *View) Asked(from string, sample []Peer) []Peer {
 	answer := append([]Peer{v.self}, v.sample(from)...)
 	v.merge(sample, answer)
 	return answer
 }
 
-// Answered takes the answer to the exchange that this process began.
+// HandleReply merges the reply to the exchange that this process began.
 func (v *View) Answered(from string, sample []Peer) {
-	if from != v.asked {
+	if from != v.pending {
 		return
 	}
-	v.asked = ""
+	v.pending = ""
 	v.merge(sample, v.sent)
 }
 
-// sample draws peers for a datagram to one of them.
+// sample draws random peers for a datagram to one of them.
 func (v *View) sample(to string) []Peer {
 	others := slices.DeleteFunc(slices.Clone(v.peers), func(p Peer) bool { return p.IP == to })
 	v.random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	return others[:min(len(others), shuffleSize-1)]
 }
 
-// merge takes peers in; what was given away makes room for them.
-func (v *View) merge(news, given []Peer) {
-	for _, p := range news {
+// merge adds received peers; those that were sent to the other side make room for them.
+func (v *View) merge(received, sentPeers []Peer) {
+	for _, p := range received {
 		if p.IP == v.self.IP || p.IP == "" {
 			continue
 		}
@@ -102,9 +102,9 @@
 			}
 			continue
 		}
-		if len(v.peers) >= viewSize && len(given) > 0 {
-			v.remove(given[0].IP)
-			given = given[1:]
+		if len(v.peers) >= viewSize && len(sentPeers) > 0 {
+			v.remove(sentPeers[0].IP)
+			sentPeers = sentPeers[1:]
 		}
 		v.add(p)
 	}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet plays shuffles among machines that all start with the same three seeds.
+// fleet simulates shuffles among machines that all start with the same three seeds.
 type fleet struct {
 	random *rand.Rand
 	views  map[string]*View
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestMachinesThatAreGoneAreForgotten(t *testing.T) {
+func TestStoppedMachinesAreRemoved(t *testing.T) {
 	f := newFleet(2, 60)
 	for range 20 {
 		f.round()
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	assert.Assert(t, left < 60, "%d entries of machines that are gone", left)
+	assert.Assert(t, left < 60, "%d entries of stopped machines", left)
 }
 
 func TestControlIsFoundThroughPeers(t *testing.T) {
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	frameHeader = 4 // bytes: the length of the body
-	emptyFrame  = 1 // bytes of a heartbeat's body, an empty CBOR map
+	frameHeaderSize   = 4 // bytes: the length of the body
+	heartbeatBodySize = 1 // bytes of a heartbeat's body, an empty CBOR map
 )
 
-// What a peer can send that is no frame of this protocol. Each is an ErrFrame.
+// Errors of received data that doesn't follow the protocol. Each of them is an ErrFrame.
 var (
 	ErrFrame       = errors.New("wire: malformed frame")
 	ErrOversized   = fmt.Errorf("%w: oversized", ErrFrame)
@@ -22,7 +22,7 @@
 	ErrNoGreeting  = fmt.Errorf("%w: no greeting", ErrFrame)
 )
 
-// decoder refuses deep nesting and duplicate keys, which no peer of ours sends.
+// decoder rejects deep nesting and duplicate keys, which our processes never send.
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
@@ -31,7 +31,7 @@
 	return mode
 }()
 
-// Encode gives a message as CBOR, without the header of a frame.
+// Encode returns a message as CBOR, without the frame header.
 func (m *Message) Encode() ([]byte, error) {
 	body, err := cbor.Marshal(m)
 	if err != nil {
@@ -40,19 +40,19 @@
 	return body, nil
 }
 
-// Decode reads what Encode gave. An error is an ErrFrame.
+// Decode decodes what Encode returned. Any error is an ErrFrame.
 func Decode(body []byte) (*Message, error) {
 	m := &Message{}
 	if err := decoder.Unmarshal(body, m); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrFrame, err)
 	}
-	if *m == (Message{}) && len(body) > emptyFrame {
+	if *m == (Message{}) && len(body) > heartbeatBodySize {
 		return nil, ErrUnknownKind
 	}
 	return m, nil
 }
 
-// Prepare encodes a message that goes to many peers once for all of them. It must not change afterwards.
+// Prepare encodes a message once for many peers. The message must not change afterwards.
 func (m *Message) Prepare() *Message {
 	if frame, err := m.encoded(); err == nil {
 		m.frame = &frame
@@ -60,7 +60,7 @@
 	return m
 }
 
-// encoded gives a message as it goes over a connection.
+// encoded returns a message as a frame.
 func (m *Message) encoded() ([]byte, error) {
 	if m.frame != nil {
 		return *m.frame, nil
@@ -69,13 +69,13 @@
 	if err != nil {
 		return nil, err
 	}
-	frame := make([]byte, 0, frameHeader+len(body))
+	frame := make([]byte, 0, frameHeaderSize+len(body))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
 	return append(frame, body...), nil
 }
 
 func readFrame(r io.Reader) (*Message, error) {
-	var header [frameHeader]byte
+	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -12,37 +12,40 @@
 
 // Limits of a connection.
 const (
-	MaxFrame          = 16 << 20 // bytes of one frame
-	sendQueue         = 256      // messages that wait for a slow peer,
-	sendQueueBytes    = 24 << 20 // and bytes of them
+	MaxFrame = 16 << 20 // bytes of one frame
+	// maxQueuedMessages and maxQueuedBytes bound what waits for a slow peer.
+	maxQueuedMessages = 256
+	maxQueuedBytes    = 24 << 20
 	heartbeatInterval = 300 * time.Millisecond
-	silenceLimit      = 1200 * time.Millisecond // without a byte from the peer
-	writeChunk        = 32 << 10                // bytes for which a peer has silenceLimit
+	// maxSilence is the longest time without a byte from the peer.
+	maxSilence = 1200 * time.Millisecond
+	// writeChunkBytes is written at a time; a peer has maxSilence to accept that much.
+	writeChunkBytes = 32 << 10
 )
 
-// Conn is a connection that carries messages both ways and closes itself once the peer is silent.
+// Conn is a connection that carries messages in both directions, and closes itself if the peer is silent.
 type Conn struct {
 	raw    net.Conn
 	reader *bufio.Reader
 	queue  chan *Message
-	queued atomic.Int64 // bytes in the queue, about
+	queued atomic.Int64 // approximate number of bytes in the queue
 	done   chan struct{}
 	once   sync.Once
 }
 
-// NewConn takes over an open TCP connection.
+// NewConn returns a Conn that owns an open TCP connection.
 func NewConn(raw net.Conn) *Conn {
-	tcp.SetUserTimeout(raw, silenceLimit)
-	c := &Conn{raw: raw, queue: make(chan *Message, sendQueue), done: make(chan struct{})}
+	tcp.SetUserTimeout(raw, maxSilence)
+	c := &Conn{raw: raw, queue: make(chan *Message, maxQueuedMessages), done: make(chan struct{})}
 	c.reader = bufio.NewReaderSize(progressReader{raw}, 8<<10)
 	go c.write()
 	return c
 }
 
-// Send queues a message. A peer that falls too far behind is disconnected; Send then reports false.
+// Send queues a message. A peer that falls too far behind is disconnected, and Send then returns false.
 func (c *Conn) Send(m *Message) bool {
 	size := m.size()
-	if had := c.queued.Add(size) - size; had > 0 && had+size > sendQueueBytes {
+	if had := c.queued.Add(size) - size; had > 0 && had+size > maxQueuedBytes {
 		c.Close()
 		return false
 	}
@@ -57,7 +60,8 @@
 	}
 }
 
-// size is about what a message takes while it waits: that of its frame, or of the one part that may be large.
+// size returns the approximate memory use of a message in the queue: its frame, or the only part of it that may be
+// large.
 func (m *Message) size() int64 {
 	switch {
 	case m.frame != nil:
@@ -71,7 +75,7 @@
 	}
 }
 
-// size is that of the states and commands that an Append carries.
+// size returns the size of the states and commands in an Append, in bytes.
 func (a *Append) size() int64 {
 	size := 0
 	if a.Entry != nil {
@@ -83,7 +87,7 @@
 	return int64(size)
 }
 
-// Receive waits for the next message that isn't a heartbeat.
+// Receive waits for the next message that isn't a heartbeat. It closes the connection on an error.
 func (c *Conn) Receive() (*Message, error) {
 	for {
 		m, err := readFrame(c.reader)
@@ -97,7 +101,7 @@
 	}
 }
 
-// Close ends the connection; what is queued is lost.
+// Close closes the connection; queued messages are lost.
 func (c *Conn) Close() {
 	c.once.Do(func() {
 		close(c.done)
@@ -105,7 +109,7 @@
 	})
 }
 
-// Done is closed once the connection has ended.
+// Done returns a channel that is closed once the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
 func (c *Conn) write() {
@@ -132,8 +136,8 @@
 
 func (c *Conn) writeFrame(frame []byte) error {
 	for len(frame) > 0 {
-		n := min(len(frame), writeChunk)
-		if err := c.raw.SetWriteDeadline(time.Now().Add(silenceLimit)); err != nil {
+		n := min(len(frame), writeChunkBytes)
+		if err := c.raw.SetWriteDeadline(time.Now().Add(maxSilence)); err != nil {
 			return err
 		}
 		if _, err := c.raw.Write(frame[:n]); err != nil {
@@ -144,11 +148,11 @@
 	return nil
 }
 
-// progressReader fails once the peer has been silent for too long, however long a frame is.
+// progressReader fails once the peer has been silent for maxSilence, however long a frame is.
 type progressReader struct{ net.Conn }
 
 func (r progressReader) Read(b []byte) (int, error) {
-	if err := r.SetReadDeadline(time.Now().Add(silenceLimit)); err != nil {
+	if err := r.SetReadDeadline(time.Now().Add(maxSilence)); err != nil {
 		return 0, err
 	}
 	return r.Conn.Read(b)
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -22,7 +22,7 @@
 	return c, peer
 }
 
-func TestMessagesArriveAlike(t *testing.T) {
+func TestMessagesArriveUnchanged(t *testing.T) {
 	c, peer := pair(t)
 	other := NewConn(peer)
 	defer other.Close()
@@ -41,7 +41,7 @@
 	assert.Equal(t, len(m.Config.Body), 1<<20)
 }
 
-func TestSpoiltFramesEndTheConnectionAlone(t *testing.T) {
+func TestMalformedFrameClosesItsConnectionOnly(t *testing.T) {
 	for name, bytes := range map[string][]byte{
 		"too long":     {0xff, 0xff, 0xff, 0xff},
 		"no cbor":      {0, 0, 0, 2, 0xff, 0xff},
@@ -73,14 +73,14 @@
 	assert.Assert(t, err != nil)
 }
 
-// A peer that doesn't read is disconnected before what waits for it takes much memory; one that reads gets all.
+// A peer that doesn't read is disconnected before its queue takes much memory; one that reads gets everything.
 func TestQueueOfASlowPeerIsBoundedInBytes(t *testing.T) {
 	c, _ := pair(t)
 	large := &Message{Config: &Config{Revision: 1, Body: make([]byte, 8<<20)}}
 	sent := 0
 	for c.Send(large) {
 		sent++
-		assert.Assert(t, sent < 10, "%d messages of 8 MB wait for a peer that doesn't read", sent)
+		assert.Assert(t, sent < 10, "%d messages of 8 MB are queued for a peer that doesn't read", sent)
 	}
 	reader, peer := pair(t)
 	other := NewConn(peer)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Each cause of a spoilt frame is told apart.
-func TestCausesOfSpoiltFrames(t *testing.T) {
+// Each cause of a malformed frame has its own error.
+func TestCausesOfMalformedFrames(t *testing.T) {
 	for want, bytes := range map[error][]byte{
 		ErrOversized:   {0xff, 0xff, 0xff, 0xff},
 		ErrUnknownKind: {0, 0, 0, 4, 0xa1, 0x18, 0x63, 0x01},
--- a/wire/link.go
+++ b/wire/link.go
@@ -9,59 +9,60 @@
 	"time"
 )
 
-// Pauses between attempts to connect.
+// Times of connection attempts.
 const (
-	dialTimeout   = 150 * time.Millisecond
-	firstRedial   = 50 * time.Millisecond
-	longestRedial = 200 * time.Millisecond
+	dialTimeout    = 150 * time.Millisecond
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = 200 * time.Millisecond
 )
 
-// Link keeps a connection to one address up, for as long as its context lives.
+// Link maintains a connection to one address until its context ends.
 type Link struct {
-	address string
-	hello   Hello
-	events  LinkEvents
-	do      func(event func())
-	stop    context.CancelFunc
-	after   func(time.Duration) <-chan time.Time
-	redial  chan struct{}                      // holds one call of Redial
-	attempt atomic.Pointer[context.CancelFunc] // ends the attempt to connect that is under way, or does nothing
+	address   string
+	hello     Hello
+	events    LinkEvents
+	dispatch  func(event func())
+	stop      context.CancelFunc
+	after     func(time.Duration) <-chan time.Time
+	redialNow chan struct{} // signals a call of Redial
+	// attempt cancels the connection attempt in progress; it may be nil, or the attempt may have ended.
+	attempt atomic.Pointer[context.CancelFunc]
 	current atomic.Pointer[Conn]
 }
 
-// Open starts a link. Its events are handed to do, one after the other, until the context ends or the link is closed.
-func Open(ctx context.Context, address string, hello Hello, events LinkEvents, do func(event func())) *Link {
+// Open starts a link. Its events are passed to dispatch, one after the other, until the context ends or the link is closed.
+func Open(ctx context.Context, address string, hello Hello, events LinkEvents, dispatch func(event func())) *Link {
 	ctx, stop := context.WithCancel(ctx)
-	l := newLink(address, hello, events, do)
+	l := newLink(address, hello, events, dispatch)
 	l.stop = stop
 	go l.run(ctx)
 	return l
 }
 
-func newLink(address string, hello Hello, events LinkEvents, do func(event func())) *Link {
-	return &Link{address: address, hello: hello, events: events, do: do, stop: func() {}, after: time.After, redial: make(chan struct{}, 1)}
+func newLink(address string, hello Hello, events LinkEvents, dispatch func(event func())) *Link {
+	return &Link{address: address, hello: hello, events: events, dispatch: dispatch, stop: func() {}, after: time.After, redialNow: make(chan struct{}, 1)}
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close() { l.stop() }
 
-// Send hands a message to the connection. Without one it is dropped and Send reports false.
+// Send sends a message on the current connection. Without one the message is dropped and Send returns false.
 func (l *Link) Send(m *Message) bool {
 	c := l.current.Load()
 	return c != nil && c.Send(m)
 }
 
-// Up says whether there is a connection.
+// Up reports whether there is a connection.
 func (l *Link) Up() bool { return l.current.Load() != nil }
 
-// Redial has a link without a connection try again at once, also where an attempt is under way: that one may have begun
-// before the other end was there.
+// Redial makes a link without a connection reconnect at once, even if an attempt is in progress: that one may have
+// begun before the other end was listening.
 func (l *Link) Redial() {
 	if l.Up() {
 		return
 	}
 	select {
-	case l.redial <- struct{}{}:
+	case l.redialNow <- struct{}{}:
 	default:
 	}
 	if end := l.attempt.Load(); end != nil {
@@ -69,25 +70,25 @@
 	}
 }
 
-// run connects again and again until the context ends.
+// run reconnects until the context ends.
 func (l *Link) run(ctx context.Context) {
-	pause := firstRedial
+	pause := minRedialDelay
 	for ctx.Err() == nil {
 		if l.session(ctx) {
-			pause = firstRedial
+			pause = minRedialDelay
 		}
 		jittered := time.Duration(float64(pause) * (0.5 + rand.Float64()))
-		pause = min(2*pause, longestRedial)
+		pause = min(2*pause, maxRedialDelay)
 		select {
 		case <-ctx.Done():
-		case <-l.redial:
-			pause = firstRedial
+		case <-l.redialNow:
+			pause = minRedialDelay
 		case <-l.after(jittered):
 		}
 	}
 }
 
-// dial connects. Redial ends the attempt.
+// dial connects. Redial cancels the attempt.
 func (l *Link) dial(ctx context.Context) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -96,7 +97,7 @@
 	return dialer.DialContext(ctx, "tcp4", l.address)
 }
 
-// session holds one connection and reports whether it came up.
+// session runs one connection, and reports whether it was established.
 func (l *Link) session(ctx context.Context) bool {
 	raw, err := l.dial(ctx)
 	if err != nil {
@@ -114,27 +115,28 @@
 	l.current.Store(conn)
 	defer l.current.Store(nil)
 	if l.events.Connected != nil {
-		l.do(l.events.Connected)
+		l.dispatch(l.events.Connected)
 	}
 	for {
 		m, err := conn.Receive()
 		if err != nil {
 			return true
 		}
-		l.do(func() { l.events.Received(m) })
+		l.dispatch(func() { l.events.Received(m) })
 	}
 }
 
-// subscribe sends the first message, as the loop makes it.
+// subscribe sends the first message, which the owner's loop produces.
 func (l *Link) subscribe(conn *Conn) {
 	first := make(chan *Message, 1)
-	l.do(func() { first <- l.events.Subscribe() })
+	l.dispatch(func() { first <- l.events.Subscribe() })
 	conn.Send(<-first)
 }
 
-// Serve accepts connections until the context ends, and then ends them all. handle is called with each one in a goroutine
-// of its own, once the peer has said who it is; spoilt with what came from one that has not.
-func Serve(ctx context.Context, listener net.Listener, handle func(*Conn, Hello), spoilt func(error)) {
+// Serve accepts connections until the context ends, and then closes them all. handle is called for each one in its
+// own goroutine, once the peer has sent its Hello; rejected is called with the error of a connection that hasn't sent
+// one.
+func Serve(ctx context.Context, listener net.Listener, handle func(*Conn, Hello), rejected func(error)) {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
 		raw, err := listener.Accept()
@@ -145,7 +147,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(firstRedial) // out of descriptors: those that end free some
+			time.Sleep(minRedialDelay) // out of file descriptors: connections that close free some
 			continue
 		}
 		go func() {
@@ -157,7 +159,7 @@
 				err = ErrNoGreeting
 			}
 			if err != nil {
-				spoilt(err)
+				rejected(err)
 				return
 			}
 			handle(conn, *m.Hello)
--- a/wire/link_test.go
+++ b/wire/link_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A link whose pause between two attempts never ends is up as soon as it is told that the other end is there, and tells so.
-func TestRedialEndsThePause(t *testing.T) {
+// A link that is waiting between two attempts connects as soon as it is told that the other end is available, and
+// reports that. The wait in this test never ends by itself.
+func TestRedialEndsTheWait(t *testing.T) {
 	reserved, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := reserved.Addr().String()
