--- a/agent/agent.go
+++ b/agent/agent.go
@@ -25,7 +25,7 @@
 	// Now is the steady clock, from the start of this life of the process.
 	Now() time.Duration
 	// OpenLink keeps a connection to the control process at an address.
-	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink
+	LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
 	// KnownControls gives the addresses of control processes that peers have told of.
 	KnownControls() []string
 	// Introduce tells peers of control processes.
@@ -42,7 +42,7 @@
 	log      hclog.Logger
 	env      Environment
 
-	links       map[string]wire.OpenLink // by IP
+	links       map[string]wire.LinkHandle // by IP
 	group       *wire.Group
 	config      *wire.Config  // the newest that the router may act by
 	candidate   *wire.Config  // the newest that was told, before any is known to be current
@@ -70,7 +70,7 @@
 
 // NewAgent makes an agent that has just started.
 func NewAgent(s *settings.Settings, log hclog.Logger, env Environment) *Agent {
-	a := &Agent{settings: s, log: log, env: env, links: map[string]wire.OpenLink{}, confirmedAt: -confirmedFor}
+	a := &Agent{settings: s, log: log, env: env, links: map[string]wire.LinkHandle{}, confirmedAt: -confirmedFor}
 	a.env.Introduce(s.SeedIPs()...)
 	a.syncLinks()
 	return a
@@ -129,8 +129,8 @@
 
 func (a *Agent) openLink(ip string) {
 	hello := wire.Hello{Role: wire.RoleAgent, Node: a.settings.NodeName, IP: a.settings.IP}
-	var link wire.OpenLink
-	link = a.env.OpenLink(ip, hello, wire.LinkEvents{
+	var link wire.LinkHandle
+	link = a.env.LinkHandle(ip, hello, wire.LinkEvents{
 		Subscribe: func() *wire.Message { return &wire.Message{Subscribe: a.position()} },
 		Received:  func(m *wire.Message) { a.onControl(ip, link, m) },
 	})
@@ -153,7 +153,7 @@
 	return s
 }
 
-func (a *Agent) onControl(ip string, link wire.OpenLink, m *wire.Message) {
+func (a *Agent) onControl(ip string, link wire.LinkHandle, m *wire.Message) {
 	if a.links[ip] != link {
 		return // it has been closed
 	}
@@ -173,7 +173,7 @@
 
 // onGroup takes the members, unless they come from an older entry than those that are known:
 // a control process that was replaced while it was cut off tells the members of long ago.
-func (a *Agent) onGroup(ip string, link wire.OpenLink, m *wire.Message) {
+func (a *Agent) onGroup(ip string, link wire.LinkHandle, m *wire.Message) {
 	if a.config != nil && a.group != nil && m.Group.Fleet != a.group.Fleet {
 		a.log.Warn("a control process of another fleet is at an address of this one", "ip", ip)
 		a.dropped.OtherFleet++
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -44,7 +44,7 @@
 func (s *stand) SendDatagram(ip string, m *wire.Message) {
 	s.sent = append(s.sent, sentDatagram{ip, m})
 }
-func (s *stand) OpenLink(ip string, _ wire.Hello, events wire.LinkEvents) wire.OpenLink {
+func (s *stand) LinkHandle(ip string, _ wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &testLink{events: events}
 	s.links[ip] = l
 	return l
--- a/agent/process.go
+++ b/agent/process.go
@@ -120,7 +120,7 @@
 }
 
 // OpenLink keeps a connection to a control process.
-func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink {
+func (p *Process) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	address := net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort()))
 	return wire.Open(p.ctx, address, hello, events, p.do)
 }
--- a/agent/quota.go
+++ b/agent/quota.go
@@ -36,7 +36,7 @@
 }
 
 // ownerLink gives the link to the owner of a shard; nil where it isn't known or the link is down.
-func (a *Agent) ownerLink(shard uint32) wire.OpenLink {
+func (a *Agent) ownerLink(shard uint32) wire.LinkHandle {
 	if int(shard) >= len(a.tables) {
 		return nil
 	}
--- a/control/calls.go
+++ b/control/calls.go
@@ -234,7 +234,7 @@
 // proposeCalls makes the next entry of what waits, once the one before is committed. A node that is about to stop makes none,
 // so that it can hand over.
 func (n *Node) proposeCalls(p *part, now time.Duration) {
-	if n.stopping || p.proposed != nil || len(p.queue) == 0 || !p.replica.Leading(now) || p.replica.Uncommitted() {
+	if n.stopping || p.proposed != nil || len(p.queue) == 0 || !p.replica.Leading(now) || p.replica.HasUncommitted() {
 		return
 	}
 	count := min(len(p.queue), maxBatch)
--- a/control/environment.go
+++ b/control/environment.go
@@ -25,7 +25,7 @@
 	// a time.
 	SaveParts(b *store.PartsBatch)
 	// OpenLink keeps a connection to the control process at an address.
-	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink
+	LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
 	// ReadHosts reads the platform's list; Node.HostsRead is called with the outcome.
 	ReadHosts()
 	// KnownControls gives the addresses of control processes that peers have told of.
--- a/control/feed.go
+++ b/control/feed.go
@@ -42,7 +42,7 @@
 	now := n.now()
 	for _, shard := range n.shards {
 		have := q.Hosts[shard.number]
-		shard.holder.AtLeast(have.Term)
+		shard.holder.RaiseTermFloor(have.Term)
 		if !shard.holder.Holds(now) || shard.table == nil {
 			continue
 		}
--- a/control/identity.go
+++ b/control/identity.go
@@ -20,9 +20,9 @@
 func loadDisk(s *settings.Settings, folder *store.Folder, machines []replica.Machine, random *rand.Rand, log hclog.Logger) (stored, error) {
 	bootstrap := s.Bootstrap
 	disk, err := readDisk(folder, machines)
-	if errors.Is(err, store.ErrDamaged) {
+	if errors.Is(err, store.ErrCorrupt) {
 		log.Error("disk spoilt, its files are set aside and a new identity is taken", "error", err)
-		if err := folder.SetAside(); err != nil {
+		if err := folder.Quarantine(); err != nil {
 			return disk, err
 		}
 		bootstrap = false // it may have voted as a founder
@@ -59,8 +59,8 @@
 // stored is what a control process finds on its disk.
 type stored struct {
 	identity store.Identity
-	replica  replica.Disk
-	parts    []replica.Disk // of the coordination, in the order of its parts
+	replica  replica.PersistentState
+	parts    []replica.PersistentState // of the coordination, in the order of its parts
 	tenures  []string
 }
 
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -72,7 +72,7 @@
 		*held, reply.Granted = grant{holder: q.Holder, term: q.Term, since: now, expires: now + Duration}, true
 		g.tenures.begin(q.Resource)
 	}
-	reply.Term, reply.Vouches = held.term, reply.Granted && g.tenures.confirms(q.Resource)
+	reply.Term, reply.ConfirmsLongTenure = held.term, reply.Granted && g.tenures.confirms(q.Resource)
 	return reply
 }
 
@@ -132,7 +132,7 @@
 func (h *Holder) Term() uint64 { return h.term }
 
 // RaiseTermFloor makes later fencing numbers higher than this one, also while the lease is held.
-func (h *Holder) AtLeast(term uint64) { h.termFloor = max(h.termFloor, term) }
+func (h *Holder) RaiseTermFloor(term uint64) { h.termFloor = max(h.termFloor, term) }
 
 // Tick returns the request to send to all members, or nil. heldByOther says whether this member has itself granted
 // the resource to another one.
@@ -170,7 +170,7 @@
 
 // HandleReply processes a member's reply. It returns false for a reply to an earlier incarnation of this process,
 // which it drops. A lapsed lease is not revived by a late reply: what was kept under its fencing number is gone.
-func (h *Holder) Replied(from string, p *wire.LeaseReply, hasQuorum Quorum, now time.Duration) bool {
+func (h *Holder) HandleReply(from string, p *wire.LeaseReply, hasQuorum Quorum, now time.Duration) bool {
 	if p.Life != h.incarnation {
 		return false
 	}
@@ -180,7 +180,7 @@
 		return true
 	}
 	h.granted[from] = true
-	if p.Vouches {
+	if p.ConfirmsLongTenure {
 		h.confirmedBy[from] = true
 	}
 	if hasQuorum(func(id string) bool { return h.granted[id] }) {
@@ -205,7 +205,7 @@
 }
 
 // RetryNow makes the next request due immediately, because members may now grant what they refused before.
-func (h *Holder) Hurry(now time.Duration) {
+func (h *Holder) RetryNow(now time.Duration) {
 	if !h.holding {
 		h.requesting, h.freeSince, h.nextRequestAt = false, now, now
 	}
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -133,7 +133,7 @@
 		if p.request != nil {
 			g.send(message{from: p.to, to: p.from, reply: g.granters[p.to].Answer(p.request, g.now)})
 		} else {
-			g.holders[p.to].Replied(strconv.Itoa(p.from), p.reply, g.hasQuorum, g.now)
+			g.holders[p.to].HandleReply(strconv.Itoa(p.from), p.reply, g.hasQuorum, g.now)
 		}
 	}
 	for i, h := range g.holders {
@@ -216,7 +216,7 @@
 		g.step()
 	}
 	h := g.holders[g.step()[0]]
-	h.AtLeast(100 << saltBits)
+	h.RaiseTermFloor(100 << saltBits)
 	for g.now < 4*time.Second {
 		assert.Equal(t, len(g.step()), 1, "it stays held while the term rises")
 	}
@@ -236,12 +236,12 @@
 	assert.Equal(t, again.Round, asked.Round)
 	assert.Equal(t, again.Term, asked.Term)
 	for _, from := range []string{"a", "b"} {
-		assert.Assert(t, !holder.Replied(from, delayed, all, time.Second))
+		assert.Assert(t, !holder.HandleReply(from, delayed, all, time.Second))
 	}
 	assert.Assert(t, !holder.Holds(time.Second))
 	own := &wire.LeaseReply{Resource: resource, Granted: true, Term: again.Term, Round: again.Round, Life: again.Life}
 	for _, from := range []string{"a", "b"} {
-		assert.Assert(t, holder.Replied(from, own, all, time.Second))
+		assert.Assert(t, holder.HandleReply(from, own, all, time.Second))
 	}
 	assert.Assert(t, holder.Holds(time.Second))
 }
@@ -252,7 +252,7 @@
 	h := NewHolder(resource, "a", 7, 0)
 	answer := func(q *wire.LeaseRequest, now time.Duration) {
 		for _, from := range []string{"a", "b"} {
-			h.Replied(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Life: q.Life}, all, now)
+			h.HandleReply(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Life: q.Life}, all, now)
 		}
 	}
 	first := h.Tick(false, 0)
@@ -271,7 +271,7 @@
 	h := NewHolder(resource, "a", 7, 0)
 	answer := func(q *wire.LeaseRequest, now time.Duration) {
 		for _, from := range []string{"a", "b"} {
-			h.Replied(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Life: q.Life}, all, now)
+			h.HandleReply(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Life: q.Life}, all, now)
 		}
 	}
 	answer(h.Tick(false, 0), 0)
--- a/control/lease/tenure_test.go
+++ b/control/lease/tenure_test.go
@@ -104,29 +104,29 @@
 	assert.Assert(t, !unsaved)
 	now := Duration
 	reply := ask(1, now)
-	assert.Assert(t, reply.Granted && !reply.Vouches)
+	assert.Assert(t, reply.Granted && !reply.ConfirmsLongTenure)
 	change, unsaved := g.UnsavedTenures()
 	assert.Assert(t, unsaved && len(change.Long) == 0)
-	assert.Assert(t, !ask(1, now).Vouches, "not while the record is still on its disk")
+	assert.Assert(t, !ask(1, now).ConfirmsLongTenure, "not while the record is still on its disk")
 	g.TenuresSaved(change)
-	assert.Assert(t, ask(1, now).Vouches)
-	assert.Assert(t, !ask(2, now).Vouches, "another candidate, which is refused")
+	assert.Assert(t, ask(1, now).ConfirmsLongTenure)
+	assert.Assert(t, !ask(2, now).ConfirmsLongTenure, "another candidate, which is refused")
 	now += 2 * Duration
 	reply = ask(3, now)
-	assert.Assert(t, reply.Granted && !reply.Vouches, "the previous tenure was not long")
+	assert.Assert(t, reply.Granted && !reply.ConfirmsLongTenure, "the previous tenure was not long")
 	for end := now + testLongTenure; now < end; now += RenewInterval {
 		reply = ask(3, now)
-		assert.Assert(t, reply.Granted && !reply.Vouches)
+		assert.Assert(t, reply.Granted && !reply.ConfirmsLongTenure)
 	}
 	ask(3, now)
 	change, unsaved = g.UnsavedTenures()
 	assert.Assert(t, unsaved)
 	assert.DeepEqual(t, change.Long, []string{resource})
 	later := ask(4, now+2*Duration)
-	assert.Assert(t, later.Granted && !later.Vouches)
+	assert.Assert(t, later.Granted && !later.ConfirmsLongTenure)
 	g.TenuresSaved(change) // the older write doesn't cover the newer change
-	assert.Assert(t, !ask(4, now+2*Duration).Vouches)
+	assert.Assert(t, !ask(4, now+2*Duration).ConfirmsLongTenure)
 	change, _ = g.UnsavedTenures()
 	g.TenuresSaved(change)
-	assert.Assert(t, ask(4, now+2*Duration).Vouches)
+	assert.Assert(t, ask(4, now+2*Duration).ConfirmsLongTenure)
 }
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -12,7 +12,7 @@
 
 // A lease is granted anew only once what its last holder granted with a delay has begun to be used.
 func TestDelaysOfGrantsAreOverBeforeTheNextOwner(t *testing.T) {
-	assert.Assert(t, quota.LongestDelay <= lease.Margin)
+	assert.Assert(t, quota.MaxDelay <= lease.Margin)
 }
 
 // The same process may get its lease again at once: after it has lost it, in a new life, or as all have restarted. Its
@@ -27,7 +27,7 @@
 		}
 		return 0
 	}
-	late := limit.Rate * quota.LongestDelay.Seconds()
+	late := limit.Rate * quota.MaxDelay.Seconds()
 	const longAgo = time.Hour
 	for name, c := range map[string]struct {
 		node    Node
@@ -37,7 +37,7 @@
 	}{
 		"another one held it":        {now: longAgo, lostAt: 0},
 		"it has lost it just now":    {now: longAgo, lostAt: longAgo, missing: late},
-		"it has lost it a while ago": {now: longAgo, lostAt: longAgo - quota.LongestDelay},
+		"it has lost it a while ago": {now: longAgo, lostAt: longAgo - quota.MaxDelay},
 		"it has just started":        {now: 0, lostAt: -longAgo, missing: late},
 		"all have restarted":         {node: Node{resumed: true, resumedAt: longAgo}, now: longAgo, missing: late},
 		"all had restarted":          {node: Node{resumed: true, resumedAt: longAgo - lease.Duration}, now: longAgo},
--- a/control/node.go
+++ b/control/node.go
@@ -49,7 +49,7 @@
 	replica *replica.Replica
 	saving  bool
 	wasRole replica.Role
-	links   map[string]wire.OpenLink
+	links   map[string]wire.LinkHandle
 	callers map[string]int // connections of other control processes to this one, by IP
 	joinAt  time.Duration
 
@@ -95,7 +95,7 @@
 	Settings *settings.Settings
 	Log      hclog.Logger
 	Identity store.Identity
-	Disk     replica.Disk
+	Disk     replica.PersistentState
 	Tenures  []string // resources whose holder was long in office
 	Parts    []PartStart
 	Random   *rand.Rand
@@ -131,10 +131,10 @@
 // NewNode makes a node from what its disk held.
 func NewNode(from Start, env Environment) *Node {
 	s := from.Settings
-	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.OpenLink{},
+	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
 		callers: map[string]int{}, passed: map[uint64]*passedCall{}, counts: newNodeCounts(), validator: &validate.Validator{}}
 	self := wire.Member{ID: from.Identity.ID, IP: s.IP}
-	group := replica.Group{Target: 2*s.Tolerate.Machines + 1, MemberSilence: memberSilence(s)}
+	group := replica.Group{Target: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
 	n.replica = replica.New(self, group, from.Disk, from.Random, n.now())
 	n.newParts(from)
 	n.granter = lease.NewGranter(longTenure(s), from.Tenures, n.now())
@@ -291,7 +291,7 @@
 	n.resumed, n.resumedAt = true, now
 	n.granter.Resume(now)
 	for _, s := range n.shards {
-		s.holder.Hurry(now)
+		s.holder.RetryNow(now)
 	}
 }
 
@@ -306,7 +306,7 @@
 		}
 		n.followOwnership(s, now)
 	}
-	n.releaseAt = now + quota.LongestDelay // by then all that was granted has begun to be used
+	n.releaseAt = now + quota.MaxDelay // by then all that was granted has begun to be used
 	for _, r := range n.replicas {
 		r.StartLeaving(now)
 	}
--- a/control/orders.go
+++ b/control/orders.go
@@ -109,7 +109,7 @@
 	}
 	for n.proposal == nil && len(n.queue) > 0 {
 		p := n.queue[0]
-		if n.replica.Leading(now) && n.replica.Uncommitted() && now <= p.since+orderPatience {
+		if n.replica.Leading(now) && n.replica.HasUncommitted() && now <= p.since+orderPatience {
 			return // the entry before is on its way
 		}
 		n.queue[0] = nil
@@ -125,7 +125,7 @@
 		p.answer(v)
 		return
 	}
-	if n.replica.Uncommitted() || n.state == nil || n.stateAt != n.replica.Committed().Position() {
+	if n.replica.HasUncommitted() || n.state == nil || n.stateAt != n.replica.Committed().Position() {
 		p.answer(problem(http.StatusServiceUnavailable, "not settled"))
 		return
 	}
--- a/control/parts.go
+++ b/control/parts.go
@@ -38,7 +38,7 @@
 
 // PartStart is what a part starts from: what the disk held, and the machine that stands there.
 type PartStart struct {
-	Disk    replica.Disk
+	Disk    replica.PersistentState
 	Machine *coordination.Machine
 }
 
@@ -65,7 +65,7 @@
 }
 
 // partStarts puts together what the disk held of each part and the machine that it has led there.
-func partStarts(disks []replica.Disk, machines []*coordination.Machine) []PartStart {
+func partStarts(disks []replica.PersistentState, machines []*coordination.Machine) []PartStart {
 	starts := make([]PartStart, len(machines))
 	for i := range starts {
 		starts[i] = PartStart{Disk: disks[i], Machine: machines[i]}
@@ -77,10 +77,10 @@
 func (n *Node) newParts(from Start) {
 	n.replicas = []*replica.Replica{n.replica}
 	for i, start := range from.Parts {
-		group := replica.Group{Target: 2*n.settings.Tolerate.Machines + 1, MemberSilence: memberSilence(n.settings),
+		group := replica.Group{Target: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
 			Name: "part-" + strconv.Itoa(i)}
 		p := &part{number: i, machine: start.Machine}
-		p.replica = replica.NewWithMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
+		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
 		n.parts = append(n.parts, p)
 		n.replicas = append(n.replicas, p.replica)
 	}
@@ -154,7 +154,7 @@
 func (n *Node) wholeBatch() *store.PartsBatch {
 	whole := &store.PartsBatch{Whole: true}
 	for _, p := range n.parts {
-		whole.Saves = append(whole.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeWholeSave()})
+		whole.Saves = append(whole.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeFullSave()})
 	}
 	return whole
 }
--- a/control/process.go
+++ b/control/process.go
@@ -178,7 +178,7 @@
 func (p *Process) SpoiltDatagrams() int64 { return p.peers.Spoilt.Load() }
 
 // OpenLink keeps a connection to a control process.
-func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink {
+func (p *Process) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	return wire.Open(p.ctx, net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort())), hello, events, p.Do)
 }
 
--- a/control/quota/limit.go
+++ b/control/quota/limit.go
@@ -33,7 +33,7 @@
 	// taken out of the burst.
 	minValidity = 50 * time.Millisecond
 	// SpareLifetime is how long a router may keep what it may use while no owner answers.
-	SpareLife = 30 * time.Second
+	SpareLifetime = 30 * time.Second
 	// defaultWindow and defaultOverage apply if the settings contain no rule.
 	defaultWindow  = 8 * time.Second
 	defaultOverage = 0.1
@@ -82,7 +82,7 @@
 	l.Start = startShare * rest
 	spare := spareShare * rest
 	l.SpareCapacity = initialSpareShare * spare
-	l.SpareRate = (spare - l.SpareCapacity) / (window + l.Validity.Seconds() + SpareLife.Seconds())
+	l.SpareRate = (spare - l.SpareCapacity) / (window + l.Validity.Seconds() + SpareLifetime.Seconds())
 	l.Capacity = max(0, burst+(1-reserveShare)*tolerance-rate*l.Validity.Seconds()-l.Start-spare)
 	return l
 }
@@ -97,7 +97,7 @@
 
 // RetryLimit returns the limit on retries of requests to a service that holds regardless of its number of requests:
 // nine tenths of the rules' slack within a window. Routers have to earn any further retries by requests.
-func RepeatLimit(bounds *settings.Bounds) Limit {
+func RetryLimit(bounds *settings.Bounds) Limit {
 	window := bounds.RetryWindowS
 	if window <= 0 {
 		window = defaultRetryWindow
--- a/control/quota/owner.go
+++ b/control/quota/owner.go
@@ -13,7 +13,7 @@
 	// MaxDelay is how long a request may have to wait until the bucket has filled for it, and maxQueueDelay how
 	// much of that may be due to requests before it. At least MaxDelay passes between the last grant of one owner
 	// and the first of the next.
-	LongestDelay  = 100 * time.Millisecond
+	MaxDelay      = 100 * time.Millisecond
 	maxQueueDelay = 50 * time.Millisecond
 	minRetryWait  = 20 * time.Millisecond
 	maxRetryWait  = 2 * time.Second
@@ -97,7 +97,7 @@
 
 // admissionLevel returns the level that a bucket needs for requests of a size to be admitted.
 func (l *Limit) admissionLevel(size float64) float64 {
-	return max(size-l.Rate*LongestDelay.Seconds(), -l.Rate*maxQueueDelay.Seconds())
+	return max(size-l.Rate*MaxDelay.Seconds(), -l.Rate*maxQueueDelay.Seconds())
 }
 
 // timeToGain returns how long a bucket takes to gain an amount, bounded.
--- a/control/quota/owner_test.go
+++ b/control/quota/owner_test.go
@@ -32,7 +32,7 @@
 					b := settings.Bounds{QuotaWindowS: window.Seconds(), QuotaOverage: overage, QuotaSlack: slack}
 					l := LimitOf(tenant(rate, burst), &b)
 					owners := l.Capacity + l.Start + rate*(window+l.Validity).Seconds()
-					spare := l.SpareCapacity + l.SpareRate*(window+l.Validity+SpareLife).Seconds()
+					spare := l.SpareCapacity + l.SpareRate*(window+l.Validity+SpareLifetime).Seconds()
 					allowed := (rate*window.Seconds()+burst)*(1+overage) + slack
 					name := fmt.Sprintf("rate %v, burst %v, overage %v, slack %v: %+v", rate, burst, overage, slack, l)
 					assert.Assert(t, owners+spare <= allowed*(1+1e-9), "%s: %v + %v of %v", name, owners, spare, allowed)
@@ -48,7 +48,7 @@
 }
 
 func TestLimitWithoutRulesInTheSettings(t *testing.T) {
-	repeats := RepeatLimit(&settings.Bounds{RetrySlack: 100})
+	repeats := RetryLimit(&settings.Bounds{RetrySlack: 100})
 	assert.Assert(t, repeats.Capacity+repeats.Start+repeats.Rate*10 <= 90+1e-9)
 	l := LimitOf(tenant(1, 2), &settings.Bounds{})
 	assert.Assert(t, l.Capacity >= 2 && l.Capacity < 3, "%+v", l)
@@ -86,14 +86,14 @@
 			for range 4000 {
 				now += time.Duration(random.IntN(10)) * time.Millisecond
 				if now >= next {
-					now += LongestDelay // nobody grants during this time
+					now += MaxDelay // nobody grants during this time
 					owner, next = NewOwner(now), now+time.Duration(random.Int64N(int64(2*pace)))
 				}
 				need := 20_000 * random.Float64()
 				grant := owner.Take("t", limit, Ask{Need: need, Want: 3 * need}, now)
 				assert.Assert(t, grant.Amount == 0 || grant.Amount >= need && grant.Amount <= 3*need)
 				assert.Assert(t, (grant.Amount > 0) == (grant.Empty == 0))
-				assert.Assert(t, grant.Delay >= 0 && grant.Delay <= LongestDelay+time.Nanosecond)
+				assert.Assert(t, grant.Delay >= 0 && grant.Delay <= MaxDelay+time.Nanosecond)
 				all, spare = append(all, drawn{now + grant.Delay, grant.Amount}), append(spare, drawn{now, grant.Spare})
 			}
 			for _, span := range []time.Duration{0, time.Second, window, window + limit.Validity} {
@@ -167,7 +167,7 @@
 		assert.Assert(t, refused == 0 || grant.Empty == refused)
 		refused = grant.Empty
 	}
-	assert.Assert(t, last >= maxQueueDelay && last <= LongestDelay, "%v", last)
+	assert.Assert(t, last >= maxQueueDelay && last <= MaxDelay, "%v", last)
 	assert.Equal(t, refused, minRetryWait)
 	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, 5*time.Millisecond).Amount == 0, "there is no room yet")
 	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, refused).Amount > 0, "there is room again")
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -30,7 +30,7 @@
 	r.votes = map[string]bool{}
 	r.scheduleElection(now)
 	r.failedElections++ // reset if it wins
-	r.requestVotes(&wire.VoteRequest{Term: r.disk.Term, Round: r.round, FreshRound: restartRound, Transfer: transfer})
+	r.requestVotes(&wire.VoteRequest{Term: r.disk.Term, Round: r.round, RestartRound: restartRound, Transfer: transfer})
 }
 
 func (r *Replica) requestVotes(q *wire.VoteRequest) {
@@ -125,7 +125,7 @@
 	if q.Transfer && !q.PreVote && q.Term == r.disk.Term+1 {
 		return true
 	}
-	return q.FreshRound != 0 && r.justRestarted && r.restartConfirmed[q.Candidate] == q.FreshRound
+	return q.RestartRound != 0 && r.justRestarted && r.restartConfirmed[q.Candidate] == q.RestartRound
 }
 
 func (r *Replica) onVoteReply(from wire.Member, p *wire.VoteReply, now time.Duration) {
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -193,12 +193,12 @@
 
 func TestRestartedReplicaWaitsForALeaderBeforeItTakesPartInLeases(t *testing.T) {
 	s := newSim(t, 1, 3)
-	assert.Assert(t, s.nodes[0].replica.AwaitsOthers(restartLeaseWait-1))
-	assert.Assert(t, !s.nodes[0].replica.AwaitsOthers(restartLeaseWait), "without a leader it takes part in leases after a while")
+	assert.Assert(t, s.nodes[0].replica.AwaitsLeader(restartLeaseWait-1))
+	assert.Assert(t, !s.nodes[0].replica.AwaitsLeader(restartLeaseWait), "without a leader it takes part in leases after a while")
 	s.runUntil(2 * time.Second)
 	assert.Assert(t, s.leader() != nil)
 	for _, n := range s.nodes {
-		assert.Assert(t, !n.replica.AwaitsOthers(0), "%s has a leader", n.ip)
+		assert.Assert(t, !n.replica.AwaitsLeader(0), "%s has a leader", n.ip)
 	}
 }
 
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -97,7 +97,7 @@
 // free.
 func (r *Replica) sendAppend(p *peer, now time.Duration) {
 	a := &wire.Append{Term: r.disk.Term, Leader: r.self.ID, LeaderIP: r.self.IP, Round: r.heartbeatNumber,
-		Commit: r.committed.Position(), FreshRound: r.restartRound}
+		Commit: r.committed.Position(), RestartRound: r.restartRound}
 	if r.machine != nil {
 		a.Time = r.clock.at(now)
 	}
@@ -137,7 +137,7 @@
 	}
 	r.leader, r.leaderHeardAt = wire.Member{ID: a.Leader, IP: a.LeaderIP}, now
 	r.justRestarted, r.failedElections = false, 0
-	if r.restartRound = a.FreshRound; r.restartConfirmed[a.Leader] != a.FreshRound {
+	if r.restartRound = a.RestartRound; r.restartConfirmed[a.Leader] != a.RestartRound {
 		r.restartRound = 0 // the confirmation was given by an earlier run of this process, not by this one
 	}
 	r.scheduleElection(now)
--- a/control/replica/machine.go
+++ b/control/replica/machine.go
@@ -187,7 +187,7 @@
 }
 
 // TakeFullSave returns a write of everything that has to be found after a restart, even if no write is pending.
-func (r *Replica) TakeWholeSave() *Save {
+func (r *Replica) TakeFullSave() *Save {
 	s := r.TakeSave()
 	if s == nil {
 		s = &Save{Sequence: r.sequence, Disk: r.disk}
--- a/control/replica/members.go
+++ b/control/replica/members.go
@@ -33,7 +33,7 @@
 
 // changeMembers makes the entry for a pending membership change, and reports whether there was one.
 func (r *Replica) changeMembers(now time.Duration) bool {
-	if r.leave.started || !r.Leading(now) || r.Uncommitted() {
+	if r.leave.started || !r.Leading(now) || r.HasUncommitted() {
 		return false
 	}
 	next, due := r.nextMembers(now)
@@ -93,7 +93,7 @@
 		if p.isLeaving(now) {
 			return id
 		}
-		if now >= p.heard+r.group.MemberSilence && p.heard < since {
+		if now >= p.heard+r.group.MemberTimeout && p.heard < since {
 			gone, since = id, p.heard
 		}
 	}
@@ -235,7 +235,7 @@
 		r.leave.done = true
 		return
 	}
-	if r.Uncommitted() || !r.safeWithout(r.self.ID) {
+	if r.HasUncommitted() || !r.safeWithout(r.self.ID) {
 		return
 	}
 	var next *peer
--- a/control/replica/replica.go
+++ b/control/replica/replica.go
@@ -55,7 +55,7 @@
 type Position = wire.Position
 
 // PersistentState is what a replica has to find again after a restart.
-type Disk struct {
+type PersistentState struct {
 	Term     uint64
 	VotedFor string
 	Entry    *wire.Entry // immutable; nil before the first entry
@@ -64,7 +64,7 @@
 // Save is a request for a disk write. Sequence numbers rise; a newer Save includes the older ones.
 type Save struct {
 	Sequence     uint64
-	Disk         Disk
+	Disk         PersistentState
 	EntryChanged bool
 	VoteChanged  bool
 	// Entries lead from the last Save, or from a full entry, to State.Entry.
@@ -94,7 +94,7 @@
 // GroupConfig is a deployment's configuration of the group.
 type Group struct {
 	Target        int           // wanted number of members
-	MemberSilence time.Duration // silence after which a member may be replaced, if another machine is ready
+	MemberTimeout time.Duration // silence after which a member may be replaced, if another machine is ready
 	// Name sets the order in which members that have all just restarted stand for leader, so that groups with the
 	// same members prefer different leaders; "" orders members by identity.
 	Name string
@@ -125,7 +125,7 @@
 	self          wire.Member
 	group         Group
 	random        *rand.Rand
-	disk          Disk
+	disk          PersistentState
 	durable       Position // newest entry known to be on this replica's disk
 	sequence      uint64   // of the newest Save
 	savedSequence uint64   // of the newest Save that has completed
@@ -169,12 +169,12 @@
 }
 
 // New returns a replica of a group in which each entry is full, from the state found on disk.
-func New(self wire.Member, group Group, disk Disk, random *rand.Rand, now time.Duration) *Replica {
-	return NewWithMachine(self, group, disk, nil, random, now)
+func New(self wire.Member, group Group, disk PersistentState, random *rand.Rand, now time.Duration) *Replica {
+	return NewWithStateMachine(self, group, disk, nil, random, now)
 }
 
 // NewWithStateMachine returns a replica from the state found on disk. The machine must be at that state's entry.
-func NewWithMachine(self wire.Member, group Group, disk Disk, machine Machine, random *rand.Rand, now time.Duration) *Replica {
+func NewWithStateMachine(self wire.Member, group Group, disk PersistentState, machine Machine, random *rand.Rand, now time.Duration) *Replica {
 	r := &Replica{self: self, group: group, disk: disk, random: random, durable: disk.Entry.Position(),
 		learners: map[string]*peer{}, justRestarted: true, restartConfirmed: map[string]uint64{}, machine: machine}
 	if r.clock.knownAt = now; disk.Entry != nil {
@@ -271,7 +271,7 @@
 }
 
 // HasUncommitted reports whether the newest entry is not committed yet.
-func (r *Replica) Uncommitted() bool { return r.committed.Position() != r.disk.Entry.Position() }
+func (r *Replica) HasUncommitted() bool { return r.committed.Position() != r.disk.Entry.Position() }
 
 // AllRestarted reports whether the current leader was elected while all members had just restarted, this run of this
 // process among them. Then nothing that any of them granted before is still in force.
@@ -279,12 +279,12 @@
 
 // NoteLeaseParticipation records that this process has granted or obtained a lease: it no longer counts as one that
 // has just restarted.
-func (r *Replica) JoinedLease() { r.justRestarted = false }
+func (r *Replica) NoteLeaseParticipation() { r.justRestarted = false }
 
 // AwaitsLeader reports whether this process has just restarted and heard no leader yet. If all members have
 // restarted, their saying so ends the wait for former leases, and a process that has taken part in a lease can't say
 // so. It therefore takes part in none for a while.
-func (r *Replica) AwaitsOthers(now time.Duration) bool {
+func (r *Replica) AwaitsLeader(now time.Duration) bool {
 	return r.justRestarted && now < r.leaderHeardAt+restartLeaseWait
 }
 
@@ -294,7 +294,7 @@
 	if !r.Leading(now) {
 		return Position{}, ErrNotLeader
 	}
-	if r.Uncommitted() {
+	if r.HasUncommitted() {
 		return Position{}, ErrBusy
 	}
 	return r.appendEntry(r.disk.Entry.Members, value, now), nil
--- a/control/replica/sim_test.go
+++ b/control/replica/sim_test.go
@@ -31,7 +31,7 @@
 type simNode struct {
 	ip          string
 	replica     *Replica
-	disk        Disk // what has reached the disk
+	disk        PersistentState // what has reached the disk
 	writing     *Save
 	doneAt      time.Duration
 	downUntil   time.Duration
@@ -111,7 +111,7 @@
 	s.members = founders
 	for i, n := range s.nodes {
 		if i < size {
-			n.disk = Disk{Entry: Found(founders, nil)}
+			n.disk = PersistentState{Entry: Found(founders, nil)}
 			n.journal = []*wire.Entry{n.disk.Entry}
 		}
 		s.start(n)
@@ -121,11 +121,11 @@
 
 func (s *sim) start(n *simNode) {
 	n.started, n.leaveBy = s.now, 0
-	group := Group{Target: s.target, MemberSilence: simMemberTimeout}
+	group := Group{Target: s.target, MemberTimeout: simMemberTimeout}
 	if s.machines != nil {
 		s.replay(n)
 		n.origin = s.now - time.Duration(s.random.Int64N(int64(maxStartupTime)))
-		n.replica = NewWithMachine(n.member(), group, n.disk, n.machine, s.random, s.steadyNow(n))
+		n.replica = NewWithStateMachine(n.member(), group, n.disk, n.machine, s.random, s.steadyNow(n))
 		return
 	}
 	n.replica = New(n.member(), group, n.disk, s.random, s.now)
@@ -267,7 +267,7 @@
 			s.leaderChanges++
 		}
 		s.acknowledge(r.Committed(), n.content())
-		if !r.Uncommitted() && !s.idle && n.leaveBy == 0 && s.random.IntN(max(1, s.rate)) == 0 {
+		if !r.HasUncommitted() && !s.idle && n.leaveBy == 0 && s.random.IntN(max(1, s.rate)) == 0 {
 			s.values++
 			next := fmt.Sprintf("%d/%d", versionOf(n.content())+1, s.values)
 			if _, err := r.Propose([]byte(next), s.steadyNow(n)); err != nil {
@@ -382,7 +382,7 @@
 	n.incarnation++
 	n.wiped = true
 	s.wipes++
-	n.disk, n.journal = Disk{}, nil
+	n.disk, n.journal = PersistentState{}, nil
 }
 
 // toleratesLossOf reports whether one more disk may be lost: a majority of the members committed last still has its
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -183,7 +183,7 @@
 	for w.now < early.downTill+1500*time.Millisecond {
 		w.step()
 	}
-	assert.Assert(t, early.node.node.replica.AwaitsOthers(early.node.Now()))
+	assert.Assert(t, early.node.node.replica.AwaitsLeader(early.node.Now()))
 	request := &wire.LeaseRequest{Resource: early.node.node.shards[0].resource(), Holder: early.disk.identity.ID, Term: 99}
 	assert.Assert(t, !early.node.node.grantLease(request, early.node.Now()).Granted)
 }
--- a/control/shards.go
+++ b/control/shards.go
@@ -55,7 +55,7 @@
 }
 
 func newShard(number uint32, self string, life uint64, now time.Duration) *shard {
-	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now), lostAt: -quota.LongestDelay}
+	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now), lostAt: -quota.MaxDelay}
 }
 
 // rank is the place of this node in the shard's order of candidates.
@@ -90,9 +90,9 @@
 // before are over. Another member gets a lease only after as long; but this one may get it again at once, after it has lost
 // it or begun a new life, and any one where all processes have restarted.
 func (n *Node) newLimits(s *shard, now time.Duration) *quota.Owner {
-	since := max(now, quota.LongestDelay, s.lostAt+quota.LongestDelay)
+	since := max(now, quota.MaxDelay, s.lostAt+quota.MaxDelay)
 	if n.resumed && now < n.resumedAt+lease.Duration {
-		since = max(since, now+quota.LongestDelay)
+		since = max(since, now+quota.MaxDelay)
 	}
 	return quota.NewOwner(since)
 }
@@ -114,12 +114,12 @@
 }
 
 func (n *Node) grantLease(q *wire.LeaseRequest, now time.Duration) *wire.LeaseReply {
-	if n.replica.AwaitsOthers(now) && !q.Release {
+	if n.replica.AwaitsLeader(now) && !q.Release {
 		return n.granter.Refuse(q)
 	}
 	reply := n.granter.Answer(q, now)
 	if reply.Granted {
-		n.replica.JoinedLease()
+		n.replica.NoteLeaseParticipation()
 	}
 	return reply
 }
@@ -163,7 +163,7 @@
 		if s.resource() != p.Resource {
 			continue
 		}
-		if !s.holder.Replied(from, p, enough, now) {
+		if !s.holder.HandleReply(from, p, enough, now) {
 			n.dropped.EarlierLife++
 		}
 		n.followOwnership(s, now)
@@ -177,7 +177,7 @@
 	holds := s.holder.Holds(now)
 	switch {
 	case holds && s.term != s.holder.Term():
-		n.replica.JoinedLease()
+		n.replica.NoteLeaseParticipation()
 		s.since = now
 		s.term, s.table = s.holder.Term(), hostlist.NewTable(s.number, s.holder.Term())
 		s.paces = paces{table: pace.NewTable()}
@@ -242,13 +242,13 @@
 	grant := s.limits.Take(name, limit, quota.Ask{Need: q.Need, Want: q.Want}, now)
 	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, ReplyTo: q.ReplyTo,
 		Granted: grant.Amount, Spare: grant.Spare, ValidMS: grant.Valid.Milliseconds(),
-		DelayMS: wire.CeilMS(grant.Delay), EmptyMS: grant.Empty.Milliseconds()}})
+		DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}})
 }
 
 // limitOf gives the limit that a request draws from, by the committed configuration, and its bucket's name.
 func (n *Node) limitOf(q *wire.QuotaRequest) (name string, limit quota.Limit, known bool) {
 	if q.Service != "" {
-		return "service " + q.Service, quota.RepeatLimit(&n.settings.Bounds), n.services[q.Service]
+		return "service " + q.Service, quota.RetryLimit(&n.settings.Bounds), n.services[q.Service]
 	}
 	tenant := n.tenants[q.Tenant]
 	if tenant == nil {
--- a/control/store/files.go
+++ b/control/store/files.go
@@ -34,7 +34,7 @@
 
 // ErrCorrupt reports a file whose content isn't what was written. A file gets its name only once its content is on
 // disk, so this can't be an interrupted write: the disk has lost data that it had confirmed as stored.
-var ErrDamaged = errors.New("store: damaged file")
+var ErrCorrupt = errors.New("store: damaged file")
 
 // Identity is the identity of a replica. It is written once, when the disk is new.
 type Identity struct {
@@ -87,15 +87,15 @@
 func (d *Folder) SaveIdentity(id Identity) error { return d.write(identityKind, id) }
 
 // Load reads the state that a replica had saved.
-func (d *Folder) Load() (replica.Disk, error) {
+func (d *Folder) Load() (replica.PersistentState, error) {
 	var v vote
 	var e wire.Entry
 	if _, err := d.newest(voteKind, &v); err != nil {
-		return replica.Disk{}, err
+		return replica.PersistentState{}, err
 	}
 	found, err := d.newest(entryKind, &e)
 	if err != nil {
-		return replica.Disk{}, err
+		return replica.PersistentState{}, err
 	}
 	if !found {
 		return v.withEntry(nil), nil
@@ -105,11 +105,11 @@
 
 // withEntry returns the state that a replica starts from: without a vote if the entry's term is newer than the
 // vote's.
-func (v vote) withEntry(e *wire.Entry) replica.Disk {
+func (v vote) withEntry(e *wire.Entry) replica.PersistentState {
 	if e != nil && e.Term > v.Term {
-		return replica.Disk{Term: e.Term, Entry: e}
+		return replica.PersistentState{Term: e.Term, Entry: e}
 	}
-	return replica.Disk{Term: v.Term, VotedFor: v.For, Entry: e}
+	return replica.PersistentState{Term: v.Term, VotedFor: v.For, Entry: e}
 }
 
 // Save writes what has changed. After an error it may be called again.
@@ -137,7 +137,7 @@
 // Quarantine renames all files of a corrupt disk, so that none is read again but their content can be examined. Files
 // of an earlier quarantine are removed. The identity goes first: it must not be found again without the state that it
 // made promises about.
-func (d *Folder) SetAside() error {
+func (d *Folder) Quarantine() error {
 	names, err := d.files.names()
 	if err != nil {
 		return err
@@ -241,7 +241,7 @@
 		return false, err
 	}
 	if err := decode(data, v); err != nil {
-		return false, fmt.Errorf("%w: %s: %w", ErrDamaged, name, err)
+		return false, fmt.Errorf("%w: %s: %w", ErrCorrupt, name, err)
 	}
 	return true, nil
 }
--- a/control/store/files_test.go
+++ b/control/store/files_test.go
@@ -22,7 +22,7 @@
 
 func save(t *testing.T, f *Folder, term, index uint64) {
 	t.Helper()
-	disk := replica.Disk{Term: term, VotedFor: "a", Entry: &wire.Entry{Term: term, Index: index, Value: []byte("value")}}
+	disk := replica.PersistentState{Term: term, VotedFor: "a", Entry: &wire.Entry{Term: term, Index: index, Value: []byte("value")}}
 	assert.NilError(t, f.Save(&replica.Save{Disk: disk, EntryChanged: true, VoteChanged: true}))
 }
 
@@ -73,9 +73,9 @@
 			_, _, identityErr := f.Identity()
 			_, loadErr := f.Load()
 			err := errors.Join(identityErr, loadErr)
-			assert.ErrorIs(t, err, ErrDamaged)
+			assert.ErrorIs(t, err, ErrCorrupt)
 			assert.ErrorContains(t, err, name)
-			assert.NilError(t, f.SetAside())
+			assert.NilError(t, f.Quarantine())
 			_, known, err := f.Identity()
 			assert.NilError(t, err)
 			assert.Assert(t, !known)
@@ -85,7 +85,7 @@
 			kept, err := os.ReadFile(filepath.Join(path, corruptPrefix+name))
 			assert.NilError(t, err)
 			assert.Equal(t, string(kept), data)
-			assert.NilError(t, f.SetAside(), "earlier quarantined files are removed")
+			assert.NilError(t, f.Quarantine(), "earlier quarantined files are removed")
 		}
 	}
 }
@@ -102,7 +102,7 @@
 		corrupt[i] ^= 1
 		assert.NilError(t, os.WriteFile(entries[0], corrupt, 0o600))
 		_, err := open(t, path).Load()
-		assert.ErrorIs(t, err, ErrDamaged, "byte %d", i)
+		assert.ErrorIs(t, err, ErrCorrupt, "byte %d", i)
 	}
 }
 
--- a/control/store/parts.go
+++ b/control/store/parts.go
@@ -172,7 +172,7 @@
 // LoadParts reads what was saved, and advances each part's state machine from the empty state to its newest entry. A
 // part's entries follow founded, the entry that its group was founded with, or a full entry; founded is nil for a
 // replica that is no founder.
-func (d *Folder) LoadParts(machines []replica.Machine, founded *wire.Entry) ([]replica.Disk, error) {
+func (d *Folder) LoadParts(machines []replica.Machine, founded *wire.Entry) ([]replica.PersistentState, error) {
 	for _, m := range machines {
 		if err := m.Restore(nil); err != nil {
 			return nil, fmt.Errorf("store: %w", err)
@@ -187,7 +187,7 @@
 	}
 	disks, err := replay(machines, founded, batches)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %s: %w", ErrDamaged, d.parts.name, err)
+		return nil, fmt.Errorf("%w: %s: %w", ErrCorrupt, d.parts.name, err)
 	}
 	return disks, nil
 }
@@ -209,7 +209,7 @@
 	}
 	j, batches, err := readJournal(data)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %s: %w", ErrDamaged, name, err)
+		return nil, fmt.Errorf("%w: %s: %w", ErrCorrupt, name, err)
 	}
 	j.name = name
 	d.parts = j
@@ -245,7 +245,7 @@
 }
 
 // replay advances the machines through the batches of a journal.
-func replay(machines []replica.Machine, founded *wire.Entry, batches [][]partRecord) ([]replica.Disk, error) {
+func replay(machines []replica.Machine, founded *wire.Entry, batches [][]partRecord) ([]replica.PersistentState, error) {
 	votes := make([]vote, len(machines))
 	chains := make([][]*wire.Entry, len(machines))
 	for part := range chains {
@@ -262,7 +262,7 @@
 			chains[r.Part] = append(chains[r.Part], r.Entries...)
 		}
 	}
-	disks := make([]replica.Disk, len(machines))
+	disks := make([]replica.PersistentState, len(machines))
 	for part, chain := range chains {
 		if err := checkOrder(chain); err != nil {
 			return nil, fmt.Errorf("part %d: %w", part, err)
--- a/control/store/parts_power_test.go
+++ b/control/store/parts_power_test.go
@@ -222,7 +222,7 @@
 		p[0].vote("b")
 		mustSaveParts(t, f, p.full())
 		d.opsLeft = d.random.IntN(8)
-		err := f.SetAside()
+		err := f.Quarantine()
 		d.losePower()
 		f = openDir(d)
 		_, known, identityErr := f.Identity()
--- a/control/store/parts_test.go
+++ b/control/store/parts_test.go
@@ -49,7 +49,7 @@
 
 // partState is one part as its process holds it.
 type partState struct {
-	disk    replica.Disk
+	disk    replica.PersistentState
 	machine listMachine
 }
 
@@ -212,7 +212,7 @@
 func TestPartsOfAnEmptyDisk(t *testing.T) {
 	disks, err := open(t, t.TempDir()).LoadParts(newMachines(), nil)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, disks, make([]replica.Disk, testParts))
+	assert.DeepEqual(t, disks, make([]replica.PersistentState, testParts))
 }
 
 func TestPartsThatWereNotLoadedAreNotOverwritten(t *testing.T) {
@@ -242,7 +242,7 @@
 func TestNewerEntryTermDropsAnOlderVote(t *testing.T) {
 	f := open(t, t.TempDir())
 	e := &wire.Entry{Term: 5, Index: 3}
-	mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, &replica.Save{Disk: replica.Disk{Term: 4, VotedFor: "b", Entry: e}, Entries: []*wire.Entry{e}}}}})
+	mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, &replica.Save{Disk: replica.PersistentState{Term: 4, VotedFor: "b", Entry: e}, Entries: []*wire.Entry{e}}}}})
 	p := loadedProcess(t, f)
 	assert.Equal(t, p[0].disk.Term, uint64(5))
 	assert.Equal(t, p[0].disk.VotedFor, "")
@@ -279,19 +279,19 @@
 		{1, []*wire.Entry{full, {Term: 2, Index: 4}}, errOrder},
 		{1, []*wire.Entry{full, nil}, errOrder},
 		{1, []*wire.Entry{full, {Term: 2, Index: 7, After: replica.Position{Term: 2, Index: 6}}}, replica.ErrGap},
-		{1, []*wire.Entry{{Term: 2, Index: 5, Value: []byte("unreadable")}}, ErrDamaged},
+		{1, []*wire.Entry{{Term: 2, Index: 5, Value: []byte("unreadable")}}, ErrCorrupt},
 	} {
 		f := open(t, t.TempDir())
-		disk := replica.Disk{Term: 2}
+		disk := replica.PersistentState{Term: 2}
 		mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{c.part, &replica.Save{Disk: disk, Entries: c.entries}}}})
 		machines := newMachines()
 		_, err := loadWith(f, machines)
-		assert.ErrorIs(t, err, ErrDamaged)
+		assert.ErrorIs(t, err, ErrCorrupt)
 		assert.ErrorIs(t, err, c.cause)
-		assert.NilError(t, f.SetAside())
+		assert.NilError(t, f.Quarantine())
 		disks, err := f.LoadParts(machines, nil)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, disks, make([]replica.Disk, testParts))
+		assert.DeepEqual(t, disks, make([]replica.PersistentState, testParts))
 		for part, m := range machines {
 			assert.Equal(t, len(m.Snapshot()), 0, "the machine of part %d is empty again", part)
 		}
@@ -331,7 +331,7 @@
 			assert.NilError(t, os.WriteFile(name, corrupt, filePerm))
 			found, err := loadProcess(open(t, path))
 			if i < last {
-				assert.ErrorIs(t, err, ErrDamaged, "byte %d", i)
+				assert.ErrorIs(t, err, ErrCorrupt, "byte %d", i)
 				continue
 			}
 			assert.NilError(t, err, "byte %d", i)
@@ -358,7 +358,7 @@
 			f := open(t, path)
 			found, err := loadProcess(f)
 			if end < starts[1] {
-				assert.ErrorIs(t, err, ErrDamaged, "the first frame was synced before the file got its name")
+				assert.ErrorIs(t, err, ErrCorrupt, "the first frame was synced before the file got its name")
 				continue
 			}
 			assert.NilError(t, err)
--- a/control/store/power_test.go
+++ b/control/store/power_test.go
@@ -232,12 +232,12 @@
 		d := newFaultyDisk(seed)
 		f := openDir(d)
 		assert.NilError(t, f.SaveIdentity(Identity{ID: "a"}))
-		done, tried := replica.Disk{}, replica.Disk{}
+		done, tried := replica.PersistentState{}, replica.PersistentState{}
 		for version := uint64(1); version < 30; version++ {
 			if d.random.IntN(3) == 0 {
 				d.opsLeft = d.random.IntN(12)
 			}
-			tried = replica.Disk{Term: version, VotedFor: "b", Entry: &wire.Entry{Term: version, Index: version, Value: make([]byte, d.random.IntN(200))}}
+			tried = replica.PersistentState{Term: version, VotedFor: "b", Entry: &wire.Entry{Term: version, Index: version, Value: make([]byte, d.random.IntN(200))}}
 			err := f.Save(&replica.Save{Disk: tried, EntryChanged: true, VoteChanged: true})
 			if err == nil {
 				done = tried
@@ -269,13 +269,13 @@
 	assert.Assert(t, torn > 100 && finished > 10000, "%d interrupted writes that were kept, %d completed", torn, finished)
 }
 
-func samePosition(a, b replica.Disk) bool { return a.Entry.Position() == b.Entry.Position() }
+func samePosition(a, b replica.PersistentState) bool { return a.Entry.Position() == b.Entry.Position() }
 
 func TestFullDiskKeepsItsContent(t *testing.T) {
 	d := newFaultyDisk(1)
 	f := openDir(d)
-	first := &replica.Save{Disk: replica.Disk{Term: 1, Entry: &wire.Entry{Term: 1, Index: 1}}, EntryChanged: true, VoteChanged: true}
-	second := &replica.Save{Disk: replica.Disk{Term: 2, Entry: &wire.Entry{Term: 2, Index: 2}}, EntryChanged: true, VoteChanged: true}
+	first := &replica.Save{Disk: replica.PersistentState{Term: 1, Entry: &wire.Entry{Term: 1, Index: 1}}, EntryChanged: true, VoteChanged: true}
+	second := &replica.Save{Disk: replica.PersistentState{Term: 2, Entry: &wire.Entry{Term: 2, Index: 2}}, EntryChanged: true, VoteChanged: true}
 	assert.NilError(t, f.Save(first))
 	d.noSpace = true
 	for range 10 {
--- a/control/world_groups_test.go
+++ b/control/world_groups_test.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		p := m.node.node.parts[number]
-		if p.replica.Role() == replica.Leader && p.replica.Uncommitted() {
+		if p.replica.Role() == replica.Leader && p.replica.HasUncommitted() {
 			continue // its machine stands at the entry before
 		}
 		at, state := p.replica.Newest().Position(), p.machine.Snapshot()
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -54,7 +54,7 @@
 // coreDisk is what a control machine's disk has kept.
 type coreDisk struct {
 	identity store.Identity
-	state    replica.Disk
+	state    replica.PersistentState
 	tenures  []string
 	parts    []partDisk // nil where nothing was written yet
 }
--- a/router/limit/fleet_test.go
+++ b/router/limit/fleet_test.go
@@ -93,7 +93,7 @@
 // takeOver has another owner follow the present one. For as long as delays of grants last there is none.
 func (f *limitFleet) takeOver(start bool) {
 	f.loseOwner()
-	time.AfterFunc(quota.LongestDelay, func() {
+	time.AfterFunc(quota.MaxDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.owner = quota.NewOwner(f.now())
@@ -127,7 +127,7 @@
 	}
 	grant := f.owner.Take(q.Tenant, quota.LimitOf(f.tenant, &limitBounds), quota.Ask{Need: q.Need, Want: q.Want}, f.now())
 	answer := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: grant.Amount, Spare: grant.Spare,
-		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), EmptyMS: grant.Empty.Milliseconds()}
+		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}
 	time.AfterFunc(oneWay, func() { l.Granted(answer) })
 }
 
@@ -245,7 +245,7 @@
 func TestLateUseKeepsTheLimit(t *testing.T) {
 	atSizes(t, func(t *testing.T, f *limitFleet) {
 		fill()
-		late := f.limit.Validity - 2*oneWay - quota.LongestDelay - time.Millisecond
+		late := f.limit.Validity - 2*oneWay - quota.MaxDelay - time.Millisecond
 		f.hold = func() time.Duration { return late }
 		f.send(t, flood, 4*time.Second)
 		f.hold = func() time.Duration { return 0 }
@@ -322,7 +322,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			atSizes(t, func(t *testing.T, f *limitFleet) {
 				f.random = rand.New(rand.NewPCG(seed, 45))
-				late := f.limit.Validity - 2*oneWay - quota.LongestDelay - time.Millisecond
+				late := f.limit.Validity - 2*oneWay - quota.MaxDelay - time.Millisecond
 				f.hold = func() time.Duration { return time.Duration(f.random.Int64N(int64(late))) }
 				f.send(t, 0.9*f.limit.Rate, 30*time.Second)
 				fill()
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -66,7 +66,7 @@
 
 // New makes the limiter of a router that has just started. It has nothing.
 func New(router string) *Limiter {
-	return &Limiter{router: router, life: wire.NewLife(), start: time.Now(), accounts: map[subject]*account{}, sweepAt: leastSweep,
+	return &Limiter{router: router, life: wire.NewIncarnation(), start: time.Now(), accounts: map[subject]*account{}, sweepAt: leastSweep,
 		waiting: map[uint64]chan *wire.QuotaGrant{}, figures: map[subject]*figures{}}
 }
 
@@ -201,14 +201,14 @@
 		f.RefusedOwner++
 		l.refusedByOwner++
 		a.ahead.Add(q.held, q.until, aheadGrain)
-		wait = time.Duration(grant.EmptyMS) * time.Millisecond
+		wait = time.Duration(grant.RetryAfterMS) * time.Millisecond
 		a.emptyTill = now + wait
 		return nil, min(max(wait, shortestRetry), longestRetry), false
 	}
 	delay := time.Duration(grant.DelayMS) * time.Millisecond
 	until := q.asked + delay + time.Duration(grant.ValidMS)*time.Millisecond
 	a.ahead.Add(grant.Granted-q.message.Need, until, aheadGrain)
-	a.spare.Add(grant.Spare, q.asked+quota.SpareLife, spareGrain)
+	a.spare.Add(grant.Spare, q.asked+quota.SpareLifetime, spareGrain)
 	f.OwnerUse += q.message.Need
 	f.AheadUse += q.held
 	if q.held > 0 {
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -100,7 +100,7 @@
 
 // NewIncarnation returns a random number, never 0, for one run of a process. A request carries it and its reply
 // echoes it, so that replies to an earlier run of the same process are recognised.
-func NewLife() uint64 { return rand.Uint64() | 1 }
+func NewIncarnation() uint64 { return rand.Uint64() | 1 }
 
 // VoteRequest asks for a vote, or with PreVote whether one would be granted.
 type VoteRequest struct {
@@ -110,9 +110,9 @@
 	LastIndex uint64 `cbor:"4,keyasint"`
 	PreVote   bool   `cbor:"5,keyasint,omitempty"`
 	// RestartRound is the pre-vote round in which all members confirmed that they have just restarted, else 0.
-	FreshRound uint64 `cbor:"6,keyasint,omitempty"`
-	Round      uint64 `cbor:"7,keyasint"`           // random number of the request, echoed by the reply
-	Transfer   bool   `cbor:"8,keyasint,omitempty"` // the leader has handed over leadership together with its lease
+	RestartRound uint64 `cbor:"6,keyasint,omitempty"`
+	Round        uint64 `cbor:"7,keyasint"`           // random number of the request, echoed by the reply
+	Transfer     bool   `cbor:"8,keyasint,omitempty"` // the leader has handed over leadership together with its lease
 }
 
 // VoteReply is the reply to a VoteRequest. Term is that of the request if the vote is granted, else the voter's own.
@@ -134,7 +134,7 @@
 	Commit   Position `cbor:"6,keyasint"`
 	// RestartRound is the pre-vote round by which the leader was elected while all members had just restarted, else
 	// 0.
-	FreshRound uint64 `cbor:"8,keyasint,omitempty"`
+	RestartRound uint64 `cbor:"8,keyasint,omitempty"`
 	// Steps are consecutive steps from an entry that the follower is known to have. They are sent in place of a full
 	// Entry.
 	Steps []*Entry `cbor:"9,keyasint,omitempty"`
@@ -190,7 +190,7 @@
 	Life     uint64 `cbor:"5,keyasint"`
 	// ConfirmsLongTenure says that the previous holder had a long tenure, and that the member has confirmed this to
 	// no other holder since.
-	Vouches bool `cbor:"6,keyasint,omitempty"`
+	ConfirmsLongTenure bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Subscribe requests the feed of a control process or agent: everything newer than what the subscriber has.
@@ -265,15 +265,15 @@
 
 // QuotaGrant is the reply to a QuotaRequest.
 type QuotaGrant struct {
-	Router  string  `cbor:"1,keyasint"`
-	Number  uint64  `cbor:"2,keyasint"`
-	Granted float64 `cbor:"3,keyasint"`           // 0, or at least what was needed
-	EmptyMS int64   `cbor:"9,keyasint,omitempty"` // if nothing was granted, time until there is enough for such a request
-	Life    uint64  `cbor:"5,keyasint"`
-	DelayMS int64   `cbor:"10,keyasint,omitempty"` // time from the reply before which the amount may not be used
-	ValidMS int64   `cbor:"6,keyasint,omitempty"`  // time for which it may be used, from the request plus the delay
-	Spare   float64 `cbor:"7,keyasint,omitempty"`  // amount that may be used in addition, while no owner answers
-	ReplyTo string  `cbor:"8,keyasint,omitempty"`
+	Router       string  `cbor:"1,keyasint"`
+	Number       uint64  `cbor:"2,keyasint"`
+	Granted      float64 `cbor:"3,keyasint"`           // 0, or at least what was needed
+	RetryAfterMS int64   `cbor:"9,keyasint,omitempty"` // if nothing was granted, time until there is enough for such a request
+	Life         uint64  `cbor:"5,keyasint"`
+	DelayMS      int64   `cbor:"10,keyasint,omitempty"` // time from the reply before which the amount may not be used
+	ValidMS      int64   `cbor:"6,keyasint,omitempty"`  // time for which it may be used, from the request plus the delay
+	Spare        float64 `cbor:"7,keyasint,omitempty"`  // amount that may be used in addition, while no owner answers
+	ReplyTo      string  `cbor:"8,keyasint,omitempty"`
 }
 
 // EventIntervals tells the owner of a service's shard how fast its hosts stream, as one router recently observed.
--- a/wire/sender.go
+++ b/wire/sender.go
@@ -7,7 +7,7 @@
 }
 
 // LinkHandle is an open link, independent of its implementation.
-type OpenLink interface {
+type LinkHandle interface {
 	Sender
 	// Up reports whether there is a connection.
 	Up() bool
