--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -1,7 +1,8 @@
 package proxy
 
-// This file owns the table of reqs: it turns a call into a req of the module and forgets it when it has
-// ended. It must never let in what the settings do not name, nor judge what they do.
+// This file holds the table of open requests: it hands each request to the balancer and removes it when it has
+// ended. It must never admit a rule set, tenant or method that the settings do not name, nor evaluate what the
+// settings mean.
 
 import (
 	"errors"
@@ -13,10 +14,11 @@
 	"ivybank/proxy/http1"
 )
 
-// wayMargin is what an answer may need back to the client: its wait began when it sent the call.
+// returnMarginNs is the time that a response may need to travel back: the client's timeout started when it
+// sent the request.
 const wayMargin = 5e6
 
-// req is one request that was taken.
+// request is one request that was admitted.
 type req struct {
 	id         uint64
 	call       http1.Call
@@ -25,16 +27,17 @@
 	dispatches []*dispatch
 	outs       int
 	ended      bool
-	flow       *flow       // its body, where that comes in pieces
-	relay      *hostConn   // whose answer is being passed on
-	key        *once.Key   // of a keyed req, which has no client of its own
-	luck       float64     // what stays the same over a client's retries, as a number; 0 where no peers are heard
-	shed       bool        // the fleet denies it
-	book       *lease.Book // by which it was let in; nil where there are no limits of the fleet
+	flow       *flow       // the body, when it arrives in pieces
+	relay      *hostConn   // the host connection whose response is being relayed
+	key        *once.Key   // set for a request with an idempotency key, which has no client of its own
+	luck       float64     // hash of what a client's retries have in common, from 0 to 1; 0 without peers
+	shed       bool        // denied by the fleet, through overload control or a limit
+	book       *lease.Book // the limits under which it was admitted; nil if the fleet has none
 }
 
-// admit is the second stage. What no host could use goes no further: a host that turns it away, or closes on
-// it, would seem to be at fault. Two open reqs with one id would run as one.
+// admit validates a request and hands it to the balancer. A request that no host could serve is rejected here: a
+// host that refuses it or closes the connection would seem to be at fault. A request whose ID is already open is
+// rejected too, as the two would run as one.
 func (p *Proxy) admit(c *client, call sentAhead) error {
 	if err := p.sound(call.Call); err != nil {
 		return err
@@ -49,27 +52,27 @@
 	return nil
 }
 
-var errOpenID = errors.New("the id of an open req")
+var errOpenID = errors.New("request id is already open")
 
-// sound says whether a call is one that a host could use.
+// validate returns an error unless the request is one that a host could serve.
 func (p *Proxy) sound(call http1.Call) error {
 	terms := p.terms
 	set := terms.RuleSet(call.RuleSet)
 	switch {
 	case call.ID == "":
-		return errors.New("no id")
+		return errors.New("no request id")
 	case call.Timeout <= 0:
 		return errors.New("no client timeout")
 	case set == nil || terms.Tenant(call.Tenant) < 0 && len(terms.Tenants) > 0:
-		return errors.New("rule set or tenant not known")
+		return errors.New("unknown rule set or tenant")
 	case call.Method == http.MethodGet && set.Effect == balance.Replayable:
 	case call.Method != http.MethodPost && call.Method != http.MethodPut:
-		return errors.New("method does not go with the rule set")
+		return errors.New("method is not allowed for the rule set")
 	}
 	return nil
 }
 
-// enter makes a call a req of the module, whose id is among those that are open.
+// addRequest adds a request to the table and the balancer. Its ID must be in p.ids already.
 func (p *Proxy) enter(r *req, budget, now int64) {
 	p.lastReq++
 	r.id = p.lastReq
@@ -83,7 +86,7 @@
 		Budget: max(1, budget), Work: r.call.Work, Open: r.flow != nil && !r.flow.whole, Shed: r.shed, Back: back}, now)
 }
 
-// withdraw ends the open req, if any, of a client that has gone or broken it off.
+// withdraw ends the open request, if any, of a client that disconnected or sent a malformed request after it.
 func (p *Proxy) withdraw(c *client) {
 	if c.waits != nil {
 		p.count.Withdrawn++
@@ -99,7 +102,7 @@
 	p.drop(r.flow)
 	p.module.Withdrawn(r.id)
 	for _, d := range r.dispatches {
-		if d.out && (r.relay != nil || !d.allSent()) { // what no longer comes or nobody takes is not waited for
+		if d.out && (r.relay != nil || !d.allSent()) { // its body stays incomplete, or nobody reads the response
 			p.giveUp(d, balance.Cancelled, p.now())
 		}
 	}
--- a/proxy/book.go
+++ b/proxy/book.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file owns the end of a dispatch: what came back becomes an outcome for the module and a count. It
-// must never call something never run that may have run.
+// This file ends dispatches: it turns a result into an outcome for the balancer and a counter. It must never report
+// a dispatch as not run that may have run.
 
 import (
 	"net/http"
@@ -10,20 +10,20 @@
 	"ivybank/proxy/http1"
 )
 
-// outcome reads a host's answer. Without the host's word that it was not started a refusal may have run.
+// outcomeOf maps a host's response to an outcome. A refusal without Not-Started counts as possibly run.
 func outcome(a http1.Answer) balance.Outcome {
 	switch {
 	case a.Status == http.StatusOK:
 		return balance.Served
 	case a.Status >= http.StatusBadRequest && a.Status < http.StatusInternalServerError:
-		return balance.Unknown // speaks against the req, not against the host
+		return balance.Unknown // the request is at fault, not the host
 	case (a.Status == http.StatusServiceUnavailable || a.Status == http.StatusGatewayTimeout) && a.NotStarted:
 		return balance.Refused
 	}
 	return balance.Errored
 }
 
-// book is the last stage. The first answer that serves the req goes to the client.
+// finishDispatch ends a dispatch. The first successful response goes to the client.
 func (p *Proxy) book(d *dispatch, o balance.Outcome, a *http1.Answer, now int64) {
 	r := d.req
 	d.out = false
--- a/proxy/boot.go
+++ b/proxy/boot.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file owns the name of the machine's start, by which ages in snapshots are known to be of one clock.
+// This file reads the machine's boot ID, which tells whether uptimes in a snapshot are of the same clock.
 
 import (
 	"os"
@@ -8,7 +8,8 @@
 	"sync"
 )
 
-// bootID is another after each start of the machine; empty where the kernel does not tell, and ages go by the clock of the day.
+// bootID changes with each start of the machine. It is empty if the kernel does not report one; ages then go by
+// wall time.
 var bootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file owns what nbio tells of connections: which kind each is, what it read, how much of what was
-// written the kernel took. It must never look at the owner's tables; it posts to the owner.
+// This file handles the nbio callbacks of connections: which kind each is, what was read, and how many of the
+// written bytes the kernel accepted. It must never access the event loop's tables; it posts events to the loop.
 
 import (
 	"errors"
@@ -17,61 +17,65 @@
 )
 
 const (
-	readSize    = 64 << 10
-	readsAtOnce = 16 // of one connection, before others have their turn
-	// Bytes of pieces of a body that may be between being read and being taken by the kernel on the other side; less than
-	// lowUnsent of them unsent, more are asked for.
-	mostTransit  = 128 << 10
-	leastTransit = 16 << 10 // with many bodies at a time each has its part of
-	transitPart  = 4        // one in so many bytes of Go's heap, but this
-	lowUnsent    = 64 << 10
+	readSize = 64 << 10
+	// Reads of one connection in a row, before other connections have their turn.
+	readsAtOnce = 16
+	// Bytes of body pieces that may be between being read and being accepted by the kernel on the other side.
+	mostTransit = 128 << 10
+	// Lower bound of that; with many bodies at a time each has its share of the memory.
+	leastTransit = 16 << 10
+	// One in this many bytes of Go's heap may be in transit.
+	transitPart = 4
+	// Reading resumes once no more than this is left unsent on the other side.
+	lowUnsent = 64 << 10
 )
 
-// wire is one connection as nbio and the owner share it.
+// baseConn is one connection as nbio and the event loop share it.
 type wire struct {
 	nb    *nbio.Conn
-	took  atomic.Int64 // bytes that the kernel took
-	given atomic.Int64 // bytes handed to nbio; only the owner adds
+	took  atomic.Int64 // bytes that the kernel accepted
+	given atomic.Int64 // bytes handed to nbio; only the event loop adds
 	heard atomic.Int64 // bytes read
-	rmu   sync.Mutex   // held by whoever reads and parses
+	rmu   sync.Mutex   // held while reading and parsing
 	mover
-	closed bool         // the owner's
-	told   atomic.Int32 // events of it that the owner has not come to
+	closed bool         // event loop only
+	told   atomic.Int32 // its events that the event loop has not handled yet
 }
 
-// mover is the backpressure between a connection that pieces of a body are read from and the one they are written to.
+// backpressure limits the bytes in transit from the connection that body pieces are read from to the one they are
+// written to.
 type mover struct {
-	transit atomic.Int64    // bytes of pieces read from here and not yet taken on the other side
-	stalled atomic.Bool     // reading waits for that
-	owed    int64           // the part of them that is handed to the other side or held; the owner's
-	hungry  atomic.Bool     // the owner wants to know when little is left unsent here
-	low     func(now int64) // what it does then; the owner's
+	transit atomic.Int64    // bytes of pieces read here and not yet accepted on the other side
+	stalled atomic.Bool     // reading waits for transit to fall
+	owed    int64           // bytes of transit written to the other side or discarded, but not released yet; event loop only
+	hungry  atomic.Bool     // the event loop wants to know when little is left unsent here
+	low     func(now int64) // called then; event loop only
 }
 
-// end is what a connection is to its callbacks.
+// endpoint is what the callbacks call for a connection.
 type end interface {
-	read(p *Proxy, at int64, b []byte) // on whoever reads
-	eof(p *Proxy, at int64)            // the other side has ended its sending; on whoever reads
-	gone(p *Proxy, at int64)           // on the owner
+	read(p *Proxy, at int64, b []byte) // on the reading goroutine
+	eof(p *Proxy, at int64)            // the peer has ended its sending; on the reading goroutine
+	gone(p *Proxy, at int64)           // on the event loop
 	link() *wire
 }
 
 func (w *wire) link() *wire { return w }
 
-// write hands bytes to nbio, which queues what the kernel has no room for. A failure shows as the end of
-// the connection.
+// write hands bytes to nbio, which queues what the kernel has no room for. An error shows as the closing of the
+// connection.
 func (w *wire) write(b []byte) {
 	w.given.Add(int64(len(b)))
 	_, _ = w.nb.Write(b)
 }
 
-// written says whether the kernel took all that was written.
+// flushed reports whether the kernel accepted all that was written.
 func (w *wire) written() bool { return w.unsent() <= 0 }
 
 func (w *wire) unsent() int64 { return w.given.Load() - w.took.Load() }
 
-// acked counts what has reached the other side. The kernel tells of room for more only when a third of what it holds has
-// gone, which takes a slow peer many seconds; this moves with each packet.
+// acked returns the number of bytes that reached the peer. The kernel reports room for more only when a third of
+// its buffer has drained, which takes many seconds with a slow peer; this count moves with each packet.
 func (w *wire) acked() int64 {
 	n := w.took.Load()
 	if raw, err := w.nb.SyscallConn(); err == nil {
@@ -84,17 +88,17 @@
 	return n
 }
 
-// shut closes the connection; after it the kernel takes nothing more.
+// close closes the connection; after it the kernel accepts nothing more.
 func (w *wire) shut() {
 	w.closed = true
 	_ = w.nb.Close()
 }
 
-// silent is nothing, and nothing that was read either waits for the owner.
+// quiet reports whether there is neither unread input nor an event that the event loop has not handled.
 func (w *wire) silent() bool { return w.nothing() && w.told.Load() == 0 }
 
-// nothing says whether the other side has neither sent anything more nor ended the connection, also what
-// the poller has not told yet.
+// noInput reports whether the peer has neither sent more nor ended the connection, including what the poller has
+// not reported yet.
 func (w *wire) nothing() bool {
 	none := false
 	raw, err := w.nb.SyscallConn()
@@ -109,9 +113,9 @@
 	return none
 }
 
-// dial opens a connection; made tells what it is, and up, on the owner, that it is up or why it is not.
-// nbio's own dialling reads IPv4 addresses off the wrong end of 16 bytes and reports refused connections
-// as up, so the standard library dials and hands over.
+// dial opens a connection, waiting for at most timeout ns. It calls newEndpoint to wrap the connection, and done on
+// the event loop with the endpoint or the error. nbio's own dialling reads IPv4 addresses from the wrong end of 16
+// bytes and reports refused connections as connected, so the standard library dials and hands the connection over.
 func (p *Proxy) dial(addr string, wait int64, made func(*nbio.Conn) end, up func(e end, now int64, err error)) {
 	p.pool.dials++
 	go func() {
@@ -121,11 +125,11 @@
 		if err == nil {
 			var nb *nbio.Conn
 			if nb, err = nbio.NBConn(conn); err != nil {
-				_ = conn.Close() // nbio keeps it open where no descriptor is left to hold it twice
+				_ = conn.Close() // nbio keeps it open when no descriptor is left to duplicate it
 			} else {
 				e = made(nb)
 				nb.SetSession(e)
-				_ = nb.SetReadBuffer(readSize) // what the host sends ahead of a slow client waits at the host
+				_ = nb.SetReadBuffer(readSize) // what a host sends ahead of a slow client stays in the host's buffers
 				_, err = p.engine.AddConn(nb)
 			}
 		}
@@ -139,18 +143,19 @@
 	}()
 }
 
-// opened is nbio's word that a client has connected.
+// onOpen is called by nbio when a client has connected.
 func (p *Proxy) opened(c *nbio.Conn) {
 	if c.Session() != nil {
-		return // dialled
+		return // dialled here
 	}
 	cl := newClient(c)
 	c.SetSession(cl)
 	p.post(p.now(), &cl.wire, func(at int64) { p.welcome(cl, at) })
 }
 
-// readable is nbio's word that there is something to read, told once until all of it was read. After it nbio closes a
-// connection whose other side has ended its sending, so one that waits for room is read out first.
+// onReadable is called by nbio when there is something to read, once until all of it was read. nbio then closes a
+// connection whose peer has ended its sending, so such a host connection is read to its end even when reading is
+// paused.
 func (p *Proxy) readable(c *nbio.Conn) {
 	e, ok := c.Session().(end)
 	if !ok {
@@ -160,7 +165,7 @@
 	p.pump(c, e, host && ended(c))
 }
 
-// ended says whether the other side has ended its sending.
+// peerClosed reports whether the peer has ended its sending.
 func ended(c *nbio.Conn) bool {
 	yes := false
 	if raw, err := c.SyscallConn(); err == nil {
@@ -175,7 +180,8 @@
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, readSize); return &b }}
 
-// pump reads until nothing more is there or there is no room for it, and hands it over with the time at which it was read.
+// pump reads until the input or the room for it is exhausted, and goes on in another goroutine after maxReadsInRow
+// reads. If drain is set, it reads all input at once. It hands data over with the time at which it was read.
 func (p *Proxy) pump(c *nbio.Conn, e end, out bool) {
 	w := e.link()
 	w.rmu.Lock()
@@ -183,7 +189,7 @@
 	b := buffers.Get().(*[]byte)
 	defer buffers.Put(b)
 	defer func() {
-		if x := recover(); x != nil { // a panic costs the connection that met it, no more
+		if x := recover(); x != nil { // a panic ends the connection that caused it and nothing else
 			stack := debug.Stack()
 			p.post(p.now(), nil, func(int64) { p.caught(x, stack) })
 			_ = c.Close()
@@ -213,7 +219,7 @@
 	}
 }
 
-// room says whether more may be read. Without room reading goes on once the owner has made some.
+// canRead reports whether more may be read. If not, release resumes the reading once there is room.
 func (w *wire) room(most int64) bool {
 	if w.transit.Load() < most {
 		return true
@@ -222,7 +228,7 @@
 	return w.transit.Load() < most && w.stalled.CompareAndSwap(true, false)
 }
 
-// release makes room for n bytes more to be read.
+// release makes room for n more bytes to be read.
 func (p *Proxy) release(e end, n int64) {
 	w := e.link()
 	if w.transit.Add(-n) < p.transit.Load() && w.stalled.CompareAndSwap(true, false) && !w.closed {
@@ -230,8 +236,8 @@
 	}
 }
 
-// moved notes that n bytes read from one connection were handed to another, or to none. They make room once little of
-// them is left unsent there.
+// forwarded records that n bytes read from one connection were written to another, or discarded if to is nil. They
+// make room for reading once at most lowUnsentBytes are left unsent there.
 func (p *Proxy) moved(from end, n int64, to *wire) {
 	w := from.link()
 	w.owed += n
@@ -250,11 +256,11 @@
 	}
 }
 
-// closed is nbio's word that a connection has ended, whoever ended it.
+// onClosed is called by nbio when a connection has ended, whichever side ended it.
 func (p *Proxy) closed(c *nbio.Conn, _ error) {
 	e, ok := c.Session().(end)
 	if !ok {
-		return // never came up
+		return // never connected
 	}
 	p.post(p.now(), nil, func(at int64) {
 		e.link().closed = true
@@ -262,7 +268,7 @@
 	})
 }
 
-// taken counts what the kernel took; nbio calls it within the connection's lock.
+// onWritten counts the bytes that the kernel accepted; nbio calls it while it holds the connection's lock.
 func (p *Proxy) taken(c *nbio.Conn, _ []byte, n int) {
 	e, ok := c.Session().(end)
 	if !ok {
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file owns the counters. They only count: nothing is ever decided by them.
+// This file holds the counters. No decision may depend on them.
 
 import (
 	"encoding/json"
@@ -10,16 +10,18 @@
 	"ivybank/balance"
 )
 
-// Counters is what the proxy has taken in, sent and answered since its start.
+// Counters counts what the proxy received, sent and answered since its start.
 type Counters struct {
 	Taken, Done, Denied, Aborted, Withdrawn, Malformed, Crowded, Rested int
 	Sent, Dialled, Reused                                               int
 	Outcomes                                                            [balance.Unknown + 1]int
 	Watches, WatchesLost, Lines, BadLines                               int
-	Streamed, Cut                                                       int // answers passed on in pieces; broken off
-	Keyed, Repeats, KeyConflicts, KeysRefused                           int // reqs with a key; of them repeats, those not taken
-	Panics, Reloads                                                     int
-	// How long done reqs took, and how late the owner came to what was read, in microseconds.
+	// Responses relayed in pieces; of them those cut off.
+	Streamed, Cut int
+	// Requests with an idempotency key; of them repeats, and those not admitted.
+	Keyed, Repeats, KeyConflicts, KeysRefused int
+	Panics, Reloads                           int
+	// Latency of successful requests and delay between reading and handling an event, in microseconds.
 	took, lag *hdrhistogram.Histogram
 }
 
@@ -28,20 +30,21 @@
 	return Counters{took: hdrhistogram.New(1, longest, digits), lag: hdrhistogram.New(1, longest, digits)}
 }
 
-// record notes the time between two clock times. What is longer than the longest is left out.
+// record adds the time between two timestamps, given in ns. A value above the histogram's maximum is dropped.
 func record(h *hdrhistogram.Histogram, from, to int64) { _ = h.RecordValue((to - from) / 1e3) }
 
 var outcomeNames = [balance.Unknown + 1]string{balance.Served: "served", balance.Errored: "errored",
 	balance.Refused: "refused", balance.TimedOut: "timed_out", balance.NoConnection: "no_connection",
 	balance.Reset: "reset", balance.Cancelled: "cancelled", balance.NotSent: "not_sent", balance.Unknown: "unknown"}
 
-// Fields gives every counter by its name.
+// Values returns every counter by its name.
 func (c *Counters) Fields() map[string]any {
 	m := map[string]any{"taken": c.Taken, "done": c.Done, "denied": c.Denied, "aborted": c.Aborted,
 		"withdrawn": c.Withdrawn, "malformed": c.Malformed, "crowded": c.Crowded, "rested": c.Rested,
 		"sent": c.Sent, "dialled": c.Dialled, "reused": c.Reused,
 		"watches": c.Watches, "watches_lost": c.WatchesLost, "lines": c.Lines, "bad_lines": c.BadLines,
-		"panics": c.Panics, "reloads": c.Reloads, "streamed": c.Streamed, "keyed": c.Keyed, "repeats": c.Repeats, "key_conflicts": c.KeyConflicts, "keys_refused": c.KeysRefused, "cut": c.Cut}
+		"panics": c.Panics, "reloads": c.Reloads, "streamed": c.Streamed, "keyed": c.Keyed, "repeats": c.Repeats,
+		"key_conflicts": c.KeyConflicts, "keys_refused": c.KeysRefused, "cut": c.Cut}
 	for o, n := range c.Outcomes {
 		m["outcome_"+outcomeNames[o]] = n
 	}
@@ -51,14 +54,14 @@
 	return m
 }
 
-// JSON prints the counters.
+// JSON returns the counters as a JSON object with a trailing newline.
 func (c *Counters) JSON() []byte {
 	text, err := json.Marshal(c.Fields())
 	if err != nil {
-		return nil // numbers under names always print
+		return nil // cannot happen: the values are numbers
 	}
 	return append(text, '\n')
 }
 
-// Counted gives the counters once Run has returned.
+// FinalCounters returns the counters; call it once Run has returned.
 func (p *Proxy) Counted() map[string]any { return p.count.Fields() }
--- a/proxy/discovery.go
+++ b/proxy/discovery.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file owns the list of hosts: a watch on discovery and what its lines say. It opens one when the module
-// asks, or keeps one up by itself where the list is to come unasked. It must never drop the list it holds
-// because discovery is gone.
+// This file keeps the host list up to date by a watch on discovery. It opens a watch when the balancer asks, or
+// keeps one open by itself where discovery pushes the list. It must never drop the list it holds because discovery
+// is unavailable.
 
 import (
 	"bytes"
@@ -19,46 +19,53 @@
 )
 
 const (
-	watchDial    = 1e9         // a connection to discovery not up by then counts as failed
-	watchSilence = 3e9         // an empty line comes every 2 s: a watch silent for longer has ended unseen,
-	silenceApart = 1e9         // and is broken within this time, by chance: all may fall silent at once
-	silenceTold  = int64(6e9)  // so long after its last byte what a silent watch misses counts as told
-	mostList     = 4 << 20     // bytes of one list
-	mostPutOff   = int64(10e9) // the longest that discovery may put a call off
-	stale        = int64(20e6) // no dispatch leaves later than so after the watch was last read to its end
-	reopen       = 1e9         // after about so long a lost watch is opened again where the module doesn't ask,
-	firstReopen  = 1e8         // and sooner, doubling, where the list comes unasked
+	watchDial = 1e9 // a connection to discovery that takes longer counts as failed
+	// Discovery sends an empty line every 2 s. A watch that is silent for this time plus a random part of the jitter
+	// has ended unnoticed and is closed.
+	watchSilence = 3e9
+	// Spreads the reconnects, as the watches of all proxies may fall silent at the same time.
+	silenceApart = 1e9
+	// This long after its last byte, what was sent on a silent watch counts as delivered.
+	silenceTold = int64(6e9)
+	mostList    = 4 << 20
+	mostPutOff  = int64(10e9) // longer Retry-After times of discovery are cut to this
+	// No dispatch leaves later than this after the watch was last read to its end.
+	stale = int64(20e6)
+	// A lost watch is reopened after about this time where the balancer does not ask for it.
+	reopen = 1e9
+	// Where discovery pushes the list the delay starts at this and doubles up to reopenDelayNs.
+	firstReopen = 1e8
 )
 
-// discovery is what is known of the list and the watch on it.
+// discoveryState is the state of the host list and the watch on it.
 type discovery struct {
 	generation int64
-	watch      *watch // nil when none is up or asked for
-	after      int64  // discovery has asked not to be called before then
-	later      *timer // the call at that time; nil: none
-	missing    int64  // the last byte of a watch that fell silent; 0: nothing of it is missing
-	failures   int    // watches that were lost since one spoke
+	watch      *watch // nil if none is open or being opened
+	after      int64  // discovery asked not to be called before this time
+	later      *timer // fires at notBefore; nil if not pending
+	missing    int64  // time of the last byte of a watch that fell silent; 0 if nothing of it is missing
+	failures   int    // watches lost since one received something
 }
 
 // watch is one connection to discovery.
 type watch struct {
 	wire
-	answers *http1.Answers // the poller's
-	text    listText       // the poller's: what is not a whole list yet
-	good    bool           // the poller's: what comes is a list's
+	answers *http1.Answers // reading goroutine only
+	text    listText       // reading goroutine only: an incomplete list
+	good    bool           // reading goroutine only: the response head arrived and is a 200
 	silence *timer
-	last    int64 // when it was up, or spoke last
-	spoke   bool  // something has come
+	last    int64 // when it connected or last received something
+	spoke   bool  // something arrived
 	up      bool  // nb is set
 }
 
-// known takes the list that was last held.
+// loadKnownHosts applies the host list that was last saved.
 func (p *Proxy) known(text []byte, now int64) {
 	r := roll{Instances: []entry{}}
 	if len(text) > 0 {
 		var err error
 		if r, err = parseRoll(text); err != nil {
-			logrus.Warnf("known list ignored: %v", err)
+			logrus.Warnf("ignoring the saved host list: %v", err)
 			p.count.BadLines++
 			r = roll{}
 		}
@@ -66,7 +73,7 @@
 	p.listed(balance.Restored, r, now)
 }
 
-// listed hands a line to the module and keeps the addresses.
+// applyList passes a list to the balancer and keeps the addresses.
 func (p *Proxy) listed(form balance.Form, r roll, now int64) {
 	p.list.generation = r.Generation
 	p.discovered(form, r, now)
@@ -85,7 +92,7 @@
 		case "gone":
 			s.State = balance.Gone
 		default:
-			s.State = balance.Draining // also a state not known here: nothing new goes there
+			s.State = balance.Draining // also an unknown state: no new dispatches
 		}
 		p.remember(e.ID)
 		if h := p.place(e, s); h != nil {
@@ -93,7 +100,7 @@
 		}
 		servers = append(servers, s)
 	}
-	for _, h := range slices.Clone(p.hosts) { // tidy takes hosts off
+	for _, h := range slices.Clone(p.hosts) { // forgetHost removes from p.hosts
 		if !h.ready {
 			p.closeIdle(h)
 			p.tidy(h)
@@ -103,7 +110,7 @@
 	p.listPeers(now)
 }
 
-// place keeps where a host is and what the list says of it; nil where it is gone and nothing is known of it.
+// upsertHost records a host's address and listed state. It returns nil for a removed host that is not known.
 func (p *Proxy) place(e entry, s balance.Server) *host {
 	i, had := p.find(e.ID)
 	if !had {
@@ -120,8 +127,8 @@
 	return h
 }
 
-// show brings a host up to date and gives it as the module is to see it. Connections to an earlier process or to
-// a host that wants nothing new are of no use.
+// updateHost refreshes a host's effective state and returns it as the balancer is to see it. Idle connections to an
+// earlier process, or to a host that takes no new dispatches, are closed.
 func (p *Proxy) show(h *host) balance.Server {
 	s := p.shown(h.told)
 	h.ready, h.listed = s.State == balance.Running, s.State != balance.Gone
@@ -132,17 +139,17 @@
 	return s
 }
 
-// rediscover follows discovery to another address, with a watch at once.
+// moveDiscovery switches to another discovery address and opens a watch at once.
 func (p *Proxy) rediscover(addr string, now int64) {
 	if addr != p.start.Discovery {
-		p.list.after, p.list.missing, p.list.failures = 0, 0, 0 // all of it was the old one's
-		logrus.Infof("discovery moves from %s to %s", p.start.Discovery, addr)
+		p.list.after, p.list.missing, p.list.failures = 0, 0, 0 // they belong to the old address
+		logrus.Infof("discovery address changed from %s to %s", p.start.Discovery, addr)
 		p.start.Discovery = addr
 		p.watch(now)
 	}
 }
 
-// watch opens a watch, in place of one that is still up.
+// openWatch opens a watch in place of one that is still open.
 func (p *Proxy) watch(now int64) {
 	if now < p.list.after {
 		if p.list.later == nil {
@@ -164,7 +171,7 @@
 		return w
 	}
 	p.dial(p.start.Discovery, watchDial, made, func(e end, now int64, err error) {
-		if w.up = err == nil; p.list.watch != w { // given up meanwhile
+		if w.up = err == nil; p.list.watch != w { // replaced in the meantime
 			if w.up {
 				w.shut()
 			}
@@ -180,30 +187,30 @@
 	})
 }
 
-// subscribe keeps a watch up where the list comes unasked; there the module has no say in it. What is out or
-// still comes while the process drains goes by the list too.
+// subscribe keeps a watch open where discovery pushes the list; there the balancer does not ask for it. It does so
+// while the process drains too, as the list still matters to open dispatches and requests that still come.
 func (p *Proxy) subscribe(now int64) {
 	if !p.terms.MustAsk {
 		p.again(now)
 	}
 }
 
-// again opens a watch unless one is up or asked for.
+// ensureWatch opens a watch unless one is open or being opened.
 func (p *Proxy) again(now int64) {
 	if p.list.watch == nil && !p.done {
 		p.watch(now)
 	}
 }
 
-// putOff keeps to what discovery says when it is to be called again, and by chance a quarter longer, as it says so to all. Without what
-// operators set on coming back the module's own time stands alone.
+// deferWatch obeys a Retry-After of discovery, plus up to a quarter at random, as discovery tells all proxies the
+// same. Without recovery settings the balancer alone decides when to retry.
 func (p *Proxy) putOff(wait, now int64) {
 	if p.comeback != nil && wait > 0 {
 		p.list.after = now + int64(float64(min(wait, mostPutOff))*(1+p.dice.Next()/4))
 	}
 }
 
-// listen waits for a watch's next byte.
+// resetWatchTimeout waits for a watch's next byte.
 func (p *Proxy) listen(w *watch, now int64) {
 	p.stop(w.silence)
 	w.last = now
@@ -211,8 +218,8 @@
 	w.silence = p.after(now, limit, func(now int64) { p.endWatch(w, now, true) })
 }
 
-// heard notes that a watch is alive. The module learns of it once, as discovery may have nothing to tell: else it would
-// ask again, and what is written to the watch meanwhile would be lost with it.
+// watchAlive records that a watch is alive. It tells the balancer so once, as discovery may have no list to send:
+// otherwise the balancer would ask again, and what is written to this watch meanwhile would be lost with it.
 func (p *Proxy) heard(w *watch, now int64) {
 	if p.list.watch == w {
 		if !w.spoke {
@@ -223,7 +230,7 @@
 	}
 }
 
-// endWatch ends a watch, and has the next one opened where it has failed.
+// endWatch closes a watch and, if it failed, arranges for the next one.
 func (p *Proxy) endWatch(w *watch, now int64, failed bool) {
 	if p.list.watch != w {
 		return
@@ -240,7 +247,8 @@
 	p.list.failures++
 	switch {
 	case w.spoke && now-w.last >= watchSilence:
-		// What it misses counts as told before long, and its end was spread already: the next is opened at once.
+		// What was sent on it counts as delivered before long, and its timeout was jittered already: reopen at
+		// once.
 		p.list.missing = w.last
 		p.watch(now)
 	case !p.terms.MustAsk:
@@ -248,13 +256,14 @@
 		p.after(now, int64(wait*(0.5+p.dice.Next())), p.subscribe)
 	case p.list.missing > 0 && now < p.list.missing+silenceTold-reopen:
 		p.after(now, int64(reopen*(0.5+p.dice.Next())), p.again)
-	default: // the module says when to ask again
+	default: // the balancer decides when to ask again
 		p.list.missing = 0
 		p.module.Listed(balance.Unavailable, nil, now)
 	}
 }
 
-// turned ends a watch that discovery has no room for. One that says when to come again is not pressed.
+// watchRefused ends a watch that discovery refused. If discovery sent a Retry-After, the proxy does not retry
+// sooner.
 func (p *Proxy) turned(w *watch, wait, now int64) {
 	p.putOff(wait, now)
 	if wait > 0 {
@@ -263,13 +272,13 @@
 	p.endWatch(w, now, true)
 }
 
-// tell hands over what a watch has said. The owner takes it before all else that has come.
+// postWatchEvent queues an event of a watch. The event loop handles these before all other events.
 func (p *Proxy) tell(at int64, w *watch, do func(at int64)) {
 	w.told.Add(1)
 	p.queue(&p.news, event{at, &w.wire, do})
 }
 
-// takeNews takes what watches have said.
+// handleWatchEvents handles the queued events of watches.
 func (p *Proxy) takeNews() {
 	p.mu.Lock()
 	news := p.news
@@ -278,17 +287,17 @@
 	p.handle(news)
 }
 
-// present has all taken that discovery had written by now; what the kernel still holds of the watch is read here,
-// on the owner. Time in which the process was stopped cannot always be told from time in which nothing was to be
-// done, and after it any event may come first: so every dispatch passes here before its first byte. False where
-// that was done just before.
+// catchUpWatch handles all that discovery has written by now; what is still in the kernel's buffer of the watch is
+// read here, on the event loop. Time in which the process was stopped cannot always be told from idle time, and any
+// event may be handled first after it: so every dispatch calls this before its first byte. It returns false if that
+// was done less than maxWatchAgeNs ago.
 func (p *Proxy) present(now int64) bool {
 	if now-p.newsAt < stale {
 		return false
 	}
 	p.newsAt = now
 	if w := p.list.watch; w != nil && w.up {
-		p.pump(w.nb, w, false) // what a poller has read and not yet handed over is waited for
+		p.pump(w.nb, w, false) // waits for data that a poller has read and not handed over yet
 	}
 	p.takeNews()
 	return true
@@ -309,21 +318,21 @@
 			return
 		}
 		w.text.add(a.Body)
-		for bytes.IndexByte(a.Body, '}') >= 0 { // else no list can have become whole
+		for bytes.IndexByte(a.Body, '}') >= 0 { // otherwise no list can be complete
 			r, whole, err := w.text.next()
 			if !whole {
 				break
 			}
 			p.tell(at, w, func(at int64) { p.line(w, r, err, at) })
 		}
-		if len(w.text.held) > mostList || !w.answers.HeadIn() { // its answer is over
+		if len(w.text.held) > mostList || !w.answers.HeadIn() { // the response is over or the list too long
 			p.tell(at, w, func(at int64) { p.endWatch(w, at, true) })
 			return
 		}
 	}
 }
 
-// line takes one list of a watch.
+// applyLine handles one list of a watch.
 func (p *Proxy) line(w *watch, r roll, err error, now int64) {
 	if p.list.watch != w {
 		return
@@ -332,7 +341,7 @@
 	defer p.letIn()
 	if err != nil {
 		p.count.BadLines++
-		logrus.Warnf("line of the list ignored: %v", err)
+		logrus.Warnf("ignoring a host list line: %v", err)
 		return
 	}
 	form := balance.Changes
--- a/proxy/door/door.go
+++ b/proxy/door/door.go
@@ -1,6 +1,6 @@
-// Package door is where operators speak to a running proxy: a few HTTP/1.1 calls at an address of their own. It
-// owns that address, how long a caller may take and how many may stand there. It must never touch the proxy's
-// tables, decide what a call does, or let one caller hold up another.
+// Package admin serves operators' HTTP/1.1 calls to a running proxy at an address of their own, the "door" of the
+// command line. It bounds how long a caller may take and how many connections are open. It must never access the
+// proxy's tables, decide what a call does, or let one caller delay another.
 package door
 
 import (
@@ -16,50 +16,50 @@
 )
 
 const (
-	readWait = 2 * time.Second // a whole call has to come within it
-	mostOpen = 16              // past so many connections the one that has stalled longest goes
+	readWait = 2 * time.Second // a request has to arrive within this time
+	mostOpen = 16              // above it the oldest connection is closed
 	mostHead = 8 << 10
 	mostBody = 64 << 10
 )
 
-// Kind is what a call asks.
+// Kind is the kind of a call.
 type Kind int
 
-// The calls.
+// The kinds of calls.
 const (
-	Health Kind = iota // does this process take clients?
-	Out                // nothing more to a host
-	Back               // the host is put back
+	Health Kind = iota // does this process accept clients?
+	Out                // take a host out of use
+	Back               // put a host back into use
 	Empty              // send the clients away
-	Refill             // take clients again
-	Fleet              // what this process makes of its peers, as JSON
-	Plans              // what plans there are, or one of them, as JSON
-	Plan               // a plan is handed in, or something is to become of one
-	Return             // what it came back with, and whether its service is full, as JSON
+	Refill             // accept clients again
+	Fleet              // status of the peers, as JSON
+	Plans              // status of one or all maintenance plans, as JSON
+	Plan               // submit or change a plan
+	Return             // status of recovery: what was restored, and whether service is full, as JSON
 )
 
 // Call is one call of an operator.
 type Call struct {
 	Kind Kind
-	Host string // Out and Back; of a plan the server whose work is done
-	Plan string // its id; empty: all
-	Verb string // of a plan: submit, pause, resume, abandon or done
-	Body []byte // submit
+	Host string // for a call on a host, its ID; for a plan, the server whose work is done
+	Plan string // ID of the plan; empty: all
+	Verb string // what to do with a plan: submit, pause, resume, abandon or done
+	Body []byte // the plan to submit
 }
 
-// Reply is what the caller is told: 2xx is yes, all else no.
+// Reply is the reply to a call: success if the status is 2xx.
 type Reply struct {
 	Status int
 	Text   string
 }
 
-// Yes and No are the usual replies.
+// Yes returns a reply with status 200.
 func Yes(text string) Reply { return Reply{http.StatusOK, text} }
 
-// No is a refusal with its reason.
+// No returns an error reply with its reason.
 func No(status int, text string) Reply { return Reply{status, text} }
 
-// Read finds out which call a method and an escaped path make; a reply other than zero turns it away.
+// Parse returns the call that a method and an escaped path stand for, or a non-zero error reply.
 func Read(method, path string) (Call, Reply) {
 	kinds := map[string]Call{}
 	part := strings.Split(strings.TrimPrefix(path, "/"), "/")
@@ -103,17 +103,17 @@
 	return call, Reply{}
 }
 
-// Door is an open door.
+// Server is a running admin server.
 type Door struct {
 	listener net.Listener
 	server   *http.Server
 	ask      func(Call) Reply
 
 	mu   sync.Mutex
-	open []net.Conn // oldest first; emptied as they end
+	open []net.Conn // oldest first; removed as they are closed
 }
 
-// Open listens at an address and puts each call to ask, which has to come back soon.
+// Listen starts a server at an address. It passes each call to handle, which has to return soon.
 func Open(addr string, ask func(Call) Reply) (*Door, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -127,13 +127,13 @@
 	return d, nil
 }
 
-// Addr is where the door listens.
+// Addr returns the address that the server listens on.
 func (d *Door) Addr() string { return d.listener.Addr().String() }
 
-// Close shuts the door.
+// Close stops listening and closes all connections.
 func (d *Door) Close() { _ = d.server.Close() }
 
-// state keeps who stands at the door. One that has stalled makes room for one that comes.
+// connState tracks the open connections. Above maxConns it closes the oldest, most likely a stalled one.
 func (d *Door) state(c net.Conn, s http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/proxy/door/door_test.go
+++ b/proxy/door/door_test.go
@@ -16,7 +16,7 @@
 	for _, c := range []struct {
 		method, path string
 		call         Call
-		status       int // 0: a call
+		status       int // 0: a valid call
 	}{
 		{"GET", "/healthcheck", Call{Kind: Health}, 0},
 		{"PUT", "/healthcheck/fail", Call{Kind: Empty}, 0},
@@ -100,13 +100,13 @@
 				t.Fatalf("got %v, %v, want %d", r, err, c.status)
 			}
 			if !r.Close {
-				t.Error("got a connection that stays, want one call to a connection")
+				t.Error("the connection stays open, want one call per connection")
 			}
 		})
 	}
 }
 
-// Callers that stall must not keep the others out, however many: the longest there makes room.
+// Stalled callers must not keep others out, however many there are: the oldest connection is closed.
 func TestStalled(t *testing.T) {
 	d := open(t, func(Call) Reply { return Yes("") })
 	first, _ := say(t, d, "PUT /hosts/s")
@@ -115,10 +115,10 @@
 	}
 	_, in := say(t, d, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 {
-		t.Fatalf("got %v, %v beside callers that stall, want yes", r, err)
+		t.Fatalf("got %v, %v beside stalled callers, want status 200", r, err)
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
-		t.Error("got an answer to half a call, want its connection ended")
+		t.Error("got a response to a partial request, want its connection closed")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/proxy/drain.go
+++ b/proxy/drain.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file owns how clients are sent away: for good after SIGTERM, when the proxy serves on while clients still come, then
-// ends their connections one by one, each after its answer, and stops; or by an operator's call, when it does the
-// same, lives on and may take clients again. It must never leave a req that was taken without its answer.
+// This file drains clients. After SIGTERM the proxy keeps serving while clients still come, then closes their
+// connections one by one, each after its response, and stops. After an operator's call it does the same but lives
+// on and may accept clients again. It must never leave an admitted request without a response.
 
 import (
 	"slices"
@@ -11,24 +11,25 @@
 )
 
 const (
-	comeOn = 5e8 // new connections go on coming for a while after SIGTERM or the call
-	linger = 3e8 // nothing may be left for so long before the program ends
-	glance = 5e6 // between looks at what is left
+	comeOn = 5e8 // new connections keep arriving for a while after SIGTERM or the call
+	linger = 3e8 // time without clients and requests before the process ends
+	glance = 5e6 // between checks of what is left
 
-	// Once clients no longer come, those in use end with an answer and those at rest one by one within this time;
-	// before it is over one that was used within still counts as in use.
+	// Once clients no longer come, connections in use end with a response, and idle ones are closed one by one within
+	// this time.
 	leaving = 1e9
-	still   = 3e8
+	// Before that is over, a connection that was used within this time still counts as in use.
+	still = 3e8
 )
 
-// drain is how far either has come.
+// drainState is the progress of the final drain and of the operator's.
 type drain struct {
 	begun, ending bool
 	quietFrom     int64
-	emptied       int64 // since when an operator has had the clients sent away; 0 when they are taken
+	emptied       int64 // when an operator sent the clients away; 0 while they are accepted
 }
 
-// Drain begins the end; it may be called from any goroutine.
+// Drain starts the final drain; it may be called from any goroutine.
 func (p *Proxy) Drain() {
 	p.post(p.now(), nil, func(at int64) {
 		if p.drain.begun {
@@ -41,7 +42,7 @@
 			p.after(at, comeOn, p.ending)
 			return
 		}
-		// Whoever comes now is for the process that shares the listener.
+		// New clients go to the process that shares the listener.
 		p.accept.stop()
 		p.drain.ending = true
 		p.sendAway(at, at, func() bool { return true })
@@ -49,8 +50,8 @@
 	})
 }
 
-// ending closes idle clients; the others end with the answer that they wait for, and so do those of which a
-// part of a call has come or lies unread in the kernel.
+// closeIdleClients closes idle clients. The others end with the response that they wait for, and so do those of
+// which part of a request has arrived or is unread in the kernel.
 func (p *Proxy) ending(now int64) {
 	p.drain.ending = true
 	for _, c := range p.clients {
@@ -67,13 +68,13 @@
 	p.finish(now, now+p.start.LongestTimeout)
 }
 
-// finish stops the loop once nothing is left, or when the last client has given up.
+// finishDrain stops the loop once nothing is left, or when the last client must have timed out.
 func (p *Proxy) finish(now, latest int64) {
 	if len(p.clients) > 0 || len(p.reqs) > 0 {
 		p.drain.quietFrom = now
 	}
-	for _, r := range p.reqs { // a body that still gets on is not broken off; one that does not ends by itself
-		if !r.ended { // it may have come after the drain began, and is waited for as long as by its client
+	for _, r := range p.reqs { // a body that makes progress is not cut off; one that stalls ends by itself
+		if !r.ended { // it may have arrived after the drain began, and is waited for as long as its client waits
 			latest = max(latest, r.taken+min(r.call.Timeout, p.start.LongestTimeout))
 		}
 		if r.relay != nil || r.flow != nil && !r.flow.useless {
@@ -88,28 +89,28 @@
 	p.after(now, glance, func(now int64) { p.finish(now, latest) })
 }
 
-// empty sends the clients away. Called again it changes nothing.
+// evictClients sends the clients away. Calling it again has no effect.
 func (p *Proxy) empty(now int64) {
 	if p.drain.emptied != 0 {
 		return
 	}
-	logrus.Info("emptied by hand: clients are sent away")
+	logrus.Info("operator call: closing client connections and failing health checks")
 	p.drain.emptied = now
 	p.after(now, comeOn, func(at int64) {
 		p.sendAway(at, at, func() bool { return p.drain.emptied == now })
 	})
 }
 
-// refill takes clients again.
+// admitClients accepts clients again.
 func (p *Proxy) refill() {
 	if p.drain.emptied != 0 {
-		logrus.Info("clients are taken again")
+		logrus.Info("operator call: accepting clients again")
 		p.drain.emptied = 0
 	}
 }
 
-// sendAway closes clients' connections at rest as long as it is wanted: those not used for a while first, a few at a
-// time, as one that is closed while a call is on its way costs its client a second try.
+// closeGradually closes idle client connections while wanted returns true: those idle for longest first and a few
+// at a time, as closing one while a request is on its way costs the client a retry.
 func (p *Proxy) sendAway(now, from int64, wanted func() bool) {
 	if !wanted() || p.done {
 		return
--- a/proxy/flow.go
+++ b/proxy/flow.go
@@ -1,7 +1,8 @@
 package proxy
 
-// This file owns bodies that come in pieces: a call's on its way to a host, an answer's on its way to a client. It must
-// never hold more of one than its bound, send a piece twice, or let either side take for whole what is not.
+// This file relays bodies that arrive in pieces: a request's on its way to a host, a response's on its way to a
+// client. It must never buffer more of a body than its bound, send a piece twice, or let either side take an
+// incomplete body for a complete one.
 
 import (
 	"net/http"
@@ -10,22 +11,23 @@
 	"ivybank/proxy/http1"
 )
 
-// stall is how long a body may stand still before it is given up, however short the time is that clients wait for an
-// answer's begin: a busy machine on either side is no reason to break off what would still come.
+// maxStallNs is how long a body may make no progress before it is given up, however short the clients'
+// timeouts for the start of a response are: a busy machine on either side is no reason to cut off a body that would
+// still arrive.
 const stall = 4e9
 
-// flow is a call's body that comes in pieces; it goes with its req, or with its last piece.
+// bodyStream is a request's body that arrives in pieces; it lives as long as its request or until its last piece.
 type flow struct {
 	from    *client
-	length  int      // -1: not told
-	held    [][]byte // emptied as they are written to a host, or when nobody wants them
-	whole   bool     // the last piece has come
-	spent   bool     // a piece has left and cannot be sent again
-	sent    bool     // all has been written to a host
-	useless bool     // nobody wants the pieces any more
+	length  int      // -1 if unknown
+	held    [][]byte // removed as they are written to a host, or when the body is discarded
+	whole   bool     // the last piece has arrived
+	spent   bool     // a piece was sent, and the body cannot be sent again
+	sent    bool     // all of it was written to a host
+	useless bool     // the pieces are of no use any more
 }
 
-// flows takes a further piece of the body that a client sends.
+// receivePiece handles a further piece of the body that a client sends.
 func (p *Proxy) flows(c *client, f *flow, call http1.Call, now int64) {
 	last := call.Piece == http1.Last
 	if f.whole = f.whole || last; last {
@@ -54,7 +56,7 @@
 	}
 }
 
-// pour writes what is held of a body to the host that the req was dispatched to.
+// writeBody writes the pending pieces to the host that the request was dispatched to.
 func (p *Proxy) pour(d *dispatch) {
 	f, c := d.req.flow, d.conn
 	if f.sent || f.useless {
@@ -78,7 +80,7 @@
 	}
 }
 
-// portion gives each body that comes in pieces its part of the memory that all may hold.
+// updateTransitLimit shares the memory for bodies in transit among all that arrive in pieces.
 func (p *Proxy) portion(now int64) {
 	p.portioned = now
 	bodies := int64(1)
@@ -94,13 +96,13 @@
 	p.transit.Store(min(mostTransit, max(leastTransit, each)))
 }
 
-// drop lets go of a body that nobody wants any more; what still comes of it is read and thrown away.
+// discardBody drops a body that is of no use any more; what still arrives of it is read and discarded.
 func (p *Proxy) drop(f *flow) {
 	if f == nil || f.useless {
 		return
 	}
 	f.useless = true
-	n := int64(0) // also where nothing is held: what a host has not taken no longer holds reading up
+	n := int64(0) // runs also if nothing is pending, so that unsent bytes no longer pause the reading
 	for _, b := range f.held {
 		n += int64(len(b))
 	}
@@ -108,7 +110,8 @@
 	p.moved(f.from, n, nil)
 }
 
-// stuck looks from time to time whether a body still gets on towards its host; one that stands still is given up.
+// watchUpload checks every maxStallNs whether a body still makes progress towards its host, and gives it up if
+// not.
 func (p *Proxy) stuck(d *dispatch, acked, now int64) {
 	p.after(now, stall, func(now int64) {
 		c := d.conn
@@ -124,7 +127,7 @@
 	})
 }
 
-// begins passes the head of an answer on; from here it is the client's.
+// startRelay forwards the head of a response; from here on it goes to the client of that request.
 func (p *Proxy) begins(c *hostConn, a http1.Answer, now int64) {
 	d := c.carries
 	n := int64(len(a.Body))
@@ -132,10 +135,10 @@
 		p.moved(c, n, nil)
 		c.carries = nil
 		c.shut()
-		if d != nil { // the rest of it is of no use
+		if d != nil { // the rest of it is discarded
 			o := outcome(a)
 			if o == balance.Served {
-				o = balance.Errored // a good answer to what was not all asked, or that another was quicker than
+				o = balance.Errored // premature, or after another host's response
 			}
 			p.book(d, o, nil, now)
 		}
@@ -145,7 +148,7 @@
 	if r.key != nil {
 		p.lendClient(r)
 	}
-	if r.client == nil { // nobody waits for it any more; it has run
+	if r.client == nil { // nobody waits for it any more, but the request has run
 		p.moved(c, n, nil)
 		c.carries = nil
 		c.shut()
@@ -163,11 +166,11 @@
 	c.chunks = a.Length < 0 && !r.call.Old
 	cl.write(http1.AppendAnswer(nil, a, r.call.Old))
 	p.moved(c, n, &cl.wire)
-	_ = cl.nb.SetWriteBuffer(lowUnsent) // else the kernel would take megabytes ahead of a slow client
+	_ = cl.nb.SetWriteBuffer(lowUnsent) // else the kernel would buffer megabytes for a slow client
 	p.watchOver(r, c.heard.Load(), cl.acked(), now)
 }
 
-// passes takes a further piece of an answer that is being passed on.
+// relayPiece forwards a further piece of a response.
 func (p *Proxy) passes(c *hostConn, a http1.Answer, now int64) {
 	d := c.carries
 	n := int64(len(a.Body))
@@ -193,7 +196,7 @@
 	p.passed(d, balance.Served, now)
 }
 
-// passed ends an answer that was being passed on: whole, or so that its client can tell that it is not.
+// endRelay ends the relay of a response: complete, or in a way that shows the client that it is not.
 func (p *Proxy) passed(d *dispatch, o balance.Outcome, now int64) {
 	r, c := d.req, d.req.client
 	d.out, r.ended = false, true
@@ -215,7 +218,7 @@
 	switch {
 	case c.closed:
 	case o != balance.Served:
-		_ = c.nb.SetLinger(1, 0) // also where only the end of the connection ends the answer
+		_ = c.nb.SetLinger(1, 0) // the reset shows the cut also where closing ends the body
 		c.shut()
 	case c.last:
 		p.endClient(c, now)
@@ -224,7 +227,7 @@
 	}
 }
 
-// watchOver ends an answer of which nothing comes and nothing is taken.
+// watchRelay ends a relay in which neither side makes progress.
 func (p *Proxy) watchOver(r *req, heard, took, now int64) {
 	p.after(now, stall, func(now int64) {
 		c := r.relay
--- a/proxy/http1/encode.go
+++ b/proxy/http1/encode.go
@@ -1,6 +1,6 @@
 package http1
 
-// This file owns the encoder: a typed value to bytes, once. It must never leave the length of a body open.
+// This file encodes messages. It must never leave the length of a body open.
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// AppendCall writes a call as it goes on to a host, which is told how long it is waited for. The address
-// stands in where the client named no host.
+// AppendRequest appends a request as it is sent to a host, with the time in ns that the proxy will wait. The
+// address is used as Host if the client named none.
 func AppendCall(b []byte, c Call, addr string, wait int64) []byte {
 	b = append(b, c.Method...)
 	b = append(b, ' ')
@@ -34,7 +34,7 @@
 	return append(b, c.Body...)
 }
 
-// piece ends the head of a message that comes in pieces and writes the first.
+// appendFirst ends the head of a message that comes in pieces and appends the first piece.
 func piece(b []byte, length int, body []byte) []byte {
 	if length < 0 {
 		b = append(b, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)
@@ -46,7 +46,7 @@
 	return AppendPiece(b, length < 0, body, false)
 }
 
-// AppendPiece writes a further piece of a body, in a chunk or plain.
+// AppendPiece appends a further piece of a body, as a chunk or plain.
 func AppendPiece(b []byte, chunked bool, body []byte, last bool) []byte {
 	switch {
 	case !chunked:
@@ -63,8 +63,8 @@
 	return b
 }
 
-// AppendAnswer writes an answer as it goes to a client. One whose length is not told goes to an old client to the end of the
-// connection.
+// AppendResponse appends a response as it is sent to a client. If its length is unknown, the end of the connection
+// ends it for an HTTP/1.0 client.
 func AppendAnswer(b []byte, a Answer, old bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.Status), 10)
--- a/proxy/http1/http1_test.go
+++ b/proxy/http1/http1_test.go
@@ -18,7 +18,7 @@
 	Fields: []Field{{"Request-Id", "9b1f"}, {"Request-Class", "checkout"}, {"Tenant", "acme"}, {"affinity-key", "7f3a"},
 		{"Request-Info", "Other=1, CostGuessNs=12"}, {"Idempotency-Key", "m1"}}}
 
-// calls feeds the pieces and gathers what comes out, each call joined again.
+// parseAll feeds the pieces and collects the requests, each joined from its pieces.
 func calls(pieces ...[]byte) (got []Call, err error) {
 	p := NewCalls()
 	for _, piece := range pieces {
@@ -73,7 +73,7 @@
 	}
 	t.Run("unfinished", func(t *testing.T) {
 		if got, err := calls([]byte(post[:len(post)-1])); len(got) != 0 || err != nil {
-			t.Fatalf("got %+v, %v, want nothing yet", got, err)
+			t.Fatalf("got %+v, %v, want no request yet", got, err)
 		}
 	})
 }
@@ -130,7 +130,8 @@
 		"continue":   {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", Answer{Status: 200, Body: []byte("hi")}, nil},
 		"odd field":  {"HTTP/1.1 200 OK\r\nServer-Load: TEXT \x00\x01\xff=\r\nContent-Length: 2\r\n\r\nhi", Answer{Status: 200, Body: []byte("hi")}, nil},
 		"odd length": {"HTTP/1.1 200 OK\r\nContent-Length: 2\x00\r\n\r\nhi", Answer{}, ErrMalformed},
-		// Its end would be the end of the connection, which may be a break: half a body must not become 200.
+		// Without a length its end would be the end of the connection, which may be a failure: half a body must not
+		// become a 200.
 		"bad status": {"HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", Answer{}, ErrMalformed},
 		"no http":    {"ICY 200 OK\r\n\r\n", Answer{}, ErrMalformed},
 	} {
@@ -147,7 +148,7 @@
 		p := NewAnswers()
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh"))
 		if _, ok, err := p.Next(); ok || err != nil || !p.Begun() {
-			t.Fatalf("got %v, %v, begun %v, want a part that is held", ok, err, p.Begun())
+			t.Fatalf("got %v, %v, begun %v, want part of a message buffered", ok, err, p.Begun())
 		}
 	})
 	t.Run("stream", func(t *testing.T) {
@@ -155,14 +156,14 @@
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n1\r\n"))
 		a, ok, _ := p.Next()
 		if !ok || string(a.Body) != "abc" {
-			t.Fatalf("got %+v, %v, want the first part", a, ok)
+			t.Fatalf("got %+v, %v, want the first chunk", a, ok)
 		}
 		if _, ok, _ = p.Next(); ok {
-			t.Fatal("got a part that has not come")
+			t.Fatal("got a chunk that is incomplete")
 		}
 		p.Feed([]byte("d\r\n"))
 		if a, ok, _ = p.Next(); !ok || string(a.Body) != "d" {
-			t.Fatalf("got %+v, %v, want the second part alone", a, ok)
+			t.Fatalf("got %+v, %v, want the second chunk alone", a, ok)
 		}
 	})
 }
@@ -170,7 +171,7 @@
 func TestAppend(t *testing.T) {
 	t.Run("call", func(t *testing.T) {
 		want := posted
-		want.Timeout = 300e6 // the host is told how long it is waited for
+		want.Timeout = 300e6 // the proxy tells the host its own timeout
 		got, err := calls(AppendCall(nil, posted, "127.0.0.1:1", 300e6))
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 			t.Fatalf("got %+v, %v, want %+v", got, err, want)
@@ -186,7 +187,7 @@
 	})
 }
 
-// FuzzCalls holds the parser to one result however the bytes are cut up.
+// FuzzCalls checks that the result does not depend on how the input is split.
 func FuzzCalls(f *testing.F) {
 	f.Add([]byte(post+post), uint8(7))
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), uint8(1))
@@ -211,7 +212,8 @@
 	})
 }
 
-// A message past what is given whole comes in pieces that are all of it, in order, and says when it has ended.
+// A message that is too long to be returned whole comes in pieces that together are all of it, in order, and the
+// last is marked.
 func TestPieces(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 20000)
 	t.Run("call", func(t *testing.T) {
@@ -249,7 +251,7 @@
 			t.Fatalf("got %+v, %v, %v", a, ok, err)
 		}
 		if _, ok, _ := p.Next(); ok {
-			t.Fatal("got a piece that has not come")
+			t.Fatal("got a piece that has not arrived")
 		}
 	})
 	t.Run("to the end", func(t *testing.T) {
@@ -263,12 +265,12 @@
 			t.Fatalf("got %+v, %v", a, ok)
 		}
 		if _, ok := p.End(); ok {
-			t.Fatal("got an answer out of nothing")
+			t.Fatal("got a second response")
 		}
 		p = NewAnswers()
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab"))
 		if _, ok := p.End(); ok {
-			t.Fatal("got an answer that was broken off")
+			t.Fatal("got a response that was cut off")
 		}
 	})
 	t.Run("no body by its kind", func(t *testing.T) {
@@ -304,7 +306,7 @@
 		}
 		p.Feed([]byte("a"))
 		if _, _, err := p.Next(); err != nil || p.Expects() {
-			t.Fatal("a sender that has begun its body waits for nothing")
+			t.Fatal("a sender that has begun its body does not expect 100 Continue")
 		}
 	})
 	for target, want := range map[string][2]string{
@@ -316,11 +318,11 @@
 		}
 	}
 	if _, err := calls([]byte("GET http:///b HTTP/1.1\r\nHost: h\r\n\r\n")); !errors.Is(err, ErrMalformed) {
-		t.Errorf("got %v for a target without its server", err)
+		t.Errorf("got %v for a target without a host", err)
 	}
 }
 
-// A watch lasts for days: what bounds a chunk must not count all of them together.
+// A watch lasts for days: the limit of a chunk must not apply to all of them together.
 func TestStreamHasNoEnd(t *testing.T) {
 	a := NewChunks(100)
 	a.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
@@ -330,16 +332,16 @@
 			t.Fatalf("chunk %d: %v, %v, %d bytes", i, ok, err, len(got.Body))
 		}
 		if !a.HeadIn() {
-			t.Fatal("the answer counts as over")
+			t.Fatal("the response counts as ended")
 		}
 	}
 	a.Feed([]byte("65\r\n")) // 101 bytes
 	if _, _, err := a.Next(); err != ErrTooLarge {
-		t.Errorf("got %v for a chunk past the bound", err)
+		t.Errorf("got %v for a chunk above the limit", err)
 	}
 	a = NewChunks(100)
 	a.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	if _, ok, err := a.Next(); !ok || err != nil || a.HeadIn() {
-		t.Errorf("%v, %v: the end of the answer is not seen", ok, err)
+		t.Errorf("%v, %v: the end of the response is not detected", ok, err)
 	}
 }
--- a/proxy/http1/parse.go
+++ b/proxy/http1/parse.go
@@ -1,6 +1,7 @@
-// Package http1 turns bytes into small typed values and back: the calls and answers of HTTP/1.1 as this
-// project's protocol uses them. This file owns the incremental parser. It must never touch a socket,
-// decide anything, or let through a message whose end is in doubt.
+// Package http1 parses and encodes HTTP/1.1 requests and responses as the proxy's protocol uses them.
+//
+// This file holds the incremental parser. It must never use a socket, decide anything, or accept a message whose
+// end is ambiguous.
 package http1
 
 import (
@@ -14,26 +15,26 @@
 )
 
 const (
-	// MostWhole is the longest body that is given whole, in bytes; a longer one comes in pieces.
+	// MaxWholeBytes is the longest body that is returned whole; a longer one comes in pieces.
 	MostWhole = 64 << 10
-	// MostBody is the longest body of a message.
+	// MaxBodyBytes is the longest body of a message.
 	MostBody = 40 << 20
 	mostHead = 16 << 10
-	mostLine = 256     // of a chunk's length and its extensions
-	mostIdle = 8 << 10 // a larger buffer is given back once it is empty: there are many connections
-	nanos    = 1e9     // the wire counts seconds, with decimals
+	mostLine = 256     // a chunk's length with its extensions
+	mostIdle = 8 << 10 // a larger buffer is released once it is empty: there are many connections
+	nanos    = 1e9     // header fields give seconds, with decimals
 )
 
-// What can be wrong with a message. After an error the parser gives nothing more.
+// Errors of a message. After an error the parser returns nothing more.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLarge  = errors.New("message too large")
 )
 
-// Piece says which part of a message a value is.
+// Piece is the part of a message that a value holds.
 type Piece int
 
-// The pieces. After First, which has the head, More come and one Last; either may be without bytes.
+// The pieces. First, which has the head, is followed by any number of More and one Last; each may be without bytes.
 const (
 	Whole Piece = iota
 	First
@@ -41,37 +42,37 @@
 	Last
 )
 
-// Field is one field of a head that goes on unchanged.
+// Field is one header field that is forwarded unchanged.
 type Field struct{ Name, Value string }
 
-// Call is a req on the wire. Times are nanoseconds.
+// Request is a parsed request, or one piece of it. Times are in nanoseconds.
 type Call struct {
 	Method, Target, Host string
 	ID                   string
 	RuleSet, Tenant, Key string
-	Timeout              int64   // how long the client waits; 0 when not told or not a positive number
-	Work                 int64   // expected work, 0 when not told
-	Fields               []Field // all that concern more than this connection, but Request-Timeout
+	Timeout              int64   // how long the client waits; 0 if absent or not a positive number
+	Work                 int64   // expected work; 0 if absent
+	Fields               []Field // all end-to-end fields except Request-Timeout and Host
 	Body                 []byte
-	Close                bool // the sender closes the connection after the answer
-	Old                  bool // HTTP/1.0: no chunks in the answer
+	Close                bool // the sender closes the connection after the response
+	Old                  bool // HTTP/1.0: no chunks in the response
 	Piece                Piece
-	Length               int // of the whole body where this is its First piece; -1: not told
+	Length               int // of the whole body if this is the First piece; -1 if unknown
 }
 
-// Answer is what comes back for a Call, or one part of it where the parser streams.
+// Response is a parsed response, or one piece of it.
 type Answer struct {
 	Status     int
-	NotStarted bool  // the req never ran
-	RetryAfter int64 // advised wait, 0 for none
+	NotStarted bool  // the request never ran
+	RetryAfter int64 // in ns; 0 if absent
 	Fields     []Field
 	Body       []byte
 	Close      bool
 	Piece      Piece
-	Length     int // as in a Call
+	Length     int // as in Request
 }
 
-// stage is what the parser reads next.
+// state is what the parser reads next.
 type stage int
 
 const (
@@ -84,43 +85,43 @@
 	toEnd // the end of the connection ends the body
 )
 
-// parser is what Calls and Answers share: heads, lengths and chunks.
+// parser is the common part of RequestParser and ResponseParser: heads, lengths and chunks.
 type parser struct {
-	most    int  // longest body
-	wholly  int  // longest body that is given whole
-	early   bool // a body known to be longer is given from its head on
+	most    int  // longest body, in bytes
+	wholly  int  // longest body that is returned whole, in bytes
+	early   bool // a body known to be longer than maxWhole starts its pieces with the head
 	stream  bool
-	lenient bool   // a field with an odd value is left out
-	buf     []byte // what has come and is not used up; emptied message by message
-	scanned int    // no line end begins before it
+	lenient bool   // a field with an invalid value is ignored instead of rejected
+	buf     []byte // input that has not been consumed
+	scanned int    // no line end begins before this offset
 	at      stage
 	left    int
 	body    []byte
 	got     int  // bytes of the body so far
-	parted  bool // its First piece has been given
+	parted  bool // the First piece has been returned
 	piece   Piece
 	err     error
 	chunked bool
-	length  int // -1: not told
+	length  int // -1 if unknown
 	close   bool
 	fields  []Field
-	named   []string // fields that concern this connection alone, as it says
-	begun   bool     // a part of a message has come
-	expects bool     // the sender waits for a word before it sends the body
+	named   []string // fields that the Connection field names as hop-by-hop
+	begun   bool     // part of a message has arrived
+	expects bool     // the sender waits for 100 Continue before it sends the body
 	first   func(line string) error
-	none    func() bool                   // no body belongs to this message, whatever its length says
-	ends    bool                          // the end of the connection may end the body
-	meaning func(name, value string) bool // false: not to go on
+	none    func() bool                   // reports that the message has no body, whatever its length says
+	ends    bool                          // a body without a length lasts until the end of the connection
+	meaning func(name, value string) bool // returns false if the field is not to be forwarded
 }
 
-// Feed takes bytes as they come.
+// Feed adds input.
 func (p *parser) Feed(b []byte) {
 	if p.err == nil {
 		p.buf = append(p.buf, b...)
 	}
 }
 
-// Begun says whether a part of a message is held that has not been given yet.
+// Begun reports whether the parser holds part of a message that it has not returned yet.
 func (p *parser) Begun() bool { return p.begun || len(p.buf) > 0 }
 
 func (p *parser) fail(err error) (bool, error) {
@@ -128,7 +129,7 @@
 	return false, err
 }
 
-// line cuts the next line, without its end, off what has come.
+// line consumes the next line and returns it without its end.
 func (p *parser) line(most int) (string, bool, error) {
 	i := bytes.IndexByte(p.buf[p.scanned:], '\n')
 	if i < 0 {
@@ -156,7 +157,7 @@
 	}
 }
 
-// advance works on what has come; true when a message or a piece of it is there.
+// advance parses the input; it returns true if a message or a piece of one is complete.
 func (p *parser) advance() (bool, error) {
 	ok, err := p.step()
 	if ok || err != nil || p.at == head || p.at == trailer || !p.pieces() || p.parted && len(p.body) == 0 {
@@ -168,15 +169,16 @@
 	return true, nil
 }
 
-// pieces says whether the message is longer than what is given whole.
+// inPieces reports whether the message is too long to be returned whole.
 func (p *parser) pieces() bool {
 	return !p.stream && (p.parted || p.got > p.wholly || p.early && p.length > p.wholly)
 }
 
-// HeadIn says whether a message's head has come and its body not yet; Expects whether its sender waits for a word.
+// HeadDone reports whether a message's head has arrived and its body has not.
 func (p *parser) HeadIn() bool { return p.begun && p.at != head }
 
-// Expects is set until the first byte of the body has come.
+// ExpectsContinue reports whether the sender waits for 100 Continue; it is false once the first byte of the body
+// has arrived.
 func (p *parser) Expects() bool { return p.expects && p.HeadIn() && p.got == 0 && len(p.buf) == 0 }
 
 func (p *parser) step() (bool, error) {
@@ -221,7 +223,7 @@
 				return false, nil
 			}
 			if p.at = chunkLine; p.stream {
-				p.got = 0 // a stream has no end: its chunks are bounded one by one
+				p.got = 0 // a stream has no length limit: its chunks are bounded one by one
 				return true, nil
 			}
 		case chunkLine:
@@ -266,17 +268,17 @@
 	return true
 }
 
-// take hands over what has come of the body.
+// takeBody returns the body bytes that have arrived since the last call.
 func (p *parser) take() []byte {
 	b := p.body
 	p.body = nil
 	return b
 }
 
-// head reads a start line and fields once all of them have come.
+// head reads a start line and fields once all of them have arrived.
 func (p *parser) head() (bool, error) {
 	for !p.begun && len(p.buf) > 1 && p.buf[0] == '\r' && p.buf[1] == '\n' {
-		p.use(2) // an empty line before a message is passed over
+		p.use(2) // an empty line before a message is ignored
 	}
 	end := bytes.Index(p.buf[p.scanned:], []byte("\r\n\r\n"))
 	if end < 0 {
@@ -320,7 +322,8 @@
 	return true, nil
 }
 
-// one reads a field. The framing is read here, whatever else the message means by its fields.
+// field parses one header field. Message framing is handled here, all other fields by the handler of the message
+// type.
 func (p *parser) one(text string) error {
 	name, value, ok := strings.Cut(text, ":")
 	if !ok || name == "" || strings.ContainsFunc(name, notToken) {
@@ -330,7 +333,7 @@
 	low := strings.ToLower(name)
 	if strings.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
 		if p.lenient && !strings.ContainsAny(value, "\r\n") && low != "content-length" && low != "transfer-encoding" {
-			return nil // a field that cannot be read, say a load report, does not spoil a sound answer
+			return nil // an unreadable field, such as a load report, does not invalidate a sound response
 		}
 		return ErrMalformed
 	}
@@ -358,7 +361,7 @@
 	case "expect":
 		p.expects = strings.EqualFold(value, "100-continue")
 	case "keep-alive", "proxy-connection", "te", "trailer", "upgrade":
-		// they concern this connection alone
+		// hop-by-hop
 	default:
 		if p.meaning(low, value) {
 			p.fields = append(p.fields, Field{name, value})
@@ -372,7 +375,7 @@
 		strings.ContainsRune("!#$%&'*+-.^_`|~", r))
 }
 
-// seconds reads a time in seconds, with decimals or without; 0 where it is none.
+// seconds parses a time in seconds, with or without decimals, and returns ns; 0 if it is invalid.
 func seconds(text string) int64 {
 	s, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(s > 0) || s > math.MaxInt64/nanos/2 {
@@ -381,21 +384,21 @@
 	return int64(s * nanos)
 }
 
-// Calls parses what a client sends.
+// RequestParser parses what a client sends.
 type Calls struct {
 	parser
 	call  Call
-	named string // the server that the target names
+	named string // the host in an absolute target
 }
 
-// NewCalls makes a parser for one connection.
+// NewRequestParser returns a parser for one connection.
 func NewCalls() *Calls {
 	c := &Calls{}
 	c.most, c.wholly, c.first, c.parser.meaning = MostBody, MostWhole, c.start, c.meaning
 	return c
 }
 
-// Next gives the next call or piece of one; false when more has to come.
+// Next returns the next request or a piece of one; false if it is incomplete.
 func (c *Calls) Next() (Call, bool, error) {
 	ok, err := c.advance()
 	if !ok {
@@ -427,7 +430,7 @@
 		return ErrMalformed
 	}
 	c.call.Method, c.call.Target = part[0], part[1]
-	// A target may name its server, which then counts over the Host field.
+	// An absolute target overrides the Host field.
 	if rest, ok := strings.CutPrefix(part[1], "http://"); ok {
 		i := strings.IndexAny(rest, "/?")
 		if i < 0 {
@@ -470,13 +473,13 @@
 	return true
 }
 
-// Answers parses what a host or discovery sends.
+// ResponseParser parses what a host or discovery sends.
 type Answers struct {
 	parser
 	answer Answer
 }
 
-// NewAnswers makes a parser for one connection.
+// NewResponseParser returns a parser for one connection.
 func NewAnswers() *Answers {
 	a := &Answers{}
 	a.most, a.wholly, a.early, a.ends = MostBody, MostWhole, true, true
@@ -484,19 +487,20 @@
 	return a
 }
 
-// NewChunks makes a parser that gives each chunk of an answer as it comes; most is the longest chunk, in bytes.
+// NewChunkParser returns a parser that returns each chunk of a response as it arrives; most is the longest chunk,
+// in bytes.
 func NewChunks(most int) *Answers {
 	a := NewAnswers()
 	a.most, a.stream, a.ends = most, true, false
 	return a
 }
 
-// empty says whether an answer has no body by its kind.
+// noBodyStatus reports whether a response has no body because of its status.
 func (a *Answers) empty() bool {
 	return a.answer.Status < 200 || a.answer.Status == 204 || a.answer.Status == 304
 }
 
-// End gives what the end of the connection makes whole; false where it breaks an answer off.
+// EOF returns the response that the end of the connection completes; false if it cuts one off.
 func (a *Answers) End() (Answer, bool) {
 	if a.err != nil || a.at != toEnd {
 		return Answer{}, false
@@ -517,7 +521,7 @@
 	return got
 }
 
-// Next gives the next answer or piece of one; false when more has to come.
+// Next returns the next response or a piece of one; false if it is incomplete.
 func (a *Answers) Next() (Answer, bool, error) {
 	for {
 		ok, err := a.advance()
@@ -525,10 +529,10 @@
 			return Answer{}, false, err
 		}
 		if a.answer.Status < 200 {
-			continue // informational: the answer proper follows
+			continue // informational: the final response follows
 		}
 		if a.stream && a.length < 0 && !a.chunked && !a.empty() {
-			_, err := a.fail(ErrMalformed) // what streams comes in chunks
+			_, err := a.fail(ErrMalformed) // only chunked responses can be streamed
 			return Answer{}, false, err
 		}
 		return a.give(), true, nil
--- a/proxy/intake.go
+++ b/proxy/intake.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file owns the clients' connections: it parses what they send, one call at a time, and answers what
-// is no req. It must never let a malformed call any further, nor close a connection on which an open
-// req waits for its answer.
+// This file handles client connections: it parses requests, serves them one at a time per connection, and answers
+// those that need no host. It must never pass a malformed request on, nor close a connection on which an open
+// request waits for its response.
 
 import (
 	"errors"
@@ -16,71 +16,79 @@
 )
 
 const (
-	badWait     = 5e8   // a client may still be sending what was refused: closed at once, it would not see the answer
-	mostWaiting = 16    // calls that a client may send ahead on one connection
-	extraWait   = 1e9   // time in which a client that there is no descriptor for may be told so
-	callWait    = 2.5e9 // time in which a head has to come whole, from the connection's start or its own first byte,
-	leastBody   = 16e3  // and so many bytes of a body in each such time
-	rest        = 2e9   // a connection without an open req may be closed from then on
-	clientPart  = 3     // clients at rest are kept while all clients hold no more than one in so many descriptors
-	keepPart    = 6     // past one in so many descriptors a client's connection ends with its answer
-	hostPart    = 4     // one in so many descriptors is left to hosts, however many clients come
+	// A client may still be sending the rejected request; if closed at once, it would not see the response.
+	badWait     = 5e8
+	mostWaiting = 16
+	// How long a client without a descriptor to serve it may stay to be told so.
+	extraWait = 1e9
+	// A head has to be complete within this time of the connection's start or of its own first byte.
+	callWait = 2.5e9
+	// At least this much of a body has to arrive in each further readTimeoutNs.
+	leastBody = 16e3
+	// A connection may be closed after this time without an open request.
+	rest = 2e9
+	// Idle clients are kept while all clients hold at most one in this many descriptors.
+	clientPart = 3
+	// Above one in this many descriptors a client's connection ends with its response.
+	keepPart = 6
+	// One in this many descriptors is reserved for hosts, however many clients connect.
+	hostPart = 4
 )
 
-var errLate = errors.New("call never came whole")
+var errLate = errors.New("request was not complete in time")
 
 var jsonType = []http1.Field{{Name: "Content-Type", Value: "application/json"}}
 
 // client is one connection from the application.
 type client struct {
 	wire
-	calls   *http1.Calls // the poller's
-	begun   bool         // the poller's: a part of a call is held
-	headIn  bool         // the poller's: its head has come
-	piece   *flow        // the poller's: the body that comes in pieces
-	flow    *flow        // the same, as far as the owner has come
-	body    bool         // the owner's headIn
-	lately  int64        // bytes heard when the body was last looked at
-	expects bool         // waits for a word before it sends the body
-	waiting []sentAhead  // emptied as they are taken in turn
-	req     *req         // the one that is being answered
-	waits   *waiter      // or the one that goes by a key
-	coming  bool         // a part of a call has come
-	due     *timer       // when a call that is not whole yet, or has not begun, has taken too long
-	rests   int64        // since when no req is open: its start, or its last answer
-	asked   bool         // has sent a whole call
+	calls   *http1.Calls // reading goroutine only
+	begun   bool         // reading goroutine only: part of a request is buffered
+	headIn  bool         // reading goroutine only: its head is complete
+	piece   *flow        // reading goroutine only: the body that arrives in pieces
+	flow    *flow        // the same, as far as the event loop has handled it
+	body    bool         // headDone as the event loop knows it
+	lately  int64        // value of received when the body was last checked
+	expects bool         // waits for 100 Continue before it sends the body
+	waiting []sentAhead  // removed as they are served in turn
+	req     *req         // the one that is being served
+	waits   *waiter      // or the one that waits for an idempotency key
+	coming  bool         // part of a request has arrived
+	due     *timer       // fires when an incomplete request, or the first one, takes too long
+	rests   int64        // when the connection started or its last request ended
+	asked   bool         // has sent a complete request
 	spoke   atomic.Bool  // has sent anything
-	bad     error        // what was sent is no call
-	last    bool         // no call is taken any more: closed once the answer has left
+	bad     error        // why its input is malformed
+	last    bool         // no more requests are accepted; closed once the response is sent
 	extra   bool         // there is no descriptor to serve it with
 }
 
-// sentAhead is a call that waits for its turn, and when it was read.
+// queuedRequest is a request that waits for its turn, with the time at which it was read.
 type sentAhead struct {
 	http1.Call
 	at   int64
-	flow *flow // the body, where it comes in pieces
+	flow *flow // the body, if it arrives in pieces
 }
 
-// free says whether nothing of its is being answered.
+// free reports whether no request of the client is being served.
 func (c *client) free() bool { return c.req == nil && c.waits == nil }
 
-// idle says whether nothing of its waits for its turn either.
+// idle reports whether no request of the client is being served or queued.
 func (c *client) idle() bool { return c.free() && len(c.waiting) == 0 }
 
 func newClient(c *nbio.Conn) *client {
 	return &client{wire: wire{nb: c}, calls: http1.NewCalls()}
 }
 
-// welcome counts a client in. When there is no room for it, it is turned away with a deny, which is
-// harmless as nothing of its call has run.
+// addClient adds a client. If there is no descriptor to serve it with, its request is denied, which is safe because
+// nothing of it has run.
 func (p *Proxy) welcome(c *client, at int64) {
 	c.rests = at
 	p.await(c, at)
 	for len(p.clients) >= p.sockets/clientPart && p.closeResting(p.now(), rest) {
 	}
 	hosts := max(p.sockets/hostPart, p.pool.conns+p.pool.dials)
-	for len(p.clients)+hosts >= p.sockets-spareSockets { // hundreds may have come since the last look
+	for len(p.clients)+hosts >= p.sockets-spareSockets { // hundreds may have arrived since the last check
 		if !p.closeResting(p.now(), 0) {
 			c.extra = !p.roomForOne()
 			break
@@ -88,14 +96,14 @@
 	}
 	p.clients = append(p.clients, c)
 	if c.extra {
-		// One that sends nothing would keep the descriptor from those that do.
+		// A silent client would keep the descriptor from others.
 		p.after(p.now(), extraWait, func(now int64) { p.endClient(c, now) })
 	}
 }
 
-// closeResting closes the client's connection that has been without an open req for longest, and at least
-// for so long: some are kept for good by clients that ask once, others are opened by hundreds and say
-// nothing. A client whose first call crosses the close has failed, so what the kernel holds is looked at.
+// closeLongestIdle closes the client connection that has been without an open request for longest, and for at least
+// minRest ns: some clients ask once and keep the connection, others open hundreds and send nothing. A client whose
+// first request crosses the close has failed, so unread input in the kernel is checked.
 func (p *Proxy) closeResting(now, least int64) bool {
 	var longest *client
 	for _, c := range p.clients {
@@ -115,7 +123,7 @@
 	return true
 }
 
-// dismiss closes a client's connection and counts it off at once: its descriptor is free.
+// closeClient closes a client's connection and removes it at once, as its descriptor is free.
 func (p *Proxy) dismiss(c *client) {
 	c.shut()
 	p.countOff(c)
@@ -126,21 +134,21 @@
 	p.clients = slices.DeleteFunc(p.clients, func(x *client) bool { return x == c })
 }
 
-// await gives a client its time to send a whole call.
+// startReadTimer gives a client readTimeoutNs to send a complete request.
 func (p *Proxy) await(c *client, now int64) {
 	p.stop(c.due)
 	c.due = p.after(now, callWait, func(now int64) { p.overdue(c, now) })
 }
 
-// overdue ends a connection on which half a call was sent, or nothing at all. No other timer would.
+// readTimedOut ends a connection on which an incomplete request or nothing at all was sent. No other timer would.
 func (p *Proxy) overdue(c *client, now int64) {
 	heard := c.heard.Load()
 	switch {
 	case c.closed || c.last && c.flow == nil:
-	case c.body && (heard-c.lately >= leastBody || c.stalled.Load()): // it gets on, or it is held back here
+	case c.body && (heard-c.lately >= leastBody || c.stalled.Load()): // it makes progress, or its reading is paused here
 		c.lately = heard
 		p.await(c, now)
-	case !c.nothing() && !c.stalled.Load(): // what has just come is read first
+	case !c.nothing() && !c.stalled.Load(): // read first what has just arrived
 		c.due = p.after(now, glance, func(now int64) { p.overdue(c, now) })
 	case c.spoke.Load():
 		p.malformed(c, errLate)
@@ -185,12 +193,12 @@
 	}
 }
 
-// eof is the end of a client's sending: it has gone away.
+// onEOF does nothing: the client has gone away, and onClose follows.
 func (c *client) eof(*Proxy, int64) {}
 
-// comes notes that a further call has begun, or that what looked like one was nothing, or that its head is in and the
-// body has its own time. The time for the first runs from the connection's start, whatever comes before it: an empty
-// line in two pieces must not stop it.
+// partialRequest records that a further request has begun, that what looked like one was only an empty line, or
+// that its head is complete and the body has its own timeout. The timeout of the first request runs from the
+// connection's start, whatever arrives before it: an empty line in two pieces must not stop it.
 func (p *Proxy) comes(c *client, begun, head, expects bool, at int64) {
 	headIn := head && !c.body
 	c.coming, c.body = begun, head
@@ -210,7 +218,7 @@
 	}
 }
 
-// take is the first stage: calls wait for their turn here.
+// queueRequest queues a request until its turn.
 func (p *Proxy) take(c *client, call sentAhead) {
 	c.flow = call.flow
 	if c.bad != nil || c.closed || c.last {
@@ -232,7 +240,7 @@
 	p.turn(c)
 }
 
-// word tells a client that waits for it to send its body, unless an answer is due before.
+// sendContinue tells a client that waits for it to send its body, unless an earlier response is due first.
 func (p *Proxy) word(c *client) {
 	if c.expects && c.idle() && !c.closed && !c.last {
 		c.expects = false
@@ -240,7 +248,8 @@
 	}
 }
 
-// malformed turns away what is no call, at once: a client that breaks off its own req for it has given that up.
+// rejectMalformed rejects malformed input at once. A client that sends it behind its own open request has given
+// that up.
 func (p *Proxy) malformed(c *client, err error) {
 	if c.bad != nil || c.closed || c.last {
 		return
@@ -249,7 +258,7 @@
 	p.drop(c.flow)
 	relayed := c.req != nil && c.req.relay != nil
 	p.withdraw(c)
-	if relayed { // no answer fits behind the part of one
+	if relayed { // no error response fits into a response that has begun
 		c.shut()
 		return
 	}
@@ -264,7 +273,7 @@
 	p.answer(c, http1.Answer{Status: status}, true)
 }
 
-// turn takes the next call of a client whose connection is free.
+// serveNext serves the next queued requests while the client's connection is free.
 func (p *Proxy) turn(c *client) {
 	for c.free() && !c.closed && !c.last && len(c.waiting) > 0 {
 		call := c.waiting[0]
@@ -297,7 +306,7 @@
 	p.word(c)
 }
 
-// gone is the end of a client's connection: what it waited for is withdrawn.
+// onClose withdraws what the closed connection waited for.
 func (c *client) gone(p *Proxy, _ int64) {
 	p.countOff(c)
 	p.withdraw(c)
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file owns limits of the whole fleet on the proxy's side: the lease core's ticks and datagrams, and the
-// word that a req gets. It must never decide who holds how much, nor let a req wait for that. The core lives
-// whether peers are heard or not: unheard, a strict limit lets nothing in and a bounded one its floor.
+// This file connects the fleet-wide limits to the proxy: the lease core's ticks and datagrams, and the decision for
+// each request. It must never decide how much each member may use, nor let a request wait for that. The core runs
+// with or without peers: without them a strict limit admits nothing and a bounded one its floor.
 
 import (
 	"reflect"
@@ -11,25 +11,26 @@
 	"ivybank/fleet/swim"
 )
 
-const limitsLate = 100e6 // a core that was not ticked for so long is, before it is asked
+// If its last tick is longer ago, the core is ticked before it is asked.
+const limitsLate = 100e6
 
-// limits is the owner's side of them.
+// limits is the event loop's state of the fleet-wide limits.
 type limits struct {
 	*lease.Member
 	terms  lease.Terms
 	ticked int64
 	timer  *timer
-	bad    int64 // datagrams that are none
+	bad    int64 // undecodable datagrams
 }
 
-// but is a fleet with another's limits.
+// withLimitsOf returns x with the limits of y.
 func (x Fleet) but(y *Fleet) Fleet {
 	x.Limits, x.Voters, x.Drift = y.Limits, y.Voters, y.Drift
 	return x
 }
 
-// relimit takes the limits as they are from now on. With other members all begins anew; what was held is
-// given back first.
+// reconfigureLimits applies new limits. If the members changed, the core starts anew, after what was held is given
+// back.
 func (p *Proxy) relimit(x *Fleet, now int64) {
 	var t lease.Terms
 	if x != nil && len(x.Limits) > 0 {
@@ -54,7 +55,7 @@
 	p.tickLimits(now)
 }
 
-// leaveLimits gives back what is held.
+// releaseLimits gives back what is held.
 func (p *Proxy) leaveLimits(now int64) {
 	if l := p.limits; l != nil {
 		p.stop(l.timer)
@@ -76,11 +77,11 @@
 	l.timer = p.after(now, lease.TickEvery, p.tickLimits)
 }
 
-// hearLimits takes a datagram that speaks of leases.
+// handleLimitDatagram handles a datagram of the lease protocol.
 func (p *Proxy) hearLimits(q *peers, place int, b []byte, now int64) {
 	l := p.limits
 	if l == nil {
-		q.drops.Version++ // a build or a file that knows no limits says the same
+		q.drops.Version++ // a build or configuration without limits counts it the same way
 		return
 	}
 	d, err := lease.Decode(q.name, b)
@@ -92,7 +93,7 @@
 	p.sendLimits()
 }
 
-// sendLimits sends what the core has to say; unheard it is lost, as any datagram may be.
+// sendLimits sends the core's datagrams; without peers they are lost, as any datagram may be.
 func (p *Proxy) sendLimits() {
 	q := p.peers
 	for to, d, ok := p.limits.Next(); ok; to, d, ok = p.limits.Next() {
@@ -109,7 +110,7 @@
 	}
 }
 
-// limited says whether a limit of the fleet denies a req, and for how long its client is to stay away.
+// deniedByLimit reports whether a fleet-wide limit denies a request, and for how many ns the client is to back off.
 func (p *Proxy) limited(r *req) (denied bool, back int64) {
 	l := p.limits
 	if l == nil {
@@ -128,7 +129,7 @@
 	return !ok, back
 }
 
-// unlimit gives back what a req took of work in flight.
+// releaseLimit gives back the request's share of work in flight.
 func (r *req) unlimit() {
 	if r.book != nil {
 		r.book.Done(lease.Scope{RuleSet: r.call.RuleSet, Tenant: r.call.Tenant})
@@ -136,7 +137,7 @@
 	}
 }
 
-// limitsStatus is what operators are told of limits.
+// limitsStatus returns the limits' status for operators.
 func (p *Proxy) limitsStatus(now int64) []lease.Status {
 	if p.limits == nil {
 		return nil
--- a/proxy/listen.go
+++ b/proxy/listen.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file owns the clients' listener: bound here or inherited, when it begins to accept and when it stops. It must
-// never close a listener that another process shares for that process.
+// This file handles the clients' listener: bound here or inherited, when it starts to accept and when it stops. It
+// must never close, for other processes, a listener that they share.
 
 import (
 	"fmt"
@@ -11,10 +11,11 @@
 	"syscall"
 )
 
-const acceptWait = 5e7 // an accept on a listener that was made to block takes no longer
+// An accept on a listener that was set to blocking mode returns after this time.
+const acceptWait = 5e7
 
-// listener accepts from when it is opened until it is stopped. nbio tries again after every error of Accept, so one that
-// has stopped does not come back.
+// listener accepts from when it is opened until it is stopped. nbio retries after every error of Accept, so the
+// Accept of a stopped listener does not return.
 type listener struct {
 	net.Listener
 	opened, stopped chan struct{}
@@ -25,11 +26,11 @@
 	return &listener{Listener: l, opened: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// Inherit takes the listener that the platform holds, by its descriptor.
+// InheritListener returns the platform's listener, given its file descriptor.
 func Inherit(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
-		return nil, fmt.Errorf("descriptor %d: none", fd)
+		return nil, fmt.Errorf("descriptor %d: invalid", fd)
 	}
 	defer f.Close()
 	l, err := net.FileListener(f)
@@ -38,15 +39,15 @@
 	}
 	t, ok := l.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("descriptor %d: no listener of TCP", fd)
+		return nil, fmt.Errorf("descriptor %d: not a TCP listener", fd)
 	}
 	raw, err := t.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	return l, raw.Control(func(fd uintptr) {
-		// Whether it blocks belongs to all who share it: who starts a further process may make it block again. An accept that
-		// is caught in there comes back by this time, and is not left to take a connection after the stop.
+		// Blocking mode belongs to all that share the listener: whoever starts a further process may set it again.
+		// A blocked accept then returns after this timeout, so that it does not accept a connection after the stop.
 		wait := syscall.NsecToTimeval(acceptWait)
 		_ = syscall.SetsockoptTimeval(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &wait)
 	})
@@ -69,10 +70,10 @@
 	return c, err
 }
 
-// stop ends accepting for this process alone.
+// stop ends accepting for this process only.
 func (l *listener) stop() {
 	l.once.Do(func() {
 		close(l.stopped)
-		go func() { _ = l.Close() }() // it waits for an accept that is under way
+		go func() { _ = l.Close() }() // it waits for an accept in progress
 	})
 }
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -1,10 +1,9 @@
-// Package proxy is the client proxy on sockets: it takes reqs from the application beside it, asks the
-// decision module what to do, and carries that out. A req passes intake, admit, route, send, relay and
-// book, a file each.
+// Package proxy is the client proxy on sockets: it takes requests from the application beside it, asks the decision
+// module (package balance) what to do, and carries that out. A request passes client.go, admit.go, decisions.go,
+// dispatch.go, outcome.go and respond.go.
 //
-// This file owns the owner loop: one goroutine to which the module, all tables and all timers belong. The
-// callbacks of nbio only parse and post events to it. It must never block, and never decide what the
-// module decides.
+// This file holds the event loop: one goroutine that owns the balancer, all tables and all timers. The callbacks of
+// nbio only parse and post events to it. The loop must never block, and never decide what the balancer decides.
 package proxy
 
 import (
@@ -25,89 +24,89 @@
 	"ivybank/proxy/twin"
 )
 
-// mostUnsent bounds the bytes of answers that a client does not read; past it its connection is closed.
+// maxUnsentBytes bounds the response bytes that a client has not read; above it the connection is closed.
 const mostUnsent = 1 << 20
 
-// portionApart is how often it is worked out what each body may hold.
+// transitUpdateNs is the interval at which the transit limit of each body is recomputed.
 const portionApart = 5e7
 
-// Start is what a proxy is told when it starts.
+// Config is what a proxy is started with. Times are in nanoseconds.
 type Start struct {
 	Listen, Discovery string
 	Sockets           int // file descriptors that the process may hold
 	Pollers           int
-	Known             []byte // the list of hosts as it was last held, in discovery's form
+	Known             []byte // the host list as it was last saved, in discovery's format
 	Terms             balance.Terms
-	DialTimeout       int64        // a connection not up by then counts as failed
-	ConnIdle          int64        // hosts close a connection that stood idle for so long
+	DialTimeout       int64        // a connection that takes longer counts as failed
+	ConnIdle          int64        // hosts close a connection that was idle for so long
 	LongestTimeout    int64        // the longest client timeout of any rule set
-	Inherited         net.Listener // shared with other processes; nil where the address is bound here
-	Memory            int64        // bytes for Go's heap, 0 where none are told
+	Inherited         net.Listener // shared with other processes; nil if the proxy binds the address itself
+	Memory            int64        // bytes for Go's heap; 0 if not limited
 	Holds             *holds.Store
 	Keys              *Keys        // nil: no idempotency keys
-	Seat              *twin.Seat   // nil where there is no folder to meet in
-	Fleet             *Fleet       // nil: no peers are heard
-	Return            *Return      // nil: nothing is written down, nor asked of others
-	Maintenance       *Maintenance // nil: no plans are taken part in
+	Seat              *twin.Seat   // nil if there is no folder for the lock file
+	Fleet             *Fleet       // nil: the proxy runs without peers
+	Return            *Return      // nil: no snapshots are written, and nothing is learned from peers
+	Maintenance       *Maintenance // nil: the proxy takes no part in maintenance plans
 }
 
-// Proxy is one running client proxy. Everything but the event queue belongs to the owner loop.
+// Proxy is one running client proxy. Everything but the event queues belongs to the event loop.
 type Proxy struct {
 	start  Start
 	engine *nbio.Engine
 	module *balance.Balancer
-	base   time.Time // the clock: wall time at start, monotonic from there
+	base   time.Time // start of the clock: wall time, monotonic from there
 
 	mu     sync.Mutex
-	news   []event // what a watch on discovery has said; emptied before any event is handled, and by present
-	events []event // emptied by every round of the loop
+	news   []event // from watches on discovery; handled before all other events, and by catchUpWatch
+	events []event // handled in every round of the loop
 	bell   chan struct{}
 
-	timers    timers          // emptied as they fall due or are stopped
-	wake      *timer          // the module's
-	reqs      map[uint64]*req // emptied when a req has ended and nothing of it is out
-	ids       map[string]bool // the ids of those reqs; emptied with them
-	lastReq   uint64          // counts up; a req's number in the module
-	hosts     []*host         // by id; emptied when a host is off the list and has no connection
-	clients   []*client       // in order of arrival; emptied when a client's connection ends
+	timers    timers          // removed when they fire or are stopped
+	wake      *timer          // fires when the balancer wants to be called
+	reqs      map[uint64]*req // by balancer ID; removed when they have ended and no dispatch is outstanding
+	ids       map[string]bool // IDs of these requests; removed with them
+	lastReq   uint64          // balancer ID of the latest request; counts up
+	hosts     []*host         // by ID; removed when they are off the list and have no connection
+	clients   []*client       // in order of arrival; removed when their connection ends
 	pool      pool
 	list      discovery
-	dice      draw.Dice // for what the module has no say in
+	dice      draw.Dice // for delays that the balancer does not decide
 	drain     drain
-	keys      *keys           // nil: none
-	peers     *peers          // nil: none are heard
-	comeback  *comeback       // nil: it is not set
-	works     *works          // nil: no plans are taken part in
-	limits    *limits         // nil: none hold for the fleet
-	deaf      bool            // they are to be, but their address is taken
-	terms     *balance.Terms  // replaced whole, never changed
+	keys      *keys           // nil: no idempotency keys
+	peers     *peers          // nil: no peers
+	comeback  *comeback       // nil: not configured
+	works     *works          // nil: no maintenance plans
+	limits    *limits         // nil: no fleet-wide limits
+	deaf      bool            // peers are configured, but their address is in use
+	terms     *balance.Terms  // replaced as a whole, never modified
 	sockets   int             // descriptors that this process may hold now
-	held      holds.Table     // hosts out by hand
-	seen      map[string]bool // ids that were listed; the oldest go past mostSeen
+	held      holds.Table     // hosts that operators took out of use
+	seen      map[string]bool // IDs that were listed; the oldest are removed above maxSeenIDs
 	order     []string        // the same, oldest first
 	accept    *listener
-	open      bool         // clients are let in
-	other     atomic.Bool  // another process lives beside this one
-	transit   atomic.Int64 // bytes of each body that may be on the way through
-	portioned int64        // when that was worked out
-	rounded   int64        // when the latest round came to its decisions
-	newsAt    int64        // all that discovery had written by then was taken
+	open      bool         // clients are accepted
+	other     atomic.Bool  // another process of this proxy is running
+	transit   atomic.Int64 // bytes of each body that may be in transit
+	portioned int64        // when that was computed
+	rounded   int64        // when the latest round started to ask the balancer
+	newsAt    int64        // everything that discovery had written by then was handled
 	count     Counters
 	done      bool
 }
 
-// event is what a callback saw: when, on which connection, and what the owner has to do about it.
+// event is what a callback saw: when, on which connection, and what the event loop has to do about it.
 type event struct {
 	at int64
-	on *wire // nil where it is about none; ended by a panic
+	on *wire // closed if do panics; nil if the event is about no connection
 	do func(at int64)
 }
 
-// timer calls do when it falls due, unless it is stopped before.
+// timer calls do when it fires, unless it is stopped before.
 type timer struct {
 	at    int64
 	do    func(now int64)
-	index int // in the heap; -1 when not in it
+	index int // in the heap; -1 if not in it
 }
 
 type timers []*timer
@@ -143,10 +142,10 @@
 	}
 }
 
-// now is Unix time in nanoseconds that never goes back: the list's start times are on the same clock.
+// now returns Unix time in nanoseconds that never goes back: the host list's start times are on the same clock.
 func (p *Proxy) now() int64 { return p.base.UnixNano() + int64(time.Since(p.base)) }
 
-// post hands an event to the owner. It never blocks, as the owner itself may be within nbio's locks.
+// post queues an event for the event loop. It never blocks, as the caller may hold nbio's locks.
 func (p *Proxy) post(at int64, on *wire, do func(at int64)) {
 	if on != nil {
 		on.told.Add(1)
@@ -154,7 +153,7 @@
 	p.queue(&p.events, event{at, on, do})
 }
 
-// queue puts an event into one of the two queues.
+// queue appends an event to one of the two queues and wakes the loop.
 func (p *Proxy) queue(to *[]event, e event) {
 	p.mu.Lock()
 	*to = append(*to, e)
@@ -165,7 +164,7 @@
 	}
 }
 
-// New makes a proxy that does not listen yet.
+// New returns a proxy that does not listen yet.
 func New(s Start) *Proxy {
 	p := &Proxy{start: s, base: time.Now(), bell: make(chan struct{}, 1), reqs: map[uint64]*req{}, ids: map[string]bool{},
 		count: newCounters(), sockets: s.Sockets, seen: map[string]bool{}}
@@ -202,7 +201,7 @@
 	p.engine.OnRead(p.readable)
 	p.engine.OnClose(p.closed)
 	p.engine.OnWrittenSize(p.taken)
-	p.engine.OnAcceptError(func(error) { time.Sleep(5 * time.Millisecond) }) // nbio tries again at once
+	p.engine.OnAcceptError(func(error) { time.Sleep(5 * time.Millisecond) }) // nbio retries at once
 	if err := p.engine.Start(); err != nil {
 		return err
 	}
@@ -234,7 +233,7 @@
 	return nil
 }
 
-// letIn begins to take clients.
+// startAccepting begins to accept clients.
 func (p *Proxy) letIn() {
 	if !p.open {
 		p.open = true
@@ -243,10 +242,10 @@
 	}
 }
 
-// round handles what has come and what is due, and then carries out what the module decides. Events come
-// before timers: an answer that was read before its dispatch timed out counts.
+// round handles queued events and timers, and then carries out what the balancer decides. Events come before
+// timers: a response that was read before its dispatch timed out counts.
 func (p *Proxy) round() {
-	due := p.now() // when this round was to be at the latest
+	due := p.now() // when this round had to run at the latest
 	if len(p.timers) > 0 {
 		due = min(due, max(p.rounded, p.timers[0].at))
 	}
@@ -265,12 +264,12 @@
 	if now-p.portioned > portionApart {
 		p.portion(now)
 	}
-	due = p.ran(due) // it may have been stopped on the way here
-	p.rounded = due  // not the end: a process that is stopped while it sends would seem to have run
+	due = p.ran(due) // the process may have been stopped since the last check
+	p.rounded = due  // not the round's end: a process that is stopped while it sends would seem to have run
 	p.guard(nil, func() { p.route(p.now()) })
 }
 
-// handle calls the owner's part of events, in their order.
+// handleEvents handles events in their order.
 func (p *Proxy) handle(events []event) {
 	for _, e := range events {
 		record(p.count.lag, e.at, p.now())
@@ -281,7 +280,7 @@
 	}
 }
 
-// guard keeps a panic to the event that met it, and to its connection.
+// guard limits a panic to the event that caused it and the event's connection.
 func (p *Proxy) guard(on *wire, do func()) {
 	defer func() {
 		if x := recover(); x != nil {
@@ -294,7 +293,7 @@
 	do()
 }
 
-// caught notes a panic where it was stopped; the owner's.
+// recordPanic counts and logs a recovered panic; it is called on the event loop.
 func (p *Proxy) caught(x any, stack []byte) {
 	p.count.Panics++
 	logrus.Errorf("panic: %v\n%s", x, stack)
--- a/proxy/maintain.go
+++ b/proxy/maintain.go
@@ -1,7 +1,8 @@
 package proxy
 
-// This file owns plans by which servers go out for work on the proxy's side: what the crew sees of it, its letters, what it writes down, and
-// which hosts are held. It must never decide what a step may do (package order), nor dispatch by what others say.
+// This file connects maintenance plans to the proxy: what the crew sees of this process, its messages, what it
+// stores, and which hosts take no new dispatches. It must never decide what a step may do (package order does), nor
+// dispatch according to what other members say.
 
 import (
 	"encoding/json"
@@ -21,12 +22,12 @@
 )
 
 const (
-	crewEvery = 1e8 // between looks at what is due
+	crewEvery = 1e8 // between checks of what is due
 	replyLook = 50 * time.Millisecond
-	replyMost = 700 * time.Millisecond // so long a caller waits for what it asked to be agreed on
+	replyMost = 700 * time.Millisecond // how long an operator's call waits until it is agreed on
 )
 
-// Maintenance is what operators set on plans.
+// MaintenanceConfig is the operator's configuration of plans. Times are in nanoseconds.
 type Maintenance struct {
 	Folder  string
 	Voters  int
@@ -35,7 +36,7 @@
 	Grace   int64
 }
 
-// works is the owner's side of plans; nil where there are none.
+// planState is the event loop's state of plans; nil if there are none.
 type works struct {
 	Maintenance
 	crew *crew.Crew
@@ -43,7 +44,7 @@
 	next *timer
 }
 
-// openWorks begins to take part in plans, with the members of the fleet.
+// startPlans begins to take part in plans, with the members of the fleet.
 func (p *Proxy) openWorks(now int64) {
 	x, q := p.start.Maintenance, p.peers
 	if x == nil || q == nil {
@@ -51,14 +52,14 @@
 	}
 	file, kept, err := quorum.OpenFile(filepath.Join(x.Folder, "plans.log"))
 	if err != nil {
-		logrus.Errorf("plans are not taken part in: %v", err)
+		logrus.Errorf("maintenance plans are disabled: %v", err)
 		return
 	}
 	w := &works{Maintenance: *x, file: file}
 	w.crew, err = crew.New(crew.Terms{Me: q.Terms.Me, Of: q.Terms.Of, Voters: min(x.Voters, q.Terms.Of), Life: q.fleet.Members().Life(), Seed: p.terms.Seed ^ 3,
 		Lead: order.Terms{Grace: x.Grace, Longest: p.start.LongestTimeout, Service: x.Service, Settle: x.Settle}}, kept, now)
 	if err != nil {
-		logrus.Errorf("plans are not taken part in: %v", err)
+		logrus.Errorf("maintenance plans are disabled: %v", err)
 		file.Close()
 		return
 	}
@@ -66,7 +67,7 @@
 	p.tickWorks(now)
 }
 
-// remaintain takes what operators have set anew; it comes into force with the members.
+// reconfigurePlans applies a new configuration; it takes effect together with the peers.
 func (p *Proxy) remaintain(x *Maintenance) {
 	old := p.start.Maintenance
 	p.start.Maintenance = x
@@ -76,7 +77,7 @@
 	}
 }
 
-// leaveWorks hands the lead on, as this process ends.
+// handOverPlans passes the lead on, as this process ends.
 func (p *Proxy) leaveWorks(now int64) {
 	if w := p.works; w != nil {
 		w.crew.Leave(p.peers.fleet.Members().Alive)
@@ -84,7 +85,7 @@
 	}
 }
 
-// closeWorks ends that.
+// stopPlans ends the part in plans.
 func (p *Proxy) closeWorks() {
 	if w := p.works; w != nil {
 		p.stop(w.next)
@@ -100,7 +101,7 @@
 	w.next = p.after(now, crewEvery, p.tickWorks)
 }
 
-// sight is what the crew sees of this proxy now.
+// planView returns what the crew may know of this proxy.
 func (p *Proxy) sight(now int64) crew.Sight {
 	w := p.works
 	s := crew.Sight{Now: now, Wall: time.Now().UnixNano(), Open: map[string]int{}, Service: 1,
@@ -137,7 +138,7 @@
 	return s
 }
 
-// carryWorks carries out what the crew wants. What is to be written down is written beside the owner, one batch at a time.
+// runPlanActions carries out the crew's actions. It writes off the event loop, one batch at a time.
 func (p *Proxy) carryWorks(now int64) {
 	w := p.works
 	for a, ok := w.crew.Next(); ok; a, ok = w.crew.Next() {
@@ -164,8 +165,8 @@
 	if p.works != w {
 		return
 	}
-	if err != nil { // it promises nothing any more
-		logrus.Errorf("plans are no longer taken part in, what was agreed on cannot be written down: %v", err)
+	if err != nil { // nothing is promised any more
+		logrus.Errorf("maintenance plans are disabled, agreed entries cannot be written: %v", err)
 		p.stop(w.next)
 		return
 	}
@@ -173,8 +174,8 @@
 	p.carryWorks(now)
 }
 
-// planned is a host as plans have it: out for work it gets nothing new, and back it counts as started then, unless the list tells of a start
-// since.
+// applyPlan returns a host as plans want it: one out for maintenance drains, and one that is back counts as started
+// then, unless the list reports a later start.
 func (p *Proxy) planned(s balance.Server) balance.Server {
 	if p.works == nil {
 		return s
@@ -189,7 +190,7 @@
 	return s
 }
 
-// plansReply is what an operator is told of plans.
+// plansReply answers an operator's query of plans.
 func (p *Proxy) plansReply(id string, now int64) door.Reply {
 	if p.works == nil {
 		return door.No(http.StatusNotFound, "no plans are taken part in: the operator file has no [maintenance], or no peers are heard")
@@ -201,7 +202,7 @@
 	return asJSON(all)
 }
 
-// plan takes an operator's call on a plan and waits a moment until it is agreed on.
+// planCommand submits or changes a plan and waits briefly until that is agreed on.
 func (p *Proxy) plan(c door.Call) door.Reply {
 	x := order.Command{Plan: c.Plan, Server: c.Host, At: time.Now().UnixNano(), Why: "by hand",
 		Kind: map[string]order.Kind{"submit": order.Submit, "pause": order.Pause, "resume": order.Resume, "abandon": order.Abandon, "done": order.Finish}[c.Verb]}
@@ -250,7 +251,7 @@
 	return door.Reply{Status: http.StatusAccepted, Text: "handed on, not agreed on yet: ask again"}
 }
 
-// sameplan says whether two plans are the same as they were written.
+// samePlan reports whether two plans are equal as they were written.
 func sameplan(x, y *plan.Plan) bool {
 	one, err := json.Marshal(x)
 	other, bad := json.Marshal(y)
--- a/proxy/once.go
+++ b/proxy/once.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file owns reqs with an idempotency key: it asks the book of keys what each is to do, keeps those that wait, and has the
-// ledger record a beginning before its dispatch may leave. It must never let a key's attempt go before that, end one because a
-// client has left, or tell two clients of one attempt two things.
+// This file handles requests with an idempotency key: it asks the key book what to do with each, keeps those that
+// wait, and has the ledger record a key's start before its dispatch may leave. It must never dispatch a key's
+// attempt before that, end one because a client has left, or give two clients of one attempt different results.
 
 import (
 	"crypto/sha256"
@@ -23,45 +23,46 @@
 )
 
 const (
-	lockApart    = 100 * time.Millisecond // between tries to take a ledger that another process has
-	witnessWait  = 15e8                   // so long after a start others may say how new the newest key was; meanwhile keys are refused
-	witnessApart = 5e7                    // between looks whether they have
-	lockRetry    = 2e8                    // advised meanwhile
-	tidyApart    = 5e9                    // between looks whether the ledger is mostly of the past
-	leastLedger  = 1 << 20                // bytes below which it is left as it is
+	lockApart    = 100 * time.Millisecond // between attempts to open a ledger that another process has locked
+	witnessWait  = 15e8                   // peers may report the newest key within this time of a start; until then keys are refused
+	witnessApart = 5e7                    // between checks whether they have
+	lockRetry    = 2e8                    // Retry-After sent until then
+	tidyApart    = 5e9                    // between checks whether most of the ledger is obsolete
+	leastLedger  = 1 << 20                // a ledger with fewer bytes is not compacted
 	outcomeField = "Idempotency-Outcome"
 	replayField  = "Idempotency-Replayed"
 )
 
-// Keys is what operators set on idempotency keys.
+// IdempotencyConfig is the operator's configuration of idempotency keys.
 type Keys struct {
-	Header string // names the key
-	File   string // the ledger; empty: memory alone
+	Header string // the request header that holds the key
+	File   string // the ledger; empty: keys are kept in memory only
 	Terms  once.Terms
 }
 
-// keys is the owner's side of them; nil where there are none.
+// keyState is the event loop's state of idempotency keys; nil if they are off.
 type keys struct {
 	Keys
 	book    *once.Book
-	ledger  *ledger.Ledger     // nil: memory alone, or not taken yet
-	ready   bool               // the ledger is taken, or none is needed
-	waiters map[uint64]*waiter // emptied as they are told or leave
+	ledger  *ledger.Ledger     // nil: in memory only, or not opened yet
+	ready   bool               // the ledger is open, or none is needed
+	waiters map[uint64]*waiter // removed when they are answered or leave
 	last    uint64
-	newest  int64 // beginning of the newest key, by its record; 0: none
-	lost    bool  // newer ones than the ledger holds
+	newest  int64 // recorded start of the newest key; 0 if there is none
+	lost    bool  // keys newer than the newest in the ledger have been lost
 }
 
-// waiter is a client's req that goes by a key.
+// waiter is a client's request that waits for a key's result.
 type waiter struct {
 	number uint64
 	key    once.Key
 	client *client
 	close  bool
-	due    *timer // when its own client timeout is over
+	due    *timer // fires when the client's own timeout is over
 }
 
-// openKeys takes the ledger. One that another process of an upgrade has is waited for; meanwhile keys are refused.
+// openKeys opens the ledger. If another process of an upgrade holds it, opening is retried; until then keys are
+// refused.
 func (p *Proxy) openKeys() error {
 	if p.start.Keys == nil {
 		return nil
@@ -77,7 +78,7 @@
 	if !errors.Is(err, ledger.ErrLocked) {
 		return err
 	}
-	logrus.Infof("idempotency keys wait: %v", err)
+	logrus.Infof("idempotency keys are refused until the ledger is unlocked: %v", err)
 	go func() {
 		for {
 			time.Sleep(lockApart)
@@ -95,10 +96,10 @@
 	return nil
 }
 
-// takeLedger opens it and takes what it holds.
+// openLedger opens the ledger and loads its records.
 func (p *Proxy) takeLedger() error {
 	k, now := p.keys, p.now()
-	if p.comeback != nil { // a folder that was lost is made anew: what is missing of its keys others tell
+	if p.comeback != nil { // a lost folder is created anew: peers report how new the lost keys were
 		if err := os.MkdirAll(filepath.Dir(k.File), 0o700); err != nil {
 			return err
 		}
@@ -117,21 +118,21 @@
 	}
 	if rep.Damaged >= 0 {
 		book.Seal()
-		logrus.Errorf("%s: a record at %d cannot be read: keys that are not known are refused until the file is taken away", k.File, rep.Damaged)
+		logrus.Errorf("%s: the record at byte %d cannot be read: unknown keys are refused until the file is removed", k.File, rep.Damaged)
 	}
 	k.book, k.ledger, k.ready = book, l, true
-	logrus.Infof("idempotency keys: %d of %d records known, %d bytes cut off the end", book.Len(), rep.Records, rep.Torn)
+	logrus.Infof("idempotency keys: loaded %d keys from %d records, truncated %d bytes at the end", book.Len(), rep.Records, rep.Torn)
 	p.after(now, tidyApart, p.tidyLedger)
 	p.lostKeys(now)
 	if f := p.start.Fleet; f != nil && f.Terms.Learn != nil {
-		k.ready = false // others may have heard of newer keys than the ledger holds
+		k.ready = false // peers may know of newer keys than the ledger holds
 		p.witness(now, now+witnessWait)
 	}
 	return nil
 }
 
-// lostKeys refuses keys that are not known where the snapshot or others have heard of newer ones than the ledger holds: it was lost, or
-// put back from an older copy.
+// checkLostKeys refuses unknown keys if the snapshot or peers know of newer ones than the ledger holds: it was
+// lost, or replaced by an older copy.
 func (p *Proxy) lostKeys(now int64) {
 	k, newest := p.keys, int64(0)
 	if p.comeback != nil {
@@ -141,14 +142,15 @@
 		heard, _ := p.peers.fleet.Witnessed()
 		newest = max(newest, heard)
 	}
-	if newest/1e6 > k.newest/1e6 && !k.lost { // in milliseconds, as others tell it
+	if newest/1e6 > k.newest/1e6 && !k.lost { // in milliseconds, as peers report it
 		k.lost = true
 		k.book.Lose(now)
-		logrus.Errorf("%s: a key began %d ms after the newest that it holds: keys that are not known are refused for as long as keys are kept", k.File, (newest-k.newest)/1e6)
+		logrus.Errorf("%s: a known key is %d ms newer than the newest in the file: unknown keys are refused for the retention time", k.File, (newest-k.newest)/1e6)
 	}
 }
 
-// witness waits until another has said how new the newest key was, or for a time: with no witness the ledger counts as whole.
+// awaitKeyWitness waits until a peer has reported the newest key, or until the given time: without a report the
+// ledger counts as complete.
 func (p *Proxy) witness(now, until int64) {
 	heard := false
 	if p.peers != nil {
@@ -162,7 +164,7 @@
 	p.after(now, witnessApart, func(now int64) { p.witness(now, until) })
 }
 
-// newestKey notes a key's recorded beginning, and has others know.
+// recordNewestKey records the start of a key, also for peers to know.
 func (p *Proxy) newestKey(at int64) {
 	p.keys.newest = max(p.keys.newest, at)
 	if p.peers != nil {
@@ -170,7 +172,7 @@
 	}
 }
 
-// tidyLedger has the ledger written anew once most of it is of the past.
+// compactLedger has the ledger rewritten once most of it is obsolete.
 func (p *Proxy) tidyLedger(now int64) {
 	k := p.keys
 	if size := k.ledger.Size(); size > leastLedger && size > 2*k.book.Live() {
@@ -185,14 +187,14 @@
 		}
 		k.ledger.Anew(all, func(err error) {
 			if err != nil {
-				logrus.Warnf("the ledger is not written anew: %v", err)
+				logrus.Warnf("the ledger could not be compacted: %v", err)
 			}
 		})
 	}
 	p.after(now, tidyApart, p.tidyLedger)
 }
 
-// keyed takes a call with a key; false where it has none that counts.
+// handleKeyed handles a request with a key; it returns false if the request has none that applies.
 func (p *Proxy) keyed(c *client, call sentAhead) (bool, error) {
 	k := p.keys
 	if k == nil || !k.book.Covers(call.RuleSet) {
@@ -237,7 +239,7 @@
 		k.ledger.Append(ledger.Record{Kind: ledger.Begin, Entry: *v.Entry}, func(err error) {
 			p.post(p.now(), nil, func(int64) {
 				if err != nil {
-					logrus.Warnf("a key's beginning is not recorded: %v", err)
+					logrus.Warnf("the start of a key could not be recorded: %v", err)
 					p.count.KeysRefused++
 					delete(p.ids, call.ID)
 					p.settle(key, once.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: k.Terms.RetryIn})
@@ -269,7 +271,7 @@
 	return true, nil
 }
 
-// fingerprint is what a call asks.
+// fingerprint returns a hash of what a request asks.
 func fingerprint(c http1.Call) (print once.Print) {
 	h := sha256.New()
 	h.Write([]byte(c.Method + "\x00" + c.Target + "\x00"))
@@ -278,7 +280,7 @@
 	return print
 }
 
-// wait keeps a client until its key's attempt has ended, or its own time is over.
+// addWaiter keeps a client until its key's attempt has ended, or its own timeout is over.
 func (p *Proxy) wait(c *client, call sentAhead, key once.Key, now int64) {
 	w := &waiter{number: p.keys.last, key: key, client: c, close: call.Close}
 	p.keys.waiters[w.number] = w
@@ -291,7 +293,7 @@
 	})
 }
 
-// leave takes a waiter off; the attempt lives on.
+// removeWaiter removes a waiter; the attempt goes on.
 func (p *Proxy) leave(w *waiter) {
 	p.stop(w.due)
 	w.client.waits = nil
@@ -299,7 +301,7 @@
 	p.keys.book.Left(w.key, w.number)
 }
 
-// attempt hands a key's first call to the module. It belongs to the key, not to its client.
+// startAttempt hands a key's first request to the balancer. It belongs to the key, not to its client.
 func (p *Proxy) attempt(key once.Key, call sentAhead, now int64) {
 	left := call.Timeout - wayMargin - (now - call.at)
 	if left <= 0 {
@@ -310,7 +312,7 @@
 	p.enter(&req{call: call.Call, key: &key, taken: call.at}, left, now)
 }
 
-// settle ends a key's attempt and tells all who wait for it.
+// finishKey ends a key's attempt and answers all that wait for it.
 func (p *Proxy) settle(key once.Key, o once.Outcome, a http1.Answer) {
 	k := p.keys
 	kept := once.Answer{Status: a.Status, Body: a.Body, Kept: a.Piece == http1.Whole}
@@ -344,7 +346,7 @@
 	}
 }
 
-// told is what a repeat gets of a key that has ended.
+// replayResponse returns the response to a repeat of a key that has ended.
 func told(e *once.Entry) http1.Answer {
 	if e.State != once.Done || !e.Answer.Kept {
 		what := e.State.String()
@@ -361,7 +363,7 @@
 	return a
 }
 
-// outcomeOf is a final answer as a key sees it.
+// keyOutcome maps a final response to a key's outcome.
 func outcomeOf(a http1.Answer) once.Outcome {
 	switch a.Status {
 	case http.StatusOK:
@@ -372,7 +374,8 @@
 	return once.Aborted
 }
 
-// lendClient gives a key's long answer to the first who still waits for it; the others are told once it has ended.
+// adoptWaiter gives a streamed response to the client that has waited for longest; the others are answered once it
+// has ended.
 func (p *Proxy) lendClient(r *req) {
 	var first *waiter
 	for _, w := range p.keys.waiters {
@@ -387,7 +390,7 @@
 	}
 }
 
-// passedKey ends a key whose answer was passed on in pieces.
+// finishStreamedKey ends a key whose response was relayed in pieces.
 func (p *Proxy) passedKey(r *req, o balance.Outcome) {
 	if o == balance.Served {
 		p.settle(*r.key, once.Served, http1.Answer{Status: http.StatusOK, Piece: http1.First})
--- a/proxy/once_test.go
+++ b/proxy/once_test.go
@@ -10,7 +10,8 @@
 	"ivybank/keys/once"
 )
 
-// A ledger that is mostly of the past is written anew, with what is live and nothing else; one that is live is left as it is.
+// A ledger most of which is obsolete is rewritten with the live records only; one that is mostly live is left as it
+// is.
 func TestTidyLedger(t *testing.T) {
 	p := testProxy(t)
 	file := filepath.Join(t.TempDir(), "keys.ledger")
@@ -33,7 +34,7 @@
 		if o == once.Served {
 			kind = ledger.End
 		}
-		e.Answer.Fields = [][2]string{{"X", string(make([]byte, 400))}} // what has ended weighs, too
+		e.Answer.Fields = [][2]string{{"X", string(make([]byte, 400))}} // make the obsolete records large, too
 		k.ledger.Append(ledger.Record{Kind: kind, Entry: *e}, nil)
 	}
 	settled := func() {
@@ -58,7 +59,7 @@
 	p.tidyLedger(p.now())
 	settled()
 	if again := k.ledger.Size(); again < after {
-		t.Errorf("got %d bytes of %d: what is live was written anew", again, after)
+		t.Errorf("got %d bytes of %d: a ledger of live records was rewritten", again, after)
 	}
 	k.ledger.Close()
 	n := 0
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -1,7 +1,8 @@
 package proxy
 
-// This file owns what operators do to a running proxy: calls of the door, hosts out by hand, the other process of an
-// upgrade. It must never keep the door's callers waiting on anything but the owner.
+// This file handles operators' calls to a running proxy, hosts that they take out of use, new configurations, and
+// the second process during an upgrade. It must never make a caller of the admin address wait on anything but the
+// event loop.
 
 import (
 	"encoding/json"
@@ -17,13 +18,13 @@
 )
 
 const (
-	replyWait = 800 * time.Millisecond // a caller waits no longer than a second
-	lookApart = 100 * time.Millisecond // between looks at what the other process has changed
-	mostSeen  = 1 << 14                // ids of the list that are remembered
-	listWait  = 15e8                   // the list at start may be too old: clients are taken once told, or then
+	replyWait = 800 * time.Millisecond // a caller waits for at most one second
+	lookApart = 100 * time.Millisecond // between checks of what the other process has changed
+	mostSeen  = 1 << 14                // listed IDs that are remembered
+	listWait  = 15e8                   // longest wait for a first list before clients are accepted
 )
 
-// Operate answers a call of the door; it may be called from any goroutine.
+// HandleAdmin answers a call of the admin server; it may be called from any goroutine.
 func (p *Proxy) Operate(c door.Call) door.Reply {
 	switch c.Kind {
 	case door.Out, door.Back:
@@ -40,7 +41,8 @@
 	return p.ask(func(now int64) door.Reply { return p.operate(c, now) })
 }
 
-// ask has the owner answer. It may still do so after the caller was told that it did not.
+// askLoop has the event loop answer. The loop may still carry the call out after the caller was told that it was
+// not.
 func (p *Proxy) ask(do func(now int64) door.Reply) door.Reply {
 	told := make(chan door.Reply, 1)
 	p.post(p.now(), nil, func(int64) { told <- do(p.now()) })
@@ -68,7 +70,7 @@
 	return door.Yes("clients are taken")
 }
 
-// hold takes a host out or puts it back: known to the owner, written to the file, then in force.
+// setHold takes a host out of use or puts it back: checked by the event loop, written to the file, then applied.
 func (p *Proxy) hold(c door.Call) door.Reply {
 	if r := p.ask(func(int64) door.Reply {
 		if _, held := p.held.Hosts[c.Host]; !held && !p.seen[c.Host] {
@@ -84,7 +86,7 @@
 	}
 	table, err := p.start.Holds.Set(c.Host, c.Kind == door.Out, p.now())
 	if err != nil {
-		logrus.Warnf("hosts out by hand are not kept: %v", err)
+		logrus.Warnf("holds of hosts are not saved: %v", err)
 		text += ", in this process alone"
 	}
 	return p.ask(func(now int64) door.Reply {
@@ -93,18 +95,18 @@
 	})
 }
 
-// holding puts a table of holds in force. An older one than that in force says nothing.
+// applyHolds applies a table of holds unless a newer one is in force.
 func (p *Proxy) holding(t holds.Table, now int64) {
 	if t.Version <= p.held.Version {
 		return
 	}
 	p.held = t
 	for _, h := range p.reshow(now) {
-		logrus.Infof("host %s by hand: out %v", h.id, t.Hosts[h.id].Out)
+		logrus.Infof("host %s: out of use by an operator: %v", h.id, t.Hosts[h.id].Out)
 	}
 }
 
-// reshow brings up to date the hosts that something else than the list has changed, and gives them.
+// refreshHosts updates the hosts whose effective state has changed without a new list, and returns them.
 func (p *Proxy) reshow(now int64) (changed []*host) {
 	for _, h := range p.hosts {
 		if h.listed && p.shown(h.told) != h.shown {
@@ -118,7 +120,7 @@
 	return changed
 }
 
-// asJSON is a reply that holds a value for programs.
+// jsonReply returns a reply with a value as JSON.
 func asJSON(v any) door.Reply {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -127,14 +129,14 @@
 	return door.Yes(string(text))
 }
 
-// relist hands the module all hosts as they are shown now. It is not discovery's word: should the module be about to ask for that, it still
-// does.
+// republishHosts passes all hosts to the balancer as they are now. This does not count as a list from discovery: if
+// the balancer is about to ask for one, it still does.
 func (p *Proxy) relist(now int64) {
 	p.module.Listed(balance.Restored, p.listing(func(h *host) balance.Server { return h.shown }), now)
 	p.listPeers(now)
 }
 
-// listing gives all hosts that are listed in a form.
+// listedServers returns all listed hosts as view gives them.
 func (p *Proxy) listing(as func(h *host) balance.Server) (all []balance.Server) {
 	for _, h := range p.hosts {
 		if h.listed {
@@ -144,8 +146,9 @@
 	return all
 }
 
-// shown is a host as the module is told of it. What was put back has most likely been restarted, which the list is
-// late to tell: unless it tells of a start since, the host counts as started when it was put back.
+// effectiveServer returns a host as the balancer is to see it. A host that an operator puts back has most likely
+// been restarted, which the list reports late: unless the list reports a later start, the host counts as started
+// when it was put back.
 func (p *Proxy) shown(s balance.Server) balance.Server {
 	s = p.planned(s)
 	h, held := p.held.Hosts[s.ID]
@@ -158,7 +161,7 @@
 	return s
 }
 
-// remember notes that an id was listed.
+// rememberID records that an ID was listed.
 func (p *Proxy) remember(id string) {
 	if p.seen[id] {
 		return
@@ -171,10 +174,11 @@
 	p.order = append(p.order, id)
 }
 
-// taking says whether clients are taken.
+// acceptingClients reports whether clients are accepted.
 func (p *Proxy) taking() bool { return p.open && !p.drain.begun && p.drain.emptied == 0 }
 
-// follow looks, beside the owner, at what another process does: its being there, and the hosts it takes out.
+// watchSibling polls, off the event loop, whether another process of this proxy runs and which hosts it takes out
+// of use.
 func (p *Proxy) follow() {
 	for ; ; time.Sleep(lookApart) {
 		if t, changed := p.start.Holds.Follow(); changed {
@@ -189,8 +193,8 @@
 	}
 }
 
-// Retune takes a new configuration, all of it at once; it may be called from any goroutine. What the process is bound
-// to stays: its listener, its seed, its list.
+// Reconfigure applies a new configuration, all of it at once; it may be called from any goroutine. The listener,
+// the seed and the host list stay.
 func (p *Proxy) Retune(s Start) {
 	p.post(p.now(), nil, func(int64) {
 		now := p.now()
@@ -198,7 +202,7 @@
 		p.terms = &s.Terms
 		p.start.DialTimeout, p.start.ConnIdle, p.start.Memory = s.DialTimeout, s.ConnIdle, s.Memory
 		p.start.Sockets = s.Sockets
-		// What is open may still wait by the old rules.
+		// Open requests may still wait by the old rules.
 		p.start.LongestTimeout = max(p.start.LongestTimeout, s.LongestTimeout)
 		p.shares()
 		p.count.Reloads++
@@ -211,19 +215,19 @@
 	})
 }
 
-// welcomeFrom has clients taken from when the list held at start is good enough to serve by.
+// scheduleAccept starts to accept clients as soon as the list held at start is good enough to serve by.
 func (p *Proxy) welcomeFrom(other bool, now int64) {
-	if other { // it knows of drains that the list handed over at start is too old for
+	if other { // it knows of drains that the saved list is too old for
 		p.other.Store(true)
 		p.beside(true)
 	} else if p.terms.MustAsk {
 		p.letIn()
 		return
-	} // else all that whoever pushes the list holds counts as told from the first moment on
+	} // else the list of whoever pushes it counts as delivered from the start
 	p.after(now, listWait, func(int64) { p.letIn() })
 }
 
-// beside shares what the platform gives with another process, as long as it lives.
+// siblingChanged shares descriptors and memory with another process while it runs.
 func (p *Proxy) beside(other bool) {
 	logrus.Infof("another process beside this one: %v", other)
 	p.shares()
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file owns the way between the fleet's part and its peers: one UDP socket, datagrams in and out, its timer, the probes that
-// it asks for, and what it is told of reqs. It must never decide anything, nor let a datagram hold up a req.
+// This file connects package fleet to the peers: one UDP socket, datagrams in and out, the timer, the probes that
+// it asks for, and what it is told of requests. It must never decide anything, nor let a datagram delay a request.
 
 import (
 	"fmt"
@@ -27,43 +27,44 @@
 )
 
 const (
-	mostHeard  = 256 // datagrams that are read at once; more wait for the next look
-	peersApart = 1e9 // between tries to hear peers where the address is taken
+	mostHeard  = 256 // datagrams that are read in a row; more wait for the next tick
+	peersApart = 1e9 // between attempts to listen for peers while the address is in use
 )
 
-// Fleet is what operators set on peers, and where these are.
+// FleetConfig is the operator's configuration of peers, and their addresses. Times are in nanoseconds.
 type Fleet struct {
 	Name         string
 	Listen       string
-	Peers        []netip.AddrPort // by place, the own one among them
-	Terms        fleet.Terms      // its rule sets, tenants and start are filled in here
+	Peers        []netip.AddrPort // by member index, including this proxy's own
+	Terms        fleet.Terms      // rule sets, tenants and life are filled in here
 	ProbePath    string
 	ProbeTimeout int64
-	Limits       []lease.Limit // of the whole fleet
-	Voters       int           // the first so many places settle who owns a limit
+	Limits       []lease.Limit // fleet-wide
+	Voters       int           // the members with a lower index decide who owns a limit
 	Drift        int64         // millionths by which a clock may run too fast or too slow
 }
 
-// peers is the owner's side of them.
+// peers is the event loop's state of the peers.
 type peers struct {
 	Fleet
 	fleet  *fleet.Fleet
 	conn   *net.UDPConn
-	raw    syscall.RawConn // the same
+	raw    syscall.RawConn // the same socket
 	timer  *timer
 	name   uint32
-	asking map[string]bool // servers that are being probed; emptied by their answers
+	asking map[string]bool // hosts that are being probed; removed when the probe ends
 	probes *http.Client
 	drops  dropped
 }
 
-// dropped counts datagrams by why they were.
+// dropCounts counts dropped datagrams by reason.
 type dropped struct {
 	Address, Short, Garbled, Version, Fleet, Form, Unsent int64
 }
 
-// openPeers begins to hear peers, with a life no lower than one that this process had before. An address that another process of an
-// upgrade still has is waited for: until then this one decides alone.
+// startPeers begins to listen for peers, with an incarnation no lower than least, so that it is above those this
+// process had before. If another process of an upgrade still holds the address, listening is retried: until then
+// this process decides alone.
 func (p *Proxy) openPeers(least uint64, now int64) {
 	x := p.start.Fleet
 	if x == nil || p.peers != nil || p.drain.begun {
@@ -72,7 +73,7 @@
 	conn, raw, err := listenPeers(x.Listen)
 	if err != nil {
 		if !p.deaf {
-			logrus.Warnf("peers are not heard yet: %v", err)
+			logrus.Warnf("cannot listen for peers yet, retrying: %v", err)
 		}
 		p.deaf = true
 		p.after(now, peersApart, func(now int64) { p.openPeers(least, now) })
@@ -81,14 +82,14 @@
 	p.deaf = false
 	t := x.Terms
 	t.RuleSets, t.Tenants, t.MaxAdvice, t.Seed = p.terms.RuleSets, p.terms.Tenants, p.terms.MaxAdvice, p.terms.Seed^uint64(t.Me)
-	t.Life = max(least, swim.LifeOf(now)) // by the clock of the day; should it have been set back, peers tell
+	t.Life = max(least, swim.LifeOf(now)) // by wall time; if that was set back, peers correct it
 	q := &peers{Fleet: *x, conn: conn, raw: raw, name: peer.Fleet(x.Name), fleet: fleet.New(t, now), asking: map[string]bool{},
 		probes: &http.Client{Timeout: time.Duration(x.ProbeTimeout), Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Duration(p.start.ConnIdle / 2)}}}
 	p.peers = q
 	p.listPeers(now)
 	p.tickPeers(now)
 	p.openWorks(now)
-	logrus.WithFields(logrus.Fields{"fleet": x.Name, "place": t.Me, "of": t.Of}).Infof("peers are heard on %s", x.Listen)
+	logrus.WithFields(logrus.Fields{"fleet": x.Name, "place": t.Me, "of": t.Of}).Infof("listening for peers on %s", x.Listen)
 }
 
 func listenPeers(addr string) (*net.UDPConn, syscall.RawConn, error) {
@@ -104,7 +105,8 @@
 	return conn, raw, err
 }
 
-// refleet takes new terms of the fleet's part. Where they differ, or what a cut goes by does, it begins anew.
+// reconfigurePeers applies a new configuration. If it differs, or what load shedding depends on does, the fleet
+// state starts anew.
 func (p *Proxy) refleet(x *Fleet, now int64) {
 	p.relimit(x, now)
 	least := uint64(0)
@@ -116,7 +118,7 @@
 		if x == nil {
 			p.leavePeers(now)
 		}
-		least = swim.After(q.fleet.Members().Life()) // datagrams are counted anew
+		least = swim.After(q.fleet.Members().Life()) // datagram numbers start over
 		p.stop(q.timer)
 		_ = q.conn.Close()
 		q.probes.CloseIdleConnections()
@@ -128,8 +130,8 @@
 	p.openPeers(least, now)
 }
 
-// hear takes the datagrams that have come since the last look; what is nobody's or no datagram goes no further. They are read with the
-// tick, not as they come: each waking costs more than all the work done in it.
+// readDatagrams handles the datagrams that have arrived; those of unknown senders and invalid ones are counted and
+// dropped. They are read with the tick, not as they arrive: each wakeup costs more than all the work done in it.
 func (p *Proxy) hear(q *peers, now int64) {
 	_ = q.raw.Read(func(fd uintptr) bool {
 		var b [peer.Most + 1]byte
@@ -157,7 +159,7 @@
 				q.fleet.Heard(&d, now)
 			}
 		}
-		return true // never wait here for more
+		return true // do not wait for more
 	})
 }
 
@@ -176,7 +178,7 @@
 	}
 }
 
-// tickPeers has the fleet's part do what is due.
+// tickPeers runs what is due in the fleet.
 func (p *Proxy) tickPeers(now int64) {
 	q := p.peers
 	if q == nil {
@@ -188,7 +190,7 @@
 	q.timer = p.after(now, max(1e6, next-now), p.tickPeers)
 }
 
-// carryPeers carries out what the fleet's part decides.
+// runPeerActions carries out what the fleet decides.
 func (p *Proxy) carryPeers(now int64) {
 	q := p.peers
 	for a, ok := q.fleet.Next(); ok; a, ok = q.fleet.Next() {
@@ -220,7 +222,7 @@
 	}
 }
 
-// probe asks a host whether it is well, beside the owner.
+// probeHost checks a host's health off the event loop.
 func (p *Proxy) probe(q *peers, id string) {
 	h := p.host(id)
 	if h == nil || q.asking[id] {
@@ -243,7 +245,7 @@
 	}()
 }
 
-// listPeers tells the fleet's part which hosts are listed.
+// updatePeerHosts tells the fleet which hosts are in use.
 func (p *Proxy) listPeers(now int64) {
 	if p.peers == nil {
 		return
@@ -257,7 +259,7 @@
 	p.peers.fleet.Servers(ids, now)
 }
 
-// leavePeers tells the others that this process ends.
+// leavePeers tells the peers that this process ends.
 func (p *Proxy) leavePeers(now int64) {
 	if p.peers != nil {
 		p.leaveWorks(now)
@@ -266,7 +268,7 @@
 	}
 }
 
-// sheds asks whether the fleet denies a req, and for how long its client is to stay away.
+// shedByFleet reports whether the fleet sheds a request, and for how many ns its client is to back off.
 func (p *Proxy) sheds(r *req, now int64) (shed bool, back int64) {
 	if p.peers == nil {
 		return false, 0
@@ -276,13 +278,13 @@
 	return p.peers.fleet.Arrive(set, p.terms.Tenant(r.call.Tenant), r.luck, again(&r.call), now)
 }
 
-// again says whether a client says of its call that it is a retry.
+// isRetry reports whether a request is marked as a retry by its client.
 func again(c *http1.Call) bool {
 	return slices.ContainsFunc(c.Fields, func(f http1.Field) bool { return strings.EqualFold(f.Name, "Client-Retry") && f.Value == "1" })
 }
 
-// sameness is a number between 0 and 1 that belongs to what a client's retry has in common with its first try, and is the same at
-// all proxies.
+// retryHash returns a number between 0 and 1 that a client's retries share with the first try, and that is the same
+// at all proxies.
 func sameness(c *http1.Call) float64 {
 	const odd = 0x9e3779b97f4a7c15
 	h := xxhash.Sum64String(c.RuleSet)
@@ -294,7 +296,7 @@
 	return (float64((h^h>>32)>>11) + 0.5) / (1 << 53)
 }
 
-// told tells of a final answer.
+// reportFinal records a final response for the fleet and the service meter.
 func (p *Proxy) told(r *req, done bool, now int64) {
 	if p.peers == nil && p.comeback == nil {
 		return
@@ -312,7 +314,7 @@
 	}
 }
 
-// fleetReply is what an operator is told of the fleet.
+// fleetReply answers an operator's query of the fleet.
 func (p *Proxy) fleetReply(now int64) door.Reply {
 	q := p.peers
 	if q == nil {
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file owns the connections to hosts: it keeps idle ones, closes them before the host would, and
-// stays within the descriptors, of which clients come first. It must never hand out a connection that has
-// ended or that carries something.
+// This file manages connections to hosts: it keeps idle ones, closes them before the host would, and stays within
+// the descriptors, of which clients have priority. It must never hand out a connection that has ended or that
+// carries a dispatch.
 
 import (
 	"net/http"
@@ -17,16 +17,17 @@
 )
 
 const (
-	spareSockets = 32   // descriptors for the listener, pollers, discovery and what nbio holds twice for a moment
-	settle       = 1e6  // what comes behind an answer comes within this time of it: no call is written sooner
-	idlePart     = 0.75 // part of the hosts' idle time after which a connection is closed
+	spareSockets = 32 // for the listener, pollers, discovery and what nbio duplicates for a moment
+	// Stray bytes behind a response arrive within this time: no request is written sooner.
+	settle   = 1e6
+	idlePart = 0.75 // fraction of the hosts' idle timeout after which a connection is closed
 )
 
-// host is one server as the list tells of it, with this proxy's connections to it.
+// host is one listed server, with this proxy's connections to it.
 type host struct {
 	id, addr string
-	told     balance.Server // as the list has it
-	shown    balance.Server // as the module has it
+	told     balance.Server // as the list reports it
+	shown    balance.Server // as the balancer sees it
 	since    int64
 	ready    bool
 	listed   bool
@@ -37,24 +38,24 @@
 // hostConn is one connection to a host.
 type hostConn struct {
 	wire
-	answers *http1.Answers // the poller's
-	begun   atomic.Bool    // a part of an answer has come
+	answers *http1.Answers // reading goroutine only
+	begun   atomic.Bool    // part of a response has arrived
 	host    *host
 	addr    string
 	since   int64
-	carries *dispatch // nil when idle
+	carries *dispatch // nil if idle
 	expires *timer
 	used    int64
-	counted bool // among the pool's connections
-	chunks  bool // the answer that is being passed on goes out in chunks
+	counted bool // included in the pool's connection count
+	chunks  bool // the response that is being relayed goes out in chunks
 }
 
-// pool counts what is open towards hosts.
+// pool counts the connections to hosts and the dials in progress, those to discovery included.
 type pool struct {
 	dials, conns int
 }
 
-// idle takes the connection to a host that was used last.
+// takeIdle removes and returns the most recently used idle connection to a host; nil if there is none.
 func (p *Proxy) idle(h *host) *hostConn {
 	for len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
@@ -72,13 +73,13 @@
 	p.stop(c.expires)
 }
 
-// retire ends an idle connection.
+// closeIdleConn closes an idle connection.
 func (p *Proxy) retire(c *hostConn) {
 	p.unpark(c)
 	c.shut()
 }
 
-// park keeps a connection that carries nothing, unless it leads to what the host no longer is.
+// park keeps a connection for the next dispatch, or closes it if the host has restarted, moved or is out of use.
 func (p *Proxy) park(c *hostConn, now int64) {
 	if c.closed || !c.host.ready || c.addr != c.host.addr || c.since != c.host.since {
 		c.shut()
@@ -95,8 +96,8 @@
 	}
 }
 
-// roomForOne closes the longest idle connection to a host, or else a client's at rest, where descriptors run
-// short; false when there is none.
+// makeRoom closes the connection to a host that has been idle for longest, or else an idle client's, while
+// descriptors are short; it returns false if there is none to close.
 func (p *Proxy) roomForOne() bool {
 	for len(p.clients)+p.pool.conns+p.pool.dials >= p.sockets-spareSockets {
 		var oldest *hostConn
@@ -115,7 +116,7 @@
 	return true
 }
 
-// connect dials for a dispatch. What comes up after the dispatch has ended is kept for the next.
+// connect dials for a dispatch. A connection that is established after the dispatch has ended is kept for the next.
 func (p *Proxy) connect(d *dispatch, now int64) {
 	h := d.host
 	if !p.roomForOne() {
@@ -143,7 +144,7 @@
 	})
 }
 
-// connected puts a new connection to use.
+// useConn uses a connection for a dispatch.
 func (p *Proxy) connected(d *dispatch, c *hostConn, now int64) {
 	if !d.out {
 		p.park(c, now)
@@ -163,10 +164,11 @@
 	}
 }
 
-// hands over an answer or a piece of one; on whoever reads.
+// deliver hands over a response or a piece of one; it runs on the reading goroutine.
 func (p *Proxy) hands(c *hostConn, a http1.Answer, at int64) {
 	if a.Piece == http1.Whole || a.Piece == http1.Last {
-		a.Close = a.Close || c.answers.Begun() // a copy or noise behind it: it is sound, the connection is not
+		// If more bytes follow it, a copy or noise, the response is sound but the connection is not.
+		a.Close = a.Close || c.answers.Begun()
 		c.begun.Store(false)
 	}
 	do := p.passes
@@ -182,14 +184,14 @@
 	p.post(at, &c.wire, func(at int64) { do(c, a, at) })
 }
 
-// eof is the end of a host's sending: it makes whole what no length was told for.
+// onEOF completes a response without a length, which ends with the host's sending.
 func (c *hostConn) eof(p *Proxy, at int64) {
 	if a, ok := c.answers.End(); ok {
 		p.hands(c, a, at)
 	}
 }
 
-// spoilt ends a connection on which no whole answer can come any more.
+// failConn closes a connection on which no complete response can arrive any more.
 func (p *Proxy) spoilt(c *hostConn, now int64) {
 	c.shut()
 	if d := c.carries; d != nil {
@@ -202,17 +204,17 @@
 	}
 }
 
-// answered takes a whole answer off a connection.
+// handleResponse handles a complete response of a connection.
 func (p *Proxy) answered(c *hostConn, a http1.Answer, now int64) {
 	d := c.carries
-	// Nobody asked, or it came before all was asked. A late copy of the answer before, read just before this
-	// call was written, must not answer it: the kernel may have taken the call by now.
+	// Unsolicited, or sent before the whole request was. A late copy of the response before, read just before this
+	// request was written, must not answer it: the kernel may have accepted the request by now.
 	if d == nil || now <= d.wrote || !d.allSent() && (d.req.flow == nil || a.Status == http.StatusOK) {
 		p.spoilt(c, now)
 		return
 	}
 	c.carries = nil
-	if a.Close || !d.allSent() { // a host may turn a body away before all of it has come
+	if a.Close || !d.allSent() { // a host may reject a body before all of it has arrived
 		c.shut()
 	} else {
 		p.park(c, now)
@@ -220,7 +222,7 @@
 	p.book(d, outcome(a), &a, now)
 }
 
-// gone is the end of a connection to a host.
+// onClose ends the dispatch of a closed connection.
 func (c *hostConn) gone(p *Proxy, now int64) {
 	p.unpark(c)
 	p.uncount(c)
@@ -235,7 +237,7 @@
 	}
 }
 
-// uncount takes a connection that is closed off the counts, once.
+// uncount removes a closed connection from the counts, once.
 func (p *Proxy) uncount(c *hostConn) {
 	if c.counted {
 		c.counted = false
@@ -244,7 +246,7 @@
 	}
 }
 
-// tidy forgets a host that is off the list and has no connection left.
+// forgetHost removes a host that is off the list and has no connection left.
 func (p *Proxy) tidy(h *host) {
 	if !h.listed && h.conns == 0 {
 		p.hosts = slices.DeleteFunc(p.hosts, func(x *host) bool { return x == h })
@@ -255,7 +257,7 @@
 	return slices.BinarySearchFunc(p.hosts, id, func(h *host, id string) int { return strings.Compare(h.id, id) })
 }
 
-// host finds a host by its id; nil where there is none.
+// host returns the host with an ID; nil if there is none.
 func (p *Proxy) host(id string) *host {
 	if i, ok := p.find(id); ok {
 		return p.hosts[i]
--- a/proxy/present_test.go
+++ b/proxy/present_test.go
@@ -13,18 +13,19 @@
 	"ivybank/proxy/http1"
 )
 
-// This file owns the tests of what a process does first after a time in which it did not run. The stop is
-// built as it is found at waking: a later clock, and what discovery wrote meanwhile in the kernel.
-// No verdict may rest on how fast the machine is.
+// These tests check what a process does first after it was stopped. A stop is simulated by what the process finds
+// when it wakes up: a later clock, and data from discovery in the kernel's buffer. No result may depend on the
+// speed of the machine.
 
-// poller polls connections that tests may see written to: nbio panics within its lock on one that is not.
+// poller polls connections that tests write to: nbio panics, holding its lock, on a write to one that is not
+// polled.
 var poller = sync.OnceValues(func() (*nbio.Engine, error) {
 	e := nbio.NewEngine(nbio.Config{Name: "test", NPoller: 1, EpollMod: nbio.EPOLLET})
 	e.OnRead(func(*nbio.Conn) {})
 	return e, e.Start()
 })
 
-// polled is a parked connection that may be written to.
+// polled returns a parked connection that may be written to.
 func polled(t *testing.T, p *Proxy) *hostConn {
 	t.Helper()
 	c, _ := parked(t, p, p.now()-1e9)
@@ -38,7 +39,7 @@
 	return c
 }
 
-// watched gives a proxy a watch that is up, and discovery's side of it.
+// watched gives a proxy an open watch and returns it with discovery's side of the connection.
 func watched(t *testing.T, p *Proxy) (*watch, net.Conn) {
 	t.Helper()
 	nb, other := pair(t)
@@ -47,7 +48,7 @@
 	return w, other
 }
 
-// drains has discovery write that the server drains, and waits until the kernel holds it.
+// sendDraining has discovery report the server as draining, and waits until that is in the kernel's buffer.
 func drains(t *testing.T, w *watch, other net.Conn) {
 	t.Helper()
 	line := `{"generation":8,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`
@@ -59,14 +60,14 @@
 	notice(&hostConn{wire: wire{nb: w.nb}})
 }
 
-// stopped makes it as if the process had not run for 5 s.
+// simulateStop makes it look as if the process had not run for 5 s.
 func stopped(p *Proxy) {
 	p.newsAt -= 5e9
 	p.rounded -= 5e9
 }
 
-// Whichever event comes first after a stop, nothing goes to a server of which discovery has written meanwhile
-// that it drains; with what operators set on coming back and without, noticed or not.
+// Whichever event is handled first after a stop, nothing is dispatched to a server that discovery has meanwhile
+// reported as draining; with and without recovery settings, whether the stop was noticed or not.
 func TestToldWhileStopped(t *testing.T) {
 	over := func(p *Proxy) int64 { return p.now() + 3e9 }
 	for name, first := range map[string]func(p *Proxy, r *req, c *hostConn){
@@ -107,7 +108,7 @@
 				first(p, &req{outs: 1}, c)
 				p.round()
 				if c.given.Load() > 0 {
-					t.Errorf("%d bytes were written to it", c.given.Load())
+					t.Errorf("%d bytes were written to the draining server", c.given.Load())
 				}
 				if p.host("s").ready || p.count.Lines != 1 {
 					t.Errorf("ready %v after %d lines", p.host("s").ready, p.count.Lines)
@@ -117,7 +118,7 @@
 	}
 }
 
-// With no stop to look at, what a poller has read of a watch still goes before what else has come.
+// Events of a watch that a poller has read are handled before all other events, also without a stop.
 func TestNewsFirst(t *testing.T) {
 	p := testProxy(t)
 	w, _ := watched(t, p)
@@ -136,7 +137,7 @@
 	}
 }
 
-// A dispatch whose time ran out in a stop stays here: its server would run it for nobody.
+// A dispatch whose deadline passed during a stop is not sent: its server would run it for nobody.
 func TestOverWhileStopped(t *testing.T) {
 	p := testProxy(t)
 	c := polled(t, p)
@@ -149,7 +150,7 @@
 	}
 }
 
-// What the old watch was told counts also where the new one does not come up in time.
+// What the old watch had received counts even if the new one is not established in time.
 func TestToldByOldWatch(t *testing.T) {
 	p := testProxy(t)
 	p.comeback = newComeback(Return{}, "discovery", p.now())
@@ -158,14 +159,14 @@
 	drains(t, w, other)
 	p.ran(p.now() - 5e9)
 	if p.comeback.count.Stood != 1 || !p.unsure() || p.list.watch == w {
-		t.Fatalf("stood still %d times, unsure %v", p.comeback.count.Stood, p.unsure())
+		t.Fatalf("%d stalls, list uncertain %v", p.comeback.count.Stood, p.unsure())
 	}
 	if p.sure(p.now()); p.unsure() || p.host("s").ready {
-		t.Errorf("unsure %v, ready %v, want what the old watch was told", p.unsure(), p.host("s").ready)
+		t.Errorf("list uncertain %v, ready %v, want the old watch's last list applied", p.unsure(), p.host("s").ready)
 	}
 }
 
-// A stop in the midst of sending is noticed by the next round: it falls between two looks like any other.
+// A stop while the loop is sending is noticed by the next round, like a stop at any other time.
 func TestStoppedWhileSending(t *testing.T) {
 	p := testProxy(t)
 	p.comeback = newComeback(Return{}, "discovery", p.now())
@@ -174,28 +175,28 @@
 	p.after(p.now(), 1e8, func(int64) {})
 	p.post(p.now(), nil, func(at int64) {
 		p.enter(&req{call: http1.Call{ID: "a", Timeout: 3e9}, taken: at}, 3e9, at)
-		p.newsAt = 0 // so that the dispatch meets what follows
+		p.newsAt = 0 // so that the dispatch runs the event below
 		p.tell(at, w, func(int64) { time.Sleep(time.Duration(stoodLong + 2e8)) })
 	})
 	p.round()
 	if p.round(); p.comeback.count.Stood != 1 {
-		t.Errorf("stood still %d times, want 1", p.comeback.count.Stood)
+		t.Errorf("%d stalls, want 1", p.comeback.count.Stood)
 	}
 }
 
-// The watch is looked at once in so long a time, however many dispatches go out: not once for each.
+// The watch is read at most once per maxWatchAgeNs, however many dispatches are sent.
 func TestPresentOnce(t *testing.T) {
 	p := testProxy(t)
 	w, other := watched(t, p)
 	now := p.now()
 	if !p.present(now) {
-		t.Fatal("not looked at the first time")
+		t.Fatal("not read the first time")
 	}
 	drains(t, w, other)
 	if p.present(now+stale-1) || p.count.Lines != 0 {
-		t.Error("looked at again before its time")
+		t.Error("read again too early")
 	}
 	if !p.present(now+stale) || p.count.Lines != 1 {
-		t.Errorf("%d lines once its time has come, want 1", p.count.Lines)
+		t.Errorf("%d lines read after maxWatchAgeNs, want 1", p.count.Lines)
 	}
 }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -14,7 +14,7 @@
 	"ivybank/proxy/http1"
 )
 
-// testProxy is a proxy that knows one server and listens to nobody.
+// testProxy returns a proxy that knows one server and does not listen.
 func testProxy(t *testing.T) *Proxy {
 	t.Helper()
 	return New(Start{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6,
@@ -22,7 +22,7 @@
 		Terms: balance.Terms{Tick: 5e6, MaxDispatches: 3, Copies: 1}})
 }
 
-// pair is a connection as the proxy holds it, and its other side.
+// pair returns a connection as the proxy holds it, and its other side.
 func pair(t *testing.T) (*nbio.Conn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,14 +57,15 @@
 	return c, other
 }
 
-// notice waits until the kernel shows what the other side did.
+// waitForInput waits until the kernel shows what the other side did.
 func notice(c *hostConn) {
 	for end := time.Now().Add(10 * time.Second); c.nothing() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// What the kernel did not take never ran; all else may have. The count is nbio's, which queues writes.
+// A request that the kernel did not accept in full never ran; any other may have. The count is nbio's, which queues
+// writes.
 func TestHowFar(t *testing.T) {
 	for name, c := range map[string]struct {
 		conn, took, begun bool
@@ -103,7 +104,7 @@
 			p = testProxy(t)
 			d = build(p)
 			p.giveUp(d, balance.TimedOut, 1)
-			p.giveUp(d, balance.Cancelled, 2) // ends once
+			p.giveUp(d, balance.Cancelled, 2) // a dispatch ends once
 			if p.count.Outcomes[c.given] != 1 || p.count.Outcomes[balance.Cancelled] != 0 {
 				t.Errorf("given up: got %v, want one %s", p.count.Outcomes, outcomeNames[c.given])
 			}
@@ -130,21 +131,22 @@
 	}
 }
 
-// A client that sent nothing but an empty line is still owed its end.
+// A client that sent only an empty line must still time out.
 func TestComes(t *testing.T) {
 	p := testProxy(t)
 	c := &client{}
 	p.await(c, 1)
 	if p.comes(c, false, false, false, 2); c.due.index < 0 {
-		t.Fatal("an empty line ended the wait for the first call")
+		t.Fatal("an empty line stopped the timer of the first request")
 	}
 	c.asked = true
 	if p.comes(c, false, false, false, 3); c.due.index >= 0 {
-		t.Fatal("a client between calls is waited for")
+		t.Fatal("the timer runs between requests")
 	}
 }
 
-// A copy of an answer that was read before the next call was written on its connection never answers that call.
+// A copy of a response that was read before the next request was written on its connection never answers that
+// request.
 func TestLateCopy(t *testing.T) {
 	p := testProxy(t)
 	c, _ := parked(t, p, 1)
@@ -157,7 +159,7 @@
 	}
 }
 
-// A connection that just had an answer waits for what may come behind it.
+// A connection that just had a response is not used before stray bytes behind it would have arrived.
 func TestSettled(t *testing.T) {
 	p := testProxy(t)
 	c, other := parked(t, p, 1000)
@@ -165,16 +167,16 @@
 	p.send(p.reqs[1], "s", 1e9, 1001)
 	d := p.reqs[1].dispatches[0]
 	if c.given.Load() != 0 || d.conn != nil || len(p.timers) != 2 {
-		t.Fatalf("written at once, %d timers", len(p.timers))
+		t.Fatalf("the request was written at once, %d timers", len(p.timers))
 	}
 	_, _ = other.Write([]byte("HTTP/1.1 200 OK"))
 	notice(c)
 	if p.settled(d, c, 1000+settle); !c.closed || d.conn != nil || p.pool.dials != 1 {
-		t.Fatalf("closed %v, %d dials, want the call on a new connection", c.closed, p.pool.dials)
+		t.Fatalf("closed %v, %d dials, want the request on a new connection", c.closed, p.pool.dials)
 	}
 }
 
-// A connection that the other side has ended must not carry a req, which would end as a reset that may have run.
+// A connection that the peer has ended must not carry a request, which would end as a reset that may have run.
 func TestIdle(t *testing.T) {
 	for name, spoil := range map[string]func(net.Conn){
 		"ended":       func(c net.Conn) { _ = c.Close() },
@@ -204,7 +206,7 @@
 	})
 }
 
-// Clients come first: idle connections to servers go, the longest idle before others.
+// Clients have priority: idle connections to hosts are closed for them, the longest idle first.
 func TestRoomForOne(t *testing.T) {
 	p := testProxy(t)
 	old, _ := parked(t, p, 1)
@@ -215,17 +217,17 @@
 	if !p.roomForOne() || !old.closed || late.closed || p.pool.conns != 1 {
 		t.Fatalf("got old closed %v, late closed %v, %d counted", old.closed, late.closed, p.pool.conns)
 	}
-	old.gone(p, 3) // nbio's word comes later and must not count it off twice
+	old.gone(p, 3) // nbio's callback comes later and must not count it a second time
 	if p.pool.conns != 1 || p.host("s").conns != 1 {
 		t.Fatalf("got %d, %d counted, want 1", p.pool.conns, p.host("s").conns)
 	}
 	p.clients = append(p.clients, &client{rests: p.now()}, &client{rests: p.now()})
 	if p.roomForOne() {
-		t.Fatal("got room where clients alone fill the descriptors")
+		t.Fatal("got a descriptor while clients alone use all of them")
 	}
 }
 
-// An answer that was read before its dispatch timed out counts, however late the owner gets to it.
+// A response that was read before its dispatch timed out counts, however late the event loop handles it.
 func TestRound(t *testing.T) {
 	p := testProxy(t)
 	var order []string
@@ -242,7 +244,8 @@
 	}
 }
 
-// A client's last answer leaves before its connection ends, but one that never reads is not waited for.
+// A client's last response is sent before its connection is closed, but a client that never reads is not waited
+// for.
 func TestCloseWritten(t *testing.T) {
 	p := testProxy(t)
 	nb, _ := pair(t)
@@ -253,14 +256,14 @@
 		t.Fatalf("closed %v with bytes left, %d timers", c.closed, len(p.timers))
 	}
 	if p.closeWritten(c, 0, 100, 100); !c.closed {
-		t.Fatal("a client that does not read is kept")
+		t.Fatal("the connection of a client that does not read stays open")
 	}
 	nb, _ = pair(t)
 	c = &client{wire: wire{nb: nb}}
 	c.given.Store(10)
 	c.took.Store(10)
 	if p.closeWritten(c, 0, 1, 100); !c.closed {
-		t.Fatal("a client that has all is kept")
+		t.Fatal("the connection of a client that has received everything stays open")
 	}
 }
 
@@ -287,7 +290,7 @@
 	}
 }
 
-// Nothing new begins at a server that was told to drain while a connection to it came up.
+// Nothing is dispatched to a server that began to drain while the connection to it was being established.
 func TestDrainedMeanwhile(t *testing.T) {
 	p := testProxy(t)
 	p.listed(balance.Changes, roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}, 1)
@@ -300,12 +303,12 @@
 		t.Fatalf("got %v, %d bytes given", p.count.Outcomes, c.given.Load())
 	}
 	if !errors.Is(&broken{unconnected, errDrained}, errDrained) {
-		t.Fatal("an error hides its cause")
+		t.Fatal("the error does not unwrap to its cause")
 	}
 }
 
-// A host that begins a long good answer before all of the call was sent, or beside another's that is being passed on, is at
-// fault or late; neither may reach the client.
+// A long successful response that starts before all of the request was sent, or while another host's response is
+// being relayed, must not reach the client.
 func TestEarlyPieces(t *testing.T) {
 	for name, spoil := range map[string]func(r *req, c *hostConn){
 		"early":  func(r *req, c *hostConn) { c.given.Add(10) },
@@ -332,7 +335,7 @@
 	}
 }
 
-// What is in transit stops the reading at its bound and lets it go on once the other side has taken it.
+// Reading stops at the transit limit and resumes once the other side has accepted the bytes.
 func TestTransit(t *testing.T) {
 	p := testProxy(t)
 	nb, _ := pair(t)
@@ -341,15 +344,15 @@
 	most := p.transit.Load()
 	from.transit.Store(most)
 	if from.room(most) || !from.stalled.Load() {
-		t.Fatal("reading goes on past the bound")
+		t.Fatal("reading goes on past the limit")
 	}
 	to.given.Store(most)
 	if p.moved(from, most, to); !to.hungry.Load() || from.transit.Load() != most {
-		t.Fatalf("let go of %d before the other side has taken anything", most-from.transit.Load())
+		t.Fatalf("released %d bytes before the other side has accepted any", most-from.transit.Load())
 	}
 	to.took.Store(most)
 	if p.moved(from, 0, to); from.transit.Load() != 0 || from.stalled.Load() {
-		t.Fatalf("%d in transit, stalled %v once all was taken", from.transit.Load(), from.stalled.Load())
+		t.Fatalf("%d in transit, stalled %v once all was accepted", from.transit.Load(), from.stalled.Load())
 	}
 	for range 300 {
 		p.clients = append(p.clients, &client{flow: &flow{}})
@@ -360,7 +363,7 @@
 	}
 }
 
-// A body that the kernel did not take at once is no body that stands still: it has its time, and goes on while it moves.
+// A body that the kernel did not accept at once has not stalled: it has its time, and goes on while bytes move.
 func TestStuck(t *testing.T) {
 	p := testProxy(t)
 	c, _ := parked(t, p, 1)
@@ -372,7 +375,7 @@
 	due := func() {
 		t.Helper()
 		if len(p.timers) != 1 {
-			t.Fatalf("got %d timers, want the next look", len(p.timers))
+			t.Fatalf("got %d timers, want the next check", len(p.timers))
 		}
 		x := p.timers[0]
 		p.stop(x)
@@ -384,21 +387,22 @@
 	}
 	c.took.Store(60)
 	if due(); !d.out {
-		t.Fatal("given up though it moved")
+		t.Fatal("given up though bytes moved")
 	}
 	if due(); d.out || !c.closed || p.count.Outcomes[balance.NotSent] != 1 {
 		t.Fatalf("out %v, closed %v, %v, want it given up as never sent", d.out, c.closed, p.count.Outcomes)
 	}
 }
 
-// A host taken out by hand, by a plan or by another's word just after the start is not discovery's word: the list is still asked for.
+// Taking a host out of use just after the start, by an operator, a plan or a peer's report, does not count as a
+// list from discovery: the balancer still asks for one.
 func TestAsksAllTheSame(t *testing.T) {
 	p := New(Start{Sockets: 100, Terms: balance.Terms{Copies: 1, MustAsk: true, AskWithin: 2e9, Tick: 5e6, RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
 		Known: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`)})
 	now := p.now()
 	p.holding(holds.Table{Version: 1, Hosts: map[string]holds.Hold{"s": {Out: true, From: now}}}, now)
 	if p.host("s").ready {
-		t.Fatal("the host is in use")
+		t.Fatal("the host is still ready")
 	}
 	asked := false
 	for at := now; at < now+3e9; at += 5e7 {
@@ -407,29 +411,29 @@
 		}
 	}
 	if !asked {
-		t.Error("the list is not asked for any more")
+		t.Error("the balancer does not ask for the list any more")
 	}
 }
 
-// Discovery that is called by all at once says when to come again: it is kept to, spread, and called once then.
+// A Retry-After of discovery is obeyed with a random part added, and leads to one call only.
 func TestPutOff(t *testing.T) {
 	p := testProxy(t)
 	now := p.now()
 	if p.putOff(2e9, now); p.list.after != 0 {
-		t.Fatal("kept to, though nothing is set on coming back")
+		t.Fatal("Retry-After is obeyed without recovery settings")
 	}
 	p.comeback = &comeback{}
 	p.putOff(2e9, now)
 	if wait := p.list.after - now; wait < 2e9 || wait > 25e8 {
-		t.Fatalf("put off for %d ms", wait/1e6)
+		t.Fatalf("deferred for %d ms", wait/1e6)
 	}
 	for range 3 {
 		p.watch(now + 1e9)
 	}
 	if p.count.Watches != 0 || len(p.timers) != 1 || p.timers[0].at != p.list.after {
-		t.Errorf("%d calls, %d to come", p.count.Watches, len(p.timers))
+		t.Errorf("%d calls, %d timers", p.count.Watches, len(p.timers))
 	}
 	if p.putOff(3600e9, now); p.list.after-now > 125e8 {
-		t.Errorf("put off for %d s", (p.list.after-now)/1e9)
+		t.Errorf("deferred for %d s", (p.list.after-now)/1e9)
 	}
 }
--- a/proxy/relay.go
+++ b/proxy/relay.go
@@ -1,15 +1,15 @@
 package proxy
 
-// This file owns the answers to clients: a host's 200 unchanged, a deny or an abort, each whole and once.
-// It must never begin an answer that it does not hold to the end.
+// This file writes the responses to clients: a host's 200 unchanged, a denial or an abort, each complete and once.
+// It must never begin a response that it does not have to its end.
 
 import (
 	"ivybank/proxy/http1"
 )
 
-// final gives a req its one final answer, counted by its kind.
+// sendFinal gives a request its one final response and adds it to counter.
 func (p *Proxy) final(r *req, kind *int, a http1.Answer) {
-	if r == nil || r.ended || r.relay != nil { // what is being passed on is the answer
+	if r == nil || r.ended || r.relay != nil { // a relay in progress is the final response
 		return
 	}
 	*kind++
@@ -27,14 +27,14 @@
 	p.turn(c)
 }
 
-// lastAnswer says whether a client's connection ends with its next answer, whatever that is to. Past their part of the
-// descriptors clients' do, and are told so: no call can cross that, and clients that ask once and stay, be it for
-// health, do not crowd out those that come next.
+// closesAfterResponse reports whether a client's connection ends with its next response, whatever that is to. This
+// is so above the clients' share of descriptors, and the response says so: no request can cross such a close, and
+// clients that send one request and stay connected, such as health checks, do not crowd out new ones.
 func (p *Proxy) lastAnswer(c *client) bool {
 	return c.last || len(p.clients) > p.sockets/keepPart || p.drain.ending || p.drain.emptied != 0
 }
 
-// answer writes to a client; after the last answer its connection is closed once all of it has left.
+// respond writes a response to a client; after the last one the connection is closed once all of it is sent.
 func (p *Proxy) answer(c *client, a http1.Answer, last bool) {
 	if c.closed {
 		return
@@ -50,14 +50,14 @@
 	}
 }
 
-// endClient closes a client's connection when the kernel has all that was written to it, as nbio drops what
-// it still holds, or when the client has not read that for as long as any client waits.
+// closeWhenFlushed closes a client's connection when the kernel has accepted all that was written to it, as nbio
+// drops what it still holds, or when no bytes have moved for maxStallNs.
 func (p *Proxy) endClient(c *client, now int64) {
 	p.closeWritten(c, c.took.Load()+c.heard.Load(), now, now+stall)
 }
 
-// closeWritten waits as long as it gets on. A body that still comes is read out first: closing on it would reset the
-// client before it has seen its answer.
+// pollFlushed waits while bytes move. A body that is still arriving is read to its end first: closing the
+// connection before would reset it before the client has seen its response.
 func (p *Proxy) closeWritten(c *client, moved, now, latest int64) {
 	if is := c.took.Load() + c.heard.Load(); is != moved && c.bad == nil {
 		moved, latest = is, now+stall
--- a/proxy/return.go
+++ b/proxy/return.go
@@ -1,7 +1,9 @@
 package proxy
 
-// This file owns coming back: what is written down and when, what of it is taken at a start, what others teach, and how long service
-// takes to be full again. It must never hold up a req, decide what is to be believed (package recall), or take a clock's jump for time.
+// This file handles recovery after a start or a stop of the process: what snapshots hold and when they are written,
+// what of a snapshot is used at a start, what peers report, and how long service takes to be full again. It must
+// never delay a request, decide what is to be trusted (package recall does), or take a clock's jump for elapsed
+// time.
 
 import (
 	"errors"
@@ -21,44 +23,45 @@
 )
 
 const (
-	lookFull  = 2.5e8            // between looks whether service is full
-	warnApart = 30 * time.Second // between warnings that nothing can be written down
-	sureWait  = int64(5e8)       // so long a list is waited for after that, where discovery was there before
-	stoodLong = int64(5e8)       // rounds that come so much late: the process did not run, and settles what it holds first
+	lookFull  = 2.5e8            // between checks whether service is full
+	warnApart = 30 * time.Second // between warnings that snapshots cannot be written
+	sureWait  = int64(5e8)       // how long the process waits for a list after a stall if discovery was connected before
+	stoodLong = int64(5e8)       // rounds that are so late show that the process did not run; it verifies the host list first
 )
 
-// Return is what operators set on coming back.
+// RecoveryConfig is the operator's configuration of recovery. Times are in nanoseconds.
 type Return struct {
-	Folder string // of snapshots; empty: none are kept
-	Every  int64  // between them
-	Trust  int64  // what was met at servers longer ago is not believed
+	Folder string // for snapshots; empty: none are kept
+	Every  int64  // interval between them
+	Trust  int64  // older observations of hosts are not trusted
 }
 
-// comeback is the owner's side of it; nil where operators set nothing.
+// recovery is the event loop's state of recovery; nil if it is not configured.
 type comeback struct {
 	Return
 	source   string // where the list in use is from: start, disk, discovery
-	listAt   int64  // when it was told, as far as known
+	listAt   int64  // when it was reported, as far as known
 	verdicts []recall.Verdict
-	own      []balance.Learnt // what was believed of the snapshot
-	newest   int64            // idempotency key that the snapshot knew of
-	life     uint64           // the incarnation before
+	own      []balance.Learnt // what was trusted of the snapshot
+	newest   int64            // start of the newest idempotency key in the snapshot
+	life     uint64           // incarnation of the process before
 	meter    recall.Meter
 	number   uint64
 	writing  bool
-	next     *timer // of the snapshots
+	next     *timer // fires when the next snapshot is due
 	warned   time.Time
 	count    struct{ Written, Unwritten, Refused, Drained, Stood int }
-	drained  map[string]bool // hosts that another says drain; emptied by what discovery tells
-	unsure   bool            // the process stood still, and the list has not been told since: nothing is dispatched
-	sureAt   *timer          // when that ends at the latest
+	drained  map[string]bool // hosts that peers report as draining; removed when discovery reports on them
+	unsure   bool            // the process stalled, and discovery has not sent the list since: nothing is dispatched
+	sureAt   *timer          // ends that at the latest
 }
 
 func newComeback(x Return, source string, now int64) *comeback {
 	return &comeback{Return: x, source: source, listAt: now, drained: map[string]bool{}, meter: recall.Meter{Begun: now}}
 }
 
-// clocks are those of snapshots. The time since the machine's start goes on while a clock of the day jumps.
+// snapshotClocks reads the clocks for snapshots. The time since the machine's start is not affected by changes of
+// wall time.
 func clocks() recall.Now {
 	n := recall.Now{Wall: time.Now().UnixNano()}
 	var t unix.Timespec
@@ -68,7 +71,7 @@
 	return n
 }
 
-// remembered takes what the process before has left, over the list of the start.
+// loadSnapshot applies the snapshot of the process before, over the list given at start.
 func (p *Proxy) remembered(now int64) {
 	x := p.start.Return
 	if x == nil {
@@ -83,7 +86,7 @@
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			c.count.Refused++
-			logrus.Warnf("start without what was kept: %v", err)
+			logrus.Warnf("starting without a snapshot: %v", err)
 		}
 		return
 	}
@@ -91,15 +94,15 @@
 	fields := logrus.Fields{}
 	for _, v := range c.verdicts {
 		if fields[v.Part] = v.Why; !v.Kept {
-			fields[v.Part] = "not believed: " + v.Why
+			fields[v.Part] = "not trusted: " + v.Why
 		}
 	}
 	if m.Whose == "" {
 		c.count.Refused++
-		logrus.WithFields(fields).Warn("start without what was kept: it is of another proxy, or from the future")
+		logrus.WithFields(fields).Warn("starting without a snapshot: it belongs to another proxy or is from the future")
 		return
 	}
-	logrus.WithFields(fields).Info("kept from before")
+	logrus.WithFields(fields).Info("loaded a snapshot")
 	c.meter.Before = m.Service
 	c.own, c.newest, c.life = m.Module.Servers, m.Newest, m.Life
 	if len(m.List.Hosts) > 0 && m.List.Generation >= p.list.generation {
@@ -112,7 +115,7 @@
 	p.module.Recall(m.Module, now)
 }
 
-// lifeBefore is an incarnation that the next one has to be above: by the clock of the day it might not be.
+// minIncarnation returns a value that the next incarnation must reach: one taken from wall time might be too low.
 func (p *Proxy) lifeBefore() uint64 {
 	if c := p.comeback; c != nil && c.life > 0 {
 		return swim.After(c.life)
@@ -120,7 +123,7 @@
 	return 0
 }
 
-// rollOf gives a kept list the form of a line of discovery's.
+// hostListOf converts a list of a snapshot to the form of discovery's.
 func rollOf(l recall.List) roll {
 	r := roll{Generation: l.Generation, Reset: true, Instances: []entry{}}
 	words := map[balance.State]string{balance.Running: "ready", balance.Draining: "draining", balance.Gone: "gone"}
@@ -131,7 +134,7 @@
 	return r
 }
 
-// rekeep takes what operators have set anew. What was kept before counts at a start alone.
+// reconfigureRecovery applies a new configuration. Snapshots are loaded at a start only.
 func (p *Proxy) rekeep(x *Return, now int64) {
 	p.start.Return = x
 	c := p.comeback
@@ -150,14 +153,14 @@
 	}
 }
 
-// keep writes down what is known, beside the owner; one at a time.
+// saveSnapshot writes a snapshot off the event loop; one at a time.
 func (p *Proxy) keep(now int64) {
 	c := p.comeback
 	if c == nil || c.Folder == "" {
 		return
 	}
 	c.next = p.after(now, c.Every, p.keep)
-	if c.writing || p.other.Load() { // two processes of an upgrade would write one file
+	if c.writing || p.other.Load() { // two processes of an upgrade would write the same file
 		return
 	}
 	c.writing = true
@@ -186,13 +189,13 @@
 			}
 			if c.count.Unwritten++; time.Since(c.warned) > warnApart {
 				c.warned = time.Now()
-				logrus.Warnf("what was learnt is not kept: %v", err)
+				logrus.Warnf("the snapshot could not be written: %v", err)
 			}
 		})
 	}()
 }
 
-// learnt takes what others tell of servers that this process has not met yet.
+// learnFromPeers applies what peers report of hosts that this process has not used yet.
 func (p *Proxy) learnt(told []recall.Told, now int64) {
 	c := p.comeback
 	if c == nil {
@@ -216,7 +219,7 @@
 	p.module.Recall(balance.Memory{Servers: all}, now)
 }
 
-// discovered notes that discovery has spoken; what others said of drains is past with it.
+// noteDiscovery records that discovery has sent a list, which replaces what peers reported on draining.
 func (p *Proxy) discovered(form balance.Form, r roll, now int64) {
 	c := p.comeback
 	if c == nil || form == balance.Restored {
@@ -225,7 +228,7 @@
 	c.source, c.listAt = "discovery", now
 	if form == balance.Whole {
 		clear(c.drained)
-		c.unsure = false // the module is told all of it in a moment
+		c.unsure = false // the balancer gets the whole list in a moment
 		p.stop(c.sureAt)
 	}
 	for _, e := range r.Instances {
@@ -233,13 +236,14 @@
 	}
 }
 
-// ran looks whether this process ran all the time since a round was due, and gives when that was looked at. Reqs, ejections and budgets go
-// by the clock. The list may have changed unheard: where a watch was up it is opened anew, and until it tells, or for a moment, nothing is
-// dispatched, nor written that was to be.
+// checkStall checks whether the process has run all the time since a round was due, and returns the time of the
+// check. Requests, ejections and budgets depend on the clock. The list may have changed unnoticed: if a watch was
+// open it is reopened, and until it delivers a list, or for a moment, nothing is dispatched, nor written for
+// earlier decisions.
 func (p *Proxy) ran(due int64) int64 {
 	c, now := p.comeback, p.now()
 	if now-due > stale {
-		p.present(now) // the watch that is to end may hold what was told
+		p.present(now) // the watch that is replaced below may hold unread data
 	}
 	if c == nil || now-due <= stoodLong {
 		return now
@@ -263,10 +267,10 @@
 	return now
 }
 
-// unsure says whether the list may have changed unheard.
+// listUncertain reports whether the list may have changed unnoticed.
 func (p *Proxy) unsure() bool { return p.comeback != nil && p.comeback.unsure }
 
-// sure goes on with the list as it is known.
+// trustList goes on with the list as it is known.
 func (p *Proxy) sure(now int64) {
 	if c := p.comeback; c != nil && c.unsure {
 		c.unsure = false
@@ -275,7 +279,7 @@
 	}
 }
 
-// measured takes a final answer for the time to full service.
+// recordService adds a final response to the service meter.
 func (p *Proxy) measured(set *balance.RuleSet, good bool, now int64) {
 	if c := p.comeback; c != nil {
 		worth := 1.0
@@ -286,7 +290,7 @@
 	}
 }
 
-// lookFull says once that service is full.
+// checkFullService logs once that service is full.
 func (p *Proxy) lookFull(now int64) {
 	c := p.comeback
 	if c == nil {
@@ -299,7 +303,7 @@
 	p.after(now, lookFull, p.lookFull)
 }
 
-// returnReply is what an operator is told of the coming back.
+// recoveryReply answers an operator's query of recovery.
 func (p *Proxy) returnReply(now int64) door.Reply {
 	c := p.comeback
 	if c == nil {
--- a/proxy/roll.go
+++ b/proxy/roll.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file owns the form of the list: which bytes of discovery's are one list, on one line or on many, and
-// what it says. It must never take a part of a list, nor let one that was cut swallow those behind it.
+// This file parses host lists: it finds the bytes of one list in discovery's stream, on one line or several, and
+// reads them. It must never apply a part of a list, nor let a truncated list swallow those behind it.
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	errCut    = errors.New("cut off")
 )
 
-// roll is one list, or the changes of one.
+// hostList is one whole list, or the changes of one.
 type roll struct {
 	Generation int64   `json:"generation"`
 	Reset      bool    `json:"reset"`
@@ -33,7 +33,7 @@
 	Started float64 `json:"startedAtMs"`
 }
 
-// parseRoll reads one list. One with an entry that cannot be used is refused whole.
+// parseHostList reads one list. A list with an invalid entry is rejected as a whole.
 func parseRoll(text []byte) (roll, error) {
 	var r roll
 	if err := json.Unmarshal(text, &r); err != nil {
@@ -50,16 +50,16 @@
 	return r, nil
 }
 
-// listText is what has come of a watch's answer: lists, each one JSON object, with any white space in and
+// listBuffer holds the unread part of a watch's response: lists, each one JSON object, with any white space in and
 // between them.
 type listText struct {
-	held []byte // emptied list by list
+	held []byte // shrinks list by list
 }
 
 func (t *listText) add(b []byte) { t.held = append(t.held, b...) }
 
-// next cuts the next list off; false when more has to come. What is no list gives one error, however many
-// lines it has.
+// next removes and returns the next list; false if it is incomplete. Consecutive lines that are no list give one
+// error.
 func (t *listText) next() (r roll, whole bool, err error) {
 	t.held = bytes.TrimLeft(t.held, " \t\r\n")
 	if len(t.held) == 0 {
@@ -77,7 +77,7 @@
 			return r, false, nil
 		}
 		t.held, err = t.held[n:], errCut
-	default: // what begins a line goes on
+	default: // invalid up to the next line that begins with an object
 		if n = bytes.Index(t.held, []byte("\n{")); n < 0 {
 			n = len(t.held) - 1
 		}
@@ -86,7 +86,7 @@
 	return r, true, err
 }
 
-// behind finds a whole list that begins a line behind one that never became whole; -1 where there is none.
+// findNext returns the offset of a complete list that begins a line behind a truncated one, or -1.
 func (t *listText) behind() int {
 	for from := 0; ; {
 		i := bytes.Index(t.held[from:], []byte("\n{"))
@@ -102,7 +102,7 @@
 	}
 }
 
-// object says how long the JSON object is that a text begins with; io.ErrUnexpectedEOF where it is not whole.
+// objectLength returns the length of the JSON object at the start of text; io.ErrUnexpectedEOF if it is incomplete.
 func object(text []byte) (int, error) {
 	if text[0] != '{' {
 		return 0, errNoList
--- a/proxy/roll_test.go
+++ b/proxy/roll_test.go
@@ -10,7 +10,7 @@
 	"ivybank/proxy/http1"
 )
 
-// indented gives a list's text over many lines.
+// indented returns a list's text on several lines.
 func indented(t *testing.T, text, by string) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -20,8 +20,8 @@
 	return b.String()
 }
 
-// Lists come on one line or on many, with empty lines between them. However their bytes are cut, each is
-// taken once and whole; one that was cut off or is none costs no other.
+// Lists come on one line or several, with empty lines between them. However their bytes are split, each is applied
+// once and whole; a truncated or invalid one does not affect the others.
 func TestListText(t *testing.T) {
 	one := `{"generation":1,"reset":true,"instances":[{"instanceId":"a","hostPort":"b:1"},` +
 		`{"instanceId":"c{","hostPort":"d:1"}]}`
@@ -49,7 +49,7 @@
 	} {
 		for _, size := range []int{1, 7, len(c.text)} {
 			if size == 1 && name == "none" {
-				continue // byte by byte each is none
+				continue // byte by byte each is an error of its own
 			}
 			t.Run(fmt.Sprint(name, " by ", size), func(t *testing.T) {
 				var got []int64
@@ -60,7 +60,7 @@
 						if err != nil {
 							r.Generation = 0
 						}
-						if r.Generation > 0 || len(got) == 0 || got[len(got)-1] > 0 { // errors in a row are one
+						if r.Generation > 0 || len(got) == 0 || got[len(got)-1] > 0 { // consecutive errors count as one
 							got = append(got, r.Generation)
 						}
 					}
@@ -73,7 +73,7 @@
 	}
 }
 
-// What comes on a watch reaches the module whole, also indented and in chunks that end anywhere.
+// A list on a watch reaches the balancer whole, also if it is indented and split into chunks anywhere.
 func TestIndentedWatch(t *testing.T) {
 	p := testProxy(t)
 	p.open = true
@@ -91,7 +91,7 @@
 	}
 	p.round()
 	if u := p.host("u"); u == nil || !u.ready || p.host("s").ready {
-		t.Error("the list was not taken")
+		t.Error("the list was not applied")
 	}
 	if p.count.Lines != 1 || p.count.BadLines != 0 || p.list.generation != 8 || len(w.text.held) != 0 {
 		t.Errorf("%d lists, %d bad, generation %d, %d bytes held", p.count.Lines, p.count.BadLines,
@@ -99,6 +99,6 @@
 	}
 	w.read(p, p.now(), http1.AppendPiece(nil, true, nil, true))
 	if p.round(); p.list.watch == w {
-		t.Error("a watch whose answer is over is still waited for")
+		t.Error("a watch whose response has ended is still open")
 	}
 }
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -1,7 +1,6 @@
 package proxy
 
-// This file owns the way from the module's decisions to the stages that carry them out. It must never add
-// a decision of its own.
+// This file carries out the balancer's decisions. It must never add a decision of its own.
 
 import (
 	"net/http"
@@ -36,7 +35,7 @@
 				p.closeIdle(h)
 			}
 		case balance.Wake:
-			p.stop(p.wake) // the module asks anew only for an earlier time, or when the last has come
+			p.stop(p.wake) // the balancer asks again only for an earlier time, or when the last timer has fired
 			p.wake = p.after(now, d.Time, func(int64) {})
 		case balance.Log:
 			logrus.Info(d.Text)
--- a/proxy/send.go
+++ b/proxy/send.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file owns dispatches: each goes out over a connection of the pool or a new one, and ends once, by
-// an answer, a break, a time-out or by being given up. How far it had come decides whether it may have
-// run. It must never send a dispatch twice.
+// This file handles dispatches: each is sent over a pooled or new connection and ends once, by a response, a
+// connection failure, a timeout or a cancellation. How far it had come decides whether it may have run. It must
+// never send a dispatch twice.
 
 import (
 	"errors"
@@ -12,18 +12,18 @@
 	"ivybank/proxy/http1"
 )
 
-// reached is how far an attempt had come when it broke.
+// reached is how far a dispatch had come when it failed.
 type reached int
 
 const (
-	unsent reached = iota // the proxy itself could not or would not: no fault of the host's
+	unsent reached = iota // the proxy itself could not or would not send it: not the host's fault
 	unconnected
 	partWritten
 	allWritten
 	answerBegun
 )
 
-// broken is the error of an attempt that got no whole answer.
+// dispatchError is the error of a dispatch that got no complete response.
 type broken struct {
 	reached reached
 	cause   error
@@ -33,27 +33,27 @@
 func (b *broken) Unwrap() error { return b.cause }
 
 var (
-	errEnded   = errors.New("connection ended")
-	errAnswer  = errors.New("answer malformed")
-	errDrained = errors.New("host wants nothing new")
-	errUnknown = errors.New("host not known")
-	errSockets = errors.New("no descriptor free")
+	errEnded   = errors.New("connection closed")
+	errAnswer  = errors.New("malformed response")
+	errDrained = errors.New("host accepts no new dispatches")
+	errUnknown = errors.New("unknown host")
+	errSockets = errors.New("no free file descriptor")
 )
 
-// dispatch is one attempt of a req.
+// dispatch is one attempt of a request.
 type dispatch struct {
 	req   *req
 	index int
 	host  *host
-	conn  *hostConn // nil until one is up
+	conn  *hostConn // nil until one is established
 	sent  int64
-	wrote int64 // when it was handed to its connection
+	wrote int64 // when it was written to its connection
 	until int64
 	limit *timer
 	out   bool
 }
 
-// send is the fourth stage.
+// send starts a dispatch to a server. Times are Unix ns.
 func (p *Proxy) send(r *req, id string, until, now int64) {
 	d := &dispatch{req: r, index: len(r.dispatches), host: p.host(id), sent: now, until: until, out: true}
 	r.dispatches = append(r.dispatches, d)
@@ -66,7 +66,7 @@
 		p.post(now, nil, func(at int64) { p.broke(d, &broken{unsent, errUnknown}, at) })
 		return
 	}
-	if r.flow == nil || r.flow.whole { // else the module tells once its body is whole
+	if r.flow == nil || r.flow.whole { // otherwise the balancer sets the deadline once the body is complete
 		p.limit(d, until, now)
 	}
 	if c := p.idle(d.host); c != nil {
@@ -81,19 +81,19 @@
 	p.connect(d, now)
 }
 
-// limit is how long a dispatch is waited for.
+// setDeadline sets the time up to which a dispatch is waited for.
 func (p *Proxy) limit(d *dispatch, until, now int64) {
 	p.stop(d.limit)
 	d.until = until
 	d.limit = p.after(now, until-now, func(now int64) { p.giveUp(d, balance.TimedOut, now) })
 }
 
-// allSent says whether all of the call was written and taken by the kernel.
+// allSent reports whether all of the request was written and accepted by the kernel.
 func (d *dispatch) allSent() bool {
 	return d.conn != nil && d.conn.written() && (d.req.flow == nil || d.req.flow.sent)
 }
 
-// settled uses a connection that had an answer just before, unless more came on it.
+// useSettled uses a connection that had a response just before, unless more arrived on it.
 func (p *Proxy) settled(d *dispatch, c *hostConn, now int64) {
 	if c.closed || !c.nothing() {
 		c.shut()
@@ -105,8 +105,9 @@
 	p.connected(d, c, now)
 }
 
-// write puts the dispatch on a connection that is up. Where its host wants nothing new any more, or its time
-// is over, or the process stood still on the way here, it comes back unsent and the module decides anew.
+// write writes the dispatch to an established connection. If its host takes no new dispatches any more, its
+// deadline has passed, or the process was stopped on the way here, it ends as not sent and the balancer decides
+// again.
 func (p *Proxy) write(d *dispatch, c *hostConn) {
 	p.present(p.now())
 	now := p.now()
@@ -115,7 +116,7 @@
 		wait = d.req.call.Timeout // counted from its last byte
 	}
 	call := http1.AppendCall(nil, d.req.call, d.host.addr, wait)
-	if p.present(p.now()) || !d.host.ready || p.unsure() || wait <= 0 { // behind this nothing may take time
+	if p.present(p.now()) || !d.host.ready || p.unsure() || wait <= 0 { // nothing after this check may take time
 		p.post(now, nil, func(at int64) { p.broke(d, &broken{unsent, errDrained}, at) })
 		p.park(c, now)
 		return
@@ -128,8 +129,8 @@
 	}
 }
 
-// progress says how far a dispatch has come. It is asked after its connection was closed: until then the
-// kernel may still take bytes.
+// progress returns how far a dispatch has come. Call it after the connection was closed: until then the kernel may
+// still accept bytes.
 func (d *dispatch) progress() reached {
 	switch c := d.conn; {
 	case c == nil:
@@ -156,12 +157,12 @@
 		}
 	}
 	if d.progress() < allWritten {
-		o = balance.NotSent // its last byte surely never left
+		o = balance.NotSent // its last byte certainly never left
 	}
 	p.book(d, o, nil, now)
 }
 
-// broke ends a dispatch that got no whole answer.
+// fail ends a dispatch that got no complete response.
 func (p *Proxy) broke(d *dispatch, err *broken, now int64) {
 	if !d.out {
 		return
