--- a/proxy/standing_test.go
+++ b/proxy/standing_test.go
@@ -1,7 +1,7 @@
 package proxy
 
-// The terms of the operators' standing test that this package keeps, a test each; docs/sockets.md lists them.
-// Clocks are driven: nothing waits for time to pass but for the kernel to hand bytes over.
+// The requirements of the operators' standing test that this package keeps, one test each; docs/sockets.md lists
+// them. Clocks are simulated: the tests wait for the kernel to deliver bytes, but never for time to pass.
 
 import (
 	"bufio"
@@ -28,14 +28,14 @@
 	"ivybank/proxy/http1"
 )
 
-// drive lets time pass: timers that fall due, in turn, and after each what the module decides. It gives how
-// often there was something to do.
+// drive lets time pass: it runs timers in order, and after each what the balancer decides. It returns the number of
+// timers.
 func drive(t *testing.T, p *Proxy, from, to int64) (rounds int) {
 	t.Helper()
 	p.route(from)
 	for len(p.timers) > 0 && p.timers[0].at <= to {
 		if rounds++; rounds > 100000 {
-			t.Fatal("time does not pass")
+			t.Fatal("time does not advance")
 		}
 		x := p.timers[0]
 		p.stop(x)
@@ -45,7 +45,7 @@
 	return rounds
 }
 
-// standing is a proxy with rule sets and one server.
+// newTestProxy returns a proxy with rule sets and one server.
 func standing(t *testing.T, change func(*Start)) *Proxy {
 	t.Helper()
 	s := Start{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6, LongestTimeout: 3e9, Discovery: "127.0.0.1:1",
@@ -63,7 +63,7 @@
 
 func pushed(s *Start) { s.Terms.MustAsk = false }
 
-// attach has the kernel take what is written to a connection; nothing is read from it.
+// attach has the kernel accept what is written to a connection; nothing is read from it.
 func attach(t *testing.T, p *Proxy, e end) {
 	t.Helper()
 	if p.engine == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// customer is a client's connection and what reads the answers on its other side.
+// connectClient returns a client's connection, its other side, and a reader for the responses.
 func customer(t *testing.T, p *Proxy) (*client, net.Conn, *bufio.Reader) {
 	t.Helper()
 	nb, other := pair(t)
@@ -100,7 +100,7 @@
 	t.Helper()
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	_ = r.Body.Close()
 	return r
@@ -110,7 +110,7 @@
 	return http1.Call{Method: http.MethodPost, Target: "/api", ID: id, RuleSet: rules, Timeout: timeout}
 }
 
-// spoken is a watch that is up and has brought something at this time.
+// receivingWatch returns an open watch that received something at the given time.
 func spoken(t *testing.T, p *Proxy, at int64) *watch {
 	t.Helper()
 	nb, _ := pair(t)
@@ -120,16 +120,16 @@
 	return w
 }
 
-// next is when the earliest timer falls due.
+// next returns the earliest timer.
 func next(t *testing.T, p *Proxy) *timer {
 	t.Helper()
 	if len(p.timers) == 0 {
-		t.Fatal("nothing is due")
+		t.Fatal("no timer is pending")
 	}
 	return p.timers[0]
 }
 
-// fire lets the earliest timer fall due and says when that was.
+// fire runs the earliest timer and returns the time at which it was due.
 func fire(t *testing.T, p *Proxy) int64 {
 	x := next(t, p)
 	p.stop(x)
@@ -137,7 +137,7 @@
 	return x.at
 }
 
-// moduleAsks says whether the module is about to ask for the list.
+// balancerAsks reports whether the balancer asks for the list in the given time.
 func moduleAsks(p *Proxy, from, to int64) bool {
 	for at := from; at < to; at += 5e7 {
 		for d, ok := p.module.Next(at); ok; d, ok = p.module.Next(at) {
@@ -149,9 +149,9 @@
 	return false
 }
 
-// What a silent watch misses counts as told 6 s after its last byte. It is broken well before, not by all at
-// the same moment, and the next call goes out at that moment, whoever opens watches; the module is not told
-// of a failure.
+// What is sent on a silent watch counts as delivered 6 s after its last byte. The watch is closed well before, at
+// random times across proxies, and the next one is opened in the same moment, whether or not the list is pushed;
+// the balancer is not told of a failure.
 func TestSilentWatchBegunAnew(t *testing.T) {
 	for name, change := range map[string]func(*Start){"asked": nil, "pushed": pushed} {
 		t.Run(name, func(t *testing.T) {
@@ -159,30 +159,30 @@
 			for seed := range uint64(20) {
 				p := standing(t, change)
 				p.dice.Seed = seed
-				p.module.Listed(balance.Whole, []balance.Server{{ID: "s"}}, p.now()) // subscribed
+				p.module.Listed(balance.Whole, []balance.Server{{ID: "s"}}, p.now()) // as after a subscription
 				from := p.now()
 				w := spoken(t, p, from)
-				p.heard(w, from+2e9) // an empty line is a sign of life
+				p.heard(w, from+2e9) // an empty line keeps the watch alive
 				at := fire(t, p)
 				if silent := at - from - 2e9; silent < 25e8 || silent > 4e9 {
-					t.Fatalf("broken after %d ms of silence", silent/1e6)
+					t.Fatalf("closed after %d ms of silence", silent/1e6)
 				}
 				if ends[at-from] = true; !w.closed || p.list.watch == w || p.list.watch == nil || p.count.Watches != 1 {
 					t.Fatal("the next watch is not opened at once")
 				}
 				if moduleAsks(p, at, at+10e9) {
-					t.Fatal("the module was told of a failure")
+					t.Fatal("the balancer was told of a failure")
 				}
 			}
 			if len(ends) < 15 {
-				t.Errorf("%d of 20 break at a time of their own", len(ends))
+				t.Errorf("only %d different times in 20 runs", len(ends))
 			}
 		})
 	}
 }
 
-// Where discovery then refuses or is dead, it is called again while what is missing does not count as told
-// yet, each second or so; after that, or once discovery says when to come again, the module's time stands.
+// If discovery then refuses or is down, it is called again every second or so while what is missing does not count
+// as delivered yet. After that, or once discovery sends a Retry-After, the balancer decides when to ask.
 func TestSilentWatchRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		retryIn     int64
@@ -202,17 +202,17 @@
 				at = fire(t, p)
 			}
 			if calls < c.least || calls > c.most || at > from+65e8 {
-				t.Errorf("%d calls of its own, the last after %d ms", calls, (at-from)/1e6)
+				t.Errorf("%d calls by the proxy itself, the last after %d ms", calls, (at-from)/1e6)
 			}
 			if !moduleAsks(p, at, at+3e9) {
-				t.Error("nobody asks any more")
+				t.Error("the balancer does not ask any more")
 			}
 		})
 	}
 }
 
-// A call that is never answered, or a watch that ends, is the module's to repeat: it knows how long the list
-// held counts.
+// A call that is never answered, or a watch that ends, is for the balancer to repeat: it knows how long the list in
+// use is valid.
 func TestLostWatchIsTheModules(t *testing.T) {
 	for name, end := range map[string]func(*Proxy, *watch, int64) int64{
 		"ended": func(p *Proxy, w *watch, now int64) int64 { w.gone(p, now+1e9); return now + 1e9 },
@@ -227,19 +227,19 @@
 			now := p.now()
 			at := end(p, spoken(t, p, now), now)
 			if p.list.watch != nil || p.count.Watches != 0 {
-				t.Fatal("the proxy calls by itself")
+				t.Fatal("the proxy calls discovery by itself")
 			}
 			if h := p.host("s"); !h.ready {
-				t.Error("the list held was dropped")
+				t.Error("the list in use was dropped")
 			}
 			if !moduleAsks(p, at, at+p.terms.AskWithin) {
-				t.Error("the module does not ask within the settings' time")
+				t.Error("the balancer does not ask within the time that the settings give")
 			}
 		})
 	}
 }
 
-// A watch that is up and has nothing to tell is kept: what is written to one that is replaced counts as told.
+// An open watch without anything to send is kept: what is written to one that is replaced counts as delivered.
 func TestWatchWithNothingToTell(t *testing.T) {
 	p := standing(t, nil)
 	nb, _ := pair(t)
@@ -249,16 +249,16 @@
 	w.read(p, now, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	p.round()
 	if p.list.watch != w || moduleAsks(p, now, now+30e9) {
-		t.Error("another watch is asked for")
+		t.Error("another watch is opened")
 	}
 	p.heard(w, now+1e9)
 	if p.endWatch(w, now+2e9, true); !moduleAsks(p, now+2e9, now+2e9+p.terms.AskWithin) {
-		t.Error("the module does not ask once it has ended")
+		t.Error("the balancer does not ask once the watch has ended")
 	}
 }
 
-// Where lists are pushed what the agent has counts as told with no watch open: the next one is tried for at
-// once, and no rarer than every 1.5 s while there is none, also while the proxy drains.
+// Where lists are pushed, what the agent has counts as delivered even with no watch open: the next one is tried at
+// once, and at least every 1.5 s while there is none, also while the proxy drains.
 func TestPushedWatchComesBackAtOnce(t *testing.T) {
 	p := standing(t, pushed)
 	p.drain.begun = true
@@ -271,25 +271,25 @@
 			t.Fatalf("try %d after %d ms, want %d at most", i, wait/1e6, most/1e6)
 		}
 		if at = due; p.list.watch == nil || p.count.Watches != i+1 {
-			t.Fatalf("try %d did not call", i)
+			t.Fatalf("try %d did not call discovery", i)
 		}
 		p.endWatch(p.list.watch, at, true)
 	}
 	p.stop(p.timers[0])
-	p.endWatch(spoken(t, p, at), at+1e9, true) // one that spoke
+	p.endWatch(spoken(t, p, at), at+1e9, true) // one that received something
 	if wait := next(t, p).at - at - 1e9; wait > 15e7 {
-		t.Errorf("after one that spoke it waits %d ms", wait/1e6)
+		t.Errorf("after a watch that received something it waits %d ms", wait/1e6)
 	}
 	p.done = true
 	calls := p.count.Watches
 	if fire(t, p); p.count.Watches != calls {
-		t.Error("it calls after its end")
+		t.Error("it calls discovery after the end of the process")
 	}
 }
 
-// From the first moment of a new process what the agent has counts as told: no client is let in by the older
-// list of the start, but for no longer than a moment. Where discovery is asked that list counts, and the
-// proxy is ready at once.
+// Where lists are pushed, what the agent has counts as delivered from the start of a process: no client is accepted
+// with the older list given at start, but only for a short time. Where the balancer asks discovery, that list is
+// valid, and the proxy accepts clients at once.
 func TestPushedListBeforeClients(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Start)
@@ -312,26 +312,26 @@
 					{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`))
 				w := spoken(t, p, now)
 				if p.line(w, r, err, now+1e8); !p.open || p.host("s").ready {
-					t.Errorf("open %v once the list has come, the server in use %v", p.open, p.host("s").ready)
+					t.Errorf("open %v once the list has come, server ready %v", p.open, p.host("s").ready)
 				}
 				return
 			}
 			if !c.open {
 				if at := fire(t, p); at > now+2e9 {
-					t.Errorf("ready after %d ms", (at-now)/1e6)
+					t.Errorf("accepting after %d ms", (at-now)/1e6)
 				}
 			}
 			select {
 			case <-p.accept.opened:
 			default:
-				t.Error("clients are not taken")
+				t.Error("clients are not accepted")
 			}
 		})
 	}
 }
 
-// Another discovery's news counts 4 s after SIGHUP: its watch is opened at once and the old one's end says
-// nothing of it.
+// A list of another discovery counts as delivered 4 s after SIGHUP: its watch is opened at once, and the end of the
+// old one does not count as a failure.
 func TestMovedDiscovery(t *testing.T) {
 	for name, change := range map[string]func(*Start){"asked": nil, "pushed": pushed} {
 		t.Run(name, func(t *testing.T) {
@@ -361,12 +361,12 @@
 	}
 }
 
-// After SIGTERM clients send on every connection that stays open. One at rest is closed; one of which
-// something lies in the kernel, or half a call has come, stays and gets its answer, which ends it.
+// After SIGTERM clients still send on connections that stay open. An idle one is closed. One with unread data in
+// the kernel or part of a request stays open until its response, which ends it.
 func TestTermAnswersWhatIsSent(t *testing.T) {
 	p := standing(t, nil)
 	p.start.Known, p.drain.begun = nil, true
-	p.listed(balance.Whole, roll{Instances: []entry{}}, p.now()) // no server: each is denied
+	p.listed(balance.Whole, roll{Instances: []entry{}}, p.now()) // no server: each request is denied
 	resting, _, _ := customer(t, p)
 	unread, other, unreadIn := customer(t, p)
 	half, _, halfIn := customer(t, p)
@@ -382,7 +382,7 @@
 	now := p.now()
 	p.ending(now)
 	if !resting.closed || unread.closed || half.closed {
-		t.Fatalf("closed: at rest %v, unread %v, half %v", resting.closed, unread.closed, half.closed)
+		t.Fatalf("closed: idle %v, unread %v, partial %v", resting.closed, unread.closed, half.closed)
 	}
 	unread.read(p, now, []byte(call))
 	half.read(p, now, []byte(strings.Replace(call, "Id: a", "Id: b", 1)))
@@ -395,7 +395,7 @@
 	}
 }
 
-// The process does not end before a req that it took has its answer, as long as its client may wait.
+// The process does not end before an admitted request has its response, as long as its client may wait.
 func TestTermWaitsForReqs(t *testing.T) {
 	p := standing(t, nil)
 	now := p.now()
@@ -406,35 +406,35 @@
 		t.Fatal("ended with an open req whose client waits")
 	}
 	if drive(t, p, now+44e8, now+46e8); !p.done {
-		t.Fatal("waits for longer than its client")
+		t.Fatal("waits for longer than the client does")
 	}
 	p = standing(t, nil)
 	r = &req{taken: now, call: asks("once", "a", 3600e9)}
 	p.reqs[1] = r
 	p.awaitEnd(now)
 	if drive(t, p, now, now+31e8); !p.done {
-		t.Fatal("a client of an hour holds the end up")
+		t.Fatal("a client timeout of an hour delays the end")
 	}
 }
 
-// What was written for a client that reads slowly leaves before its connection is closed to send it away.
+// What was written for a client that reads slowly is sent before its connection is closed in a drain.
 func TestSentAwayAfterAnswer(t *testing.T) {
 	p := standing(t, nil)
 	c, _, _ := customer(t, p)
-	c.given.Add(10) // not taken by the kernel yet
+	c.given.Add(10) // not accepted by the kernel yet
 	now := p.now()
 	p.sendAway(now, now-10e9, func() bool { return true })
 	if c.closed {
-		t.Fatal("the answer was cut off")
+		t.Fatal("the response was cut off")
 	}
 	c.took.Add(10)
 	if p.sendAway(now, now-10e9, func() bool { return true }); !c.closed {
-		t.Fatal("a client at rest is kept")
+		t.Fatal("an idle client's connection stays open")
 	}
 }
 
-// Each req has its final answer before its client's time is over: 503 where it surely never ran or may run
-// again, which a req that was never sent always gets, and 502 where it may have run.
+// Each request has its final response before its client's timeout: 503 if it certainly never ran, as is always so
+// if it was never sent, or may run again, and 502 if it may have run.
 func TestFinalAnswerInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules string
@@ -460,7 +460,7 @@
 				p.take(cl, sentAhead{Call: asks(c.rules, "a", timeout), at: now})
 				drive(t, p, now, now+timeout-1)
 				if cl.req != nil {
-					t.Fatal("no answer within the client's time")
+					t.Fatal("no response within the client's timeout")
 				}
 				if p.count.Sent > 0 != c.sent {
 					t.Fatalf("%d dispatches", p.count.Sent)
@@ -473,7 +473,7 @@
 	}
 }
 
-// A new connection is not closed on its call, however short descriptors are: it is told so.
+// A new connection is not closed on its request, however few descriptors are left: the request is denied.
 func TestNewConnectionIsAnswered(t *testing.T) {
 	p := standing(t, func(s *Start) { s.Sockets = spareSockets + 8 })
 	for range 8 {
@@ -496,7 +496,7 @@
 	if p.count.Taken != 0 || p.count.Crowded != 1 {
 		t.Errorf("%d reqs, %d crowded", p.count.Taken, p.count.Crowded)
 	}
-	// Of those at rest, one whose call lies unread is not closed either.
+	// An idle connection with an unread request is not closed either.
 	p = standing(t, nil)
 	c, other, _ = customer(t, p)
 	_, _ = other.Write([]byte("POST"))
@@ -504,12 +504,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	if p.closeResting(p.now()+10e9, 0) || c.closed {
-		t.Error("closed on its call")
+		t.Error("closed while a request was unread")
 	}
 }
 
-// Nothing that is kept grows with time: what discovery tells and clients ask leaves no more behind than its
-// bound.
+// No table grows without bound with what discovery and clients send.
 func TestNothingGrows(t *testing.T) {
 	p := standing(t, nil)
 	now := p.now()
@@ -542,8 +541,8 @@
 	}
 }
 
-// A thread that neither waits nor ends is a crash: with a req open, a client that is silent and a watch up,
-// there is a tick between one round and the next.
+// A busy loop counts as a crash: with an open request, a silent client and an open watch, at least one tick passes
+// between rounds.
 func TestLoopWaits(t *testing.T) {
 	p := standing(t, nil)
 	now := p.now()
@@ -559,8 +558,8 @@
 	}
 }
 
-// The bench refuses what starts programs or moves bytes past the process: none of it is called, and the
-// program is one process, linked against the C library.
+// The operators' bench refuses programs that start others or move bytes past the process: nothing of that is
+// called, and the program is one process, linked against the C library.
 func TestOnePlainProcess(t *testing.T) {
 	refused := regexp.MustCompile(`^(Fork.*|Clone.*|Exec|StartProcess|Splice|Tee|Vmsplice|Send[fF]ile|(?i)io_?uring.*)$`)
 	seen := 0
--- a/proxy/twin/twin.go
+++ b/proxy/twin/twin.go
@@ -1,6 +1,6 @@
-// Package twin tells the two processes of an upgrade of one another: each holds a lock on one byte of a shared file, which
-// the kernel gives back however the process ends. It owns that file. It must never write to it, wait, or
-// decide what follows from there being another.
+// Package sibling detects the other process of a proxy during an upgrade: each process locks one byte of a shared
+// file, and the kernel releases the lock however the process ends. It must never write to the file, wait, or decide
+// what the presence of another process means.
 package twin
 
 import (
@@ -10,13 +10,13 @@
 	"syscall"
 )
 
-// seats is how many processes may live side by side; an upgrade needs two.
+// maxProcesses is how many processes may run side by side; an upgrade needs two.
 const seats = 8
 
-// Seat is this process' place.
+// Lock is this process's lock in the file.
 type Seat struct{ file *os.File }
 
-// Take finds a free place.
+// Acquire locks a free byte of the file at path, creating the file if needed.
 func Take(path string) (*Seat, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return nil, errors.Join(err, f.Close())
 }
 
-// Other says whether another process holds a place.
+// Other reports whether another process holds a lock.
 func (s *Seat) Other() bool {
 	lock := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart, Len: seats}
 	err := syscall.FcntlFlock(s.file.Fd(), syscall.F_GETLK, &lock)
--- a/proxy/twin/twin_test.go
+++ b/proxy/twin/twin_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestMain is also the other process: it takes a place, says so and waits to be killed.
+// TestMain is also run as the other process: it takes a lock, says so and waits to be killed.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("TWIN_OTHER"); path != "" {
 		seat, err := Take(path)
@@ -19,7 +19,7 @@
 			panic(err)
 		}
 		fmt.Println("here")
-		time.Sleep(time.Hour) // a process of which all goroutines wait for ever is ended by the runtime
+		time.Sleep(time.Hour) // not an endless wait: the runtime ends a process in which all goroutines are blocked forever
 		runtime.KeepAlive(seat)
 	}
 	os.Exit(m.Run())
@@ -33,7 +33,7 @@
 	}
 	for range 2 {
 		if s.Other() {
-			t.Fatal("got another process where there is none")
+			t.Fatal("got another process, want none")
 		}
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "TWIN_OTHER="+path)
@@ -48,15 +48,15 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 		if !s.Other() {
-			t.Error("got no other process beside one that lives")
+			t.Error("got no other process, want the running one")
 		}
-		_ = cmd.Process.Kill() // its place is free however it ends
+		_ = cmd.Process.Kill() // the kernel releases its lock however it ends
 		_ = cmd.Wait()
 	}
 }
 
 func TestNowhere(t *testing.T) {
 	if _, err := Take(filepath.Join(t.TempDir(), "gone", "seats")); err == nil {
-		t.Error("got a place in a folder that is not there")
+		t.Error("got a lock in a folder that does not exist")
 	}
 }
