--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -25,8 +25,8 @@
 	"ivybank/fleet/holds"
 	"ivybank/keys/once"
 	"ivybank/proxy"
-	"ivybank/proxy/door"
-	"ivybank/proxy/twin"
+	"ivybank/proxy/admin"
+	"ivybank/proxy/sibling"
 	"ivybank/terms"
 )
 
@@ -54,13 +54,13 @@
 }
 
 // load reads the configuration from its file.
-func load(path string) (orders, proxy.Start, error) {
+func load(path string) (orders, proxy.Config, error) {
 	if path == "" {
-		return orders{}, proxy.Start{}, errors.New("GW_CONFIG names no file")
+		return orders{}, proxy.Config{}, errors.New("GW_CONFIG names no file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return orders{}, proxy.Start{}, err
+		return orders{}, proxy.Config{}, err
 	}
 	o, s, err := read(text)
 	if err != nil {
@@ -77,12 +77,12 @@
 }
 
 // loadAll reads the configuration and, where there is one, the operator file.
-func loadAll(path, operator string) (orders, proxy.Start, error) {
+func loadAll(path, operator string) (orders, proxy.Config, error) {
 	var op *conf.Operator
 	if operator != "" {
 		var err error
 		if op, err = conf.LoadOperator(operator); err != nil {
-			return orders{}, proxy.Start{}, err
+			return orders{}, proxy.Config{}, err
 		}
 	}
 	o, s, err := load(path)
@@ -93,13 +93,13 @@
 		return o, s, fmt.Errorf("%s: %w", path, err)
 	}
 	if o.operator = op; op != nil {
-		s.Keys, s.Return, s.Maintenance = keysOf(op), returnOf(op), maintenanceOf(op)
+		s.Idempotency, s.Recovery, s.Maintenance = keysOf(op), returnOf(op), maintenanceOf(op)
 	}
 	return o, s, nil
 }
 
 // read turns the configuration into what the proxy starts from.
-func read(text []byte) (o orders, s proxy.Start, err error) {
+func read(text []byte) (o orders, s proxy.Config, err error) {
 	if err := json.Unmarshal(text, &o); err != nil {
 		return o, s, err
 	}
@@ -116,8 +116,8 @@
 	if err != nil {
 		return o, s, fmt.Errorf("settings: %w", err)
 	}
-	s = proxy.Start{Listen: o.Listen, Discovery: o.Discovery, Sockets: o.Limits.Sockets, Pollers: pollers,
-		Memory: int64(o.Limits.Memory * heapPart * (1 << 20)), Known: o.Known, Terms: terms.Read(v, seed),
+	s = proxy.Config{Listen: o.Listen, Discovery: o.Discovery, Sockets: o.Limits.Sockets, Pollers: pollers,
+		Memory: int64(o.Limits.Memory * heapPart * (1 << 20)), KnownHosts: o.Known, Terms: terms.Read(v, seed),
 		DialTimeout: v.Int("Ceilings.DialTimeoutNs"), ConnIdle: v.Int("Ceilings.ConnIdleNs")}
 	s.Terms.MustAsk = v.At["Discovery"] != "pushed" // not set: as it always was, the module asks
 	for i := range v.Int("RuleSets.count") {
@@ -153,20 +153,20 @@
 
 // open adds what the process finds around it: a listener that it inherits, a folder shared with the process before or
 // after it, the operators' door.
-func open(o orders, start proxy.Start) (*proxy.Proxy, error) {
+func open(o orders, start proxy.Config) (*proxy.Proxy, error) {
 	if text := os.Getenv("GW_SOCKET_FD"); text != "" {
 		fd, err := strconv.Atoi(text)
 		if err != nil || fd < 3 {
 			return nil, fmt.Errorf("GW_SOCKET_FD=%q: expected the number of a descriptor", text)
 		}
-		if start.Inherited, err = proxy.Inherit(fd); err != nil {
+		if start.Inherited, err = proxy.InheritListener(fd); err != nil {
 			return nil, err
 		}
 	}
 	// Several proxies may share the folder; the processes of one share the address.
 	base := filepath.Join(os.TempDir(), "ivybank-"+strings.NewReplacer(":", "-", "/", "-").Replace(start.Listen))
 	var err error
-	if start.Seat, err = twin.Take(base + ".seats"); err != nil {
+	if start.SiblingLock, err = sibling.Acquire(base + ".seats"); err != nil {
 		logrus.Warnf("other processes of this proxy are not seen: %v", err)
 	}
 	if start.Holds, err = holds.Open(base + ".holds"); err != nil {
@@ -174,7 +174,7 @@
 	}
 	p := proxy.New(start)
 	if addr := cmp.Or(os.Getenv("GW_ADMIN_ADDR"), o.Admin); addr != "" {
-		if _, err := door.Open(addr, p.Operate); err != nil {
+		if _, err := admin.Listen(addr, p.HandleAdmin); err != nil {
 			return nil, fmt.Errorf("admin_addr: %w", err)
 		}
 	}
@@ -182,12 +182,12 @@
 }
 
 // keysOf is what an operator file sets on idempotency keys.
-func keysOf(o *conf.Operator) *proxy.Keys {
+func keysOf(o *conf.Operator) *proxy.IdempotencyConfig {
 	k := o.Idempotency
 	if k == nil {
 		return nil
 	}
-	x := &proxy.Keys{Header: k.Header, Terms: once.Terms{Most: k.Entries, Bytes: k.Answers, Largest: k.Largest, Waiters: k.Waiters,
+	x := &proxy.IdempotencyConfig{Header: k.Header, Terms: once.Terms{Most: k.Entries, Bytes: k.Answers, Largest: k.Largest, Waiters: k.Waiters,
 		Longest: k.Longest, RetryIn: int64(k.RetryIn), Retain: map[string]int64{}}}
 	for _, r := range k.RuleSets {
 		x.Terms.Retain[r.Name] = int64(r.Retain)
@@ -199,17 +199,17 @@
 }
 
 // returnOf is what an operator file sets on coming back.
-func returnOf(o *conf.Operator) *proxy.Return {
+func returnOf(o *conf.Operator) *proxy.RecoveryConfig {
 	if x := o.Return; x != nil {
-		return &proxy.Return{Folder: x.Folder, Every: int64(x.Every), Trust: int64(x.Trust)}
+		return &proxy.RecoveryConfig{Folder: x.Folder, Every: int64(x.Every), Trust: int64(x.Trust)}
 	}
 	return nil
 }
 
 // maintenanceOf is what an operator file sets on plans.
-func maintenanceOf(o *conf.Operator) *proxy.Maintenance {
+func maintenanceOf(o *conf.Operator) *proxy.MaintenanceConfig {
 	if x := o.Maintenance; x != nil {
-		return &proxy.Maintenance{Folder: x.Folder, Voters: x.Voters, Service: x.Service, Settle: int64(x.Settle), Grace: int64(x.Grace)}
+		return &proxy.MaintenanceConfig{Folder: x.Folder, Voters: x.Voters, Service: x.Service, Settle: int64(x.Settle), Grace: int64(x.Grace)}
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 // fleetOf is what an operator file sets on peers, at the addresses that it or the platform's configuration names; nil where neither
 // does, or the settings let proxies not tell one another anything. A limit of the fleet is an error then: nobody
 // would keep it. A req may run for longest ns.
-func fleetOf(op *conf.Operator, o orders, longest int64) (*proxy.Fleet, error) {
+func fleetOf(op *conf.Operator, o orders, longest int64) (*proxy.FleetConfig, error) {
 	if op == nil || op.Fleet == nil {
 		return nil, nil
 	}
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &proxy.Fleet{Name: x.Name, Listen: x.Listen}
+	f := &proxy.FleetConfig{Name: x.Name, Listen: x.Listen}
 	addrs, me := x.Peers, x.Me
 	if len(addrs) == 0 {
 		if len(o.Peers) == 0 || o.Peer == "" || v.At["Ceilings.MayTell"] != "" && !v.Bool("Ceilings.MayTell") {
@@ -325,12 +325,12 @@
 			}
 			o = next
 			o.apply()
-			p.Retune(start)
+			p.Reconfigure(start)
 		}
 	}()
 	if err := p.Run(); err != nil {
 		return err
 	}
-	logrus.WithFields(p.Counted()).Info("stopped")
+	logrus.WithFields(p.FinalCounters()).Info("stopped")
 	return nil
 }
--- a/proxy/operate.go
+++ b/proxy/admin.go
@@ -14,7 +14,7 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/holds"
-	"ivybank/proxy/door"
+	"ivybank/proxy/admin"
 )
 
 const (
@@ -25,73 +25,73 @@
 )
 
 // HandleAdmin answers a call of the admin server; it may be called from any goroutine.
-func (p *Proxy) Operate(c door.Call) door.Reply {
+func (p *Proxy) HandleAdmin(c admin.Call) admin.Reply {
 	switch c.Kind {
-	case door.Out, door.Back:
+	case admin.DisableHost, admin.EnableHost:
 		return p.hold(c)
-	case door.Fleet:
+	case admin.GetFleet:
 		return p.ask(p.fleetReply)
-	case door.Plans:
-		return p.ask(func(now int64) door.Reply { return p.plansReply(c.Plan, now) })
-	case door.Plan:
+	case admin.GetPlans:
+		return p.ask(func(now int64) admin.Reply { return p.plansReply(c.Plan, now) })
+	case admin.ChangePlan:
 		return p.plan(c)
-	case door.Return:
+	case admin.GetRecovery:
 		return p.ask(p.returnReply)
 	}
-	return p.ask(func(now int64) door.Reply { return p.operate(c, now) })
+	return p.ask(func(now int64) admin.Reply { return p.operate(c, now) })
 }
 
 // askLoop has the event loop answer. The loop may still carry the call out after the caller was told that it was
 // not.
-func (p *Proxy) ask(do func(now int64) door.Reply) door.Reply {
-	told := make(chan door.Reply, 1)
+func (p *Proxy) ask(do func(now int64) admin.Reply) admin.Reply {
+	told := make(chan admin.Reply, 1)
 	p.post(p.now(), nil, func(int64) { told <- do(p.now()) })
 	select {
 	case r := <-told:
 		return r
 	case <-time.After(replyWait):
-		return door.No(http.StatusServiceUnavailable, "no answer in time; it may still be carried out")
+		return admin.Error(http.StatusServiceUnavailable, "no answer in time; it may still be carried out")
 	}
 }
 
-func (p *Proxy) operate(c door.Call, now int64) door.Reply {
+func (p *Proxy) operate(c admin.Call, now int64) admin.Reply {
 	switch {
 	case p.drain.begun:
-		return door.No(http.StatusServiceUnavailable, "the process ends")
-	case c.Kind == door.Empty:
+		return admin.Error(http.StatusServiceUnavailable, "the process ends")
+	case c.Kind == admin.EvictClients:
 		p.empty(now)
-		return door.Yes("clients are sent away")
-	case c.Kind == door.Refill:
+		return admin.OK("clients are sent away")
+	case c.Kind == admin.AdmitClients:
 		p.refill()
 	}
 	if !p.taking() {
-		return door.No(http.StatusServiceUnavailable, "no clients are taken")
+		return admin.Error(http.StatusServiceUnavailable, "no clients are taken")
 	}
-	return door.Yes("clients are taken")
+	return admin.OK("clients are taken")
 }
 
 // setHold takes a host out of use or puts it back: checked by the event loop, written to the file, then applied.
-func (p *Proxy) hold(c door.Call) door.Reply {
-	if r := p.ask(func(int64) door.Reply {
+func (p *Proxy) hold(c admin.Call) admin.Reply {
+	if r := p.ask(func(int64) admin.Reply {
 		if _, held := p.held.Hosts[c.Host]; !held && !p.seen[c.Host] {
-			return door.No(http.StatusNotFound, "no host with this id was ever listed")
+			return admin.Error(http.StatusNotFound, "no host with this id was ever listed")
 		}
-		return door.Yes("")
+		return admin.OK("")
 	}); r.Status != http.StatusOK {
 		return r
 	}
 	text := "the host is in use"
-	if c.Kind == door.Out {
+	if c.Kind == admin.DisableHost {
 		text = "nothing more goes to the host"
 	}
-	table, err := p.start.Holds.Set(c.Host, c.Kind == door.Out, p.now())
+	table, err := p.start.Holds.Set(c.Host, c.Kind == admin.DisableHost, p.now())
 	if err != nil {
 		logrus.Warnf("holds of hosts are not saved: %v", err)
 		text += ", in this process alone"
 	}
-	return p.ask(func(now int64) door.Reply {
+	return p.ask(func(now int64) admin.Reply {
 		p.holding(table, now)
-		return door.Yes(text)
+		return admin.OK(text)
 	})
 }
 
@@ -121,12 +121,12 @@
 }
 
 // jsonReply returns a reply with a value as JSON.
-func asJSON(v any) door.Reply {
+func asJSON(v any) admin.Reply {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
-		return door.No(http.StatusInternalServerError, err.Error())
+		return admin.Error(http.StatusInternalServerError, err.Error())
 	}
-	return door.Yes(string(text))
+	return admin.OK(string(text))
 }
 
 // republishHosts passes all hosts to the balancer as they are now. This does not count as a list from discovery: if
@@ -184,7 +184,7 @@
 		if t, changed := p.start.Holds.Follow(); changed {
 			p.post(p.now(), nil, func(int64) { p.holding(t, p.now()) })
 		}
-		if s := p.start.Seat; s != nil {
+		if s := p.start.SiblingLock; s != nil {
 			if other := s.Other(); other != p.other.Load() {
 				p.other.Store(other)
 				p.post(p.now(), nil, func(int64) { p.beside(other) })
@@ -195,7 +195,7 @@
 
 // Reconfigure applies a new configuration, all of it at once; it may be called from any goroutine. The listener,
 // the seed and the host list stay.
-func (p *Proxy) Retune(s Start) {
+func (p *Proxy) Reconfigure(s Config) {
 	p.post(p.now(), nil, func(int64) {
 		now := p.now()
 		s.Terms.Seed = p.terms.Seed
@@ -208,7 +208,7 @@
 		p.count.Reloads++
 		p.remaintain(s.Maintenance)
 		p.refleet(s.Fleet, now)
-		p.rekeep(s.Return, now)
+		p.rekeep(s.Recovery, now)
 		logrus.Infof("new configuration: %d rule sets, %d dispatches at most", len(s.Terms.RuleSets), s.Terms.MaxDispatches)
 		p.rediscover(s.Discovery, now)
 		p.subscribe(now)
--- a/proxy/door/door.go
+++ b/proxy/admin/admin.go
@@ -1,7 +1,7 @@
 // Package admin serves operators' HTTP/1.1 calls to a running proxy at an address of their own, the "door" of the
 // command line. It bounds how long a caller may take and how many connections are open. It must never access the
 // proxy's tables, decide what a call does, or let one caller delay another.
-package door
+package admin
 
 import (
 	"io"
@@ -27,15 +27,15 @@
 
 // The kinds of calls.
 const (
-	Health Kind = iota // does this process accept clients?
-	Out                // take a host out of use
-	Back               // put a host back into use
-	Empty              // send the clients away
-	Refill             // accept clients again
-	Fleet              // status of the peers, as JSON
-	Plans              // status of one or all maintenance plans, as JSON
-	Plan               // submit or change a plan
-	Return             // status of recovery: what was restored, and whether service is full, as JSON
+	Health       Kind = iota // does this process accept clients?
+	DisableHost              // take a host out of use
+	EnableHost               // put a host back into use
+	EvictClients             // send the clients away
+	AdmitClients             // accept clients again
+	GetFleet                 // status of the peers, as JSON
+	GetPlans                 // status of one or all maintenance plans, as JSON
+	ChangePlan               // submit or change a plan
+	GetRecovery              // status of recovery: what was restored, and whether service is full, as JSON
 )
 
 // Call is one call of an operator.
@@ -54,57 +54,57 @@
 }
 
 // Yes returns a reply with status 200.
-func Yes(text string) Reply { return Reply{http.StatusOK, text} }
+func OK(text string) Reply { return Reply{http.StatusOK, text} }
 
 // No returns an error reply with its reason.
-func No(status int, text string) Reply { return Reply{status, text} }
+func Error(status int, text string) Reply { return Reply{status, text} }
 
 // Parse returns the call that a method and an escaped path stand for, or a non-zero error reply.
-func Read(method, path string) (Call, Reply) {
+func Parse(method, path string) (Call, Reply) {
 	kinds := map[string]Call{}
 	part := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	switch {
 	case path == "/fleet":
-		kinds[http.MethodGet] = Call{Kind: Fleet}
+		kinds[http.MethodGet] = Call{Kind: GetFleet}
 	case path == "/return":
-		kinds[http.MethodGet] = Call{Kind: Return}
+		kinds[http.MethodGet] = Call{Kind: GetRecovery}
 	case path == "/plans" || len(part) == 2 && part[0] == "plans" && part[1] != "":
 		id := strings.Join(part[1:], "")
-		if kinds[http.MethodGet] = (Call{Kind: Plans, Plan: id}); id != "" {
-			kinds[http.MethodPut] = Call{Kind: Plan, Plan: id, Verb: "submit"}
+		if kinds[http.MethodGet] = (Call{Kind: GetPlans, Plan: id}); id != "" {
+			kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: id, Verb: "submit"}
 		}
 	case len(part) == 3 && part[0] == "plans" && slices.Contains([]string{"pause", "resume", "abandon"}, part[2]):
-		kinds[http.MethodPut] = Call{Kind: Plan, Plan: part[1], Verb: part[2]}
+		kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: part[1], Verb: part[2]}
 	case len(part) == 4 && part[0] == "plans" && part[2] == "done":
-		kinds[http.MethodPut] = Call{Kind: Plan, Plan: part[1], Verb: part[2], Host: part[3]}
+		kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: part[1], Verb: part[2], Host: part[3]}
 	case path == "/healthcheck":
 		kinds[http.MethodGet] = Call{Kind: Health}
 	case path == "/healthcheck/fail":
-		kinds[http.MethodPut] = Call{Kind: Empty}
+		kinds[http.MethodPut] = Call{Kind: EvictClients}
 	case path == "/healthcheck/ok":
-		kinds[http.MethodPut] = Call{Kind: Refill}
+		kinds[http.MethodPut] = Call{Kind: AdmitClients}
 	case len(part) == 3 && part[0] == "hosts" && part[1] != "" && (part[2] == "maint" || part[2] == "ready"):
 		id, err := url.PathUnescape(part[1])
 		if err != nil {
-			return Call{}, No(http.StatusBadRequest, "the host's id cannot be read")
+			return Call{}, Error(http.StatusBadRequest, "the host's id cannot be read")
 		}
-		kind := Out
+		kind := DisableHost
 		if part[2] == "ready" {
-			kind = Back
+			kind = EnableHost
 		}
 		kinds[http.MethodPut] = Call{Kind: kind, Host: id}
 	default:
-		return Call{}, No(http.StatusNotFound, "no such call")
+		return Call{}, Error(http.StatusNotFound, "no such call")
 	}
 	call, ok := kinds[method]
 	if !ok {
-		return Call{}, No(http.StatusMethodNotAllowed, "no such call with this method")
+		return Call{}, Error(http.StatusMethodNotAllowed, "no such call with this method")
 	}
 	return call, Reply{}
 }
 
 // Server is a running admin server.
-type Door struct {
+type Server struct {
 	listener net.Listener
 	server   *http.Server
 	ask      func(Call) Reply
@@ -114,12 +114,12 @@
 }
 
 // Listen starts a server at an address. It passes each call to handle, which has to return soon.
-func Open(addr string, ask func(Call) Reply) (*Door, error) {
+func Listen(addr string, ask func(Call) Reply) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{listener: l, ask: ask}
+	d := &Server{listener: l, ask: ask}
 	d.server = &http.Server{Handler: d, ReadTimeout: readWait, WriteTimeout: readWait, MaxHeaderBytes: mostHead,
 		ConnState: d.state, ErrorLog: log.New(io.Discard, "", 0)}
 	d.server.SetKeepAlivesEnabled(false)
@@ -128,13 +128,13 @@
 }
 
 // Addr returns the address that the server listens on.
-func (d *Door) Addr() string { return d.listener.Addr().String() }
+func (d *Server) Addr() string { return d.listener.Addr().String() }
 
 // Close stops listening and closes all connections.
-func (d *Door) Close() { _ = d.server.Close() }
+func (d *Server) Close() { _ = d.server.Close() }
 
 // connState tracks the open connections. Above maxConns it closes the oldest, most likely a stalled one.
-func (d *Door) state(c net.Conn, s http.ConnState) {
+func (d *Server) state(c net.Conn, s http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch s {
@@ -148,12 +148,12 @@
 	}
 }
 
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call, reply := Read(r.Method, r.URL.EscapedPath())
+func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	call, reply := Parse(r.Method, r.URL.EscapedPath())
 	if call.Verb == "submit" {
 		var err error
 		if call.Body, err = io.ReadAll(io.LimitReader(r.Body, mostBody+1)); err != nil || len(call.Body) > mostBody {
-			reply = No(http.StatusRequestEntityTooLarge, "a plan is no longer than 64 KiB")
+			reply = Error(http.StatusRequestEntityTooLarge, "a plan is no longer than 64 KiB")
 		}
 	}
 	if reply.Status == 0 {
--- a/proxy/door/door_test.go
+++ b/proxy/admin/admin_test.go
@@ -1,4 +1,4 @@
-package door
+package admin
 
 import (
 	"bufio"
@@ -19,16 +19,16 @@
 		status       int // 0: a valid call
 	}{
 		{"GET", "/healthcheck", Call{Kind: Health}, 0},
-		{"PUT", "/healthcheck/fail", Call{Kind: Empty}, 0},
-		{"PUT", "/healthcheck/ok", Call{Kind: Refill}, 0},
-		{"PUT", "/hosts/s-1/maint", Call{Kind: Out, Host: "s-1"}, 0},
-		{"PUT", "/hosts/s-1/ready", Call{Kind: Back, Host: "s-1"}, 0},
-		{"PUT", "/hosts/a%2Fb/ready", Call{Kind: Back, Host: "a/b"}, 0},
-		{"GET", "/plans", Call{Kind: Plans}, 0},
-		{"GET", "/plans/p", Call{Kind: Plans, Plan: "p"}, 0},
-		{"PUT", "/plans/p", Call{Kind: Plan, Plan: "p", Verb: "submit"}, 0},
-		{"PUT", "/plans/p/pause", Call{Kind: Plan, Plan: "p", Verb: "pause"}, 0},
-		{"PUT", "/plans/p/done/s-1", Call{Kind: Plan, Plan: "p", Verb: "done", Host: "s-1"}, 0},
+		{"PUT", "/healthcheck/fail", Call{Kind: EvictClients}, 0},
+		{"PUT", "/healthcheck/ok", Call{Kind: AdmitClients}, 0},
+		{"PUT", "/hosts/s-1/maint", Call{Kind: DisableHost, Host: "s-1"}, 0},
+		{"PUT", "/hosts/s-1/ready", Call{Kind: EnableHost, Host: "s-1"}, 0},
+		{"PUT", "/hosts/a%2Fb/ready", Call{Kind: EnableHost, Host: "a/b"}, 0},
+		{"GET", "/plans", Call{Kind: GetPlans}, 0},
+		{"GET", "/plans/p", Call{Kind: GetPlans, Plan: "p"}, 0},
+		{"PUT", "/plans/p", Call{Kind: ChangePlan, Plan: "p", Verb: "submit"}, 0},
+		{"PUT", "/plans/p/pause", Call{Kind: ChangePlan, Plan: "p", Verb: "pause"}, 0},
+		{"PUT", "/plans/p/done/s-1", Call{Kind: ChangePlan, Plan: "p", Verb: "done", Host: "s-1"}, 0},
 		{"PUT", "/plans", Call{}, 405},
 		{"PUT", "/plans/p/burn", Call{}, 404},
 		{"PUT", "/hosts/%zz/ready", Call{}, 400},
@@ -43,7 +43,7 @@
 		{"POST", "/hosts/s-1/maint", Call{}, 405},
 	} {
 		t.Run(c.method+" "+c.path, func(t *testing.T) {
-			call, reply := Read(c.method, c.path)
+			call, reply := Parse(c.method, c.path)
 			if reply.Status != c.status || reply.Status == 0 && !reflect.DeepEqual(call, c.call) {
 				t.Errorf("got %+v, %+v, want %+v, %d", call, reply, c.call, c.status)
 			}
@@ -51,9 +51,9 @@
 	}
 }
 
-func open(t *testing.T, ask func(Call) Reply) *Door {
+func open(t *testing.T, ask func(Call) Reply) *Server {
 	t.Helper()
-	d, err := Open("127.0.0.1:0", ask)
+	d, err := Listen("127.0.0.1:0", ask)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	return d
 }
 
-func say(t *testing.T, d *Door, text string) (net.Conn, *bufio.Reader) {
+func say(t *testing.T, d *Server, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr())
 	if err != nil {
@@ -76,9 +76,9 @@
 func TestDoor(t *testing.T) {
 	d := open(t, func(c Call) Reply {
 		if c.Host == "none" {
-			return No(404, "not listed")
+			return Error(404, "not listed")
 		}
-		return Yes(fmt.Sprint(c.Kind))
+		return OK(fmt.Sprint(c.Kind))
 	})
 	for name, c := range map[string]struct {
 		text   string
@@ -108,7 +108,7 @@
 
 // Stalled callers must not keep others out, however many there are: the oldest connection is closed.
 func TestStalled(t *testing.T) {
-	d := open(t, func(Call) Reply { return Yes("") })
+	d := open(t, func(Call) Reply { return OK("") })
 	first, _ := say(t, d, "PUT /hosts/s")
 	for range 3 * mostOpen {
 		say(t, d, "GET /heal")
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -38,7 +38,7 @@
 	balance.Reset: "reset", balance.Cancelled: "cancelled", balance.NotSent: "not_sent", balance.Unknown: "unknown"}
 
 // Values returns every counter by its name.
-func (c *Counters) Fields() map[string]any {
+func (c *Counters) Values() map[string]any {
 	m := map[string]any{"taken": c.Taken, "done": c.Done, "denied": c.Denied, "aborted": c.Aborted,
 		"withdrawn": c.Withdrawn, "malformed": c.Malformed, "crowded": c.Crowded, "rested": c.Rested,
 		"sent": c.Sent, "dialled": c.Dialled, "reused": c.Reused,
@@ -56,7 +56,7 @@
 
 // JSON returns the counters as a JSON object with a trailing newline.
 func (c *Counters) JSON() []byte {
-	text, err := json.Marshal(c.Fields())
+	text, err := json.Marshal(c.Values())
 	if err != nil {
 		return nil // cannot happen: the values are numbers
 	}
@@ -64,4 +64,4 @@
 }
 
 // FinalCounters returns the counters; call it once Run has returned.
-func (p *Proxy) Counted() map[string]any { return p.count.Fields() }
+func (p *Proxy) FinalCounters() map[string]any { return p.count.Values() }
--- a/proxy/once.go
+++ b/proxy/idempotency.go
@@ -34,7 +34,7 @@
 )
 
 // IdempotencyConfig is the operator's configuration of idempotency keys.
-type Keys struct {
+type IdempotencyConfig struct {
 	Header string // the request header that holds the key
 	File   string // the ledger; empty: keys are kept in memory only
 	Terms  once.Terms
@@ -42,7 +42,7 @@
 
 // keyState is the event loop's state of idempotency keys; nil if they are off.
 type keys struct {
-	Keys
+	IdempotencyConfig
 	book    *once.Book
 	ledger  *ledger.Ledger     // nil: in memory only, or not opened yet
 	ready   bool               // the ledger is open, or none is needed
@@ -64,10 +64,10 @@
 // openKeys opens the ledger. If another process of an upgrade holds it, opening is retried; until then keys are
 // refused.
 func (p *Proxy) openKeys() error {
-	if p.start.Keys == nil {
+	if p.start.Idempotency == nil {
 		return nil
 	}
-	k := &keys{Keys: *p.start.Keys, waiters: map[uint64]*waiter{}}
+	k := &keys{IdempotencyConfig: *p.start.Idempotency, waiters: map[uint64]*waiter{}}
 	k.book = once.New(k.Terms)
 	p.keys = k
 	if k.File == "" {
--- a/proxy/once_test.go
+++ b/proxy/idempotency_test.go
@@ -15,7 +15,7 @@
 func TestTidyLedger(t *testing.T) {
 	p := testProxy(t)
 	file := filepath.Join(t.TempDir(), "keys.ledger")
-	p.start.Keys = &Keys{Header: "K", File: file, Terms: once.Terms{Most: 1 << 20, Bytes: 1 << 30, Largest: 1 << 16, Waiters: 1, Longest: 99,
+	p.start.Idempotency = &IdempotencyConfig{Header: "K", File: file, Terms: once.Terms{Most: 1 << 20, Bytes: 1 << 30, Largest: 1 << 16, Waiters: 1, Longest: 99,
 		Retain: map[string]int64{"once": int64(time.Hour)}}}
 	if err := p.openKeys(); err != nil {
 		t.Fatal(err)
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -24,14 +24,14 @@
 }
 
 // withLimitsOf returns x with the limits of y.
-func (x Fleet) but(y *Fleet) Fleet {
+func (x FleetConfig) but(y *FleetConfig) FleetConfig {
 	x.Limits, x.Voters, x.Drift = y.Limits, y.Voters, y.Drift
 	return x
 }
 
 // reconfigureLimits applies new limits. If the members changed, the core starts anew, after what was held is given
 // back.
-func (p *Proxy) relimit(x *Fleet, now int64) {
+func (p *Proxy) relimit(x *FleetConfig, now int64) {
 	var t lease.Terms
 	if x != nil && len(x.Limits) > 0 {
 		t = lease.Terms{Me: x.Terms.Me, Of: len(x.Peers), Voters: x.Voters, Drift: x.Drift, Limits: x.Limits}
--- a/proxy/listen.go
+++ b/proxy/listen.go
@@ -27,7 +27,7 @@
 }
 
 // InheritListener returns the platform's listener, given its file descriptor.
-func Inherit(fd int) (net.Listener, error) {
+func InheritListener(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d: invalid", fd)
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -21,7 +21,7 @@
 	"ivybank/balance"
 	"ivybank/fleet/holds"
 	"ivybank/internal/draw"
-	"ivybank/proxy/twin"
+	"ivybank/proxy/sibling"
 )
 
 // maxUnsentBytes bounds the response bytes that a client has not read; above it the connection is closed.
@@ -31,11 +31,11 @@
 const portionApart = 5e7
 
 // Config is what a proxy is started with. Times are in nanoseconds.
-type Start struct {
+type Config struct {
 	Listen, Discovery string
 	Sockets           int // file descriptors that the process may hold
 	Pollers           int
-	Known             []byte // the host list as it was last saved, in discovery's format
+	KnownHosts        []byte // the host list as it was last saved, in discovery's format
 	Terms             balance.Terms
 	DialTimeout       int64        // a connection that takes longer counts as failed
 	ConnIdle          int64        // hosts close a connection that was idle for so long
@@ -43,16 +43,16 @@
 	Inherited         net.Listener // shared with other processes; nil if the proxy binds the address itself
 	Memory            int64        // bytes for Go's heap; 0 if not limited
 	Holds             *holds.Store
-	Keys              *Keys        // nil: no idempotency keys
-	Seat              *twin.Seat   // nil if there is no folder for the lock file
-	Fleet             *Fleet       // nil: the proxy runs without peers
-	Return            *Return      // nil: no snapshots are written, and nothing is learned from peers
-	Maintenance       *Maintenance // nil: the proxy takes no part in maintenance plans
+	Idempotency       *IdempotencyConfig // nil: no idempotency keys
+	SiblingLock       *sibling.Lock      // nil if there is no folder for the lock file
+	Fleet             *FleetConfig       // nil: the proxy runs without peers
+	Recovery          *RecoveryConfig    // nil: no snapshots are written, and nothing is learned from peers
+	Maintenance       *MaintenanceConfig // nil: the proxy takes no part in maintenance plans
 }
 
 // Proxy is one running client proxy. Everything but the event queues belongs to the event loop.
 type Proxy struct {
-	start  Start
+	start  Config
 	engine *nbio.Engine
 	module *balance.Balancer
 	base   time.Time // start of the clock: wall time, monotonic from there
@@ -165,7 +165,7 @@
 }
 
 // New returns a proxy that does not listen yet.
-func New(s Start) *Proxy {
+func New(s Config) *Proxy {
 	p := &Proxy{start: s, base: time.Now(), bell: make(chan struct{}, 1), reqs: map[uint64]*req{}, ids: map[string]bool{},
 		count: newCounters(), sockets: s.Sockets, seen: map[string]bool{}}
 	if s.Holds != nil {
@@ -174,7 +174,7 @@
 	p.terms, p.dice.Seed = &s.Terms, s.Terms.Seed^1
 	p.portion(p.now())
 	p.module = balance.New(s.Terms, p.now())
-	p.known(s.Known, p.now())
+	p.known(s.KnownHosts, p.now())
 	p.remembered(p.now())
 	p.rounded = p.now()
 	return p
@@ -205,7 +205,7 @@
 	if err := p.engine.Start(); err != nil {
 		return err
 	}
-	p.welcomeFrom(p.start.Seat != nil && p.start.Seat.Other(), p.now())
+	p.welcomeFrom(p.start.SiblingLock != nil && p.start.SiblingLock.Other(), p.now())
 	if p.start.Holds != nil {
 		go p.follow()
 	}
--- a/proxy/maintain.go
+++ b/proxy/maintenance.go
@@ -18,7 +18,7 @@
 	"ivybank/fleet/order"
 	"ivybank/fleet/plan"
 	"ivybank/fleet/quorum"
-	"ivybank/proxy/door"
+	"ivybank/proxy/admin"
 )
 
 const (
@@ -28,7 +28,7 @@
 )
 
 // MaintenanceConfig is the operator's configuration of plans. Times are in nanoseconds.
-type Maintenance struct {
+type MaintenanceConfig struct {
 	Folder  string
 	Voters  int
 	Service float64
@@ -38,7 +38,7 @@
 
 // planState is the event loop's state of plans; nil if there are none.
 type works struct {
-	Maintenance
+	MaintenanceConfig
 	crew *crew.Crew
 	file *quorum.File
 	next *timer
@@ -55,7 +55,7 @@
 		logrus.Errorf("maintenance plans are disabled: %v", err)
 		return
 	}
-	w := &works{Maintenance: *x, file: file}
+	w := &works{MaintenanceConfig: *x, file: file}
 	w.crew, err = crew.New(crew.Terms{Me: q.Terms.Me, Of: q.Terms.Of, Voters: min(x.Voters, q.Terms.Of), Life: q.fleet.Members().Life(), Seed: p.terms.Seed ^ 3,
 		Lead: order.Terms{Grace: x.Grace, Longest: p.start.LongestTimeout, Service: x.Service, Settle: x.Settle}}, kept, now)
 	if err != nil {
@@ -68,7 +68,7 @@
 }
 
 // reconfigurePlans applies a new configuration; it takes effect together with the peers.
-func (p *Proxy) remaintain(x *Maintenance) {
+func (p *Proxy) remaintain(x *MaintenanceConfig) {
 	old := p.start.Maintenance
 	p.start.Maintenance = x
 	if (x == nil) != (old == nil) || x != nil && *x != *old {
@@ -191,64 +191,64 @@
 }
 
 // plansReply answers an operator's query of plans.
-func (p *Proxy) plansReply(id string, now int64) door.Reply {
+func (p *Proxy) plansReply(id string, now int64) admin.Reply {
 	if p.works == nil {
-		return door.No(http.StatusNotFound, "no plans are taken part in: the operator file has no [maintenance], or no peers are heard")
+		return admin.Error(http.StatusNotFound, "no plans are taken part in: the operator file has no [maintenance], or no peers are heard")
 	}
 	all := p.works.crew.Status(id, p.sight(now))
 	if id != "" && len(all) == 0 {
-		return door.No(http.StatusNotFound, crew.ErrUnknown.Error())
+		return admin.Error(http.StatusNotFound, crew.ErrUnknown.Error())
 	}
 	return asJSON(all)
 }
 
 // planCommand submits or changes a plan and waits briefly until that is agreed on.
-func (p *Proxy) plan(c door.Call) door.Reply {
+func (p *Proxy) plan(c admin.Call) admin.Reply {
 	x := order.Command{Plan: c.Plan, Server: c.Host, At: time.Now().UnixNano(), Why: "by hand",
 		Kind: map[string]order.Kind{"submit": order.Submit, "pause": order.Pause, "resume": order.Resume, "abandon": order.Abandon, "done": order.Finish}[c.Verb]}
 	var body *plan.Plan
 	if x.Kind == order.Submit {
 		var err error
 		if body, err = plan.Read("the plan", c.Body); err != nil {
-			return door.No(http.StatusBadRequest, err.Error())
+			return admin.Error(http.StatusBadRequest, err.Error())
 		}
 		if body.ID != c.Plan {
-			return door.No(http.StatusBadRequest, fmt.Sprintf("the plan: id: %q is not the %q of the call", body.ID, c.Plan))
+			return admin.Error(http.StatusBadRequest, fmt.Sprintf("the plan: id: %q is not the %q of the call", body.ID, c.Plan))
 		}
 	}
-	if r := p.ask(func(now int64) door.Reply {
+	if r := p.ask(func(now int64) admin.Reply {
 		if p.works == nil {
 			return p.plansReply("", now)
 		}
 		had := p.works.crew.State().Find(c.Plan)
 		switch {
 		case body == nil && had == nil:
-			return door.No(http.StatusNotFound, crew.ErrUnknown.Error())
+			return admin.Error(http.StatusNotFound, crew.ErrUnknown.Error())
 		case body != nil && had == nil:
 			listed := p.listing(func(h *host) balance.Server { return h.told })
 			var err error
 			if x, err = crew.Command(body, plan.Listed(listed), x.At); err != nil {
-				return door.No(http.StatusConflict, err.Error())
+				return admin.Error(http.StatusConflict, err.Error())
 			}
 		case body != nil && !sameplan(&had.Plan, body):
-			return door.No(http.StatusConflict, "another plan has this id")
+			return admin.Error(http.StatusConflict, "another plan has this id")
 		}
 		p.works.crew.Ask(x, now)
-		return door.Yes("")
+		return admin.OK("")
 	}); r.Status != http.StatusOK {
 		return r
 	}
 	for end := time.Now().Add(replyMost); time.Now().Before(end); time.Sleep(replyLook) {
-		if r := p.ask(func(int64) door.Reply {
+		if r := p.ask(func(int64) admin.Reply {
 			if p.works != nil && p.works.crew.Holds(&x) {
-				return door.Yes("agreed on")
+				return admin.OK("agreed on")
 			}
-			return door.No(http.StatusAccepted, "")
+			return admin.Error(http.StatusAccepted, "")
 		}); r.Status == http.StatusOK {
 			return r
 		}
 	}
-	return door.Reply{Status: http.StatusAccepted, Text: "handed on, not agreed on yet: ask again"}
+	return admin.Reply{Status: http.StatusAccepted, Text: "handed on, not agreed on yet: ask again"}
 }
 
 // samePlan reports whether two plans are equal as they were written.
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -22,7 +22,7 @@
 	"ivybank/fleet/lease"
 	"ivybank/fleet/peer"
 	"ivybank/fleet/swim"
-	"ivybank/proxy/door"
+	"ivybank/proxy/admin"
 	"ivybank/proxy/http1"
 )
 
@@ -32,7 +32,7 @@
 )
 
 // FleetConfig is the operator's configuration of peers, and their addresses. Times are in nanoseconds.
-type Fleet struct {
+type FleetConfig struct {
 	Name         string
 	Listen       string
 	Peers        []netip.AddrPort // by member index, including this proxy's own
@@ -46,7 +46,7 @@
 
 // peers is the event loop's state of the peers.
 type peers struct {
-	Fleet
+	FleetConfig
 	fleet  *fleet.Fleet
 	conn   *net.UDPConn
 	raw    syscall.RawConn // the same socket
@@ -83,7 +83,7 @@
 	t := x.Terms
 	t.RuleSets, t.Tenants, t.MaxAdvice, t.Seed = p.terms.RuleSets, p.terms.Tenants, p.terms.MaxAdvice, p.terms.Seed^uint64(t.Me)
 	t.Life = max(least, swim.LifeOf(now)) // by wall time; if that was set back, peers correct it
-	q := &peers{Fleet: *x, conn: conn, raw: raw, name: peer.Fleet(x.Name), fleet: fleet.New(t, now), asking: map[string]bool{},
+	q := &peers{FleetConfig: *x, conn: conn, raw: raw, name: peer.Fleet(x.Name), fleet: fleet.New(t, now), asking: map[string]bool{},
 		probes: &http.Client{Timeout: time.Duration(x.ProbeTimeout), Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Duration(p.start.ConnIdle / 2)}}}
 	p.peers = q
 	p.listPeers(now)
@@ -107,11 +107,11 @@
 
 // reconfigurePeers applies a new configuration. If it differs, or what load shedding depends on does, the fleet
 // state starts anew.
-func (p *Proxy) refleet(x *Fleet, now int64) {
+func (p *Proxy) refleet(x *FleetConfig, now int64) {
 	p.relimit(x, now)
 	least := uint64(0)
 	if q := p.peers; q != nil {
-		if x != nil && reflect.DeepEqual(q.Fleet.but(x), *x) &&
+		if x != nil && reflect.DeepEqual(q.FleetConfig.but(x), *x) &&
 			q.fleet.Same(p.terms.RuleSets, p.terms.Tenants, p.terms.MaxAdvice) {
 			return
 		}
@@ -315,10 +315,10 @@
 }
 
 // fleetReply answers an operator's query of the fleet.
-func (p *Proxy) fleetReply(now int64) door.Reply {
+func (p *Proxy) fleetReply(now int64) admin.Reply {
 	q := p.peers
 	if q == nil {
-		return door.No(http.StatusNotFound, "no peers are heard: the operator file has no [fleet]")
+		return admin.Error(http.StatusNotFound, "no peers are heard: the operator file has no [fleet]")
 	}
 	d := &q.drops
 	return asJSON(struct {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -17,9 +17,9 @@
 // testProxy returns a proxy that knows one server and does not listen.
 func testProxy(t *testing.T) *Proxy {
 	t.Helper()
-	return New(Start{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6,
-		Known: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`),
-		Terms: balance.Terms{Tick: 5e6, MaxDispatches: 3, Copies: 1}})
+	return New(Config{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6,
+		KnownHosts: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`),
+		Terms:      balance.Terms{Tick: 5e6, MaxDispatches: 3, Copies: 1}})
 }
 
 // pair returns a connection as the proxy holds it, and its other side.
@@ -397,8 +397,8 @@
 // Taking a host out of use just after the start, by an operator, a plan or a peer's report, does not count as a
 // list from discovery: the balancer still asks for one.
 func TestAsksAllTheSame(t *testing.T) {
-	p := New(Start{Sockets: 100, Terms: balance.Terms{Copies: 1, MustAsk: true, AskWithin: 2e9, Tick: 5e6, RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
-		Known: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`)})
+	p := New(Config{Sockets: 100, Terms: balance.Terms{Copies: 1, MustAsk: true, AskWithin: 2e9, Tick: 5e6, RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
+		KnownHosts: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`)})
 	now := p.now()
 	p.holding(holds.Table{Version: 1, Hosts: map[string]holds.Hold{"s": {Out: true, From: now}}}, now)
 	if p.host("s").ready {
--- a/proxy/return.go
+++ b/proxy/recovery.go
@@ -19,7 +19,7 @@
 	"ivybank/fleet/recall"
 	"ivybank/fleet/snap"
 	"ivybank/fleet/swim"
-	"ivybank/proxy/door"
+	"ivybank/proxy/admin"
 )
 
 const (
@@ -30,7 +30,7 @@
 )
 
 // RecoveryConfig is the operator's configuration of recovery. Times are in nanoseconds.
-type Return struct {
+type RecoveryConfig struct {
 	Folder string // for snapshots; empty: none are kept
 	Every  int64  // interval between them
 	Trust  int64  // older observations of hosts are not trusted
@@ -38,7 +38,7 @@
 
 // recovery is the event loop's state of recovery; nil if it is not configured.
 type comeback struct {
-	Return
+	RecoveryConfig
 	source   string // where the list in use is from: start, disk, discovery
 	listAt   int64  // when it was reported, as far as known
 	verdicts []recall.Verdict
@@ -56,8 +56,8 @@
 	sureAt   *timer          // ends that at the latest
 }
 
-func newComeback(x Return, source string, now int64) *comeback {
-	return &comeback{Return: x, source: source, listAt: now, drained: map[string]bool{}, meter: recall.Meter{Begun: now}}
+func newComeback(x RecoveryConfig, source string, now int64) *comeback {
+	return &comeback{RecoveryConfig: x, source: source, listAt: now, drained: map[string]bool{}, meter: recall.Meter{Begun: now}}
 }
 
 // snapshotClocks reads the clocks for snapshots. The time since the machine's start is not affected by changes of
@@ -73,7 +73,7 @@
 
 // loadSnapshot applies the snapshot of the process before, over the list given at start.
 func (p *Proxy) remembered(now int64) {
-	x := p.start.Return
+	x := p.start.Recovery
 	if x == nil {
 		return
 	}
@@ -135,8 +135,8 @@
 }
 
 // reconfigureRecovery applies a new configuration. Snapshots are loaded at a start only.
-func (p *Proxy) rekeep(x *Return, now int64) {
-	p.start.Return = x
+func (p *Proxy) rekeep(x *RecoveryConfig, now int64) {
+	p.start.Recovery = x
 	c := p.comeback
 	switch {
 	case x == nil && c != nil:
@@ -146,8 +146,8 @@
 		p.comeback = newComeback(*x, "discovery", now)
 		p.keep(now)
 		p.lookFull(now)
-	case x != nil && c.Return != *x:
-		c.Return = *x
+	case x != nil && c.RecoveryConfig != *x:
+		c.RecoveryConfig = *x
 		p.stop(c.next)
 		p.keep(now)
 	}
@@ -304,10 +304,10 @@
 }
 
 // recoveryReply answers an operator's query of recovery.
-func (p *Proxy) returnReply(now int64) door.Reply {
+func (p *Proxy) returnReply(now int64) admin.Reply {
 	c := p.comeback
 	if c == nil {
-		return door.No(http.StatusNotFound, "nothing is kept: the operator file has no [return]")
+		return admin.Error(http.StatusNotFound, "nothing is kept: the operator file has no [return]")
 	}
 	s := recall.Status{List: c.source, ListAge: (now - c.listAt) / 1e6, Generation: p.list.generation, Kept: c.verdicts, FullAfter: c.meter.Full / 1e6,
 		Service: c.meter.Service(3e9, now), Written: c.count.Written, Unwritten: c.count.Unwritten, Refused: c.count.Refused, Stood: c.count.Stood, Drained: c.count.Drained}
--- a/proxy/standing_test.go
+++ b/proxy/requirements_test.go
@@ -46,10 +46,10 @@
 }
 
 // newTestProxy returns a proxy with rule sets and one server.
-func standing(t *testing.T, change func(*Start)) *Proxy {
+func standing(t *testing.T, change func(*Config)) *Proxy {
 	t.Helper()
-	s := Start{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6, LongestTimeout: 3e9, Discovery: "127.0.0.1:1",
-		Known: []byte(`{"generation":7,"instances":[
+	s := Config{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6, LongestTimeout: 3e9, Discovery: "127.0.0.1:1",
+		KnownHosts: []byte(`{"generation":7,"instances":[
 			{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`),
 		Terms: balance.Terms{Tick: 5e6, MaxDispatches: 3, Copies: 300, MustAsk: true, AskWithin: 4e9,
 			CanCancel: true, RuleSets: []balance.RuleSet{
@@ -61,7 +61,7 @@
 	return New(s)
 }
 
-func pushed(s *Start) { s.Terms.MustAsk = false }
+func pushed(s *Config) { s.Terms.MustAsk = false }
 
 // attach has the kernel accept what is written to a connection; nothing is read from it.
 func attach(t *testing.T, p *Proxy, e end) {
@@ -153,7 +153,7 @@
 // random times across proxies, and the next one is opened in the same moment, whether or not the list is pushed;
 // the balancer is not told of a failure.
 func TestSilentWatchBegunAnew(t *testing.T) {
-	for name, change := range map[string]func(*Start){"asked": nil, "pushed": pushed} {
+	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushed} {
 		t.Run(name, func(t *testing.T) {
 			ends := map[int64]bool{}
 			for seed := range uint64(20) {
@@ -292,7 +292,7 @@
 // valid, and the proxy accepts clients at once.
 func TestPushedListBeforeClients(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*Start)
+		change func(*Config)
 		told   bool
 		open   bool // at once
 	}{
@@ -333,14 +333,14 @@
 // A list of another discovery counts as delivered 4 s after SIGHUP: its watch is opened at once, and the end of the
 // old one does not count as a failure.
 func TestMovedDiscovery(t *testing.T) {
-	for name, change := range map[string]func(*Start){"asked": nil, "pushed": pushed} {
+	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushed} {
 		t.Run(name, func(t *testing.T) {
 			p := standing(t, change)
 			old := spoken(t, p, p.now())
 			p.list.failures = 9
 			s := p.start
 			s.Discovery = "127.0.0.1:2"
-			p.Retune(s)
+			p.Reconfigure(s)
 			p.round()
 			w := p.list.watch
 			if !old.closed || w == nil || w == old || p.count.Watches != 1 || !p.host("s").ready {
@@ -365,7 +365,7 @@
 // the kernel or part of a request stays open until its response, which ends it.
 func TestTermAnswersWhatIsSent(t *testing.T) {
 	p := standing(t, nil)
-	p.start.Known, p.drain.begun = nil, true
+	p.start.KnownHosts, p.drain.begun = nil, true
 	p.listed(balance.Whole, roll{Instances: []entry{}}, p.now()) // no server: each request is denied
 	resting, _, _ := customer(t, p)
 	unread, other, unreadIn := customer(t, p)
@@ -475,7 +475,7 @@
 
 // A new connection is not closed on its request, however few descriptors are left: the request is denied.
 func TestNewConnectionIsAnswered(t *testing.T) {
-	p := standing(t, func(s *Start) { s.Sockets = spareSockets + 8 })
+	p := standing(t, func(s *Config) { s.Sockets = spareSockets + 8 })
 	for range 8 {
 		c, _, _ := customer(t, p)
 		c.req = &req{}
--- a/proxy/twin/twin_test.go
+++ b/proxy/sibling/sibling_test.go
@@ -1,4 +1,4 @@
-package twin
+package sibling
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 // TestMain is also run as the other process: it takes a lock, says so and waits to be killed.
 func TestMain(m *testing.M) {
 	if path := os.Getenv("TWIN_OTHER"); path != "" {
-		seat, err := Take(path)
+		seat, err := Acquire(path)
 		if err != nil {
 			panic(err)
 		}
@@ -27,7 +27,7 @@
 
 func TestOther(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "seats")
-	s, err := Take(path)
+	s, err := Acquire(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 }
 
 func TestNowhere(t *testing.T) {
-	if _, err := Take(filepath.Join(t.TempDir(), "gone", "seats")); err == nil {
+	if _, err := Acquire(filepath.Join(t.TempDir(), "gone", "seats")); err == nil {
 		t.Error("got a lock in a folder that does not exist")
 	}
 }
--- a/proxy/present_test.go
+++ b/proxy/stopped_test.go
@@ -99,7 +99,7 @@
 			t.Run(name+", "+set, func(t *testing.T) {
 				p := testProxy(t)
 				if set == "return" {
-					p.comeback = newComeback(Return{}, "discovery", p.now())
+					p.comeback = newComeback(RecoveryConfig{}, "discovery", p.now())
 				}
 				w, other := watched(t, p)
 				c := polled(t, p)
@@ -153,7 +153,7 @@
 // What the old watch had received counts even if the new one is not established in time.
 func TestToldByOldWatch(t *testing.T) {
 	p := testProxy(t)
-	p.comeback = newComeback(Return{}, "discovery", p.now())
+	p.comeback = newComeback(RecoveryConfig{}, "discovery", p.now())
 	w, other := watched(t, p)
 	stopped(p)
 	drains(t, w, other)
@@ -169,7 +169,7 @@
 // A stop while the loop is sending is noticed by the next round, like a stop at any other time.
 func TestStoppedWhileSending(t *testing.T) {
 	p := testProxy(t)
-	p.comeback = newComeback(Return{}, "discovery", p.now())
+	p.comeback = newComeback(RecoveryConfig{}, "discovery", p.now())
 	w, _ := watched(t, p)
 	polled(t, p)
 	p.after(p.now(), 1e8, func(int64) {})
