--- a/control/identity.go
+++ b/control/identity.go
@@ -21,9 +21,9 @@
 func loadDisk(s *settings.Settings, folder *store.Folder, machines []replica.Machine, random *rand.Rand, log hclog.Logger) (stored, error) {
 	bootstrap := s.Bootstrap
 	disk, err := readDisk(folder, machines)
-	if errors.Is(err, store.ErrDamaged) {
+	if errors.Is(err, store.ErrCorrupt) {
 		log.Error("stored state is damaged; moving its files aside and taking a new identity", "error", err)
-		if err := folder.SetAside(); err != nil {
+		if err := folder.Quarantine(); err != nil {
 			return disk, err
 		}
 		bootstrap = false // this machine may have voted as a founder before
@@ -60,8 +60,8 @@
 // storedState is what a control process finds on its disk.
 type stored struct {
 	identity store.Identity
-	replica  replica.Disk
-	parts    []replica.Disk // of the coordination parts, by part number
+	replica  replica.PersistentState
+	parts    []replica.PersistentState // of the coordination parts, by part number
 	tenures  []string
 }
 
--- a/control/simulation_part_groups_test.go
+++ b/control/simulation_part_groups_test.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		p := m.node.node.parts[number]
-		if p.replica.Role() == replica.Leader && p.replica.Uncommitted() {
+		if p.replica.Role() == replica.Leader && p.replica.HasUncommitted() {
 			continue // its state machine is at the previous entry
 		}
 		at, state := p.replica.Newest().Position(), p.machine.Snapshot()
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -54,7 +54,7 @@
 // controlDisk is what a control machine's disk has stored.
 type coreDisk struct {
 	identity store.Identity
-	state    replica.Disk
+	state    replica.PersistentState
 	tenures  []string
 	parts    []partDisk // nil before the first write
 }
