--- a/agent/agent.go
+++ b/agent/agent.go
@@ -26,7 +26,7 @@
 	// Now returns the time on a monotonic clock, counted from the start of this process.
 	Now() time.Duration
 	// OpenLink opens a connection to the control process at an address and keeps it up.
-	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink
+	LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
 	// KnownControlIPs returns the addresses of control processes that peers have reported.
 	KnownControlIPs() []string
 	// AddControlIPs adds control processes to those that are reported to peers.
@@ -43,7 +43,7 @@
 	log      hclog.Logger
 	env      Environment
 
-	links         map[string]wire.OpenLink // by IP
+	links         map[string]wire.LinkHandle // by IP
 	group         *wire.Group
 	config        *wire.Config  // the newest configuration that the router may use
 	candidate     *wire.Config  // the newest configuration received before any is confirmed as current
@@ -71,7 +71,7 @@
 
 // NewAgent returns an agent that has just started, and opens its first links.
 func NewAgent(s *settings.Settings, log hclog.Logger, env Environment) *Agent {
-	a := &Agent{settings: s, log: log, env: env, links: map[string]wire.OpenLink{}, confirmedAt: -confirmationValidity}
+	a := &Agent{settings: s, log: log, env: env, links: map[string]wire.LinkHandle{}, confirmedAt: -confirmationValidity}
 	a.env.AddControlIPs(s.SeedIPs()...)
 	a.syncLinks()
 	return a
@@ -130,8 +130,8 @@
 
 func (a *Agent) openLink(ip string) {
 	hello := wire.Hello{Role: wire.RoleAgent, Node: a.settings.NodeName, IP: a.settings.IP}
-	var link wire.OpenLink
-	link = a.env.OpenLink(ip, hello, wire.LinkEvents{
+	var link wire.LinkHandle
+	link = a.env.LinkHandle(ip, hello, wire.LinkEvents{
 		Subscribe: func() *wire.Message { return &wire.Message{Subscribe: a.feedPosition()} },
 		Received:  func(m *wire.Message) { a.onControlMessage(ip, link, m) },
 	})
@@ -154,7 +154,7 @@
 	return s
 }
 
-func (a *Agent) onControlMessage(ip string, link wire.OpenLink, m *wire.Message) {
+func (a *Agent) onControlMessage(ip string, link wire.LinkHandle, m *wire.Message) {
 	if a.links[ip] != link {
 		return // the link has been closed
 	}
@@ -174,7 +174,7 @@
 
 // onGroup accepts a member list unless it is older than the known one: a control process that was replaced while it
 // was disconnected still sends an outdated list.
-func (a *Agent) onGroup(ip string, link wire.OpenLink, m *wire.Message) {
+func (a *Agent) onGroup(ip string, link wire.LinkHandle, m *wire.Message) {
 	if a.config != nil && a.group != nil && m.Group.Fleet != a.group.Fleet {
 		a.log.Warn("control process belongs to another fleet; closing the link", "ip", ip)
 		a.dropped.OtherFleet++
--- a/agent/quota.go
+++ b/agent/quota.go
@@ -37,7 +37,7 @@
 }
 
 // ownerLink returns the link to the owner of a shard; nil if the owner is unknown or the link is down.
-func (a *Agent) ownerLink(shard uint32) wire.OpenLink {
+func (a *Agent) ownerLink(shard uint32) wire.LinkHandle {
 	if int(shard) >= len(a.hostTables) {
 		return nil
 	}
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -72,7 +72,7 @@
 
 // New returns the limiter of a router that has just started. It holds no quota.
 func New(router string) *Limiter {
-	return &Limiter{router: router, incarnation: wire.NewLife(), startTime: time.Now(), accounts: map[limitKey]*account{},
+	return &Limiter{router: router, incarnation: wire.NewIncarnation(), startTime: time.Now(), accounts: map[limitKey]*account{},
 		sweepAt: minSweepAccounts, pending: map[uint64]chan *wire.QuotaGrant{}, stats: map[limitKey]*usageStats{}}
 }
 
@@ -210,14 +210,14 @@
 		s.RejectedByOwner++
 		l.rejectedByOwner++
 		a.prefetched.Add(q.prefetched, q.prefetchedUntil, prefetchedResolution)
-		retryAfter = time.Duration(grant.EmptyMS) * time.Millisecond
+		retryAfter = time.Duration(grant.RetryAfterMS) * time.Millisecond
 		a.emptyUntil = now + retryAfter
 		return nil, min(max(retryAfter, minRetryAfter), maxRetryAfter), false
 	}
 	delay := time.Duration(grant.DelayMS) * time.Millisecond
 	until := q.sentAt + delay + time.Duration(grant.ValidMS)*time.Millisecond
 	a.prefetched.Add(grant.Granted-q.message.Need, until, prefetchedResolution)
-	a.spare.Add(grant.Spare, q.sentAt+quota.SpareLife, spareResolution)
+	a.spare.Add(grant.Spare, q.sentAt+quota.SpareLifetime, spareResolution)
 	s.OwnerUse += q.message.Need
 	s.PrefetchedUse += q.prefetched
 	if q.prefetched > 0 {
--- a/router/limit/simulation_test.go
+++ b/router/limit/simulation_test.go
@@ -94,7 +94,7 @@
 // new owner gets the start amount.
 func (sim *limitSimulation) takeOver(start bool) {
 	sim.loseOwner()
-	time.AfterFunc(quota.LongestDelay, func() {
+	time.AfterFunc(quota.MaxDelay, func() {
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		sim.owner = quota.NewOwner(sim.now())
@@ -128,7 +128,7 @@
 	}
 	grant := sim.owner.Take(q.Tenant, quota.LimitOf(sim.tenant, &limitBounds), quota.Ask{Need: q.Need, Want: q.Want}, sim.now())
 	reply := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: grant.Amount, Spare: grant.Spare,
-		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), EmptyMS: grant.Empty.Milliseconds()}
+		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}
 	time.AfterFunc(oneWay, func() { l.HandleGrant(reply) })
 }
 
@@ -247,7 +247,7 @@
 func TestLateUseKeepsTheLimit(t *testing.T) {
 	atSizes(t, func(t *testing.T, sim *limitSimulation) {
 		fill()
-		late := sim.limit.Validity - 2*oneWay - quota.LongestDelay - time.Millisecond
+		late := sim.limit.Validity - 2*oneWay - quota.MaxDelay - time.Millisecond
 		sim.useDelay = func() time.Duration { return late }
 		sim.send(t, flood, 4*time.Second)
 		sim.useDelay = func() time.Duration { return 0 }
@@ -324,7 +324,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			atSizes(t, func(t *testing.T, sim *limitSimulation) {
 				sim.random = rand.New(rand.NewPCG(seed, 45))
-				late := sim.limit.Validity - 2*oneWay - quota.LongestDelay - time.Millisecond
+				late := sim.limit.Validity - 2*oneWay - quota.MaxDelay - time.Millisecond
 				sim.useDelay = func() time.Duration { return time.Duration(sim.random.Int64N(int64(late))) }
 				sim.send(t, 0.9*sim.limit.Rate, 30*time.Second)
 				fill()
