--- a/agent/agent.go
+++ b/agent/agent.go
@@ -26,7 +26,7 @@
 	// Now returns the time on a monotonic clock, counted from the start of this process.
 	Now() time.Duration
 	// OpenLink opens a connection to the control process at an address and keeps it up.
-	LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
+	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
 	// KnownControlIPs returns the addresses of control processes that peers have reported.
 	KnownControlIPs() []string
 	// AddControlIPs adds control processes to those that are reported to peers.
@@ -131,7 +131,7 @@
 func (a *Agent) openLink(ip string) {
 	hello := wire.Hello{Role: wire.RoleAgent, Node: a.settings.NodeName, IP: a.settings.IP}
 	var link wire.LinkHandle
-	link = a.env.LinkHandle(ip, hello, wire.LinkEvents{
+	link = a.env.OpenLink(ip, hello, wire.LinkEvents{
 		Subscribe: func() *wire.Message { return &wire.Message{Subscribe: a.feedPosition()} },
 		Received:  func(m *wire.Message) { a.onControlMessage(ip, link, m) },
 	})
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -44,7 +44,7 @@
 func (env *testEnv) SendDatagram(ip string, m *wire.Message) {
 	env.sent = append(env.sent, sentDatagram{ip, m})
 }
-func (env *testEnv) LinkHandle(ip string, _ wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (env *testEnv) OpenLink(ip string, _ wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &testLink{events: events}
 	env.links[ip] = l
 	return l
--- a/agent/process.go
+++ b/agent/process.go
@@ -121,7 +121,7 @@
 }
 
 // OpenLink opens a connection to a control process and keeps it up.
-func (p *Process) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	address := net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort()))
 	return wire.Open(p.ctx, address, hello, events, p.enqueue)
 }
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -54,7 +54,7 @@
 
 func (p *agentProcess) Now() time.Duration { return p.world.now - p.born }
 
-func (p *agentProcess) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *agentProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &link{world: p.world, owner: &p.process, to: ip, hello: hello, events: events}
 	p.links = append(p.links, l)
 	p.world.links = append(p.world.links, l)
