--- a/proxy/dispatch.go
+++ b/proxy/dispatch.go
@@ -105,7 +105,7 @@
 	p.connected(d, c, now)
 }
 
-// write writes the dispatch to an established connection. If its host takes no new dispatches any more, its
+// writeDispatch writes the dispatch to an established connection. If its host takes no new dispatches any more, its
 // deadline has passed, or the process was stopped on the way here, it ends as not sent and the balancer decides
 // again.
 func (p *Proxy) write(d *dispatch, c *hostConn) {
--- a/proxy/http1/parse.go
+++ b/proxy/http1/parse.go
@@ -487,7 +487,7 @@
 	return a
 }
 
-// NewChunkParser returns a parser that returns each chunk of a response as it arrives; most is the longest chunk,
+// NewChunkParser returns a parser that returns each chunk of a response as it arrives; maxChunk is the longest,
 // in bytes.
 func NewChunks(most int) *Answers {
 	a := NewAnswers()
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -62,7 +62,7 @@
 	Address, Short, Garbled, Version, Fleet, Form, Unsent int64
 }
 
-// startPeers begins to listen for peers, with an incarnation no lower than least, so that it is above those this
+// startPeers begins to listen for peers, with an incarnation no lower than minLife, so that it is above those this
 // process had before. If another process of an upgrade still holds the address, listening is retried: until then
 // this process decides alone.
 func (p *Proxy) openPeers(least uint64, now int64) {
