--- a/agent/agent.go
+++ b/agent/agent.go
@@ -47,8 +47,8 @@
 	config      *wire.Config  // the newest that the router may act by
 	candidate   *wire.Config  // the newest that was told, before any is known to be current
 	confirmedAt time.Duration // when a leader said last that a configuration is current
-	tables      [hostlist.Shards]table
-	fences      [hostlist.Shards]uint64 // highest fencing number that the router or this agent has seen
+	tables      [hostlist.ShardCount]table
+	fences      [hostlist.ShardCount]uint64 // highest fencing number that the router or this agent has seen
 	routers     []wire.Sender
 	relay       relay
 	dropped     Dropped
@@ -276,7 +276,7 @@
 		a.feedRouter(router, m.Subscribe)
 	case m.QuotaRequest != nil:
 		a.onQuotaRequest(m)
-	case m.Paces != nil:
+	case m.EventIntervals != nil:
 		a.onPaces(m)
 	}
 }
--- a/agent/figures.go
+++ b/agent/figures.go
@@ -47,7 +47,7 @@
 	p.do(func() { answer <- p.agent.status() })
 	select {
 	case s := <-answer:
-		s.badDatagram = p.peers.Spoilt.Load()
+		s.badDatagram = p.peers.Malformed.Load()
 		s.write(w)
 	case <-ctx.Done():
 	}
--- a/agent/paces.go
+++ b/agent/paces.go
@@ -5,7 +5,7 @@
 // onPaces passes on to the owner of the shard what a router saw of its hosts. Where the owner isn't reached it is dropped:
 // it is of use for a moment only.
 func (a *Agent) onPaces(m *wire.Message) {
-	if link := a.ownerLink(m.Paces.Shard); link != nil {
+	if link := a.ownerLink(m.EventIntervals.Shard); link != nil {
 		link.Send(m)
 	}
 }
--- a/agent/paces_test.go
+++ b/agent/paces_test.go
@@ -11,14 +11,14 @@
 // Paces go to the owner of the shard alone; the word of an owner before on slow hosts is not handed on.
 func TestPacesGoToTheOwnerAndOldWordsNowhere(t *testing.T) {
 	s := newStand()
-	paces := &wire.Message{Paces: &wire.Paces{Shard: 1, Service: "s", Hosts: []wire.Pace{{Host: "h", Microsecond: 5}}}}
+	paces := &wire.Message{EventIntervals: &wire.EventIntervals{Shard: 1, Service: "s", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 5}}}}
 	s.agent.OnRouterMessage(s, paces) // no owner is known: it is dropped
 	s.tell("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Whole: true}})
 	s.agent.OnRouterMessage(s, paces)
 	for ip, link := range s.links {
 		told := 0
 		for _, m := range link.sent {
-			if m.Paces != nil {
+			if m.EventIntervals != nil {
 				told++
 			}
 		}
--- a/agent/process.go
+++ b/agent/process.go
@@ -97,7 +97,7 @@
 func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
 
 // Introduce tells peers of control processes.
-func (p *Process) Introduce(ips ...string) { p.peers.Introduce(true, ips...) }
+func (p *Process) Introduce(ips ...string) { p.peers.AddPeers(true, ips...) }
 
 // KnownAgents gives the addresses of agents that peers have told of.
 func (p *Process) KnownAgents() []string { return p.peers.AgentIPs() }
--- a/control/coordination/machine.go
+++ b/control/coordination/machine.go
@@ -14,7 +14,7 @@
 // decoder reads them. A command with text that is no UTF-8 is left to Check, and spoils none beside it.
 var encoder, decoder = form.Modes(cbor.DecOptions{MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid})
 
-// Machine is the replicated state of one part, as package replica leads it on. It implements replica.Machine.
+// Machine is the replicated state of one part, as package replica leads it on. It implements replica.StateMachine.
 type Machine struct {
 	*State
 	// Answers are those to the commands that were applied last; none where they were malformed.
@@ -53,7 +53,7 @@
 	return commands, nil
 }
 
-// Apply implements replica.Machine. Malformed commands, which no process of ours sends, change nothing and have no answers.
+// Apply implements replica.StateMachine. Malformed commands, which no process of ours sends, change nothing and have no answers.
 func (m *Machine) Apply(commands []byte, at time.Duration) {
 	decoded, err := decodeCommands(commands)
 	if err != nil {
@@ -63,17 +63,17 @@
 	m.Answers = m.State.Apply(decoded, at)
 }
 
-// Snapshot implements replica.Machine.
+// Snapshot implements replica.StateMachine.
 func (m *Machine) Snapshot() []byte { return encode(m.image()) }
 
-// SnapshotAfter implements replica.Machine. It changes neither the state nor the answers.
+// SnapshotAfter implements replica.StateMachine. It changes neither the state nor the answers.
 func (m *Machine) SnapshotAfter(commands []byte, at time.Duration) []byte {
 	after := &Machine{State: m.clone()}
 	after.Apply(commands, at)
 	return after.Snapshot()
 }
 
-// Restore implements replica.Machine. After an error, an ErrSnapshot, the state is the one before.
+// Restore implements replica.StateMachine. After an error, an ErrSnapshot, the state is the one before.
 func (m *Machine) Restore(value []byte) error {
 	restored, err := decodeState(value, m.history)
 	if err != nil {
--- a/control/coordination/machine_test.go
+++ b/control/coordination/machine_test.go
@@ -11,7 +11,7 @@
 	"ivybank/wire"
 )
 
-var _ replica.Machine = (*Machine)(nil)
+var _ replica.StateMachine = (*Machine)(nil)
 
 // someMachine has something of each kind.
 func someMachine() *Machine {
--- a/control/environment.go
+++ b/control/environment.go
@@ -20,7 +20,7 @@
 	Save(s *replica.Save)
 	// SaveTenures starts a write of the granter's tenures; Node.TenuresSaved is called with the result. At most one
 	// write is in progress at a time.
-	SaveTenures(t lease.Tenures)
+	SaveTenures(t lease.LongTenures)
 	// SaveParts starts a write of the parts of the coordination state; Node.PartsSaved is called once it is on disk.
 	// At most one write is in progress at a time.
 	SaveParts(b *store.PartsBatch)
--- a/control/feed.go
+++ b/control/feed.go
@@ -23,8 +23,8 @@
 		n.subscribe(s, m.Subscribe)
 	case m.QuotaRequest != nil:
 		n.onQuotaRequest(s, m.QuotaRequest)
-	case m.Paces != nil:
-		n.onPaces(m.Paces)
+	case m.EventIntervals != nil:
+		n.onPaces(m.EventIntervals)
 	}
 }
 
--- a/control/hostlist/table.go
+++ b/control/hostlist/table.go
@@ -12,13 +12,13 @@
 )
 
 // ShardCount is the number of shards that services and tenants are divided into.
-const Shards = 2
+const ShardCount = 2
 
 // maxKeptChanges is how many changes a subscriber may be behind before it gets the full table.
 const maxKeptChanges = 256
 
 // ShardOf returns the shard of a service or tenant.
-func ShardOf(name string) uint32 { return uint32(xxhash.Sum64String(name) % Shards) }
+func ShardOf(name string) uint32 { return uint32(xxhash.Sum64String(name) % ShardCount) }
 
 // Table is one shard's table of hosts. It is not safe for concurrent use.
 type Table struct {
--- a/control/identity.go
+++ b/control/identity.go
@@ -18,7 +18,7 @@
 // was complete before is damaged, the whole disk counts as lost, since its content can't be determined: the process
 // takes a new identity. machines are the state machines of the coordination parts; each is replayed up to its newest
 // entry. There are none if the fleet runs without coordination.
-func loadDisk(s *settings.Settings, folder *store.Folder, machines []replica.Machine, random *rand.Rand, log hclog.Logger) (stored, error) {
+func loadDisk(s *settings.Settings, folder *store.DataDir, machines []replica.StateMachine, random *rand.Rand, log hclog.Logger) (stored, error) {
 	bootstrap := s.Bootstrap
 	disk, err := readDisk(folder, machines)
 	if errors.Is(err, store.ErrCorrupt) {
@@ -54,7 +54,7 @@
 	if len(of.Founders) == 0 {
 		return nil
 	}
-	return replica.Found(of.Founders, nil)
+	return replica.FoundingEntry(of.Founders, nil)
 }
 
 // storedState is what a control process finds on its disk.
@@ -65,7 +65,7 @@
 	tenures  []string
 }
 
-func readDisk(folder *store.Folder, machines []replica.Machine) (disk stored, err error) {
+func readDisk(folder *store.DataDir, machines []replica.StateMachine) (disk stored, err error) {
 	if disk.identity, _, err = folder.Identity(); err != nil {
 		return stored{}, err
 	}
--- a/control/identity_test.go
+++ b/control/identity_test.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func load(t *testing.T, s *settings.Settings, path string, machines []replica.Machine) (stored, *store.Folder) {
+func load(t *testing.T, s *settings.Settings, path string, machines []replica.StateMachine) (stored, *store.DataDir) {
 	t.Helper()
 	folder, err := store.Open(path)
 	assert.NilError(t, err)
@@ -46,7 +46,7 @@
 func TestFounderLoadsItsParts(t *testing.T) {
 	s := &settings.Settings{IP: "10.0.0.1", Seeds: []string{"10.0.0.1:8665", "10.0.0.2:8665"}, Bootstrap: true}
 	path := t.TempDir()
-	machines := []replica.Machine{&appendingMachine{}, &appendingMachine{}}
+	machines := []replica.StateMachine{&appendingMachine{}, &appendingMachine{}}
 	disk, folder := load(t, s, path, machines)
 	assert.Equal(t, len(disk.parts), len(machines))
 	for _, part := range disk.parts {
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -92,7 +92,7 @@
 }
 
 // QuorumFunc reports whether the members for which has returns true are a quorum of the group.
-type Quorum func(has func(id string) bool) bool
+type QuorumFunc func(has func(id string) bool) bool
 
 // Holder is the side of a member that wants or holds one resource.
 type Holder struct {
@@ -170,7 +170,7 @@
 
 // HandleReply processes a member's reply. It returns false for a reply to an earlier incarnation of this process,
 // which it drops. A lapsed lease is not revived by a late reply: what was kept under its fencing number is gone.
-func (h *Holder) HandleReply(from string, p *wire.LeaseReply, hasQuorum Quorum, now time.Duration) bool {
+func (h *Holder) HandleReply(from string, p *wire.LeaseReply, hasQuorum QuorumFunc, now time.Duration) bool {
 	if p.Life != h.incarnation {
 		return false
 	}
@@ -194,7 +194,7 @@
 
 // FollowsLongTenure reports whether a quorum confirms that the previous holder had a long tenure and that no other
 // recent holder has followed a long tenure.
-func (h *Holder) FollowsLongTenure(hasQuorum Quorum) bool {
+func (h *Holder) FollowsLongTenure(hasQuorum QuorumFunc) bool {
 	return hasQuorum(func(id string) bool { return h.confirmedBy[id] })
 }
 
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -29,7 +29,7 @@
 // tenureDisk is the disk for a granter's tenure record.
 type tenureDisk struct {
 	kept    []string
-	writing *Tenures
+	writing *LongTenures
 	doneAt  time.Duration
 }
 
--- a/control/lease/tenure.go
+++ b/control/lease/tenure.go
@@ -51,18 +51,18 @@
 }
 
 // LongTenures is the tenure record that a granter needs to have on disk.
-type Tenures struct {
+type LongTenures struct {
 	Long   []string // resources whose holder had a long tenure
 	Change uint64
 }
 
 // UnsavedTenures returns the record to write if it has changed since it was last saved.
-func (g *Granter) UnsavedTenures() (Tenures, bool) {
+func (g *Granter) UnsavedTenures() (LongTenures, bool) {
 	t := &g.tenures
 	if t.changes == t.saved {
-		return Tenures{}, false
+		return LongTenures{}, false
 	}
-	unsaved := Tenures{Change: t.changes}
+	unsaved := LongTenures{Change: t.changes}
 	for resource := range maps.Keys(t.long) {
 		unsaved.Long = append(unsaved.Long, resource)
 	}
@@ -70,4 +70,4 @@
 }
 
 // TenuresSaved reports that a record is on disk.
-func (g *Granter) TenuresSaved(t Tenures) { g.tenures.saved = max(g.tenures.saved, t.Change) }
+func (g *Granter) TenuresSaved(t LongTenures) { g.tenures.saved = max(g.tenures.saved, t.Change) }
--- a/control/node.go
+++ b/control/node.go
@@ -76,7 +76,7 @@
 	granter   *lease.Granter
 	tenuresOn bool          // a write of the granter's tenures is in progress
 	tenuresAt time.Duration // the earliest time of the next write
-	shards    [hostlist.Shards]*shard
+	shards    [hostlist.ShardCount]*shard
 	reading   bool
 	readAt    time.Duration
 	readSince time.Duration // when the current read began
@@ -136,7 +136,7 @@
 	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
 		callers: map[string]int{}, passed: map[uint64]*passedCall{}, counts: newNodeCounts(), validator: &validate.Validator{}}
 	self := wire.Member{ID: from.Identity.ID, IP: s.IP}
-	group := replica.Group{Target: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
+	group := replica.GroupConfig{Target: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
 	n.replica = replica.New(self, group, from.Disk, from.Random, n.now())
 	n.newParts(from)
 	n.granter = lease.NewGranter(longTenure(s), from.Tenures, n.now())
@@ -220,7 +220,7 @@
 }
 
 // TenuresSaved handles the result of that write. A failed write is retried after tenureRetryDelay.
-func (n *Node) TenuresSaved(t lease.Tenures, err error) {
+func (n *Node) TenuresSaved(t lease.LongTenures, err error) {
 	n.tenuresOn = false
 	if err != nil {
 		n.tenuresAt = n.now() + tenurePause
--- a/control/paces.go
+++ b/control/paces.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ivybank/control/pace"
+	"ivybank/control/slowhost"
 	"ivybank/wire"
 )
 
@@ -12,13 +12,13 @@
 
 // paces is what the owner of a shard knows about the streaming speed of its hosts. It is dropped with the lease.
 type paces struct {
-	table  *pace.Table
+	table  *slowhost.Detector
 	toldAt time.Duration
 	told   bool // the last published list was not empty
 }
 
 // onPaces records a router's measurements if this node owns the shard.
-func (n *Node) onPaces(p *wire.Paces) {
+func (n *Node) onPaces(p *wire.EventIntervals) {
 	if int(p.Shard) >= len(n.shards) {
 		return
 	}
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, h := range p.Hosts {
-		s.paces.table.Observe(p.Service, h.Host, time.Duration(h.Microsecond)*time.Microsecond, now)
+		s.paces.table.Observe(p.Service, h.Host, time.Duration(h.Microseconds)*time.Microsecond, now)
 	}
 }
 
--- a/control/paces_test.go
+++ b/control/paces_test.go
@@ -13,15 +13,15 @@
 // reportPaces has a machine's router report for a while how fast six hosts stream, the last one slower by a factor.
 func tellPaces(w *world, m *machine, slowness int64, span time.Duration) {
 	for end := w.now + span; w.now < end; {
-		told := &wire.Paces{Shard: 0, Service: "service-0"}
+		told := &wire.EventIntervals{Shard: 0, Service: "service-0"}
 		for i := range int64(6) {
-			pace := wire.Pace{Host: fmt.Sprint("h", i), Microsecond: 28_000}
+			pace := wire.HostEventInterval{Host: fmt.Sprint("h", i), Microseconds: 28_000}
 			if i == 5 {
-				pace.Microsecond *= slowness
+				pace.Microseconds *= slowness
 			}
 			told.Hosts = append(told.Hosts, pace)
 		}
-		m.agent.agent.OnRouterMessage(m.agent.router, &wire.Message{Paces: told})
+		m.agent.agent.OnRouterMessage(m.agent.router, &wire.Message{EventIntervals: told})
 		w.playUntil(w.now + 200*time.Millisecond)
 	}
 }
@@ -57,8 +57,8 @@
 			continue
 		}
 		n := m.node.node
-		n.onPaces(&wire.Paces{Shard: 99})
-		n.onPaces(&wire.Paces{Shard: 0, Service: "service-0", Hosts: []wire.Pace{{Host: "h", Microsecond: 1}}})
+		n.onPaces(&wire.EventIntervals{Shard: 99})
+		n.onPaces(&wire.EventIntervals{Shard: 0, Service: "service-0", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 1}}})
 		assert.Equal(t, n.shards[0].paces.table != nil, n.shards[0].holder.Holds(m.node.Now()))
 	}
 }
--- a/control/parts.go
+++ b/control/parts.go
@@ -57,8 +57,8 @@
 }
 
 // asReplicaMachines converts machines to the interface of package replica.
-func replicated(machines []*coordination.Machine) []replica.Machine {
-	all := make([]replica.Machine, len(machines))
+func replicated(machines []*coordination.Machine) []replica.StateMachine {
+	all := make([]replica.StateMachine, len(machines))
 	for i, m := range machines {
 		all[i] = m
 	}
@@ -78,7 +78,7 @@
 func (n *Node) newParts(from Start) {
 	n.replicas = []*replica.Replica{n.replica}
 	for i, start := range from.Parts {
-		group := replica.Group{Target: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
+		group := replica.GroupConfig{Target: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
 			Name: "part-" + strconv.Itoa(i)}
 		p := &part{number: i, machine: start.Machine}
 		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
--- a/control/process.go
+++ b/control/process.go
@@ -40,7 +40,7 @@
 	log      hclog.Logger
 	start    time.Time
 	events   chan func()
-	folder   *store.Folder
+	folder   *store.DataDir
 	writes   chan func() // disk writes, run one at a time
 	reader   *hostlist.Reader
 	from     Start
@@ -97,7 +97,7 @@
 		return fmt.Errorf("control: %w", err)
 	}
 	defer served.Close()
-	p.peers.Introduce(true, p.settings.SeedIPs()...)
+	p.peers.AddPeers(true, p.settings.SeedIPs()...)
 	go p.peers.Run(ctx)
 	go wire.Serve(ctx, internal, p.accept, p.spoilt)
 	go newOperatorHandler(p.node).serve(operator)
@@ -124,7 +124,7 @@
 		case event := <-p.events:
 			event()
 		case p.settings = <-reloads:
-			p.peers.Introduce(true, p.settings.SeedIPs()...)
+			p.peers.AddPeers(true, p.settings.SeedIPs()...)
 			p.node.Reload(p.settings)
 		case <-ticker.C:
 			p.node.Tick()
@@ -164,7 +164,7 @@
 }
 
 // SaveTenures queues a write of the tenures.
-func (p *Process) SaveTenures(t lease.Tenures) {
+func (p *Process) SaveTenures(t lease.LongTenures) {
 	p.writes <- func() {
 		err := p.folder.SaveTenures(t.Long)
 		p.Do(func() { p.node.TenuresSaved(t, err) })
@@ -175,7 +175,7 @@
 func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
 
 // UnreadableDatagrams counts the datagrams that could not be decoded.
-func (p *Process) SpoiltDatagrams() int64 { return p.peers.Spoilt.Load() }
+func (p *Process) SpoiltDatagrams() int64 { return p.peers.Malformed.Load() }
 
 // OpenLink maintains a connection to a control process.
 func (p *Process) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
--- a/control/quota/owner.go
+++ b/control/quota/owner.go
@@ -24,7 +24,7 @@
 )
 
 // Request is what a router requests of a limit, in the limit's unit.
-type Ask struct {
+type Request struct {
 	Need float64 // amount for the request at hand
 	Want float64 // amount including requests expected soon
 }
@@ -74,7 +74,7 @@
 // bucket doesn't hold yet is granted with a delay, so that whatever is used by any moment has been filled by then.
 // Admission is based on what the largest recent requests need, so that small ones don't keep the bucket too empty for
 // large ones.
-func (o *Owner) Take(name string, l Limit, ask Ask, now time.Duration) Grant {
+func (o *Owner) Take(name string, l Limit, ask Request, now time.Duration) Grant {
 	if !(ask.Need >= 0 && ask.Need <= l.Capacity) { // negative, not a number, or more than the bucket can ever hold
 		return Grant{Empty: maxRetryWait}
 	}
--- a/control/quota/owner_test.go
+++ b/control/quota/owner_test.go
@@ -90,7 +90,7 @@
 					owner, next = NewOwner(now), now+time.Duration(random.Int64N(int64(2*pace)))
 				}
 				need := 20_000 * random.Float64()
-				grant := owner.Take("t", limit, Ask{Need: need, Want: 3 * need}, now)
+				grant := owner.Take("t", limit, Request{Need: need, Want: 3 * need}, now)
 				assert.Assert(t, grant.Amount == 0 || grant.Amount >= need && grant.Amount <= 3*need)
 				assert.Assert(t, (grant.Amount > 0) == (grant.Empty == 0))
 				assert.Assert(t, grant.Delay >= 0 && grant.Delay <= MaxDelay+time.Nanosecond)
@@ -111,7 +111,7 @@
 	limit := LimitOf(tenant(100_000, 100_000), &bounds)
 	all := func(o *Owner, now time.Duration) (sum float64) {
 		for {
-			grant := o.Take("t", limit, Ask{Need: 10, Want: 10}, now)
+			grant := o.Take("t", limit, Request{Need: 10, Want: 10}, now)
 			if grant.Amount == 0 || grant.Delay > 0 {
 				return sum
 			}
@@ -120,7 +120,7 @@
 	}
 	before, after, never := NewOwner(0), NewOwner(0), NewOwner(0)
 	before.AddStart(0)
-	after.Take("t", limit, Ask{Need: 10, Want: 10}, 0)
+	after.Take("t", limit, Request{Need: 10, Want: 10}, 0)
 	after.AddStart(0)
 	for _, owner := range []*Owner{before, after} {
 		assert.Assert(t, math.Abs(all(owner, 0)-limit.Start) <= 20)
@@ -129,7 +129,7 @@
 	}
 	assert.Assert(t, all(never, 0) == 0)
 	full := NewOwner(0)
-	full.Take("t", limit, Ask{Need: 10, Want: 10}, time.Hour)
+	full.Take("t", limit, Request{Need: 10, Want: 10}, time.Hour)
 	full.AddStart(time.Hour)
 	assert.Assert(t, all(full, time.Hour) <= limit.Capacity, "a bucket holds no more than that")
 }
@@ -140,7 +140,7 @@
 	owner, now := NewOwner(0), time.Duration(0)
 	for _, need := range []float64{limit.Capacity, limit.Capacity + 1, 1e9, 1e300, math.Inf(1), math.NaN(), -1, 0, 0.5, 1, 1e-9} {
 		now += time.Hour
-		grant := owner.Take("t", limit, Ask{Need: need, Want: need}, now)
+		grant := owner.Take("t", limit, Request{Need: need, Want: need}, now)
 		if need >= 0 && need <= limit.Capacity {
 			assert.Equal(t, grant.Amount, need)
 		} else {
@@ -156,7 +156,7 @@
 	limit := LimitOf(tenant(100_000, 100_000), &bounds)
 	owner, last, refused := NewOwner(0), time.Duration(0), time.Duration(0)
 	for range 100 {
-		grant := owner.Take("t", limit, Ask{Need: 1_000, Want: 9_000}, 0)
+		grant := owner.Take("t", limit, Request{Need: 1_000, Want: 9_000}, 0)
 		if grant.Amount > 0 {
 			assert.Equal(t, refused, time.Duration(0), "none after one that was refused")
 			assert.Equal(t, grant.Amount, 1_000.0, "nothing is granted ahead of need")
@@ -169,8 +169,8 @@
 	}
 	assert.Assert(t, last >= maxQueueDelay && last <= MaxDelay, "%v", last)
 	assert.Equal(t, refused, minRetryWait)
-	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, 5*time.Millisecond).Amount == 0, "there is no room yet")
-	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, refused).Amount > 0, "there is room again")
+	assert.Assert(t, owner.Take("t", limit, Request{Need: 1_000, Want: 1_000}, 5*time.Millisecond).Amount == 0, "there is no room yet")
+	assert.Assert(t, owner.Take("t", limit, Request{Need: 1_000, Want: 1_000}, refused).Amount > 0, "there is room again")
 }
 
 // TestLargeRequestsAreNotStarvedBySmallOnes has both sizes demand far more than there is.
@@ -181,7 +181,7 @@
 	for now := 10 * time.Second; now < 40*time.Second; now += 10 * time.Millisecond {
 		for _, i := range random.Perm(2) {
 			need := []float64{200, 9_200}[i]
-			if owner.Take("t", limit, Ask{Need: need, Want: need}, now).Amount > 0 {
+			if owner.Take("t", limit, Request{Need: need, Want: need}, now).Amount > 0 {
 				served[need]++
 			}
 		}
@@ -197,7 +197,7 @@
 		limit := LimitOf(tenant(rate, rate), &bounds)
 		owner, sum := NewOwner(0), 0.0
 		for now := time.Duration(0); now < 20*time.Second; now += 10 * time.Millisecond {
-			sum += owner.Take("t", limit, Ask{Need: 9_200, Want: 9_200}, now).Amount
+			sum += owner.Take("t", limit, Request{Need: 9_200, Want: 9_200}, now).Amount
 		}
 		assert.Assert(t, sum >= 0.97*20*rate, "%v of %v", sum, 20*rate)
 	}
@@ -214,7 +214,7 @@
 			own = min(own+rate*0.005, rate)
 			for need := 200 + 9_000*random.Float64(); own >= need && random.IntN(3) > 0; need = 200 + 9_000*random.Float64() {
 				own -= need
-				grant := owner.Take("t", limit, Ask{Need: need, Want: need}, now)
+				grant := owner.Take("t", limit, Request{Need: need, Want: need}, now)
 				assert.Equal(t, grant.Amount, need, "seed %d, %v", seed, now)
 			}
 		}
@@ -232,7 +232,7 @@
 		draw := func(limit Limit, lasts time.Duration) (sum float64) {
 			all = nil
 			for end := now + lasts; now < end; now += time.Millisecond {
-				grant := owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, now)
+				grant := owner.Take("t", limit, Request{Need: 1_000, Want: 1_000}, now)
 				all = append(all, drawn{now + grant.Delay, grant.Amount})
 			}
 			return largestSum(all, window)
@@ -253,12 +253,12 @@
 	limit := LimitOf(tenant(1_000, 1_000), &bounds)
 	owner := NewOwner(0)
 	now := time.Hour
-	assert.Assert(t, owner.Take("t", limit, Ask{Need: limit.Capacity, Want: limit.Capacity}, now).Amount > 0)
+	assert.Assert(t, owner.Take("t", limit, Request{Need: limit.Capacity, Want: limit.Capacity}, now).Amount > 0)
 	for i := range 3 * minSweepSize { // other tenants arrive in the meantime, so that full buckets are removed
-		owner.Take(fmt.Sprint("other-", i), limit, Ask{Need: 1, Want: 1}, now)
+		owner.Take(fmt.Sprint("other-", i), limit, Request{Need: 1, Want: 1}, now)
 		now += time.Microsecond
 	}
-	assert.Assert(t, owner.Take("t", limit, Ask{Need: 1_000, Want: 1_000}, now).Amount == 0, "it has drawn all it had")
+	assert.Assert(t, owner.Take("t", limit, Request{Need: 1_000, Want: 1_000}, now).Amount == 0, "it has drawn all it had")
 }
 
 // TestFullBucketsAreRemoved checks that memory stays bounded as tenants come and go.
@@ -266,7 +266,7 @@
 	limit := LimitOf(tenant(1_000, 1_000), &bounds)
 	owner := NewOwner(0)
 	for i := range 20 * minSweepSize {
-		owner.Take(fmt.Sprint("tenant-", i), limit, Ask{Need: 0, Want: 0}, time.Hour)
+		owner.Take(fmt.Sprint("tenant-", i), limit, Request{Need: 0, Want: 0}, time.Hour)
 	}
 	assert.Assert(t, len(owner.buckets) <= 2*minSweepSize, "%d buckets", len(owner.buckets))
 }
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -151,7 +151,7 @@
 	if r.role == Candidate && r.savedSequence >= r.sequence {
 		r.votes[r.self.ID] = true // the own vote counts once it is on disk
 	}
-	won := Quorum(r.Members(), func(id string) bool { return r.votes[id] })
+	won := HasQuorum(r.Members(), func(id string) bool { return r.votes[id] })
 	switch {
 	case r.role == PreCandidate && r.justRestarted && r.allRestarted():
 		r.startElection(r.round, false, now)
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -120,7 +120,7 @@
 	slices.Sort(starts)
 	slices.Reverse(starts)
 	for _, start := range starts {
-		if Quorum(r.Members(), func(id string) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].ackedSentAt >= start }) {
+		if HasQuorum(r.Members(), func(id string) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].ackedSentAt >= start }) {
 			return start
 		}
 	}
@@ -226,7 +226,7 @@
 	if r.committed.Position() == newest || newest.Term != r.disk.Term {
 		return
 	}
-	if !Quorum(r.Members(), func(id string) bool { return r.hasStored(id, newest) }) {
+	if !HasQuorum(r.Members(), func(id string) bool { return r.hasStored(id, newest) }) {
 		return
 	}
 	r.committed = r.disk.Entry
--- a/control/replica/machine.go
+++ b/control/replica/machine.go
@@ -27,7 +27,7 @@
 
 // StateMachine is replicated state that commands advance from entry to entry. A follower's machine is at its newest
 // entry; a leader's is at the newest committed one. Its methods are only called from the replica's event loop.
-type Machine interface {
+type StateMachine interface {
 	// Apply advances to the next entry, which was made at a group time. The result must depend on nothing else.
 	Apply(commands []byte, at time.Duration)
 	// Snapshot returns the full state.
@@ -41,7 +41,7 @@
 
 // Replay advances a machine from the empty state through the entries found on disk and returns the newest one. The
 // first entry must be a full one.
-func Replay(machine Machine, entries []*wire.Entry) (*wire.Entry, error) {
+func Replay(machine StateMachine, entries []*wire.Entry) (*wire.Entry, error) {
 	var newest *wire.Entry
 	for _, e := range entries {
 		if !e.IsStep() {
--- a/control/replica/members.go
+++ b/control/replica/members.go
@@ -186,7 +186,7 @@
 // safeWithout reports whether a majority of the other members has everything that was acknowledged on disk.
 func (r *Replica) safeWithout(leaver string) bool {
 	at := r.committed.Position()
-	return Quorum(without(r.Members(), leaver), func(id string) bool { return r.hasStored(id, at) })
+	return HasQuorum(without(r.Members(), leaver), func(id string) bool { return r.hasStored(id, at) })
 }
 
 // leaveState is the progress of this replica's own departure.
--- a/control/replica/members_test.go
+++ b/control/replica/members_test.go
@@ -311,14 +311,14 @@
 // leader since.
 func TestLateRestartConfirmationDoesNotCount(t *testing.T) {
 	now := time.Duration(0)
-	group := Group{Target: 3, MemberTimeout: simMemberTimeout}
+	group := GroupConfig{Target: 3, MemberTimeout: simMemberTimeout}
 	var members []wire.Member
 	for i := range 3 {
 		ip := fmt.Sprintf("10.0.0.%d", i+1)
 		members = append(members, wire.Member{ID: ip, IP: ip})
 	}
 	s := newSim(t, 1, 3)
-	r := New(members[0], group, PersistentState{Entry: Found(members, nil)}, s.random, now)
+	r := New(members[0], group, PersistentState{Entry: FoundingEntry(members, nil)}, s.random, now)
 	r.startPreVote(now)
 	first := r.round
 	now += 300 * time.Millisecond
@@ -338,15 +338,15 @@
 func TestRestartConfirmationOfAnEarlierRunDoesNotCount(t *testing.T) {
 	s := newSim(t, 1, 3)
 	members := s.members
-	group := Group{Target: 3, MemberTimeout: simMemberTimeout}
-	asked := New(members[1], group, PersistentState{Entry: Found(members, nil)}, s.random, 0)
+	group := GroupConfig{Target: 3, MemberTimeout: simMemberTimeout}
+	asked := New(members[1], group, PersistentState{Entry: FoundingEntry(members, nil)}, s.random, 0)
 	ask := &wire.VoteRequest{Term: 1, Candidate: members[0].ID, LastIndex: 1, PreVote: true, Round: 77}
 	asked.Receive(members[0], &wire.Message{VoteRequest: ask}, 0)
 	assert.Assert(t, asked.TakeMessages()[0].Message.VoteReply.Fresh)
 	stand := &wire.VoteRequest{Term: 1, Candidate: members[0].ID, LastIndex: 1, Round: 78, RestartRound: 77}
 	heartbeat := &wire.Message{Append: &wire.Append{Term: 1, Leader: members[0].ID, Round: 1, RestartRound: 77}}
 
-	restarted := New(members[1], group, PersistentState{Entry: Found(members, nil)}, s.random, 0)
+	restarted := New(members[1], group, PersistentState{Entry: FoundingEntry(members, nil)}, s.random, 0)
 	restarted.Receive(members[0], &wire.Message{VoteRequest: stand}, 0)
 	assert.Assert(t, !restarted.TakeMessages()[0].Message.VoteReply.Granted)
 	restarted.Receive(members[0], heartbeat, 0)
--- a/control/replica/replica.go
+++ b/control/replica/replica.go
@@ -92,7 +92,7 @@
 }
 
 // GroupConfig is a deployment's configuration of the group.
-type Group struct {
+type GroupConfig struct {
 	Target        int           // wanted number of members
 	MemberTimeout time.Duration // silence after which a member may be replaced, if another machine is ready
 	// Name sets the order in which members that have all just restarted stand for leader, so that groups with the
@@ -101,7 +101,7 @@
 }
 
 // weight is a member's place in the order in which members stand for leader: the lowest goes first.
-func (g *Group) weight(id string) uint64 {
+func (g *GroupConfig) weight(id string) uint64 {
 	if g.Name == "" {
 		return 0
 	}
@@ -109,7 +109,7 @@
 }
 
 // before reports whether a member goes before another one in that order.
-func (g *Group) before(id, other string) bool {
+func (g *GroupConfig) before(id, other string) bool {
 	own, others := g.weight(id), g.weight(other)
 	return own < others || own == others && id < other
 }
@@ -123,7 +123,7 @@
 // Replica is one member or learner. It is not safe for concurrent use.
 type Replica struct {
 	self          wire.Member
-	group         Group
+	group         GroupConfig
 	random        *rand.Rand
 	disk          PersistentState
 	durable       Position // newest entry known to be on this replica's disk
@@ -134,7 +134,7 @@
 	heldMessages  []heldMessage
 	outbox        []Envelope
 
-	machine   Machine       // nil if each entry is full
+	machine   StateMachine  // nil if each entry is full
 	clock     groupClock    // used in a group with a machine
 	unapplied *wire.Entry   // the leader's newest entry while its machine is still at the one before
 	steps     []*wire.Entry // the newest steps, each following the one before
@@ -169,12 +169,12 @@
 }
 
 // New returns a replica of a group in which each entry is full, from the state found on disk.
-func New(self wire.Member, group Group, disk PersistentState, random *rand.Rand, now time.Duration) *Replica {
+func New(self wire.Member, group GroupConfig, disk PersistentState, random *rand.Rand, now time.Duration) *Replica {
 	return NewWithStateMachine(self, group, disk, nil, random, now)
 }
 
 // NewWithStateMachine returns a replica from the state found on disk. The machine must be at that state's entry.
-func NewWithStateMachine(self wire.Member, group Group, disk PersistentState, machine Machine, random *rand.Rand, now time.Duration) *Replica {
+func NewWithStateMachine(self wire.Member, group GroupConfig, disk PersistentState, machine StateMachine, random *rand.Rand, now time.Duration) *Replica {
 	r := &Replica{self: self, group: group, disk: disk, random: random, durable: disk.Entry.Position(),
 		learners: map[string]*peer{}, justRestarted: true, restartConfirmed: map[string]uint64{}, machine: machine}
 	if r.clock.knownAt = now; disk.Entry != nil {
@@ -186,7 +186,7 @@
 }
 
 // FoundingEntry returns the entry that a new group starts from. All founders produce the same one.
-func Found(members []wire.Member, value []byte) *wire.Entry {
+func FoundingEntry(members []wire.Member, value []byte) *wire.Entry {
 	h := xxhash.New()
 	for _, m := range members {
 		_, _ = h.WriteString(m.ID + "\n") // writing to a hash never fails
@@ -458,7 +458,7 @@
 }
 
 // HasQuorum reports whether the members for which has returns true are a majority.
-func Quorum(members []wire.Member, has func(id string) bool) bool {
+func HasQuorum(members []wire.Member, has func(id string) bool) bool {
 	n := 0
 	for _, m := range members {
 		if has(m.ID) {
--- a/control/replica/sim_test.go
+++ b/control/replica/sim_test.go
@@ -111,7 +111,7 @@
 	s.members = founders
 	for i, n := range s.nodes {
 		if i < size {
-			n.disk = PersistentState{Entry: Found(founders, nil)}
+			n.disk = PersistentState{Entry: FoundingEntry(founders, nil)}
 			n.journal = []*wire.Entry{n.disk.Entry}
 		}
 		s.start(n)
@@ -121,7 +121,7 @@
 
 func (s *sim) start(n *simNode) {
 	n.started, n.leaveBy = s.now, 0
-	group := Group{Target: s.target, MemberTimeout: simMemberTimeout}
+	group := GroupConfig{Target: s.target, MemberTimeout: simMemberTimeout}
 	if s.machines != nil {
 		s.replay(n)
 		n.origin = s.now - time.Duration(s.random.Int64N(int64(maxStartupTime)))
@@ -392,16 +392,16 @@
 	kept := func(id string) bool {
 		return slices.ContainsFunc(s.nodes, func(n *simNode) bool { return n != lost && n.member().ID == id })
 	}
-	tolerated := Quorum(s.members, kept)
+	tolerated := HasQuorum(s.members, kept)
 	for _, e := range s.entriesInFlight() {
-		tolerated = tolerated && (e == nil || e.Position().Less(s.ackedAt) || Quorum(e.Members, kept))
+		tolerated = tolerated && (e == nil || e.Position().Less(s.ackedAt) || HasQuorum(e.Members, kept))
 	}
 	for _, n := range s.nodes {
 		if n.replica == nil {
 			continue
 		}
 		for _, learner := range n.replica.Learners() { // a ready learner may be added at any moment
-			tolerated = tolerated && Quorum(append(slices.Clone(s.members), learner), kept)
+			tolerated = tolerated && HasQuorum(append(slices.Clone(s.members), learner), kept)
 		}
 	}
 	return tolerated
--- a/control/shards.go
+++ b/control/shards.go
@@ -10,9 +10,9 @@
 
 	"ivybank/control/hostlist"
 	"ivybank/control/lease"
-	"ivybank/control/pace"
 	"ivybank/control/quota"
 	"ivybank/control/replica"
+	"ivybank/control/slowhost"
 	"ivybank/settings"
 	"ivybank/wire"
 )
@@ -161,7 +161,7 @@
 }
 
 func (n *Node) onLeaseReply(from string, p *wire.LeaseReply, now time.Duration) {
-	enough := func(has func(string) bool) bool { return replica.Quorum(n.replica.Members(), has) }
+	enough := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
 	for _, s := range n.shards {
 		if s.resource() != p.Resource {
 			continue
@@ -183,7 +183,7 @@
 		n.replica.NoteLeaseParticipation()
 		s.since = now
 		s.term, s.table = s.holder.Term(), hostlist.NewTable(s.number, s.holder.Term())
-		s.paces = paces{table: pace.NewTable()}
+		s.paces = paces{table: slowhost.NewDetector()}
 		if s.limits == nil { // otherwise the shard is kept under a higher term
 			s.limits, s.began = n.newLimits(s, now), false
 		}
@@ -194,7 +194,7 @@
 		s.lostAt = now
 		n.log.Info("lost shard", "shard", s.number)
 	}
-	enough := func(has func(string) bool) bool { return replica.Quorum(n.replica.Members(), has) }
+	enough := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
 	if holds && !s.began && now <= s.since+startWithin && s.holder.FollowsLongTenure(enough) {
 		s.began = true
 		s.limits.AddStart(now)
@@ -242,7 +242,7 @@
 		n.log.Debug("ignoring quota request", "shard", q.Shard, "limit", name, "owns", owns, "known", known)
 		return
 	}
-	grant := s.limits.Take(name, limit, quota.Ask{Need: q.Need, Want: q.Want}, now)
+	grant := s.limits.Take(name, limit, quota.Request{Need: q.Need, Want: q.Want}, now)
 	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, ReplyTo: q.ReplyTo,
 		Granted: grant.Amount, Spare: grant.Spare, ValidMS: grant.Valid.Milliseconds(),
 		DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}})
--- a/control/simulation_checks_test.go
+++ b/control/simulation_checks_test.go
@@ -33,7 +33,7 @@
 // checkInvariants checks what must hold at any time.
 func (w *world) check() {
 	leading := ""
-	var owners [hostlist.Shards]string
+	var owners [hostlist.ShardCount]string
 	for _, m := range w.machines {
 		if m.node == nil {
 			continue
@@ -88,16 +88,16 @@
 	kept := func(id string) bool {
 		return slices.ContainsFunc(w.machines, func(m *machine) bool { return m != lost && !m.gone && m.disk.identity.ID == id })
 	}
-	borne := replica.Quorum(w.members, kept)
+	borne := replica.HasQuorum(w.members, kept)
 	for _, e := range w.entriesUnderWay() {
-		borne = borne && (e == nil || e.Position().Less(w.membersAt) || replica.Quorum(e.Members, kept))
+		borne = borne && (e == nil || e.Position().Less(w.membersAt) || replica.HasQuorum(e.Members, kept))
 	}
 	for _, m := range w.machines {
 		if m.node == nil {
 			continue
 		}
 		for _, learner := range m.node.node.replica.Learners() {
-			borne = borne && replica.Quorum(append(slices.Clone(w.members), learner), kept)
+			borne = borne && replica.HasQuorum(append(slices.Clone(w.members), learner), kept)
 		}
 	}
 	return borne && w.partsBearLoss(kept)
--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -313,7 +313,7 @@
 			w.fail("agent %s has revision %d; the current one is %d", m.ip, m.agent.router.revision, leader.state.Revision)
 		}
 	}
-	for i := range hostlist.Shards {
+	for i := range hostlist.ShardCount {
 		owned := 0
 		for _, m := range w.machines {
 			if m.node != nil && m.node.node.shards[i].holder.Holds(m.node.Now()) {
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -313,7 +313,7 @@
 	asked    map[uint64]time.Duration
 	askAt    time.Duration
 	revision int64
-	hosts    [hostlist.Shards]wire.HostsOffset
+	hosts    [hostlist.ShardCount]wire.HostsOffset
 	ackedAt  int64 // the newest revision that was acknowledged when the agent started
 	slow     *wire.SlowHosts
 }
--- a/control/simulation_part_groups_test.go
+++ b/control/simulation_part_groups_test.go
@@ -92,7 +92,7 @@
 func (w *world) partsBearLoss(kept func(id string) bool) bool {
 	for number := range w.groups {
 		for _, members := range w.partMembersUnderWay(number) {
-			if !replica.Quorum(members, kept) {
+			if !replica.HasQuorum(members, kept) {
 				return false
 			}
 		}
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -242,7 +242,7 @@
 	}
 	state := m.disk.state
 	if state.Entry == nil && len(m.disk.identity.Founders) > 0 {
-		state.Entry = replica.Found(m.disk.identity.Founders, nil)
+		state.Entry = replica.FoundingEntry(m.disk.identity.Founders, nil)
 	}
 	p := &nodeProcess{process: life, world: w}
 	m.node = p
--- a/control/pace/pace.go
+++ b/control/slowhost/slowhost.go
@@ -1,7 +1,7 @@
 // Package slowhost finds hosts that stream much more slowly than others of their service, from what all routers
 // observe. In a large fleet a single router sends a host one request every half minute, so on its own it detects a
 // slow host too late. The package does no I/O; time is passed in.
-package pace
+package slowhost
 
 import (
 	"math"
@@ -35,13 +35,13 @@
 }
 
 // Detector compares the hosts of one shard's services. It is not safe for concurrent use.
-type Table struct{ hosts map[string]*host }
+type Detector struct{ hosts map[string]*host }
 
 // NewDetector returns a detector without samples.
-func NewTable() *Table { return &Table{hosts: map[string]*host{}} }
+func NewDetector() *Detector { return &Detector{hosts: map[string]*host{}} }
 
 // Observe adds a sample: the interval between events of a host's streams, as one router observed it.
-func (t *Table) Observe(service, id string, gap, now time.Duration) {
+func (t *Detector) Observe(service, id string, gap, now time.Duration) {
 	h := t.hosts[id]
 	if h == nil {
 		h = &host{service: service}
@@ -54,7 +54,7 @@
 
 // Slow returns the hosts that are much slower than the median of their service, and removes those without recent
 // samples.
-func (t *Table) Slow(now time.Duration) []wire.SlowHost {
+func (t *Detector) Slow(now time.Duration) []wire.SlowHost {
 	logs := map[string][]float64{}
 	for id, h := range t.hosts {
 		if now > h.lastSeen+hostTTL {
--- a/control/pace/pace_test.go
+++ b/control/slowhost/slowhost_test.go
@@ -1,4 +1,4 @@
-package pace
+package slowhost
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 
 // feed simulates streams of all hosts, each slower than usual by a factor. One sample in ten is from a host that is
 // processing a long prompt.
-func feed(t *Table, random *rand.Rand, from, to time.Duration, factor func(host int) float64) {
+func feed(t *Detector, random *rand.Rand, from, to time.Duration, factor func(host int) float64) {
 	for now := from; now < to; now += interval {
 		h := random.IntN(hosts)
 		gap := float64(usualGap) * (0.9 + 0.2*random.Float64()) * factor(h)
@@ -31,7 +31,7 @@
 
 func atUsualSpeed(int) float64 { return 1 }
 
-func slowIDs(t *Table, now time.Duration) map[string]float64 {
+func slowIDs(t *Detector, now time.Duration) map[string]float64 {
 	found := map[string]float64{}
 	for _, s := range t.Slow(now) {
 		found[s.ID] = s.Ratio
@@ -41,7 +41,7 @@
 
 func TestSlowHostsAreFoundWithinASecondAndRecover(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	table := NewTable()
+	table := NewDetector()
 	falsePositives := 0
 	for now := time.Duration(0); now < 5*time.Second; now += 250 * time.Millisecond {
 		feed(table, random, now, now+250*time.Millisecond, atUsualSpeed)
@@ -65,13 +65,13 @@
 
 func TestUniformlySlowServiceHasNoSlowHosts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	table := NewTable()
+	table := NewDetector()
 	feed(table, random, 0, 5*time.Second, func(int) float64 { return 4 })
 	assert.Assert(t, len(table.Slow(5*time.Second)) <= hosts/4)
 }
 
 func TestHostsOfDifferentServicesAreNotCompared(t *testing.T) {
-	table := NewTable()
+	table := NewDetector()
 	for i := range 10 * minSamples {
 		for h := range 8 {
 			table.Observe("quick", fmt.Sprint("quick", h), usualGap, time.Duration(i))
@@ -83,14 +83,14 @@
 
 func TestSilentHostsAreRemoved(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 4))
-	table := NewTable()
+	table := NewDetector()
 	feed(table, random, 0, time.Second, atUsualSpeed)
 	table.Slow(time.Second + 2*hostTTL)
 	assert.Equal(t, len(table.hosts), 0)
 }
 
 func TestTooFewHostsAreNotCompared(t *testing.T) {
-	table := NewTable()
+	table := NewDetector()
 	for range 10 {
 		table.Observe("s", "a", usualGap, 0)
 		table.Observe("s", "b", usualGap, 0)
--- a/control/store/files.go
+++ b/control/store/files.go
@@ -49,7 +49,7 @@
 }
 
 // DataDir is the data directory of one control process. Only one goroutine may use it at a time.
-type Folder struct {
+type DataDir struct {
 	files fileSystem
 	next  uint64 // number of the next file
 	parts journal
@@ -58,7 +58,7 @@
 }
 
 // Open opens the data directory, and creates it if it is missing.
-func Open(path string) (*Folder, error) {
+func Open(path string) (*DataDir, error) {
 	if err := os.MkdirAll(path, folderPerm); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -67,27 +67,27 @@
 
 // openDir opens an existing directory and removes temporary files of earlier processes, which were never part of the
 // state.
-func openDir(files fileSystem) *Folder {
+func openDir(files fileSystem) *DataDir {
 	names, _ := files.names() // if listing fails now, the first read fails too
 	for _, name := range names {
 		if strings.HasSuffix(name, tempSuffix) {
 			_ = files.remove(name)
 		}
 	}
-	return &Folder{files: files, next: 1}
+	return &DataDir{files: files, next: 1}
 }
 
 // Identity returns the identity stored on this disk; ok is false on an empty disk.
-func (d *Folder) Identity() (id Identity, ok bool, err error) {
+func (d *DataDir) Identity() (id Identity, ok bool, err error) {
 	ok, err = d.newest(identityKind, &id)
 	return id, ok, err
 }
 
 // SaveIdentity writes the identity of this disk's replica.
-func (d *Folder) SaveIdentity(id Identity) error { return d.write(identityKind, id) }
+func (d *DataDir) SaveIdentity(id Identity) error { return d.write(identityKind, id) }
 
 // Load reads the state that a replica had saved.
-func (d *Folder) Load() (replica.PersistentState, error) {
+func (d *DataDir) Load() (replica.PersistentState, error) {
 	var v vote
 	var e wire.Entry
 	if _, err := d.newest(voteKind, &v); err != nil {
@@ -113,7 +113,7 @@
 }
 
 // Save writes what has changed. After an error it may be called again.
-func (d *Folder) Save(s *replica.Save) error {
+func (d *DataDir) Save(s *replica.Save) error {
 	if s.VoteChanged {
 		if err := d.write(voteKind, vote{s.Disk.Term, s.Disk.VotedFor}); err != nil {
 			return err
@@ -126,18 +126,18 @@
 }
 
 // LongTenures returns the resources whose holder had a long tenure, from the newest file.
-func (d *Folder) Tenures() (long []string, err error) {
+func (d *DataDir) Tenures() (long []string, err error) {
 	_, err = d.newest(tenureKind, &long)
 	return long, err
 }
 
 // SaveLongTenures writes the resources whose holder had a long tenure.
-func (d *Folder) SaveTenures(long []string) error { return d.write(tenureKind, long) }
+func (d *DataDir) SaveTenures(long []string) error { return d.write(tenureKind, long) }
 
 // Quarantine renames all files of a corrupt disk, so that none is read again but their content can be examined. Files
 // of an earlier quarantine are removed. The identity goes first: it must not be found again without the state that it
 // made promises about.
-func (d *Folder) Quarantine() error {
+func (d *DataDir) Quarantine() error {
 	names, err := d.files.names()
 	if err != nil {
 		return err
@@ -160,7 +160,7 @@
 }
 
 // quarantine renames files and returns once the new names are on disk.
-func (d *Folder) quarantine(names []string) error {
+func (d *DataDir) quarantine(names []string) error {
 	for _, name := range names {
 		if err := d.files.rename(name, corruptPrefix+name); err != nil {
 			return err
@@ -170,7 +170,7 @@
 }
 
 // write stores a new version of a kind and then removes the older ones.
-func (d *Folder) write(kind string, v any) error {
+func (d *DataDir) write(kind string, v any) error {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -181,7 +181,7 @@
 
 // replace writes the newest file of a kind and then removes the older ones. If it returns a name, the file has that
 // name, though after an error a power loss may undo the renaming.
-func (d *Folder) replace(kind string, data []byte) (name string, err error) {
+func (d *DataDir) replace(kind string, data []byte) (name string, err error) {
 	older, err := d.list(kind)
 	if err != nil {
 		return "", err
@@ -209,7 +209,7 @@
 }
 
 // list returns the numbers of a kind's files, and moves d.next beyond the numbers of all files present.
-func (d *Folder) list(kind string) ([]uint64, error) {
+func (d *DataDir) list(kind string) ([]uint64, error) {
 	names, err := d.files.names()
 	if err != nil {
 		return nil, err
@@ -231,7 +231,7 @@
 
 // newest reads the newest file of a kind into v. It returns false if there is none. It never falls back to an older
 // file: a vote that the older file doesn't record might be given twice.
-func (d *Folder) newest(kind string, v any) (bool, error) {
+func (d *DataDir) newest(kind string, v any) (bool, error) {
 	name, err := d.newestName(kind)
 	if err != nil || name == "" {
 		return false, err
@@ -248,7 +248,7 @@
 
 // newestName returns the name of the newest file of a kind; "" if there is none. An earlier process may have been
 // killed between a rename and its sync, and a reader of the new name takes it for durable, so names are synced first.
-func (d *Folder) newestName(kind string) (string, error) {
+func (d *DataDir) newestName(kind string) (string, error) {
 	if !d.namesSynced {
 		if err := d.files.sync(); err != nil {
 			return "", err
--- a/control/store/files_test.go
+++ b/control/store/files_test.go
@@ -13,14 +13,14 @@
 	"ivybank/wire"
 )
 
-func open(t *testing.T, path string) *Folder {
+func open(t *testing.T, path string) *DataDir {
 	t.Helper()
 	f, err := Open(path)
 	assert.NilError(t, err)
 	return f
 }
 
-func save(t *testing.T, f *Folder, term, index uint64) {
+func save(t *testing.T, f *DataDir, term, index uint64) {
 	t.Helper()
 	disk := replica.PersistentState{Term: term, VotedFor: "a", Entry: &wire.Entry{Term: term, Index: index, Value: []byte("value")}}
 	assert.NilError(t, f.Save(&replica.Save{Disk: disk, EntryChanged: true, VoteChanged: true}))
--- a/control/store/parts.go
+++ b/control/store/parts.go
@@ -91,7 +91,7 @@
 // SaveParts returns once a batch is on disk. wantsFull asks for a full batch next, as the file has grown. After an
 // error it may be called again with the same batch, or with a full one. If the disk holds parts, they have to be
 // loaded first.
-func (d *Folder) SaveParts(b *PartsBatch) (wantsFull bool, err error) {
+func (d *DataDir) SaveParts(b *PartsBatch) (wantsFull bool, err error) {
 	body, err := cbor.Marshal(recordsOf(b))
 	if err != nil {
 		return false, fmt.Errorf("store: %w", err)
@@ -121,7 +121,7 @@
 }
 
 // beginsJournal reports whether a batch has to begin a new file: a full batch does, and so does the very first one.
-func (d *Folder) beginsJournal(b *PartsBatch) (bool, error) {
+func (d *DataDir) beginsJournal(b *PartsBatch) (bool, error) {
 	j := &d.parts
 	switch {
 	case b.Whole:
@@ -141,7 +141,7 @@
 }
 
 // beginJournal starts a new file. The old one stays in use until the new one has its name.
-func (d *Folder) beginJournal(body []byte, full bool) error {
+func (d *DataDir) beginJournal(body []byte, full bool) error {
 	frame := frameOf(body, 0)
 	name, err := d.replace(partsKind, frame)
 	if name != "" {
@@ -152,7 +152,7 @@
 }
 
 // appendFrame appends a frame, overwriting what a failed write may have left behind the last valid one.
-func (d *Folder) appendFrame(body []byte) error {
+func (d *DataDir) appendFrame(body []byte) error {
 	j := &d.parts
 	if j.torn {
 		if err := d.files.truncate(j.name, j.length); err != nil {
@@ -172,7 +172,7 @@
 // LoadParts reads what was saved, and advances each part's state machine from the empty state to its newest entry. A
 // part's entries follow founded, the entry that its group was founded with, or a full entry; founded is nil for a
 // replica that is no founder.
-func (d *Folder) LoadParts(machines []replica.Machine, founded *wire.Entry) ([]replica.PersistentState, error) {
+func (d *DataDir) LoadParts(machines []replica.StateMachine, founded *wire.Entry) ([]replica.PersistentState, error) {
 	for _, m := range machines {
 		if err := m.Restore(nil); err != nil {
 			return nil, fmt.Errorf("store: %w", err)
@@ -194,7 +194,7 @@
 
 // loadJournal reads the newest file. An earlier process may have been killed between a write and its sync, and a
 // reader of the frame takes it for durable, so the file is synced first.
-func (d *Folder) loadJournal() ([][]partRecord, error) {
+func (d *DataDir) loadJournal() ([][]partRecord, error) {
 	d.parts = journal{}
 	name, err := d.newestName(partsKind)
 	if err != nil || name == "" {
@@ -245,7 +245,7 @@
 }
 
 // replay advances the machines through the batches of a journal.
-func replay(machines []replica.Machine, founded *wire.Entry, batches [][]partRecord) ([]replica.PersistentState, error) {
+func replay(machines []replica.StateMachine, founded *wire.Entry, batches [][]partRecord) ([]replica.PersistentState, error) {
 	votes := make([]vote, len(machines))
 	chains := make([][]*wire.Entry, len(machines))
 	for part := range chains {
--- a/control/store/parts_power_test.go
+++ b/control/store/parts_power_test.go
@@ -10,7 +10,7 @@
 type journalRun struct {
 	t    *testing.T
 	disk *faultyDisk
-	dir  *Folder
+	dir  *DataDir
 	now  process
 	// possible lists the states that may be loaded: the last one that was loaded or confirmed, then those tried
 	// since.
--- a/control/store/parts_test.go
+++ b/control/store/parts_test.go
@@ -37,15 +37,17 @@
 	return nil
 }
 
-func newMachines() []replica.Machine {
-	machines := make([]replica.Machine, testParts)
+func newMachines() []replica.StateMachine {
+	machines := make([]replica.StateMachine, testParts)
 	for part := range machines {
 		machines[part] = &listMachine{}
 	}
 	return machines
 }
 
-func founding() *wire.Entry { return replica.Found([]wire.Member{{ID: "a", IP: "10.0.0.1"}}, nil) }
+func founding() *wire.Entry {
+	return replica.FoundingEntry([]wire.Member{{ID: "a", IP: "10.0.0.1"}}, nil)
+}
 
 // partState is one part as its process holds it.
 type partState struct {
@@ -130,9 +132,9 @@
 }
 
 // loadProcess reads what a disk holds.
-func loadProcess(f *Folder) (process, error) { return loadWith(f, newMachines()) }
+func loadProcess(f *DataDir) (process, error) { return loadWith(f, newMachines()) }
 
-func loadWith(f *Folder, machines []replica.Machine) (process, error) {
+func loadWith(f *DataDir, machines []replica.StateMachine) (process, error) {
 	disks, err := f.LoadParts(machines, founding())
 	if err != nil {
 		return nil, err
@@ -166,14 +168,14 @@
 	return true
 }
 
-func mustSaveParts(t *testing.T, f *Folder, b *PartsBatch) (wantsFull bool) {
+func mustSaveParts(t *testing.T, f *DataDir, b *PartsBatch) (wantsFull bool) {
 	t.Helper()
 	wantsFull, err := f.SaveParts(b)
 	assert.NilError(t, err)
 	return wantsFull
 }
 
-func loadedProcess(t *testing.T, f *Folder) process {
+func loadedProcess(t *testing.T, f *DataDir) process {
 	t.Helper()
 	p, err := loadProcess(f)
 	assert.NilError(t, err)
--- a/membership/message_test.go
+++ b/membership/message_test.go
@@ -37,10 +37,10 @@
 	one.Send("no address", []byte("lost"))
 	counted := func(s *Service, n int64) func(poll.LogT) poll.Result {
 		return func(poll.LogT) poll.Result {
-			if s.Spoilt.Load() == n {
+			if s.Malformed.Load() == n {
 				return poll.Success()
 			}
-			return poll.Continue("%d counted", s.Spoilt.Load())
+			return poll.Continue("%d counted", s.Malformed.Load())
 		}
 	}
 	poll.WaitOn(t, counted(two, 1), poll.WithTimeout(5*time.Second), poll.WithDelay(time.Millisecond))
--- a/membership/service.go
+++ b/membership/service.go
@@ -33,7 +33,7 @@
 	port   int
 	handle func(from string, message []byte) bool
 	// Malformed counts datagrams that could not be decoded.
-	Spoilt atomic.Int64
+	Malformed atomic.Int64
 }
 
 // Listen opens the UDP port on a machine's address.
@@ -51,11 +51,11 @@
 }
 
 // AddPeers adds machines that are known from elsewhere, such as seeds.
-func (s *Service) Introduce(control bool, ips ...string) {
+func (s *Service) AddPeers(control bool, ips ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, ip := range ips {
-		s.view.Introduce(Peer{IP: ip, Control: control})
+		s.view.AddPeer(Peer{IP: ip, Control: control})
 	}
 }
 
@@ -130,21 +130,21 @@
 		}
 		var d datagram
 		if cbor.Unmarshal(buffer[:n], &d) != nil || len(d.Sample) > 2*shuffleSize {
-			s.Spoilt.Add(1)
+			s.Malformed.Add(1)
 			continue
 		}
 		if len(d.Message) > 0 {
 			if s.handle == nil || !s.handle(from.IP.String(), d.Message) {
-				s.Spoilt.Add(1)
+				s.Malformed.Add(1)
 			}
 			continue
 		}
 		s.mu.Lock()
 		var answer []Peer
 		if d.Answer {
-			s.view.Answered(from.IP.String(), d.Sample)
+			s.view.HandleReply(from.IP.String(), d.Sample)
 		} else {
-			answer = s.view.Asked(from.IP.String(), d.Sample)
+			answer = s.view.HandleRequest(from.IP.String(), d.Sample)
 		}
 		s.mu.Unlock()
 		if answer != nil {
--- a/membership/view.go
+++ b/membership/view.go
@@ -37,7 +37,7 @@
 func (v *View) Peers() []Peer { return slices.Clone(v.peers) }
 
 // AddPeer adds a peer that is known from elsewhere, such as a seed.
-func (v *View) Introduce(p Peer) {
+func (v *View) AddPeer(p Peer) {
 	if p.IP != v.self.IP && !v.knows(p.IP) {
 		v.add(p)
 	}
@@ -67,14 +67,14 @@
 }
 
 // HandleRequest merges the sample of a peer that began an exchange, and returns the sample to reply with.
-func (v *View) Asked(from string, sample []Peer) []Peer {
+func (v *View) HandleRequest(from string, sample []Peer) []Peer {
 	answer := append([]Peer{v.self}, v.sample(from)...)
 	v.merge(sample, answer)
 	return answer
 }
 
 // HandleReply merges the reply to the exchange that this process began.
-func (v *View) Answered(from string, sample []Peer) {
+func (v *View) HandleReply(from string, sample []Peer) {
 	if from != v.pending {
 		return
 	}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -26,7 +26,7 @@
 func (f *fleet) join(ip string, control bool) {
 	f.views[ip] = NewView(Peer{IP: ip, Control: control}, f.random)
 	for seed := range 3 {
-		f.views[ip].Introduce(Peer{IP: fmt.Sprint("m", seed), Control: true})
+		f.views[ip].AddPeer(Peer{IP: fmt.Sprint("m", seed), Control: true})
 	}
 }
 
@@ -37,9 +37,9 @@
 		if !ok || f.down[ip] || f.down[to] || f.random.IntN(20) == 0 {
 			continue
 		}
-		answer := f.views[to].Asked(ip, sample)
+		answer := f.views[to].HandleRequest(ip, sample)
 		if f.random.IntN(20) > 0 {
-			v.Answered(to, answer)
+			v.HandleReply(to, answer)
 		}
 	}
 }
--- a/router/limit/fleet_test.go
+++ b/router/limit/fleet_test.go
@@ -125,7 +125,7 @@
 	if f.owner == nil {
 		return
 	}
-	grant := f.owner.Take(q.Tenant, quota.LimitOf(f.tenant, &limitBounds), quota.Ask{Need: q.Need, Want: q.Want}, f.now())
+	grant := f.owner.Take(q.Tenant, quota.LimitOf(f.tenant, &limitBounds), quota.Request{Need: q.Need, Want: q.Want}, f.now())
 	answer := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: grant.Amount, Spare: grant.Spare,
 		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}
 	time.AfterFunc(oneWay, func() { l.Granted(answer) })
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -60,7 +60,7 @@
 	sweepAt                       int // number of accounts
 	waiting                       map[uint64]chan *wire.QuotaGrant
 	number                        uint64
-	shards                        [hostlist.Shards]shardState
+	shards                        [hostlist.ShardCount]shardState
 	figures                       map[subject]*figures // since they were taken last
 }
 
--- a/router/paces.go
+++ b/router/paces.go
@@ -33,11 +33,11 @@
 	if len(taken) == 0 || agent == nil {
 		return
 	}
-	told := &wire.Paces{Shard: hostlist.ShardOf(service), Service: service}
+	told := &wire.EventIntervals{Shard: hostlist.ShardOf(service), Service: service}
 	for id, gap := range taken {
-		told.Hosts = append(told.Hosts, wire.Pace{Host: id, Microsecond: gap.Microseconds()})
+		told.Hosts = append(told.Hosts, wire.HostEventInterval{Host: id, Microseconds: gap.Microseconds()})
 	}
-	agent.Send(&wire.Message{Paces: told})
+	agent.Send(&wire.Message{EventIntervals: told})
 }
 
 // takeSlowHosts hands the fleet's word on slow hosts to the services of a shard.
--- a/router/router.go
+++ b/router/router.go
@@ -40,7 +40,7 @@
 	agent     atomic.Pointer[wire.Link]
 
 	feed  sync.Mutex // guards what follows
-	hosts [hostlist.Shards]hostlist.Replica
+	hosts [hostlist.ShardCount]hostlist.Replica
 }
 
 // New makes a router.
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -18,24 +18,24 @@
 
 // Message is the content of one frame. Exactly one field is set, apart from Part; a frame with none is a heartbeat.
 type Message struct {
-	Hello        *Hello        `cbor:"1,keyasint,omitempty"`
-	VoteRequest  *VoteRequest  `cbor:"2,keyasint,omitempty"`
-	VoteReply    *VoteReply    `cbor:"3,keyasint,omitempty"`
-	Append       *Append       `cbor:"4,keyasint,omitempty"`
-	AppendReply  *AppendReply  `cbor:"5,keyasint,omitempty"`
-	JoinRequest  *JoinRequest  `cbor:"6,keyasint,omitempty"`
-	LeaseRequest *LeaseRequest `cbor:"7,keyasint,omitempty"`
-	LeaseReply   *LeaseReply   `cbor:"8,keyasint,omitempty"`
-	Subscribe    *Subscribe    `cbor:"9,keyasint,omitempty"`
-	Config       *Config       `cbor:"10,keyasint,omitempty"`
-	Hosts        *Hosts        `cbor:"11,keyasint,omitempty"`
-	Group        *Group        `cbor:"12,keyasint,omitempty"`
-	QuotaRequest *QuotaRequest `cbor:"13,keyasint,omitempty"`
-	QuotaGrant   *QuotaGrant   `cbor:"14,keyasint,omitempty"`
-	LeaveReply   *LeaveReply   `cbor:"15,keyasint,omitempty"`
-	Transfer     *Transfer     `cbor:"16,keyasint,omitempty"`
-	Paces        *Paces        `cbor:"17,keyasint,omitempty"`
-	SlowHosts    *SlowHosts    `cbor:"18,keyasint,omitempty"`
+	Hello          *Hello          `cbor:"1,keyasint,omitempty"`
+	VoteRequest    *VoteRequest    `cbor:"2,keyasint,omitempty"`
+	VoteReply      *VoteReply      `cbor:"3,keyasint,omitempty"`
+	Append         *Append         `cbor:"4,keyasint,omitempty"`
+	AppendReply    *AppendReply    `cbor:"5,keyasint,omitempty"`
+	JoinRequest    *JoinRequest    `cbor:"6,keyasint,omitempty"`
+	LeaseRequest   *LeaseRequest   `cbor:"7,keyasint,omitempty"`
+	LeaseReply     *LeaseReply     `cbor:"8,keyasint,omitempty"`
+	Subscribe      *Subscribe      `cbor:"9,keyasint,omitempty"`
+	Config         *Config         `cbor:"10,keyasint,omitempty"`
+	Hosts          *Hosts          `cbor:"11,keyasint,omitempty"`
+	Group          *Group          `cbor:"12,keyasint,omitempty"`
+	QuotaRequest   *QuotaRequest   `cbor:"13,keyasint,omitempty"`
+	QuotaGrant     *QuotaGrant     `cbor:"14,keyasint,omitempty"`
+	LeaveReply     *LeaveReply     `cbor:"15,keyasint,omitempty"`
+	Transfer       *Transfer       `cbor:"16,keyasint,omitempty"`
+	EventIntervals *EventIntervals `cbor:"17,keyasint,omitempty"`
+	SlowHosts      *SlowHosts      `cbor:"18,keyasint,omitempty"`
 	// Part is the replica group of a consensus message: 0 is the configuration group, the others are parts of the
 	// coordination state.
 	Part      uint32     `cbor:"19,keyasint,omitempty"`
@@ -277,16 +277,16 @@
 }
 
 // EventIntervals tells the owner of a service's shard how fast its hosts stream, as one router recently observed.
-type Paces struct {
-	Shard   uint32 `cbor:"1,keyasint"`
-	Service string `cbor:"2,keyasint"`
-	Hosts   []Pace `cbor:"3,keyasint"`
+type EventIntervals struct {
+	Shard   uint32              `cbor:"1,keyasint"`
+	Service string              `cbor:"2,keyasint"`
+	Hosts   []HostEventInterval `cbor:"3,keyasint"`
 }
 
 // HostEventInterval is the observation for one host.
-type Pace struct {
-	Host        string `cbor:"1,keyasint"`
-	Microsecond int64  `cbor:"2,keyasint"` // typical time between two events of a stream
+type HostEventInterval struct {
+	Host         string `cbor:"1,keyasint"`
+	Microseconds int64  `cbor:"2,keyasint"` // typical time between two events of a stream
 }
 
 // SlowHosts lists all hosts of a shard that stream much more slowly than others. It replaces the previous list and is
