--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -46,8 +46,8 @@
 	order  *request
 	flying []*flight
 	nextAt time.Duration
-	quiet  bool // no new updates
-	follow bool // only reads
+	quiet  bool
+	follow bool
 }
 
 // operatorRequest is what an operator wants, in as many calls as it takes.
--- a/control/simulation_rules_test.go
+++ b/control/simulation_rules_test.go
@@ -113,7 +113,7 @@
 	fences  map[uint64]string // who received each fence
 	history []porcupine.Operation
 	granted int
-	// releasing is the index in history of each holder's Finish in progress.
+	// finishing is the index in history of each holder's Finish in progress.
 	releasing map[string]int
 }
 
