--- a/control/calls.go
+++ b/control/calls.go
@@ -236,7 +236,7 @@
 // proposeCalls proposes the next entry from the queued calls once the previous entry is committed. A stopping node
 // proposes none, so that it can hand over the leadership.
 func (n *Node) proposeCalls(p *part, now time.Duration) {
-	if n.stopping || p.proposed != nil || len(p.queue) == 0 || !p.replica.Leading(now) || p.replica.Uncommitted() {
+	if n.stopping || p.proposed != nil || len(p.queue) == 0 || !p.replica.Leading(now) || p.replica.HasUncommitted() {
 		return
 	}
 	count := min(len(p.queue), maxBatch)
--- a/control/environment.go
+++ b/control/environment.go
@@ -20,12 +20,12 @@
 	Save(s *replica.Save)
 	// SaveTenures starts a write of the granter's tenures; Node.TenuresSaved is called with the result. At most one
 	// write is in progress at a time.
-	SaveTenures(t lease.Tenures)
+	SaveTenures(t lease.LongTenures)
 	// SaveParts starts a write of the parts of the coordination state; Node.PartsSaved is called once it is on disk.
 	// At most one write is in progress at a time.
 	SaveParts(b *store.PartsBatch)
 	// OpenLink maintains a connection to the control process at an address.
-	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink
+	LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
 	// ReadHosts starts a read of the platform's host list; Node.HostsRead is called with the result.
 	ReadHosts()
 	// KnownControls returns the addresses of the control processes that were learned from peers.
--- a/control/feed.go
+++ b/control/feed.go
@@ -23,8 +23,8 @@
 		n.subscribe(s, m.Subscribe)
 	case m.QuotaRequest != nil:
 		n.onQuotaRequest(s, m.QuotaRequest)
-	case m.Paces != nil:
-		n.onPaces(m.Paces)
+	case m.EventIntervals != nil:
+		n.onPaces(m.EventIntervals)
 	}
 }
 
@@ -42,7 +42,7 @@
 	now := n.now()
 	for _, shard := range n.shards {
 		have := q.Hosts[shard.number]
-		shard.holder.AtLeast(have.Term)
+		shard.holder.RaiseTermFloor(have.Term)
 		if !shard.holder.Holds(now) || shard.table == nil {
 			continue
 		}
--- a/control/identity.go
+++ b/control/identity.go
@@ -18,12 +18,12 @@
 // was complete before is damaged, the whole disk counts as lost, since its content can't be determined: the process
 // takes a new identity. machines are the state machines of the coordination parts; each is replayed up to its newest
 // entry. There are none if the fleet runs without coordination.
-func loadDisk(s *settings.Settings, folder *store.Folder, machines []replica.Machine, random *rand.Rand, log hclog.Logger) (stored, error) {
+func loadDisk(s *settings.Settings, folder *store.DataDir, machines []replica.StateMachine, random *rand.Rand, log hclog.Logger) (stored, error) {
 	bootstrap := s.Bootstrap
 	disk, err := readDisk(folder, machines)
-	if errors.Is(err, store.ErrDamaged) {
+	if errors.Is(err, store.ErrCorrupt) {
 		log.Error("stored state is damaged; moving its files aside and taking a new identity", "error", err)
-		if err := folder.SetAside(); err != nil {
+		if err := folder.Quarantine(); err != nil {
 			return disk, err
 		}
 		bootstrap = false // this machine may have voted as a founder before
@@ -54,18 +54,18 @@
 	if len(of.Founders) == 0 {
 		return nil
 	}
-	return replica.Found(of.Founders, nil)
+	return replica.FoundingEntry(of.Founders, nil)
 }
 
 // storedState is what a control process finds on its disk.
 type stored struct {
 	identity store.Identity
-	replica  replica.Disk
-	parts    []replica.Disk // of the coordination parts, by part number
+	replica  replica.PersistentState
+	parts    []replica.PersistentState // of the coordination parts, by part number
 	tenures  []string
 }
 
-func readDisk(folder *store.Folder, machines []replica.Machine) (disk stored, err error) {
+func readDisk(folder *store.DataDir, machines []replica.StateMachine) (disk stored, err error) {
 	if disk.identity, _, err = folder.Identity(); err != nil {
 		return stored{}, err
 	}
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -12,7 +12,7 @@
 
 // A lease is granted to another holder only after the last holder's delayed grants have become valid.
 func TestDelaysOfGrantsAreOverBeforeTheNextOwner(t *testing.T) {
-	assert.Assert(t, quota.LongestDelay <= lease.Margin)
+	assert.Assert(t, quota.MaxDelay <= lease.Margin)
 }
 
 // The same process may get its lease again at once: after losing it, after a restart, or when all processes have
@@ -21,13 +21,13 @@
 	limit := quota.Limit{Rate: 1000, Capacity: 1000, Validity: time.Second}
 	filled := func(n *Node, s *shard, now time.Duration) float64 {
 		for need := limit.Rate; need > 0; need-- { // the amount available half a second later
-			if grant := n.newLimits(s, now).Take("t", limit, quota.Ask{Need: need, Want: need}, now+500*time.Millisecond); grant.Amount > 0 && grant.Delay == 0 {
+			if grant := n.newLimits(s, now).Take("t", limit, quota.Request{Need: need, Want: need}, now+500*time.Millisecond); grant.Amount > 0 && grant.Delay == 0 {
 				return need
 			}
 		}
 		return 0
 	}
-	late := limit.Rate * quota.LongestDelay.Seconds()
+	late := limit.Rate * quota.MaxDelay.Seconds()
 	const longAgo = time.Hour
 	for name, c := range map[string]struct {
 		node    Node
@@ -37,7 +37,7 @@
 	}{
 		"another process held the lease":   {now: longAgo, lostAt: 0},
 		"this process has just lost it":    {now: longAgo, lostAt: longAgo, missing: late},
-		"this process lost it a while ago": {now: longAgo, lostAt: longAgo - quota.LongestDelay},
+		"this process lost it a while ago": {now: longAgo, lostAt: longAgo - quota.MaxDelay},
 		"this process has just started":    {now: 0, lostAt: -longAgo, missing: late},
 		"all have just restarted":          {node: Node{resumed: true, resumedAt: longAgo}, now: longAgo, missing: late},
 		"all restarted a while ago":        {node: Node{resumed: true, resumedAt: longAgo - lease.Duration}, now: longAgo},
--- a/control/node.go
+++ b/control/node.go
@@ -51,7 +51,7 @@
 	replica *replica.Replica
 	saving  bool
 	wasRole replica.Role
-	links   map[string]wire.OpenLink
+	links   map[string]wire.LinkHandle
 	callers map[string]int // number of connections from other control processes, by IP
 	joinAt  time.Duration
 
@@ -76,7 +76,7 @@
 	granter   *lease.Granter
 	tenuresOn bool          // a write of the granter's tenures is in progress
 	tenuresAt time.Duration // the earliest time of the next write
-	shards    [hostlist.Shards]*shard
+	shards    [hostlist.ShardCount]*shard
 	reading   bool
 	readAt    time.Duration
 	readSince time.Duration // when the current read began
@@ -86,7 +86,7 @@
 	validator parser
 	proposal  *proposal
 	queue     []*proposal
-	queued    int // bytes
+	queued    int // size of the queued bodies in bytes
 	stopping  bool
 	releases  []*wire.Message // of leases that have been given up; sent at releaseAt
 	releaseAt time.Duration
@@ -97,7 +97,7 @@
 	Settings *settings.Settings
 	Log      hclog.Logger
 	Identity store.Identity
-	Disk     replica.Disk
+	Disk     replica.PersistentState
 	Tenures  []string // resources whose owner has held them for long
 	Parts    []PartStart
 	Random   *rand.Rand
@@ -133,10 +133,10 @@
 // NewNode creates a node from the stored state.
 func NewNode(from Start, env Environment) *Node {
 	s := from.Settings
-	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.OpenLink{},
+	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
 		callers: map[string]int{}, passed: map[uint64]*passedCall{}, counts: newNodeCounts(), validator: &validate.Validator{}}
 	self := wire.Member{ID: from.Identity.ID, IP: s.IP}
-	group := replica.Group{Target: 2*s.Tolerate.Machines + 1, MemberSilence: memberSilence(s)}
+	group := replica.GroupConfig{Target: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
 	n.replica = replica.New(self, group, from.Disk, from.Random, n.now())
 	n.newParts(from)
 	n.granter = lease.NewGranter(longTenure(s), from.Tenures, n.now())
@@ -220,7 +220,7 @@
 }
 
 // TenuresSaved handles the result of that write. A failed write is retried after tenureRetryDelay.
-func (n *Node) TenuresSaved(t lease.Tenures, err error) {
+func (n *Node) TenuresSaved(t lease.LongTenures, err error) {
 	n.tenuresOn = false
 	if err != nil {
 		n.tenuresAt = n.now() + tenurePause
@@ -293,7 +293,7 @@
 	n.resumed, n.resumedAt = true, now
 	n.granter.Resume(now)
 	for _, s := range n.shards {
-		s.holder.Hurry(now)
+		s.holder.RetryNow(now)
 	}
 }
 
@@ -308,7 +308,7 @@
 		}
 		n.followOwnership(s, now)
 	}
-	n.releaseAt = now + quota.LongestDelay // by then all delayed grants have become valid
+	n.releaseAt = now + quota.MaxDelay // by then all delayed grants have become valid
 	for _, r := range n.replicas {
 		r.StartLeaving(now)
 	}
--- a/control/parts.go
+++ b/control/parts.go
@@ -39,7 +39,7 @@
 
 // PartStart is what a part starts from: its stored state, and the state machine replayed to it.
 type PartStart struct {
-	Disk    replica.Disk
+	Disk    replica.PersistentState
 	Machine *coordination.Machine
 }
 
@@ -57,8 +57,8 @@
 }
 
 // asReplicaMachines converts machines to the interface of package replica.
-func replicated(machines []*coordination.Machine) []replica.Machine {
-	all := make([]replica.Machine, len(machines))
+func replicated(machines []*coordination.Machine) []replica.StateMachine {
+	all := make([]replica.StateMachine, len(machines))
 	for i, m := range machines {
 		all[i] = m
 	}
@@ -66,7 +66,7 @@
 }
 
 // partStarts combines the stored state of each part with its state machine.
-func partStarts(disks []replica.Disk, machines []*coordination.Machine) []PartStart {
+func partStarts(disks []replica.PersistentState, machines []*coordination.Machine) []PartStart {
 	starts := make([]PartStart, len(machines))
 	for i := range starts {
 		starts[i] = PartStart{Disk: disks[i], Machine: machines[i]}
@@ -78,10 +78,10 @@
 func (n *Node) newParts(from Start) {
 	n.replicas = []*replica.Replica{n.replica}
 	for i, start := range from.Parts {
-		group := replica.Group{Target: 2*n.settings.Tolerate.Machines + 1, MemberSilence: memberSilence(n.settings),
+		group := replica.GroupConfig{Target: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
 			Name: "part-" + strconv.Itoa(i)}
 		p := &part{number: i, machine: start.Machine}
-		p.replica = replica.NewWithMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
+		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
 		n.parts = append(n.parts, p)
 		n.replicas = append(n.replicas, p.replica)
 	}
@@ -155,7 +155,7 @@
 func (n *Node) wholeBatch() *store.PartsBatch {
 	whole := &store.PartsBatch{Whole: true}
 	for _, p := range n.parts {
-		whole.Saves = append(whole.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeWholeSave()})
+		whole.Saves = append(whole.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeFullSave()})
 	}
 	return whole
 }
--- a/control/shards.go
+++ b/control/shards.go
@@ -10,9 +10,9 @@
 
 	"ivybank/control/hostlist"
 	"ivybank/control/lease"
-	"ivybank/control/pace"
 	"ivybank/control/quota"
 	"ivybank/control/replica"
+	"ivybank/control/slowhost"
 	"ivybank/settings"
 	"ivybank/wire"
 )
@@ -57,7 +57,7 @@
 }
 
 func newShard(number uint32, self string, life uint64, now time.Duration) *shard {
-	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now), lostAt: -quota.LongestDelay}
+	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now), lostAt: -quota.MaxDelay}
 }
 
 // rank returns this node's position in the shard's order of candidates.
@@ -92,9 +92,9 @@
 // earlier grants are over. Another member gets the lease only after that time in any case. This node, however, may get
 // it again at once after losing it or restarting, and any node may if all processes have restarted.
 func (n *Node) newLimits(s *shard, now time.Duration) *quota.Owner {
-	since := max(now, quota.LongestDelay, s.lostAt+quota.LongestDelay)
+	since := max(now, quota.MaxDelay, s.lostAt+quota.MaxDelay)
 	if n.resumed && now < n.resumedAt+lease.Duration {
-		since = max(since, now+quota.LongestDelay)
+		since = max(since, now+quota.MaxDelay)
 	}
 	return quota.NewOwner(since)
 }
@@ -117,12 +117,12 @@
 }
 
 func (n *Node) grantLease(q *wire.LeaseRequest, now time.Duration) *wire.LeaseReply {
-	if n.replica.AwaitsOthers(now) && !q.Release {
+	if n.replica.AwaitsLeader(now) && !q.Release {
 		return n.granter.Refuse(q)
 	}
 	reply := n.granter.Answer(q, now)
 	if reply.Granted {
-		n.replica.JoinedLease()
+		n.replica.NoteLeaseParticipation()
 	}
 	return reply
 }
@@ -161,12 +161,12 @@
 }
 
 func (n *Node) onLeaseReply(from string, p *wire.LeaseReply, now time.Duration) {
-	enough := func(has func(string) bool) bool { return replica.Quorum(n.replica.Members(), has) }
+	enough := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
 	for _, s := range n.shards {
 		if s.resource() != p.Resource {
 			continue
 		}
-		if !s.holder.Replied(from, p, enough, now) {
+		if !s.holder.HandleReply(from, p, enough, now) {
 			n.dropped.EarlierLife++
 		}
 		n.followOwnership(s, now)
@@ -180,10 +180,10 @@
 	holds := s.holder.Holds(now)
 	switch {
 	case holds && s.term != s.holder.Term():
-		n.replica.JoinedLease()
+		n.replica.NoteLeaseParticipation()
 		s.since = now
 		s.term, s.table = s.holder.Term(), hostlist.NewTable(s.number, s.holder.Term())
-		s.paces = paces{table: pace.NewTable()}
+		s.paces = paces{table: slowhost.NewDetector()}
 		if s.limits == nil { // otherwise the shard is kept under a higher term
 			s.limits, s.began = n.newLimits(s, now), false
 		}
@@ -194,7 +194,7 @@
 		s.lostAt = now
 		n.log.Info("lost shard", "shard", s.number)
 	}
-	enough := func(has func(string) bool) bool { return replica.Quorum(n.replica.Members(), has) }
+	enough := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
 	if holds && !s.began && now <= s.since+startWithin && s.holder.FollowsLongTenure(enough) {
 		s.began = true
 		s.limits.AddStart(now)
@@ -242,16 +242,16 @@
 		n.log.Debug("ignoring quota request", "shard", q.Shard, "limit", name, "owns", owns, "known", known)
 		return
 	}
-	grant := s.limits.Take(name, limit, quota.Ask{Need: q.Need, Want: q.Want}, now)
+	grant := s.limits.Take(name, limit, quota.Request{Need: q.Need, Want: q.Want}, now)
 	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, ReplyTo: q.ReplyTo,
 		Granted: grant.Amount, Spare: grant.Spare, ValidMS: grant.Valid.Milliseconds(),
-		DelayMS: wire.CeilMS(grant.Delay), EmptyMS: grant.Empty.Milliseconds()}})
+		DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}})
 }
 
 // limitOf returns the limit that a request draws from, according to the committed configuration, and its bucket's name.
 func (n *Node) limitOf(q *wire.QuotaRequest) (name string, limit quota.Limit, known bool) {
 	if q.Service != "" {
-		return "service " + q.Service, quota.RepeatLimit(&n.settings.Bounds), n.services[q.Service]
+		return "service " + q.Service, quota.RetryLimit(&n.settings.Bounds), n.services[q.Service]
 	}
 	tenant := n.tenants[q.Tenant]
 	if tenant == nil {
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -23,7 +23,7 @@
 }
 
 // SaveTenures stores them on the simulated disk after a while, or not at all if the process ends before.
-func (p *nodeProcess) SaveTenures(t lease.Tenures) {
+func (p *nodeProcess) SaveTenures(t lease.LongTenures) {
 	w, m := p.world, p.machine
 	long := slices.Clone(t.Long)
 	w.delayed = append(w.delayed, delayed{w.now + time.Duration(1+w.random.IntN(30))*time.Millisecond, func() {
@@ -36,7 +36,7 @@
 	}, true})
 }
 
-func (p *nodeProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink {
+func (p *nodeProcess) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &link{world: p.world, owner: &p.process, to: ip, hello: hello, events: events}
 	p.links = append(p.links, l)
 	p.world.links = append(p.world.links, l)
@@ -54,7 +54,7 @@
 
 func (p *agentProcess) Now() time.Duration { return p.world.now - p.born }
 
-func (p *agentProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink {
+func (p *agentProcess) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &link{world: p.world, owner: &p.process, to: ip, hello: hello, events: events}
 	p.links = append(p.links, l)
 	p.world.links = append(p.world.links, l)
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -46,8 +46,8 @@
 	order  *request
 	flying []*flight
 	nextAt time.Duration
-	quiet  bool // no new updates
-	follow bool // only reads
+	quiet  bool
+	follow bool
 }
 
 // operatorRequest is what an operator wants, in as many calls as it takes.
@@ -96,7 +96,7 @@
 	}
 }
 
-// beginChange sends an update; at random both operators send one with the same base at the same moment.
+// beginUpdate sends an update; at random both operators send one with the same base at the same moment.
 func (o *operator) beginChange() {
 	w := o.world
 	base := o.known
@@ -296,7 +296,7 @@
 	o.finish()
 }
 
-// noteBody checks that a committed revision has the same body everywhere.
+// recordBody checks that a committed revision has the same body everywhere.
 func (w *world) noteBody(revision int64, body string) {
 	if had, ok := w.bodies[revision]; ok && had != body {
 		w.fail("revision %d has two bodies: %q and %q", revision, had, body)
@@ -313,7 +313,7 @@
 	asked    map[uint64]time.Duration
 	askAt    time.Duration
 	revision int64
-	hosts    [hostlist.Shards]wire.HostsOffset
+	hosts    [hostlist.ShardCount]wire.HostsOffset
 	ackedAt  int64 // the newest revision that was acknowledged when the agent started
 	slow     *wire.SlowHosts
 }
--- a/control/simulation_part_groups_test.go
+++ b/control/simulation_part_groups_test.go
@@ -92,7 +92,7 @@
 func (w *world) partsBearLoss(kept func(id string) bool) bool {
 	for number := range w.groups {
 		for _, members := range w.partMembersUnderWay(number) {
-			if !replica.Quorum(members, kept) {
+			if !replica.HasQuorum(members, kept) {
 				return false
 			}
 		}
@@ -157,7 +157,7 @@
 			continue
 		}
 		p := m.node.node.parts[number]
-		if p.replica.Role() == replica.Leader && p.replica.Uncommitted() {
+		if p.replica.Role() == replica.Leader && p.replica.HasUncommitted() {
 			continue // its state machine is at the previous entry
 		}
 		at, state := p.replica.Newest().Position(), p.machine.Snapshot()
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fleet plays shuffles among machines that all start with the same three seeds.
+// fleet simulates shuffles among machines that all start with the same three seeds.
 type fleet struct {
 	random *rand.Rand
 	views  map[string]*View
@@ -26,7 +26,7 @@
 func (f *fleet) join(ip string, control bool) {
 	f.views[ip] = NewView(Peer{IP: ip, Control: control}, f.random)
 	for seed := range 3 {
-		f.views[ip].Introduce(Peer{IP: fmt.Sprint("m", seed), Control: true})
+		f.views[ip].AddPeer(Peer{IP: fmt.Sprint("m", seed), Control: true})
 	}
 }
 
@@ -37,9 +37,9 @@
 		if !ok || f.down[ip] || f.down[to] || f.random.IntN(20) == 0 {
 			continue
 		}
-		answer := f.views[to].Asked(ip, sample)
+		answer := f.views[to].HandleRequest(ip, sample)
 		if f.random.IntN(20) > 0 {
-			v.Answered(to, answer)
+			v.HandleReply(to, answer)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestMachinesThatAreGoneAreForgotten(t *testing.T) {
+func TestStoppedMachinesAreRemoved(t *testing.T) {
 	f := newFleet(2, 60)
 	for range 20 {
 		f.round()
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	assert.Assert(t, left < 60, "%d entries of machines that are gone", left)
+	assert.Assert(t, left < 60, "%d entries of stopped machines", left)
 }
 
 func TestControlIsFoundThroughPeers(t *testing.T) {
