--- a/agent/agent.go
+++ b/agent/agent.go
@@ -48,8 +48,8 @@
 	config        *wire.Config  // the newest configuration that the router may use
 	candidate     *wire.Config  // the newest configuration received before any is confirmed as current
 	confirmedAt   time.Duration // when a leader last confirmed a configuration as current
-	hostTables    [hostlist.Shards]hostTable
-	fencingTokens [hostlist.Shards]uint64 // highest fencing token that the router or this agent has seen, by shard
+	hostTables    [hostlist.ShardCount]hostTable
+	fencingTokens [hostlist.ShardCount]uint64 // highest fencing token that the router or this agent has seen, by shard
 	routers       []wire.Sender
 	relay         relay
 	dropped       DropCounts
@@ -278,7 +278,7 @@
 		a.feedRouter(router, m.Subscribe)
 	case m.QuotaRequest != nil:
 		a.onQuotaRequest(m)
-	case m.Paces != nil:
+	case m.EventIntervals != nil:
 		a.forwardPaces(m)
 	}
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -47,7 +47,7 @@
 	p.enqueue(func() { reply <- p.agent.status() })
 	select {
 	case s := <-reply:
-		s.invalidDatagrams = p.peers.Spoilt.Load()
+		s.invalidDatagrams = p.peers.Malformed.Load()
 		s.write(w)
 	case <-ctx.Done():
 	}
--- a/agent/paces.go
+++ b/agent/paces.go
@@ -5,7 +5,7 @@
 // forwardPaces forwards the host paces that a router measured to the owner of the shard. Without a link to the owner
 // they are dropped, as they are useful only for a moment.
 func (a *Agent) forwardPaces(m *wire.Message) {
-	if link := a.ownerLink(m.Paces.Shard); link != nil {
+	if link := a.ownerLink(m.EventIntervals.Shard); link != nil {
 		link.Send(m)
 	}
 }
--- a/agent/paces_test.go
+++ b/agent/paces_test.go
@@ -11,14 +11,14 @@
 // Paces are sent to the owner of the shard only, and a list of slow hosts from a former owner is not passed on.
 func TestPacesGoToOwnerAndOldSlowHostsAreDropped(t *testing.T) {
 	env := newTestEnv()
-	paces := &wire.Message{Paces: &wire.Paces{Shard: 1, Service: "s", Hosts: []wire.Pace{{Host: "h", Microsecond: 5}}}}
+	paces := &wire.Message{EventIntervals: &wire.EventIntervals{Shard: 1, Service: "s", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 5}}}}
 	env.agent.OnRouterMessage(env, paces) // no owner is known: the message is dropped
 	env.deliver("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Whole: true}})
 	env.agent.OnRouterMessage(env, paces)
 	for ip, link := range env.links {
 		sent := 0
 		for _, m := range link.sent {
-			if m.Paces != nil {
+			if m.EventIntervals != nil {
 				sent++
 			}
 		}
--- a/agent/process.go
+++ b/agent/process.go
@@ -98,7 +98,7 @@
 func (p *Process) KnownControlIPs() []string { return p.peers.ControlIPs() }
 
 // AddControlIPs adds control processes to those that are reported to peers.
-func (p *Process) AddControlIPs(ips ...string) { p.peers.Introduce(true, ips...) }
+func (p *Process) AddControlIPs(ips ...string) { p.peers.AddPeers(true, ips...) }
 
 // KnownAgentIPs returns the addresses of agents that peers have reported.
 func (p *Process) KnownAgentIPs() []string { return p.peers.AgentIPs() }
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -46,8 +46,8 @@
 	order  *request
 	flying []*flight
 	nextAt time.Duration
-	quiet  bool // no new updates
-	follow bool // only reads
+	quiet  bool
+	follow bool
 }
 
 // operatorRequest is what an operator wants, in as many calls as it takes.
@@ -313,7 +313,7 @@
 	asked    map[uint64]time.Duration
 	askAt    time.Duration
 	revision int64
-	hosts    [hostlist.Shards]wire.HostsOffset
+	hosts    [hostlist.ShardCount]wire.HostsOffset
 	ackedAt  int64 // the newest revision that was acknowledged when the agent started
 	slow     *wire.SlowHosts
 }
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -66,7 +66,7 @@
 	sweepAt                          int // number of accounts at which idle ones are removed next
 	pending                          map[uint64]chan *wire.QuotaGrant
 	lastNumber                       uint64
-	shards                           [hostlist.Shards]shardState
+	shards                           [hostlist.ShardCount]shardState
 	stats                            map[limitKey]*usageStats // since the last takeStats
 }
 
--- a/router/limit/simulation_test.go
+++ b/router/limit/simulation_test.go
@@ -126,7 +126,7 @@
 	if sim.owner == nil {
 		return
 	}
-	grant := sim.owner.Take(q.Tenant, quota.LimitOf(sim.tenant, &limitBounds), quota.Ask{Need: q.Need, Want: q.Want}, sim.now())
+	grant := sim.owner.Take(q.Tenant, quota.LimitOf(sim.tenant, &limitBounds), quota.Request{Need: q.Need, Want: q.Want}, sim.now())
 	reply := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: grant.Amount, Spare: grant.Spare,
 		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}
 	time.AfterFunc(oneWay, func() { l.HandleGrant(reply) })
--- a/router/paces.go
+++ b/router/paces.go
@@ -35,11 +35,11 @@
 	if len(paces) == 0 || agent == nil {
 		return
 	}
-	report := &wire.Paces{Shard: hostlist.ShardOf(service), Service: service}
+	report := &wire.EventIntervals{Shard: hostlist.ShardOf(service), Service: service}
 	for id, pace := range paces {
-		report.Hosts = append(report.Hosts, wire.Pace{Host: id, Microsecond: pace.Microseconds()})
+		report.Hosts = append(report.Hosts, wire.HostEventInterval{Host: id, Microseconds: pace.Microseconds()})
 	}
-	agent.Send(&wire.Message{Paces: report})
+	agent.Send(&wire.Message{EventIntervals: report})
 }
 
 // applySlowHosts passes the shard owner's list of slow hosts on to the services of the shard.
--- a/router/router.go
+++ b/router/router.go
@@ -40,7 +40,7 @@
 	agent     atomic.Pointer[wire.Link]
 
 	feedMu sync.Mutex // guards hosts
-	hosts  [hostlist.Shards]hostlist.Replica
+	hosts  [hostlist.ShardCount]hostlist.Replica
 }
 
 // New returns a router that does not serve yet.
