--- a/agent/agent.go
+++ b/agent/agent.go
@@ -279,7 +279,7 @@
 	case m.QuotaRequest != nil:
 		a.onQuotaRequest(m)
 	case m.EventIntervals != nil:
-		a.forwardPaces(m)
+		a.forwardEventIntervals(m)
 	}
 }
 
--- a/agent/paces.go
+++ b/agent/event_intervals.go
@@ -2,9 +2,9 @@
 
 import "ivybank/wire"
 
-// forwardPaces forwards the host paces that a router measured to the owner of the shard. Without a link to the owner
-// they are dropped, as they are useful only for a moment.
-func (a *Agent) forwardPaces(m *wire.Message) {
+// forwardEventIntervals forwards the event intervals that a router measured to the owner of the shard. Without a link
+// to the owner they are dropped, as they are useful only for a moment.
+func (a *Agent) forwardEventIntervals(m *wire.Message) {
 	if link := a.ownerLink(m.EventIntervals.Shard); link != nil {
 		link.Send(m)
 	}
--- a/agent/paces_test.go
+++ b/agent/event_intervals_test.go
@@ -8,13 +8,14 @@
 	"ivybank/wire"
 )
 
-// Paces are sent to the owner of the shard only, and a list of slow hosts from a former owner is not passed on.
-func TestPacesGoToOwnerAndOldSlowHostsAreDropped(t *testing.T) {
+// Event intervals are sent to the owner of the shard only, and a list of slow hosts from a former owner is not passed
+// on.
+func TestEventIntervalsGoToOwnerAndOldSlowHostsAreDropped(t *testing.T) {
 	env := newTestEnv()
-	paces := &wire.Message{EventIntervals: &wire.EventIntervals{Shard: 1, Service: "s", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 5}}}}
-	env.agent.OnRouterMessage(env, paces) // no owner is known: the message is dropped
+	intervals := &wire.Message{EventIntervals: &wire.EventIntervals{Shard: 1, Service: "s", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 5}}}}
+	env.agent.OnRouterMessage(env, intervals) // no owner is known: the message is dropped
 	env.deliver("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Whole: true}})
-	env.agent.OnRouterMessage(env, paces)
+	env.agent.OnRouterMessage(env, intervals)
 	for ip, link := range env.links {
 		sent := 0
 		for _, m := range link.sent {
@@ -22,7 +23,7 @@
 				sent++
 			}
 		}
-		assert.Equal(t, sent == 1, ip == "10.0.0.2", "%s got the paces %d times", ip, sent)
+		assert.Equal(t, sent == 1, ip == "10.0.0.2", "%s got the event intervals %d times", ip, sent)
 	}
 	for _, term := range []uint64{6, 7, 8} {
 		env.deliver("10.0.0.2", &wire.Message{SlowHosts: &wire.SlowHosts{Shard: 1, Term: term}})
--- a/config/config.go
+++ b/config/config.go
@@ -47,7 +47,7 @@
 	Public             bool           `json:"public"`
 	Sticky             bool           `json:"sticky"`
 	Resumable          bool           `json:"resumable"`
-	EventGapTargetMS   float64        `json:"gap_aim_ms"`
+	EventIntervalTargetMS   float64        `json:"gap_aim_ms"`
 }
 
 // TrafficSplit is one service's share of a route's traffic.
--- a/router/paces.go
+++ b/router/event_intervals.go
@@ -8,14 +8,14 @@
 	"ivybank/wire"
 )
 
-// pacesInterval is how often a router reports the stream paces of hosts. The pace of a host is the typical time
-// between two events of its streams.
-const pacesInterval = 200 * time.Millisecond
+// reportInterval is how often a router reports the event intervals of hosts: the typical time between two events of a
+// host's streams.
+const reportInterval = 200 * time.Millisecond
 
-// reportPaces reports the paces that this router has measured to the owners of the services' shards, until the
-// context ends.
-func (r *Router) reportPaces(ctx context.Context) {
-	ticker := time.NewTicker(pacesInterval)
+// reportEventIntervals reports the event intervals that this router has measured to the owners of the services'
+// shards, until the context ends.
+func (r *Router) reportEventIntervals(ctx context.Context) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -24,20 +24,20 @@
 		case <-ticker.C:
 		}
 		for name := range *r.services.Load() {
-			r.reportPacesOf(name)
+			r.reportServiceIntervals(name)
 		}
 	}
 }
 
-func (r *Router) reportPacesOf(service string) {
-	paces := r.service(service).TakePaces()
+func (r *Router) reportServiceIntervals(service string) {
+	intervals := r.service(service).TakeEventIntervals()
 	agent := r.agent.Load()
-	if len(paces) == 0 || agent == nil {
+	if len(intervals) == 0 || agent == nil {
 		return
 	}
 	report := &wire.EventIntervals{Shard: hostlist.ShardOf(service), Service: service}
-	for id, pace := range paces {
-		report.Hosts = append(report.Hosts, wire.HostEventInterval{Host: id, Microseconds: pace.Microseconds()})
+	for id, interval := range intervals {
+		report.Hosts = append(report.Hosts, wire.HostEventInterval{Host: id, Microseconds: interval.Microseconds()})
 	}
 	agent.Send(&wire.Message{EventIntervals: report})
 }
--- a/router/limit/simulation_test.go
+++ b/router/limit/simulation_test.go
@@ -259,14 +259,14 @@
 // TestOwnersInARowKeepTheLimit replaces the owner again and again, the first one while its bucket is full. At most
 // one start amount may fall within a window.
 func TestOwnersInARowKeepTheLimit(t *testing.T) {
-	for _, pace := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
-		t.Run(pace.String(), func(t *testing.T) {
+	for _, interval := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 3 * time.Second} {
+		t.Run(interval.String(), func(t *testing.T) {
 			atSizes(t, func(t *testing.T, sim *limitSimulation) {
 				fill()
 				sim.send(t, flood, time.Second)
 				sim.takeOver(true)
 				for range 6 {
-					sim.send(t, flood, pace)
+					sim.send(t, flood, interval)
 					sim.takeOver(false)
 				}
 				sim.send(t, flood, 8*time.Second)
--- a/router/policy/pace_test.go
+++ b/router/policy/event_interval_test.go
@@ -39,14 +39,14 @@
 	assert.DeepEqual(t, countKeys(s, 600, 200, 0), usual)
 }
 
-// The pace does not depend on pauses in which a host reads prompts, or on events that arrive together.
-func TestPaceIgnoresPausesAndBursts(t *testing.T) {
+// The event interval does not depend on pauses in which a host reads prompts, or on events that arrive together.
+func TestEventIntervalIgnoresPausesAndBursts(t *testing.T) {
 	s := newTestService(1)
 	a, _ := s.Begin(Request{}, 0)
 	now := 100 * millisecond
 	s.RecordEvent(a, now)
-	for i := range 2 * gapsPerSample {
-		switch i % gapsPerSample {
+	for i := range 2 * intervalsPerSample {
+		switch i % intervalsPerSample {
 		case 3, 4, 5:
 			now += 300 * millisecond
 		case 6:
@@ -56,8 +56,8 @@
 		}
 		s.RecordEvent(a, now)
 	}
-	paces := s.TakePaces()
-	assert.Equal(t, len(paces), 1)
-	assert.Assert(t, paces["host-0"] > 27*millisecond && paces["host-0"] < 29*millisecond, "%v", paces)
-	assert.Equal(t, len(s.TakePaces()), 0)
+	intervals := s.TakeEventIntervals()
+	assert.Equal(t, len(intervals), 1)
+	assert.Assert(t, intervals["host-0"] > 27*millisecond && intervals["host-0"] < 29*millisecond, "%v", intervals)
+	assert.Equal(t, len(s.TakeEventIntervals()), 0)
 }
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -49,7 +49,7 @@
 	inflight     int
 	outstanding  map[uint64]*Attempt // outstanding attempts by ID
 	lastActivity time.Duration       // time at which bytes last arrived from the host
-	pace         paceSum
+	intervals    intervalSum
 	slowness     float64 // how many times slower than usual, valid until slowUntil
 	slowUntil    time.Duration
 	removed      bool // removed from the host list
@@ -66,12 +66,12 @@
 
 // Attempt is one request that is outstanding at a host.
 type Attempt struct {
-	Host   Host
-	id     uint64
-	state  *hostState
-	tokens float64
-	sentAt time.Duration
-	gaps   gapSampler
+	Host    Host
+	id      uint64
+	state   *hostState
+	tokens  float64
+	sentAt  time.Duration
+	sampler intervalSampler
 }
 
 // Service chooses among the hosts of one service. It is safe for concurrent use.
--- a/router/server.go
+++ b/router/server.go
@@ -37,7 +37,7 @@
 	go r.followAgent(backgroundCtx)
 	go r.pool.Sweep(backgroundCtx)
 	go r.limiter.Report(backgroundCtx, r.log)
-	go r.reportPaces(backgroundCtx)
+	go r.reportEventIntervals(backgroundCtx)
 	metricsServer, err := figures.Serve(r.settings.IP, r.settings.Metrics, r.metrics.write)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
--- a/router/stream.go
+++ b/router/stream.go
@@ -131,7 +131,7 @@
 func (x *exchange) relayEvents(from streamSource, last *lastEventID) error {
 	control := http.NewResponseController(x.w)
 	reader := eventReader{bufio.NewReaderSize(from.response.Body, eventBufferBytes)}
-	target := time.Duration(x.route.EventGapTargetMS * float64(time.Millisecond))
+	target := time.Duration(x.route.EventIntervalTargetMS * float64(time.Millisecond))
 	for {
 		e, err := reader.next()
 		if errors.Is(err, io.EOF) {
@@ -140,7 +140,7 @@
 		if err != nil {
 			return err
 		}
-		if gap := x.service.RecordEvent(from.attempt, x.router.now()); target > 0 && gap > target {
+		if interval := x.service.RecordEvent(from.attempt, x.router.now()); target > 0 && interval > target {
 			x.router.metrics.lateEvents.Inc()
 		}
 		if e.id != "" && !isAfter(e.id, last.get()) {
--- a/router/watchdog.go
+++ b/router/watchdog.go
@@ -102,7 +102,7 @@
 	if !x.isRetryable() || x.sendCount >= x.route.MaxAttempts {
 		return s
 	}
-	s.stop = x.onSilence(from.attempt, silenceLimit(eventSilenceShare, x.route.EventGapTargetMS), func() {
+	s.stop = x.onSilence(from.attempt, silenceLimit(eventSilenceShare, x.route.EventIntervalTargetMS), func() {
 		if !x.reserveRetry() {
 			s.ready <- nil
 			return
