--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// status is the state of an agent that its metrics show.
+// status is the state of an agent that is exposed as metrics.
 type status struct {
 	links            int // connected links to control processes
 	routers          int
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -130,13 +130,13 @@
 
 // ownerRequest is a request for quota on its way to an owner.
 type ownerRequest struct {
-	shard           uint32
-	sentAt          time.Duration
-	relayed         bool
-	prefetched      float64       // quota set aside for the client request, less than its cost
-	prefetchedUntil time.Duration // by when that has to be used
-	message         *wire.QuotaRequest
-	reply           chan *wire.QuotaGrant
+	shard         uint32
+	sentAt        time.Duration
+	relayed       bool
+	reserved      float64       // prefetched quota set aside for the client request, less than its cost
+	reservedUntil time.Duration // by when that has to be used
+	message       *wire.QuotaRequest
+	reply         chan *wire.QuotaGrant
 }
 
 // begin decides on a client request with the quota at hand, or else prepares a request to the owner.
@@ -164,9 +164,9 @@
 	s.OwnerRequests++
 	q := &ownerRequest{shard: shard, sentAt: now, relayed: now < l.shards[shard].relayUntil,
 		reply: make(chan *wire.QuotaGrant, 1)}
-	q.prefetched, q.prefetchedUntil = a.prefetched.TakeAll()
+	q.reserved, q.reservedUntil = a.prefetched.TakeAll()
 	q.message = &wire.QuotaRequest{Router: l.router, Life: l.incarnation, Shard: shard, Number: l.lastNumber,
-		Tenant: d.key.tenant, Service: d.key.service, Need: d.cost - q.prefetched, Want: a.requestAmount(d.cost) - q.prefetched, Relay: q.relayed}
+		Tenant: d.key.tenant, Service: d.key.service, Need: d.cost - q.reserved, Want: a.requestAmount(d.cost) - q.reserved, Relay: q.relayed}
 	l.pending[l.lastNumber] = q.reply
 	return q, nil, 0
 }
@@ -202,14 +202,14 @@
 	a, s := l.account(d), l.statsFor(d.key)
 	if grant == nil {
 		s.OwnerTimeouts++
-		a.prefetched.Add(q.prefetched, q.prefetchedUntil, prefetchedResolution)
+		a.prefetched.Add(q.reserved, q.reservedUntil, prefetchedResolution)
 		return l.handleTimeout(d, a, q, now)
 	}
 	l.shards[q.shard].noOwnerSince = 0
 	if grant.Granted < q.message.Need {
 		s.RejectedByOwner++
 		l.rejectedByOwner++
-		a.prefetched.Add(q.prefetched, q.prefetchedUntil, prefetchedResolution)
+		a.prefetched.Add(q.reserved, q.reservedUntil, prefetchedResolution)
 		retryAfter = time.Duration(grant.RetryAfterMS) * time.Millisecond
 		a.emptyUntil = now + retryAfter
 		return nil, min(max(retryAfter, minRetryAfter), maxRetryAfter), false
@@ -219,9 +219,9 @@
 	a.prefetched.Add(grant.Granted-q.message.Need, until, prefetchedResolution)
 	a.spare.Add(grant.Spare, q.sentAt+quota.SpareLifetime, spareResolution)
 	s.OwnerUse += q.message.Need
-	s.PrefetchedUse += q.prefetched
-	if q.prefetched > 0 {
-		until = min(until, q.prefetchedUntil)
+	s.PrefetchedUse += q.reserved
+	if q.reserved > 0 {
+		until = min(until, q.reservedUntil)
 	}
 	c = l.newCharge(d, until)
 	c.validFrom = now + delay
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -14,7 +14,6 @@
 // endReason says why the router ended a request with a response of its own. It is the value of a metric label.
 type endReason string
 
-// The reasons.
 const (
 	reasonStarting   endReason = "starting"      // no configuration or hosts yet
 	reasonNoRoute    endReason = "no_route"      // none matches in the active configuration
@@ -36,7 +35,6 @@
 // rerouteCause says why a request was sent to one more host although the previous one had not failed.
 type rerouteCause string
 
-// The causes.
 const (
 	rerouteSilentBeforeResponse rerouteCause = "silent_before_answer"
 	rerouteSilentInStream       rerouteCause = "silent_within_stream"
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -33,7 +33,7 @@
 // Outcome is how an attempt ended, as far as it says something about the host.
 type Outcome int
 
-// The outcomes.
+// The possible outcomes of an attempt.
 const (
 	Served    Outcome = iota // a complete response
 	Failed                   // no connection, a reset, an incomplete or invalid response, an error status, a timeout
