--- a/router/exchange_test.go
+++ b/router/exchange_test.go
@@ -51,7 +51,7 @@
 	_ = q.conn.Close()
 }
 
-// headerAction says how a fake host continues once it has read the header of a request.
+// headerAction is how a fake host continues once it has read the header of a request.
 type headerAction int
 
 const (
--- a/router/limit/simulation_test.go
+++ b/router/limit/simulation_test.go
@@ -90,7 +90,7 @@
 	sim.tenant, sim.limit = t, quota.LimitOf(t, &limitBounds)
 }
 
-// takeOver replaces the owner. There is none for LongestDelay, the longest delay of a grant. start says whether the
+// takeOver replaces the owner. There is none for quota.MaxDelay, the longest delay of a grant. start says whether the
 // new owner gets the start amount.
 func (sim *limitSimulation) takeOver(start bool) {
 	sim.loseOwner()
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -29,8 +29,7 @@
 )
 
 var endReasons = []endReason{reasonStarting, reasonNoRoute, reasonUnknownKey, reasonBody, reasonNoService, reasonOverLimit,
-	reasonNoHost,
-	reasonNotRetried, reasonDeadline, reasonHostFailed, reasonBroken}
+	reasonNoHost, reasonNotRetried, reasonDeadline, reasonHostFailed, reasonBroken}
 
 // rerouteCause says why a request was sent to one more host although the previous one had not failed.
 type rerouteCause string
