--- a/agent/agent.go
+++ b/agent/agent.go
@@ -296,7 +296,7 @@
 		if t.At.Offset == 0 || !has.Before(t.At) {
 			continue
 		}
-		whole := &wire.Hosts{Shard: uint32(i), At: t.At, Whole: true}
+		whole := &wire.Hosts{Shard: uint32(i), At: t.At, Full: true}
 		for _, h := range t.Hosts {
 			whole.Updated = append(whole.Updated, h)
 		}
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -143,7 +143,7 @@
 	s.tell("10.0.0.2", groupMessage(8, 90, 90, "10.0.0.2"))
 	assert.Assert(t, s.links["10.0.0.2"].closed)
 	s.tell("10.0.0.2", configMessage(900, true))
-	s.tell("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 99, Offset: 1}, Whole: true}})
+	s.tell("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 99, Offset: 1}, Full: true}})
 	assert.Equal(t, s.revision(), int64(4))
 	for _, m := range s.fed {
 		assert.Assert(t, m.Hosts == nil)
@@ -153,7 +153,7 @@
 func TestHostsUnderAnOldFencingNumberAreNotTaken(t *testing.T) {
 	s := newStand()
 	hosts := func(term, offset uint64) *wire.Message {
-		return &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: term, Offset: offset}, Whole: true}}
+		return &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: term, Offset: offset}, Full: true}}
 	}
 	count := func() (n int) {
 		for _, m := range s.fed {
@@ -181,7 +181,7 @@
 	s := newStand()
 	s.tell("10.0.0.1", groupMessage(7, 3, 9, "10.0.0.1"))
 	s.tell("10.0.0.1", configMessage(4, true))
-	s.tell("10.0.0.1", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 5, Offset: 2}, Whole: true, Updated: []wire.Host{{ID: "h"}}}})
+	s.tell("10.0.0.1", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 5, Offset: 2}, Full: true, Updated: []wire.Host{{ID: "h"}}}})
 	s.agent.RouterDisconnected(s)
 	s.fed = nil
 	s.agent.OnRouterMessage(s, &wire.Message{Subscribe: &wire.Subscribe{}})
@@ -193,9 +193,9 @@
 
 func TestDrawsGoToTheOwnerOfTheShard(t *testing.T) {
 	s := newStand()
-	ask := &wire.Message{QuotaRequest: &wire.QuotaRequest{Shard: 1, Number: 3, Life: 5}}
+	ask := &wire.Message{QuotaRequest: &wire.QuotaRequest{Shard: 1, Number: 3, Incarnation: 5}}
 	s.agent.OnRouterMessage(s, ask) // no owner is known: dropped
-	s.tell("10.0.0.3", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 5, Offset: 2}, Whole: true}})
+	s.tell("10.0.0.3", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 5, Offset: 2}, Full: true}})
 	s.agent.OnRouterMessage(s, ask)
 	sent := s.links["10.0.0.3"].sent
 	assert.Assert(t, len(sent) == 1 && sent[0] == ask)
--- a/agent/paces_test.go
+++ b/agent/paces_test.go
@@ -13,7 +13,7 @@
 	s := newStand()
 	paces := &wire.Message{EventIntervals: &wire.EventIntervals{Shard: 1, Service: "s", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 5}}}}
 	s.agent.OnRouterMessage(s, paces) // no owner is known: it is dropped
-	s.tell("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Whole: true}})
+	s.tell("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Full: true}})
 	s.agent.OnRouterMessage(s, paces)
 	for ip, link := range s.links {
 		told := 0
--- a/agent/quota_test.go
+++ b/agent/quota_test.go
@@ -13,16 +13,16 @@
 func standWithOwner() *stand {
 	s := newStand()
 	s.peers = []string{"10.0.1.1", "10.0.1.2", "10.0.1.3"}
-	s.tell("10.0.0.3", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 5, Offset: 2}, Whole: true}})
+	s.tell("10.0.0.3", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 5, Offset: 2}, Full: true}})
 	return s
 }
 
 func question(relay bool) *wire.Message {
-	return &wire.Message{QuotaRequest: &wire.QuotaRequest{Router: "n", Shard: 1, Number: 3, Life: 5, Relay: relay}}
+	return &wire.Message{QuotaRequest: &wire.QuotaRequest{Router: "n", Shard: 1, Number: 3, Incarnation: 5, Relay: relay}}
 }
 
 func grantFor(replyTo string) *wire.Message {
-	return &wire.Message{QuotaGrant: &wire.QuotaGrant{Router: "n", Number: 3, Life: 5, ReplyTo: replyTo}}
+	return &wire.Message{QuotaGrant: &wire.QuotaGrant{Router: "n", Number: 3, Incarnation: 5, ReplyTo: replyTo}}
 }
 
 func TestQuestionsGoAnotherWayWhereTheOwnerIsNotReached(t *testing.T) {
@@ -40,7 +40,7 @@
 	asked := map[string]bool{}
 	for _, d := range s.sent {
 		asked[d.to] = true
-		assert.DeepEqual(t, *d.message.QuotaRequest, wire.QuotaRequest{Router: "n", Shard: 1, Number: 3, Life: 5, ReplyTo: "10.0.1.1"})
+		assert.DeepEqual(t, *d.message.QuotaRequest, wire.QuotaRequest{Router: "n", Shard: 1, Number: 3, Incarnation: 5, ReplyTo: "10.0.1.1"})
 	}
 	assert.DeepEqual(t, asked, map[string]bool{"10.0.1.2": true, "10.0.1.3": true})
 
--- a/control/applications_test.go
+++ b/control/applications_test.go
@@ -128,7 +128,7 @@
 
 // pendingNode has a part without a leader whose queue is never processed, so calls stay in flight.
 func pendingNode() *Node {
-	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.GroupConfig{Target: 3}, replica.PersistentState{}, rand.New(rand.NewPCG(1, 2)), 0)}
+	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.GroupConfig{TargetSize: 3}, replica.PersistentState{}, rand.New(rand.NewPCG(1, 2)), 0)}
 	return &Node{counts: newNodeCounts(), env: &directEnvironment{}, replica: p.replica, parts: []*part{p}}
 }
 
--- a/control/forwarding.go
+++ b/control/forwarding.go
@@ -30,7 +30,7 @@
 	if c.isWatch() {
 		command.WaitMS = max(0, (c.until - now).Milliseconds())
 	}
-	request := &wire.PartCall{Number: n.nextPassed, Life: n.life, Command: command}
+	request := &wire.PartCall{Number: n.nextPassed, Incarnation: n.life, Command: command}
 	if !c.isWatch() {
 		request.WaitedMS = max(0, (now - c.since).Milliseconds())
 	}
@@ -46,7 +46,7 @@
 func (n *Node) onPartCall(from wire.Member, q *wire.PartCall) {
 	reply := func(a wire.Answer) {
 		if link := n.links[from.IP]; link != nil {
-			link.Send(&wire.Message{PartReply: &wire.PartReply{Number: q.Number, Life: q.Life, Answer: a}})
+			link.Send(&wire.Message{PartReply: &wire.PartReply{Number: q.Number, Incarnation: q.Incarnation, Answer: a}})
 		}
 	}
 	since := n.now() - time.Duration(q.WaitedMS)*time.Millisecond
@@ -56,7 +56,7 @@
 // onPartReply passes the leader's answer to the caller. If the leader has executed nothing, the call is queued again
 // to be forwarded once more.
 func (n *Node) onPartReply(r *wire.PartReply) {
-	if r.Life != n.life {
+	if r.Incarnation != n.life {
 		n.dropped.EarlierLife++
 		return
 	}
--- a/control/hostlist/table.go
+++ b/control/hostlist/table.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	t.at.Offset++
-	change.At, change.Whole, t.hosts = t.at, first, next
+	change.At, change.Full, t.hosts = t.at, first, next
 	t.changes = append(t.changes, change)
 	if len(t.changes) > maxKeptChanges {
 		t.changes = slices.Clone(t.changes[len(t.changes)-maxKeptChanges:])
@@ -80,7 +80,7 @@
 // Snapshot returns the full table.
 func (t *Table) Snapshot() *wire.Hosts {
 	if t.snapshot == nil || t.snapshot.At != t.at {
-		t.snapshot = &wire.Hosts{Shard: t.shard, At: t.at, Whole: true, Updated: slices.Collect(maps.Values(t.hosts))}
+		t.snapshot = &wire.Hosts{Shard: t.shard, At: t.at, Full: true, Updated: slices.Collect(maps.Values(t.hosts))}
 	}
 	return t.snapshot
 }
@@ -97,7 +97,7 @@
 	if c.At.Before(r.At) {
 		return true // from an earlier owner, or delayed: this copy is newer
 	}
-	if c.Whole {
+	if c.Full {
 		r.At, r.Hosts = c.At, make(map[string]wire.Host, len(c.Updated))
 	} else if c.At.Term != r.At.Term || c.At.Offset != r.At.Offset+1 {
 		return c.At == r.At
--- a/control/hostlist/table_test.go
+++ b/control/hostlist/table_test.go
@@ -63,7 +63,7 @@
 	}
 	missed := table.Since(wire.HostsOffset{Term: 1, Offset: 2})
 	assert.Equal(t, len(missed), 1)
-	assert.Assert(t, missed[0].Whole)
+	assert.Assert(t, missed[0].Full)
 	assert.Equal(t, len(table.Since(wire.HostsOffset{Term: 1, Offset: maxKeptChanges})), 10)
 	assert.Equal(t, len(table.Since(table.At())), 0)
 }
--- a/control/identity.go
+++ b/control/identity.go
@@ -75,7 +75,7 @@
 	if disk.parts, err = folder.LoadParts(machines, foundingEntry(disk.identity)); err != nil {
 		return stored{}, err
 	}
-	if disk.tenures, err = folder.Tenures(); err != nil {
+	if disk.tenures, err = folder.LongTenures(); err != nil {
 		return stored{}, err
 	}
 	return disk, nil
--- a/control/identity_test.go
+++ b/control/identity_test.go
@@ -54,7 +54,7 @@
 	}
 	founded := disk.parts[1].Entry
 	step := &wire.Entry{Term: 1, Index: 2, After: founded.Position(), Commands: []byte("x")}
-	save := &replica.Save{Disk: replica.PersistentState{Term: 1}, Entries: []*wire.Entry{step}}
+	save := &replica.Save{State: replica.PersistentState{Term: 1}, Entries: []*wire.Entry{step}}
 	_, err := folder.SaveParts(&store.PartsBatch{Saves: []store.PartSave{{Part: 1, Save: save}}})
 	assert.NilError(t, err)
 
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -51,13 +51,13 @@
 func (g *Granter) Resume(now time.Duration) { g.noNewHolderBefore = min(g.noNewHolderBefore, now) }
 
 // HandleRequest decides on a request from a member of the group.
-func (g *Granter) Answer(q *wire.LeaseRequest, now time.Duration) *wire.LeaseReply {
+func (g *Granter) HandleRequest(q *wire.LeaseRequest, now time.Duration) *wire.LeaseReply {
 	held := g.grants[q.Resource]
 	if held == nil {
 		held = &grant{}
 		g.grants[q.Resource] = held
 	}
-	reply := &wire.LeaseReply{Resource: q.Resource, Round: q.Round, Life: q.Life}
+	reply := &wire.LeaseReply{Resource: q.Resource, Round: q.Round, Incarnation: q.Incarnation}
 	same := held.holder == q.Holder && held.term == q.Term
 	switch {
 	case q.Release:
@@ -78,7 +78,7 @@
 
 // Refuse replies to a request without granting it, whoever holds the resource.
 func (g *Granter) Refuse(q *wire.LeaseRequest) *wire.LeaseReply {
-	reply := &wire.LeaseReply{Resource: q.Resource, Round: q.Round, Life: q.Life}
+	reply := &wire.LeaseReply{Resource: q.Resource, Round: q.Round, Incarnation: q.Incarnation}
 	if held := g.grants[q.Resource]; held != nil {
 		reply.Term = held.term
 	}
@@ -158,7 +158,7 @@
 	h.requesting = true
 	h.round++
 	h.requestedAt, h.nextRequestAt, h.granted = now, now+RenewInterval, map[string]bool{}
-	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Life: h.incarnation}
+	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Incarnation: h.incarnation}
 }
 
 // lapse ends a lease that has expired.
@@ -171,7 +171,7 @@
 // HandleReply processes a member's reply. It returns false for a reply to an earlier incarnation of this process,
 // which it drops. A lapsed lease is not revived by a late reply: what was kept under its fencing number is gone.
 func (h *Holder) HandleReply(from string, p *wire.LeaseReply, hasQuorum QuorumFunc, now time.Duration) bool {
-	if p.Life != h.incarnation {
+	if p.Incarnation != h.incarnation {
 		return false
 	}
 	h.highestTerm = max(h.highestTerm, p.Term)
@@ -201,7 +201,7 @@
 // abandonRound releases what members granted in a round that wasn't won, so that another candidate may win.
 func (h *Holder) abandonRound(now time.Duration) *wire.LeaseRequest {
 	h.requesting, h.freeSince, h.nextRequestAt = false, now, now+RenewInterval
-	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Life: h.incarnation, Release: true}
+	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Incarnation: h.incarnation, Release: true}
 }
 
 // RetryNow makes the next request due immediately, because members may now grant what they refused before.
@@ -217,7 +217,7 @@
 		return nil
 	}
 	h.holding, h.requesting, h.nextRequestAt = false, false, now+Duration // replies in flight don't count
-	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Life: h.incarnation, Release: true}
+	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Incarnation: h.incarnation, Release: true}
 }
 
 // Resource returns the name of the leased resource.
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -96,7 +96,7 @@
 			continue
 		}
 		if d.writing != nil && g.now >= d.doneAt {
-			d.kept = d.writing.Long
+			d.kept = d.writing.Resources
 			g.granters[i].TenuresSaved(*d.writing)
 			d.writing = nil
 		}
@@ -131,7 +131,7 @@
 			continue
 		}
 		if p.request != nil {
-			g.send(message{from: p.to, to: p.from, reply: g.granters[p.to].Answer(p.request, g.now)})
+			g.send(message{from: p.to, to: p.from, reply: g.granters[p.to].HandleRequest(p.request, g.now)})
 		} else {
 			g.holders[p.to].HandleReply(strconv.Itoa(p.from), p.reply, g.hasQuorum, g.now)
 		}
@@ -147,7 +147,7 @@
 func (g *group) kill(i int, restartAt time.Duration) {
 	d := g.disks[i]
 	if d.writing != nil && g.random.IntN(2) == 0 {
-		d.kept = d.writing.Long
+		d.kept = d.writing.Resources
 	}
 	d.writing = nil
 	if g.random.IntN(5) == 0 {
@@ -229,7 +229,7 @@
 	all := func(has func(string) bool) bool { return has("a") && has("b") }
 	earlier := NewHolder(resource, "a", 0x10001, 0)
 	asked := earlier.Tick(false, 0)
-	delayed := &wire.LeaseReply{Resource: resource, Granted: true, Term: asked.Term, Round: asked.Round, Life: asked.Life}
+	delayed := &wire.LeaseReply{Resource: resource, Granted: true, Term: asked.Term, Round: asked.Round, Incarnation: asked.Incarnation}
 	// Even an incarnation that happens to draw the same fencing number only counts replies to its own requests.
 	holder := NewHolder(resource, "a", 0x20001, time.Second)
 	again := holder.Tick(false, time.Second)
@@ -239,7 +239,7 @@
 		assert.Assert(t, !holder.HandleReply(from, delayed, all, time.Second))
 	}
 	assert.Assert(t, !holder.Holds(time.Second))
-	own := &wire.LeaseReply{Resource: resource, Granted: true, Term: again.Term, Round: again.Round, Life: again.Life}
+	own := &wire.LeaseReply{Resource: resource, Granted: true, Term: again.Term, Round: again.Round, Incarnation: again.Incarnation}
 	for _, from := range []string{"a", "b"} {
 		assert.Assert(t, holder.HandleReply(from, own, all, time.Second))
 	}
@@ -252,7 +252,7 @@
 	h := NewHolder(resource, "a", 7, 0)
 	answer := func(q *wire.LeaseRequest, now time.Duration) {
 		for _, from := range []string{"a", "b"} {
-			h.HandleReply(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Life: q.Life}, all, now)
+			h.HandleReply(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Incarnation: q.Incarnation}, all, now)
 		}
 	}
 	first := h.Tick(false, 0)
@@ -271,7 +271,7 @@
 	h := NewHolder(resource, "a", 7, 0)
 	answer := func(q *wire.LeaseRequest, now time.Duration) {
 		for _, from := range []string{"a", "b"} {
-			h.HandleReply(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Life: q.Life}, all, now)
+			h.HandleReply(from, &wire.LeaseReply{Resource: resource, Granted: true, Term: q.Term, Round: q.Round, Incarnation: q.Incarnation}, all, now)
 		}
 	}
 	answer(h.Tick(false, 0), 0)
--- a/control/lease/tenure.go
+++ b/control/lease/tenure.go
@@ -52,8 +52,8 @@
 
 // LongTenures is the tenure record that a granter needs to have on disk.
 type LongTenures struct {
-	Long   []string // resources whose holder had a long tenure
-	Change uint64
+	Resources []string // resources whose holder had a long tenure
+	Change    uint64
 }
 
 // UnsavedTenures returns the record to write if it has changed since it was last saved.
@@ -64,7 +64,7 @@
 	}
 	unsaved := LongTenures{Change: t.changes}
 	for resource := range maps.Keys(t.long) {
-		unsaved.Long = append(unsaved.Long, resource)
+		unsaved.Resources = append(unsaved.Resources, resource)
 	}
 	return unsaved, true
 }
--- a/control/lease/tenure_test.go
+++ b/control/lease/tenure_test.go
@@ -98,7 +98,7 @@
 func TestMemberConfirmsOnceItsDiskHasForgotten(t *testing.T) {
 	g := NewGranter(testLongTenure, []string{resource}, 0)
 	ask := func(term uint64, now time.Duration) *wire.LeaseReply {
-		return g.Answer(&wire.LeaseRequest{Resource: resource, Holder: strconv.FormatUint(term, 10), Term: term}, now)
+		return g.HandleRequest(&wire.LeaseRequest{Resource: resource, Holder: strconv.FormatUint(term, 10), Term: term}, now)
 	}
 	_, unsaved := g.UnsavedTenures()
 	assert.Assert(t, !unsaved)
@@ -106,7 +106,7 @@
 	reply := ask(1, now)
 	assert.Assert(t, reply.Granted && !reply.ConfirmsLongTenure)
 	change, unsaved := g.UnsavedTenures()
-	assert.Assert(t, unsaved && len(change.Long) == 0)
+	assert.Assert(t, unsaved && len(change.Resources) == 0)
 	assert.Assert(t, !ask(1, now).ConfirmsLongTenure, "not while the record is still on its disk")
 	g.TenuresSaved(change)
 	assert.Assert(t, ask(1, now).ConfirmsLongTenure)
@@ -121,7 +121,7 @@
 	ask(3, now)
 	change, unsaved = g.UnsavedTenures()
 	assert.Assert(t, unsaved)
-	assert.DeepEqual(t, change.Long, []string{resource})
+	assert.DeepEqual(t, change.Resources, []string{resource})
 	later := ask(4, now+2*Duration)
 	assert.Assert(t, later.Granted && !later.ConfirmsLongTenure)
 	g.TenuresSaved(change) // the older write doesn't cover the newer change
--- a/control/node.go
+++ b/control/node.go
@@ -136,7 +136,7 @@
 	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
 		callers: map[string]int{}, passed: map[uint64]*passedCall{}, counts: newNodeCounts(), validator: &validate.Validator{}}
 	self := wire.Member{ID: from.Identity.ID, IP: s.IP}
-	group := replica.GroupConfig{Target: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
+	group := replica.GroupConfig{TargetSize: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
 	n.replica = replica.New(self, group, from.Disk, from.Random, n.now())
 	n.newParts(from)
 	n.granter = lease.NewGranter(longTenure(s), from.Tenures, n.now())
--- a/control/parts.go
+++ b/control/parts.go
@@ -78,7 +78,7 @@
 func (n *Node) newParts(from Start) {
 	n.replicas = []*replica.Replica{n.replica}
 	for i, start := range from.Parts {
-		group := replica.GroupConfig{Target: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
+		group := replica.GroupConfig{TargetSize: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
 			Name: "part-" + strconv.Itoa(i)}
 		p := &part{number: i, machine: start.Machine}
 		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
@@ -153,7 +153,7 @@
 
 // wholeBatch returns a batch with the complete stored state of every part.
 func (n *Node) wholeBatch() *store.PartsBatch {
-	whole := &store.PartsBatch{Whole: true}
+	whole := &store.PartsBatch{Full: true}
 	for _, p := range n.parts {
 		whole.Saves = append(whole.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeFullSave()})
 	}
--- a/control/process.go
+++ b/control/process.go
@@ -166,7 +166,7 @@
 // SaveTenures queues a write of the tenures.
 func (p *Process) SaveTenures(t lease.LongTenures) {
 	p.writes <- func() {
-		err := p.folder.SaveTenures(t.Long)
+		err := p.folder.SaveLongTenures(t.Resources)
 		p.Do(func() { p.node.TenuresSaved(t, err) })
 	}
 }
--- a/control/quota/owner.go
+++ b/control/quota/owner.go
@@ -31,11 +31,11 @@
 
 // Grant is the owner's answer to a Request.
 type Grant struct {
-	Amount float64       // 0, or at least what was needed
-	Spare  float64       // what the router may use in addition, while no owner answers it
-	Delay  time.Duration // time from the answer before which the amount may not be used
-	Valid  time.Duration // time for which it may be used, counted from the request plus the delay
-	Empty  time.Duration // if nothing was granted, time until the bucket holds enough for a request like this one
+	Amount     float64       // 0, or at least what was needed
+	Spare      float64       // what the router may use in addition, while no owner answers it
+	Delay      time.Duration // time from the answer before which the amount may not be used
+	Valid      time.Duration // time for which it may be used, counted from the request plus the delay
+	RetryAfter time.Duration // if nothing was granted, time until the bucket holds enough for a request like this one
 }
 
 type bucket struct {
@@ -62,7 +62,7 @@
 
 // AddStartAmount adds the start amount of each limit. It may be called at most once, for an owner that follows a long
 // tenure.
-func (o *Owner) AddStart(now time.Duration) {
+func (o *Owner) AddStartAmount(now time.Duration) {
 	o.started = true
 	for name, b := range o.buckets {
 		o.bucket(name, b.limit, now)
@@ -76,12 +76,12 @@
 // large ones.
 func (o *Owner) Take(name string, l Limit, ask Request, now time.Duration) Grant {
 	if !(ask.Need >= 0 && ask.Need <= l.Capacity) { // negative, not a number, or more than the bucket can ever hold
-		return Grant{Empty: maxRetryWait}
+		return Grant{RetryAfter: maxRetryWait}
 	}
 	b := o.bucket(name, l, now)
 	b.largest = max(min(ask.Need, l.Capacity/2), b.largest)
 	if required := l.admissionLevel(max(ask.Need, b.largest)); b.level < required {
-		return Grant{Empty: l.timeToGain(required - b.level)}
+		return Grant{RetryAfter: l.timeToGain(required - b.level)}
 	}
 	ahead := max(0, min(ask.Want-ask.Need, (b.level-ask.Need)*aheadShare))
 	amount := ask.Need + ahead
--- a/control/quota/owner_test.go
+++ b/control/quota/owner_test.go
@@ -92,7 +92,7 @@
 				need := 20_000 * random.Float64()
 				grant := owner.Take("t", limit, Request{Need: need, Want: 3 * need}, now)
 				assert.Assert(t, grant.Amount == 0 || grant.Amount >= need && grant.Amount <= 3*need)
-				assert.Assert(t, (grant.Amount > 0) == (grant.Empty == 0))
+				assert.Assert(t, (grant.Amount > 0) == (grant.RetryAfter == 0))
 				assert.Assert(t, grant.Delay >= 0 && grant.Delay <= MaxDelay+time.Nanosecond)
 				all, spare = append(all, drawn{now + grant.Delay, grant.Amount}), append(spare, drawn{now, grant.Spare})
 			}
@@ -119,9 +119,9 @@
 		}
 	}
 	before, after, never := NewOwner(0), NewOwner(0), NewOwner(0)
-	before.AddStart(0)
+	before.AddStartAmount(0)
 	after.Take("t", limit, Request{Need: 10, Want: 10}, 0)
-	after.AddStart(0)
+	after.AddStartAmount(0)
 	for _, owner := range []*Owner{before, after} {
 		assert.Assert(t, math.Abs(all(owner, 0)-limit.Start) <= 20)
 		assert.Assert(t, all(owner, 0) == 0)
@@ -130,7 +130,7 @@
 	assert.Assert(t, all(never, 0) == 0)
 	full := NewOwner(0)
 	full.Take("t", limit, Request{Need: 10, Want: 10}, time.Hour)
-	full.AddStart(time.Hour)
+	full.AddStartAmount(time.Hour)
 	assert.Assert(t, all(full, time.Hour) <= limit.Capacity, "a bucket holds no more than that")
 }
 
@@ -144,7 +144,7 @@
 		if need >= 0 && need <= limit.Capacity {
 			assert.Equal(t, grant.Amount, need)
 		} else {
-			assert.Assert(t, grant.Amount == 0 && grant.Empty == maxRetryWait, "%v: %+v", need, grant)
+			assert.Assert(t, grant.Amount == 0 && grant.RetryAfter == maxRetryWait, "%v: %+v", need, grant)
 		}
 		assert.Assert(t, owner.buckets["t"] == nil || owner.buckets["t"].level >= 0)
 	}
@@ -164,8 +164,8 @@
 			last = grant.Delay
 			continue
 		}
-		assert.Assert(t, refused == 0 || grant.Empty == refused)
-		refused = grant.Empty
+		assert.Assert(t, refused == 0 || grant.RetryAfter == refused)
+		refused = grant.RetryAfter
 	}
 	assert.Assert(t, last >= maxQueueDelay && last <= MaxDelay, "%v", last)
 	assert.Equal(t, refused, minRetryWait)
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -51,7 +51,7 @@
 	reply := &wire.VoteReply{Term: r.disk.Term, PreVote: q.PreVote, Round: q.Round}
 	upToDate := !(Position{Term: q.LastTerm, Index: q.LastIndex}).Less(r.disk.Entry.Position())
 	willing := q.Term >= r.disk.Term && upToDate
-	if reply.Fresh = q.PreVote && r.justRestarted && willing && !r.hasPriorityOver(q); reply.Fresh {
+	if reply.Restarted = q.PreVote && r.justRestarted && willing && !r.hasPriorityOver(q); reply.Restarted {
 		r.restartConfirmed[q.Candidate] = q.Round
 		r.yieldElection(now)
 	}
@@ -129,7 +129,7 @@
 }
 
 func (r *Replica) onVoteReply(from wire.Member, p *wire.VoteReply, now time.Duration) {
-	if p.Fresh && r.role == PreCandidate && p.Round == r.round {
+	if p.Restarted && r.role == PreCandidate && p.Round == r.round {
 		r.noteRestarted(from)
 		r.countVotes(now)
 	}
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -150,7 +150,7 @@
 	q := &wire.VoteRequest{Term: candidate.Term() + 1, Candidate: candidate.self.ID, LastTerm: last.Term, LastIndex: last.Index, PreVote: true, Round: 9}
 	asked.TakeMessages()
 	asked.Receive(candidate.self, &wire.Message{VoteRequest: q}, 0)
-	return asked.TakeMessages()[0].Message.VoteReply.Fresh
+	return asked.TakeMessages()[0].Message.VoteReply.Restarted
 }
 
 func TestOnlyOneCandidateCollectsAllRestartConfirmations(t *testing.T) {
--- a/control/replica/machine.go
+++ b/control/replica/machine.go
@@ -190,7 +190,7 @@
 func (r *Replica) TakeFullSave() *Save {
 	s := r.TakeSave()
 	if s == nil {
-		s = &Save{Sequence: r.sequence, Disk: r.disk}
+		s = &Save{Sequence: r.sequence, State: r.disk}
 	}
 	s.EntryChanged, s.VoteChanged, s.Entries = r.disk.Entry != nil, true, nil
 	if s.EntryChanged {
--- a/control/replica/machine_test.go
+++ b/control/replica/machine_test.go
@@ -120,7 +120,7 @@
 // finishWrite randomly lets the write in progress at the time a process stops reach its disk or not.
 func (s *sim) finishWrite(n *simNode) {
 	if s.machines != nil && n.writing != nil && s.random.IntN(2) == 0 {
-		n.journal, n.disk = n.journalAfter(n.writing), n.writing.Disk
+		n.journal, n.disk = n.journalAfter(n.writing), n.writing.State
 		s.finishedWrites++
 	}
 }
@@ -254,7 +254,7 @@
 	s := newSim(t, 1, 3)
 	entry := *s.nodes[0].disk.Entry
 	entry.Time = time.Minute
-	r := NewWithStateMachine(s.members[0], GroupConfig{Target: 3}, PersistentState{Entry: &entry}, &chainMachine{}, s.random, 4*time.Second)
+	r := NewWithStateMachine(s.members[0], GroupConfig{TargetSize: 3}, PersistentState{Entry: &entry}, &chainMachine{}, s.random, 4*time.Second)
 	assert.Equal(t, r.GroupTime(5*time.Second), time.Minute+time.Second)
 }
 
@@ -263,7 +263,7 @@
 func TestGroupTimeNeverFallsFromEntryToEntry(t *testing.T) {
 	s := newSim(t, 1, 3)
 	founded := s.nodes[0].disk.Entry
-	r := NewWithStateMachine(s.members[0], GroupConfig{Target: 3}, PersistentState{Entry: founded}, &chainMachine{}, s.random, 0)
+	r := NewWithStateMachine(s.members[0], GroupConfig{TargetSize: 3}, PersistentState{Entry: founded}, &chainMachine{}, s.random, 0)
 	step := &wire.Entry{Term: 1, Index: 2, After: founded.Position(), Time: 10 * time.Second}
 	first := &wire.Append{Term: 1, Leader: s.members[1].ID, Time: 10 * time.Second, Steps: []*wire.Entry{step}}
 	second := &wire.Append{Term: 2, Leader: s.members[2].ID, Time: 9 * time.Second}
@@ -300,7 +300,7 @@
 	s := newSim(t, 1, 3)
 	leader := s.members[1]
 	founded := s.nodes[0].disk.Entry
-	r := NewWithStateMachine(s.members[0], GroupConfig{Target: 3}, PersistentState{Entry: founded}, &chainMachine{}, s.random, 0)
+	r := NewWithStateMachine(s.members[0], GroupConfig{TargetSize: 3}, PersistentState{Entry: founded}, &chainMachine{}, s.random, 0)
 	step := &wire.Entry{Term: 1, Index: 2, After: founded.Position(), Commands: []byte("1/1")}
 	full := &wire.Entry{Term: 1, Index: 5, Members: founded.Members, Value: (&chainMachine{newest: "4/4"}).Snapshot()}
 	r.Receive(leader, &wire.Message{Append: &wire.Append{Term: 1, Leader: leader.ID, Steps: []*wire.Entry{step}}}, 0)
@@ -317,7 +317,7 @@
 	t.Helper()
 	s := newSim(t, 1, 3)
 	leader, newest, machine := s.members[1], s.nodes[0].disk.Entry, &chainMachine{}
-	r := NewWithStateMachine(s.members[0], GroupConfig{Target: 3}, PersistentState{Entry: newest}, machine, s.random, 0)
+	r := NewWithStateMachine(s.members[0], GroupConfig{TargetSize: 3}, PersistentState{Entry: newest}, machine, s.random, 0)
 	for index := newest.Index + 1; index <= newest.Index+uint64(count); index++ {
 		step := &wire.Entry{Term: 1, Index: index, After: r.Newest().Position(), Commands: command}
 		r.Receive(leader, &wire.Message{Append: &wire.Append{Term: 1, Leader: leader.ID, Steps: []*wire.Entry{step}}}, 0)
--- a/control/replica/members.go
+++ b/control/replica/members.go
@@ -49,10 +49,10 @@
 	if gone := r.wipedMember(now); gone != "" {
 		return without(members, gone), true
 	}
-	if len(members) > r.group.Target {
+	if len(members) > r.group.TargetSize {
 		return without(members, r.surplusMember(now)), true
 	}
-	wanted := len(members) < r.group.Target || r.replaceableMember(now) != ""
+	wanted := len(members) < r.group.TargetSize || r.replaceableMember(now) != ""
 	if !wanted {
 		return nil, false
 	}
--- a/control/replica/members_test.go
+++ b/control/replica/members_test.go
@@ -311,7 +311,7 @@
 // leader since.
 func TestLateRestartConfirmationDoesNotCount(t *testing.T) {
 	now := time.Duration(0)
-	group := GroupConfig{Target: 3, MemberTimeout: simMemberTimeout}
+	group := GroupConfig{TargetSize: 3, MemberTimeout: simMemberTimeout}
 	var members []wire.Member
 	for i := range 3 {
 		ip := fmt.Sprintf("10.0.0.%d", i+1)
@@ -324,11 +324,11 @@
 	now += 300 * time.Millisecond
 	r.startPreVote(now)
 	for _, m := range members[1:] {
-		r.Receive(m, &wire.Message{VoteReply: &wire.VoteReply{PreVote: true, Fresh: true, Round: first}}, now)
+		r.Receive(m, &wire.Message{VoteReply: &wire.VoteReply{PreVote: true, Restarted: true, Round: first}}, now)
 	}
 	assert.Equal(t, r.Role(), PreCandidate)
 	for _, m := range members[1:] {
-		r.Receive(m, &wire.Message{VoteReply: &wire.VoteReply{PreVote: true, Fresh: true, Round: r.round}}, now)
+		r.Receive(m, &wire.Message{VoteReply: &wire.VoteReply{PreVote: true, Restarted: true, Round: r.round}}, now)
 	}
 	assert.Equal(t, r.Role(), Candidate)
 }
@@ -338,11 +338,11 @@
 func TestRestartConfirmationOfAnEarlierRunDoesNotCount(t *testing.T) {
 	s := newSim(t, 1, 3)
 	members := s.members
-	group := GroupConfig{Target: 3, MemberTimeout: simMemberTimeout}
+	group := GroupConfig{TargetSize: 3, MemberTimeout: simMemberTimeout}
 	asked := New(members[1], group, PersistentState{Entry: FoundingEntry(members, nil)}, s.random, 0)
 	ask := &wire.VoteRequest{Term: 1, Candidate: members[0].ID, LastIndex: 1, PreVote: true, Round: 77}
 	asked.Receive(members[0], &wire.Message{VoteRequest: ask}, 0)
-	assert.Assert(t, asked.TakeMessages()[0].Message.VoteReply.Fresh)
+	assert.Assert(t, asked.TakeMessages()[0].Message.VoteReply.Restarted)
 	stand := &wire.VoteRequest{Term: 1, Candidate: members[0].ID, LastIndex: 1, Round: 78, RestartRound: 77}
 	heartbeat := &wire.Message{Append: &wire.Append{Term: 1, Leader: members[0].ID, Round: 1, RestartRound: 77}}
 
@@ -366,7 +366,7 @@
 	r.NoteLeaseParticipation()
 	ask := &wire.VoteRequest{Term: 1, Candidate: s.members[1].ID, LastIndex: 1, PreVote: true, Round: 9}
 	r.Receive(s.members[1], &wire.Message{VoteRequest: ask}, 0)
-	assert.Assert(t, !r.TakeMessages()[0].Message.VoteReply.Fresh)
+	assert.Assert(t, !r.TakeMessages()[0].Message.VoteReply.Restarted)
 }
 
 // A follower that has heard no leader for as long as an election takes reports none.
--- a/control/replica/replica.go
+++ b/control/replica/replica.go
@@ -64,7 +64,7 @@
 // Save is a request for a disk write. Sequence numbers rise; a newer Save includes the older ones.
 type Save struct {
 	Sequence     uint64
-	Disk         PersistentState
+	State        PersistentState
 	EntryChanged bool
 	VoteChanged  bool
 	// Entries lead from the last Save, or from a full entry, to State.Entry.
@@ -93,7 +93,7 @@
 
 // GroupConfig is a deployment's configuration of the group.
 type GroupConfig struct {
-	Target        int           // wanted number of members
+	TargetSize    int           // wanted number of members
 	MemberTimeout time.Duration // silence after which a member may be replaced, if another machine is ready
 	// Name sets the order in which members that have all just restarted stand for leader, so that groups with the
 	// same members prefer different leaders; "" orders members by identity.
@@ -218,7 +218,7 @@
 func (r *Replica) Term() uint64 { return r.disk.Term }
 
 // TargetSize returns the wanted number of members.
-func (r *Replica) Target() int { return r.group.Target }
+func (r *Replica) TargetSize() int { return r.group.TargetSize }
 
 // Leader returns the leader if it was heard so recently that no other one can have followed it unnoticed, else a zero
 // Member.
@@ -349,7 +349,7 @@
 	if vote {
 		r.voteSequence = r.sequence
 	}
-	r.pending = &Save{Sequence: r.sequence, Disk: r.disk, EntryChanged: entry, VoteChanged: vote}
+	r.pending = &Save{Sequence: r.sequence, State: r.disk, EntryChanged: entry, VoteChanged: vote}
 }
 
 // TakeSave returns the pending write; nil if there is none.
@@ -365,7 +365,7 @@
 // Saved reports that a write has reached the disk.
 func (r *Replica) Saved(s *Save, now time.Duration) {
 	r.savedSequence = max(r.savedSequence, s.Sequence)
-	r.durable = s.Disk.Entry.Position()
+	r.durable = s.State.Entry.Position()
 	kept := r.heldMessages[:0]
 	for _, h := range r.heldMessages {
 		if h.after <= r.savedSequence {
--- a/control/replica/sim_test.go
+++ b/control/replica/sim_test.go
@@ -121,7 +121,7 @@
 
 func (s *sim) start(n *simNode) {
 	n.started, n.leaveBy = s.now, 0
-	group := GroupConfig{Target: s.target, MemberTimeout: simMemberTimeout}
+	group := GroupConfig{TargetSize: s.target, MemberTimeout: simMemberTimeout}
 	if s.machines != nil {
 		s.replay(n)
 		n.origin = s.now - time.Duration(s.random.Int64N(int64(maxStartupTime)))
@@ -175,7 +175,7 @@
 	for _, n := range s.nodes {
 		if n.replica != nil && n.writing != nil && s.now >= max(n.doneAt, n.stalled) {
 			done := n.writing
-			n.disk, n.writing = done.Disk, nil
+			n.disk, n.writing = done.State, nil
 			n.journal = n.journalAfter(done)
 			n.replica.Saved(done, s.steadyNow(n))
 			s.flush(n)
--- a/control/scenarios_test.go
+++ b/control/scenarios_test.go
@@ -336,7 +336,7 @@
 // The largest configuration in the largest state must fit in a frame; otherwise neither it nor any later entry would
 // ever be replicated.
 func TestLargestOrderFitsInAFrame(t *testing.T) {
-	state := &store.State{Revision: 1 << 60, Body: make([]byte, maxOrderBytes), Orders: make([]store.Digest, 4096)}
+	state := &store.State{Revision: 1 << 60, Body: make([]byte, maxOrderBytes), AcceptedUpdates: make([]store.Digest, 4096)}
 	value, err := state.Encode()
 	assert.NilError(t, err)
 	members := make([]wire.Member, 16)
--- a/control/shards.go
+++ b/control/shards.go
@@ -47,7 +47,7 @@
 
 // message returns a message with a change. The whole table, which each new subscriber gets, is encoded once per offset.
 func (s *shard) message(change *wire.Hosts) *wire.Message {
-	if !change.Whole {
+	if !change.Full {
 		return &wire.Message{Hosts: change}
 	}
 	if s.whole == nil || s.whole.Hosts.At != change.At {
@@ -120,7 +120,7 @@
 	if n.replica.AwaitsLeader(now) && !q.Release {
 		return n.granter.Refuse(q)
 	}
-	reply := n.granter.Answer(q, now)
+	reply := n.granter.HandleRequest(q, now)
 	if reply.Granted {
 		n.replica.NoteLeaseParticipation()
 	}
@@ -197,7 +197,7 @@
 	enough := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
 	if holds && !s.began && now <= s.since+startWithin && s.holder.FollowsLongTenure(enough) {
 		s.began = true
-		s.limits.AddStart(now)
+		s.limits.AddStartAmount(now)
 	}
 }
 
@@ -243,9 +243,9 @@
 		return
 	}
 	grant := s.limits.Take(name, limit, quota.Request{Need: q.Need, Want: q.Want}, now)
-	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, ReplyTo: q.ReplyTo,
+	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number, Incarnation: q.Incarnation, ReplyTo: q.ReplyTo,
 		Granted: grant.Amount, Spare: grant.Spare, ValidMS: grant.Valid.Milliseconds(),
-		DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}})
+		DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.RetryAfter.Milliseconds()}})
 }
 
 // limitOf returns the limit that a request draws from, according to the committed configuration, and its bucket's name.
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -25,7 +25,7 @@
 // SaveTenures stores them on the simulated disk after a while, or not at all if the process ends before.
 func (p *nodeProcess) SaveTenures(t lease.LongTenures) {
 	w, m := p.world, p.machine
-	long := slices.Clone(t.Long)
+	long := slices.Clone(t.Resources)
 	w.delayed = append(w.delayed, delayed{w.now + time.Duration(1+w.random.IntN(30))*time.Millisecond, func() {
 		if m.node != p {
 			return
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -347,7 +347,7 @@
 	r.askAt = w.now + time.Duration(20+w.random.IntN(120))*time.Millisecond
 	r.number++
 	r.asked[r.number] = w.now
-	ask := &wire.QuotaRequest{Router: r.agent.machine.ip, Shard: hostlist.ShardOf("t"), Number: r.number, Tenant: "t", Need: 5, Want: 20, Life: r.life,
+	ask := &wire.QuotaRequest{Router: r.agent.machine.ip, Shard: hostlist.ShardOf("t"), Number: r.number, Tenant: "t", Need: 5, Want: 20, Incarnation: r.life,
 		Relay: w.random.IntN(4) == 0}
 	r.agent.agent.OnRouterMessage(r, &wire.Message{QuotaRequest: ask})
 }
@@ -395,7 +395,7 @@
 
 func (r *routerStub) onGrant(g *wire.QuotaGrant) {
 	w := r.agent.world
-	if g.Life != r.life {
+	if g.Incarnation != r.life {
 		w.counts.crossed++
 		return
 	}
--- a/control/simulation_parts_test.go
+++ b/control/simulation_parts_test.go
@@ -37,7 +37,7 @@
 			d.parts = make([]partDisk, coordinationParts)
 		}
 		kept := &d.parts[s.Part]
-		kept.term, kept.votedFor = s.Save.Disk.Term, s.Save.Disk.VotedFor
+		kept.term, kept.votedFor = s.Save.State.Term, s.Save.State.VotedFor
 		for _, e := range s.Save.Entries {
 			if !e.IsStep() {
 				kept.entries = nil
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -288,10 +288,10 @@
 func (w *world) cutShort(m *machine, s *replica.Save) {
 	kept := w.random.IntN(3)
 	if kept > 0 {
-		m.disk.state.Term, m.disk.state.VotedFor = s.Disk.Term, s.Disk.VotedFor
+		m.disk.state.Term, m.disk.state.VotedFor = s.State.Term, s.State.VotedFor
 	}
 	if kept > 1 {
-		m.disk.state = s.Disk
+		m.disk.state = s.State
 	}
 }
 
@@ -393,7 +393,7 @@
 	if p.writing != nil && w.now >= max(p.doneAt, m.stalled) {
 		s := p.writing
 		p.writing = nil
-		m.disk.state = s.Disk
+		m.disk.state = s.State
 		p.node.Saved(s)
 		p.node.Flush()
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -69,7 +69,7 @@
 		Spoilt: n.env.SpoiltDatagrams(), Dropped: n.dropped}
 	if entry := n.replica.Newest(); entry != nil {
 		s.Entry = entry.Index
-		s.Changing = n.replica.HasUncommitted() || len(entry.Members) < n.replica.Target()
+		s.Changing = n.replica.HasUncommitted() || len(entry.Members) < n.replica.TargetSize()
 		s.Borne = (len(entry.Members) - 1) / 2
 	}
 	if n.state != nil {
--- a/control/store/files.go
+++ b/control/store/files.go
@@ -115,24 +115,24 @@
 // Save writes what has changed. After an error it may be called again.
 func (d *DataDir) Save(s *replica.Save) error {
 	if s.VoteChanged {
-		if err := d.write(voteKind, vote{s.Disk.Term, s.Disk.VotedFor}); err != nil {
+		if err := d.write(voteKind, vote{s.State.Term, s.State.VotedFor}); err != nil {
 			return err
 		}
 	}
 	if s.EntryChanged {
-		return d.write(entryKind, s.Disk.Entry)
+		return d.write(entryKind, s.State.Entry)
 	}
 	return nil
 }
 
 // LongTenures returns the resources whose holder had a long tenure, from the newest file.
-func (d *DataDir) Tenures() (long []string, err error) {
+func (d *DataDir) LongTenures() (long []string, err error) {
 	_, err = d.newest(tenureKind, &long)
 	return long, err
 }
 
 // SaveLongTenures writes the resources whose holder had a long tenure.
-func (d *DataDir) SaveTenures(long []string) error { return d.write(tenureKind, long) }
+func (d *DataDir) SaveLongTenures(long []string) error { return d.write(tenureKind, long) }
 
 // Quarantine renames all files of a corrupt disk, so that none is read again but their content can be examined. Files
 // of an earlier quarantine are removed. The identity goes first: it must not be found again without the state that it
--- a/control/store/files_test.go
+++ b/control/store/files_test.go
@@ -23,7 +23,7 @@
 func save(t *testing.T, f *DataDir, term, index uint64) {
 	t.Helper()
 	disk := replica.PersistentState{Term: term, VotedFor: "a", Entry: &wire.Entry{Term: term, Index: index, Value: []byte("value")}}
-	assert.NilError(t, f.Save(&replica.Save{Disk: disk, EntryChanged: true, VoteChanged: true}))
+	assert.NilError(t, f.Save(&replica.Save{State: disk, EntryChanged: true, VoteChanged: true}))
 }
 
 func TestNewestVersionIsLoaded(t *testing.T) {
@@ -139,6 +139,6 @@
 		assert.NilError(t, err)
 		s = next
 	}
-	assert.Equal(t, len(s.Orders), maxRememberedUpdates)
+	assert.Equal(t, len(s.AcceptedUpdates), maxRememberedUpdates)
 	assert.Assert(t, s.Accepted(DigestOf(maxRememberedUpdates+4, []byte(strings.Repeat("x", (maxRememberedUpdates+4)%7)))))
 }
--- a/control/store/parts.go
+++ b/control/store/parts.go
@@ -55,7 +55,7 @@
 type PartsBatch struct {
 	// Full says that Saves holds everything that any part has to find again, so that older files are no longer
 	// needed.
-	Whole bool
+	Full  bool
 	Saves []PartSave
 }
 
@@ -104,7 +104,7 @@
 		return false, err
 	}
 	if begins {
-		err = d.beginJournal(body, b.Whole)
+		err = d.beginJournal(body, b.Full)
 	} else {
 		err = d.appendFrame(body)
 	}
@@ -114,7 +114,7 @@
 func recordsOf(b *PartsBatch) []partRecord {
 	records := make([]partRecord, 0, len(b.Saves))
 	for _, s := range b.Saves {
-		disk := s.Save.Disk
+		disk := s.Save.State
 		records = append(records, partRecord{Part: s.Part, Vote: vote{disk.Term, disk.VotedFor}, Entries: s.Save.Entries})
 	}
 	return records
@@ -124,7 +124,7 @@
 func (d *DataDir) beginsJournal(b *PartsBatch) (bool, error) {
 	j := &d.parts
 	switch {
-	case b.Whole:
+	case b.Full:
 		return true, nil
 	case j.unconfirmed && j.full:
 		return false, errNeedsFullBatch
--- a/control/store/parts_power_test.go
+++ b/control/store/parts_power_test.go
@@ -41,7 +41,7 @@
 	_, err := p.dir.SaveParts(b)
 	if err != nil {
 		p.failed++
-		if b.Whole {
+		if b.Full {
 			p.failedRotations++
 		}
 		return err
--- a/control/store/parts_test.go
+++ b/control/store/parts_test.go
@@ -63,20 +63,20 @@
 	newest := *next
 	newest.Members, newest.Fleet = before.Members, before.Fleet
 	p.disk.Entry = &newest
-	return &replica.Save{Disk: p.disk, EntryChanged: true, Entries: []*wire.Entry{next}}
+	return &replica.Save{State: p.disk, EntryChanged: true, Entries: []*wire.Entry{next}}
 }
 
 // vote moves a part to a new term.
 func (p *partState) vote(votedFor string) *replica.Save {
 	p.disk.Term, p.disk.VotedFor = p.disk.Term+1, votedFor
-	return &replica.Save{Disk: p.disk, VoteChanged: true}
+	return &replica.Save{State: p.disk, VoteChanged: true}
 }
 
 // full returns everything that a part has to find again.
 func (p *partState) full() *replica.Save {
 	e := *p.disk.Entry
 	e.After, e.Commands, e.Value = replica.Position{}, nil, p.machine.Snapshot()
-	return &replica.Save{Disk: p.disk, EntryChanged: true, VoteChanged: true, Entries: []*wire.Entry{&e}}
+	return &replica.Save{State: p.disk, EntryChanged: true, VoteChanged: true, Entries: []*wire.Entry{&e}}
 }
 
 func (p *partState) clone() partState {
@@ -103,7 +103,7 @@
 }
 
 func (p process) full() *PartsBatch {
-	b := &PartsBatch{Whole: true}
+	b := &PartsBatch{Full: true}
 	for part := range p {
 		b.Saves = append(b.Saves, PartSave{part, p[part].full()})
 	}
@@ -244,7 +244,7 @@
 func TestNewerEntryTermDropsAnOlderVote(t *testing.T) {
 	f := open(t, t.TempDir())
 	e := &wire.Entry{Term: 5, Index: 3}
-	mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, &replica.Save{Disk: replica.PersistentState{Term: 4, VotedFor: "b", Entry: e}, Entries: []*wire.Entry{e}}}}})
+	mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{0, &replica.Save{State: replica.PersistentState{Term: 4, VotedFor: "b", Entry: e}, Entries: []*wire.Entry{e}}}}})
 	p := loadedProcess(t, f)
 	assert.Equal(t, p[0].disk.Term, uint64(5))
 	assert.Equal(t, p[0].disk.VotedFor, "")
@@ -285,7 +285,7 @@
 	} {
 		f := open(t, t.TempDir())
 		disk := replica.PersistentState{Term: 2}
-		mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{c.part, &replica.Save{Disk: disk, Entries: c.entries}}}})
+		mustSaveParts(t, f, &PartsBatch{Saves: []PartSave{{c.part, &replica.Save{State: disk, Entries: c.entries}}}})
 		machines := newMachines()
 		_, err := loadWith(f, machines)
 		assert.ErrorIs(t, err, ErrCorrupt)
--- a/control/store/power_test.go
+++ b/control/store/power_test.go
@@ -238,7 +238,7 @@
 				d.opsLeft = d.random.IntN(12)
 			}
 			tried = replica.PersistentState{Term: version, VotedFor: "b", Entry: &wire.Entry{Term: version, Index: version, Value: make([]byte, d.random.IntN(200))}}
-			err := f.Save(&replica.Save{Disk: tried, EntryChanged: true, VoteChanged: true})
+			err := f.Save(&replica.Save{State: tried, EntryChanged: true, VoteChanged: true})
 			if err == nil {
 				done = tried
 				finished++
@@ -274,8 +274,8 @@
 func TestFullDiskKeepsItsContent(t *testing.T) {
 	d := newFaultyDisk(1)
 	f := openDir(d)
-	first := &replica.Save{Disk: replica.PersistentState{Term: 1, Entry: &wire.Entry{Term: 1, Index: 1}}, EntryChanged: true, VoteChanged: true}
-	second := &replica.Save{Disk: replica.PersistentState{Term: 2, Entry: &wire.Entry{Term: 2, Index: 2}}, EntryChanged: true, VoteChanged: true}
+	first := &replica.Save{State: replica.PersistentState{Term: 1, Entry: &wire.Entry{Term: 1, Index: 1}}, EntryChanged: true, VoteChanged: true}
+	second := &replica.Save{State: replica.PersistentState{Term: 2, Entry: &wire.Entry{Term: 2, Index: 2}}, EntryChanged: true, VoteChanged: true}
 	assert.NilError(t, f.Save(first))
 	d.noSpace = true
 	for range 10 {
--- a/control/store/state.go
+++ b/control/store/state.go
@@ -32,9 +32,9 @@
 
 // State is the replicated state of the configuration group.
 type State struct {
-	Revision int64    `cbor:"1,keyasint"` // 0 before the first configuration
-	Body     []byte   `cbor:"2,keyasint"` // configuration as the operator sent it
-	Orders   []Digest `cbor:"3,keyasint"` // accepted updates, oldest first
+	Revision        int64    `cbor:"1,keyasint"` // 0 before the first configuration
+	Body            []byte   `cbor:"2,keyasint"` // configuration as the operator sent it
+	AcceptedUpdates []Digest `cbor:"3,keyasint"` // accepted updates, oldest first
 }
 
 // Decode decodes a replicated value; an empty one is the state before the first configuration.
@@ -53,7 +53,7 @@
 func (s *State) Encode() ([]byte, error) { return cbor.Marshal(s) }
 
 // Accepted reports whether exactly this update was accepted before.
-func (s *State) Accepted(d Digest) bool { return slices.Contains(s.Orders, d) }
+func (s *State) Accepted(d Digest) bool { return slices.Contains(s.AcceptedUpdates, d) }
 
 // Next returns the state after an update to a configuration that was found valid. It fails with ErrConflict if base
 // isn't the current revision.
@@ -64,7 +64,7 @@
 	if revision <= s.Revision {
 		return nil, fmt.Errorf("revision %d is not above the current one, %d", revision, s.Revision)
 	}
-	updates := s.Orders[max(0, len(s.Orders)+1-maxRememberedUpdates):]
+	updates := s.AcceptedUpdates[max(0, len(s.AcceptedUpdates)+1-maxRememberedUpdates):]
 	updates = append(slices.Clone(updates), DigestOf(base, body))
-	return &State{Revision: revision, Body: body, Orders: updates}, nil
+	return &State{Revision: revision, Body: body, AcceptedUpdates: updates}, nil
 }
--- a/router/crossing_test.go
+++ b/router/crossing_test.go
@@ -160,7 +160,7 @@
 	s := &settings.Settings{NodeName: "n", IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 50}}
 	r := New(s, hclog.NewNullLogger())
 	r.takeConfig(&wire.Config{Revision: 1, Body: wire.Deflate([]byte(crossingConfig))})
-	whole := &wire.Hosts{Shard: hostlist.ShardOf("s"), At: wire.HostsOffset{Term: 1, Offset: 1}, Whole: true}
+	whole := &wire.Hosts{Shard: hostlist.ShardOf("s"), At: wire.HostsOffset{Term: 1, Offset: 1}, Full: true}
 	for _, h := range hosts {
 		whole.Updated = append(whole.Updated, wire.Host{ID: h.id, Service: "s", Address: h.listener.Addr().String(), Slots: 8})
 	}
--- a/router/limit/fleet_test.go
+++ b/router/limit/fleet_test.go
@@ -98,7 +98,7 @@
 		defer f.mu.Unlock()
 		f.owner = quota.NewOwner(f.now())
 		if start {
-			f.owner.AddStart(f.now())
+			f.owner.AddStartAmount(f.now())
 		}
 	})
 }
@@ -126,8 +126,8 @@
 		return
 	}
 	grant := f.owner.Take(q.Tenant, quota.LimitOf(f.tenant, &limitBounds), quota.Request{Need: q.Need, Want: q.Want}, f.now())
-	answer := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: grant.Amount, Spare: grant.Spare,
-		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}
+	answer := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Incarnation: q.Incarnation, Granted: grant.Amount, Spare: grant.Spare,
+		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.RetryAfter.Milliseconds()}
 	time.AfterFunc(oneWay, func() { l.Granted(answer) })
 }
 
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -158,7 +158,7 @@
 	f.Asked++
 	q := &question{shard: shard, asked: now, relayed: now < l.shards[shard].relayTill, answer: make(chan *wire.QuotaGrant, 1)}
 	q.held, q.until = a.ahead.TakeAll()
-	q.message = &wire.QuotaRequest{Router: l.router, Life: l.life, Shard: shard, Number: l.number, Tenant: d.subject.tenant,
+	q.message = &wire.QuotaRequest{Router: l.router, Incarnation: l.life, Shard: shard, Number: l.number, Tenant: d.subject.tenant,
 		Service: d.subject.service, Need: d.cost - q.held, Want: a.want(d.cost) - q.held, Relay: q.relayed}
 	l.waiting[l.number] = q.answer
 	return q, nil, 0
@@ -263,7 +263,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answer := l.waiting[g.Number]
-	if answer == nil || g.Router != l.router || g.Life != l.life {
+	if answer == nil || g.Router != l.router || g.Incarnation != l.life {
 		l.dropped++
 		return
 	}
--- a/router/limit/limiter_test.go
+++ b/router/limit/limiter_test.go
@@ -32,7 +32,7 @@
 
 // grantTo answers a question with an amount.
 func grantTo(q *wire.QuotaRequest, amount float64) *wire.QuotaGrant {
-	return &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: amount, Spare: amount / 10, ValidMS: 400}
+	return &wire.QuotaGrant{Router: q.Router, Number: q.Number, Incarnation: q.Incarnation, Granted: amount, Spare: amount / 10, ValidMS: 400}
 }
 
 func silence(*wire.QuotaRequest) *wire.QuotaGrant { return nil }
@@ -67,8 +67,8 @@
 func TestGrantToAnEarlierLifeOfTheRouterIsDropped(t *testing.T) {
 	o := newScriptedOwner()
 	o.answer = func(q *wire.QuotaRequest) *wire.QuotaGrant {
-		o.limiter.Granted(&wire.QuotaGrant{Router: "n", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life + 2})
-		o.limiter.Granted(&wire.QuotaGrant{Router: "other", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life})
+		o.limiter.Granted(&wire.QuotaGrant{Router: "n", Number: q.Number, Granted: 50, ValidMS: 400, Incarnation: q.Incarnation + 2})
+		o.limiter.Granted(&wire.QuotaGrant{Router: "other", Number: q.Number, Granted: 50, ValidMS: 400, Incarnation: q.Incarnation})
 		assert.Equal(t, len(o.limiter.waiting), 1, "a grant to somebody else was taken")
 		return grantTo(q, 5)
 	}
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -26,7 +26,7 @@
 	c, peer := pair(t)
 	other := NewConn(peer)
 	defer other.Close()
-	prepared := (&Message{Hosts: &Hosts{Shard: 1, Whole: true, Updated: []Host{{ID: "a", Draining: true}}}}).Prepare()
+	prepared := (&Message{Hosts: &Hosts{Shard: 1, Full: true, Updated: []Host{{ID: "a", Draining: true}}}}).Prepare()
 	for range 3 {
 		assert.Assert(t, c.Send(prepared))
 	}
--- a/wire/coordination.go
+++ b/wire/coordination.go
@@ -65,15 +65,15 @@
 
 // PartCall forwards a command to the leader of a part.
 type PartCall struct {
-	Number   uint64  `cbor:"1,keyasint"` // echoed by the reply
-	Life     uint64  `cbor:"2,keyasint"` // incarnation of the requesting process, echoed by the reply
-	WaitedMS int64   `cbor:"3,keyasint,omitempty"`
-	Command  Command `cbor:"4,keyasint"`
+	Number      uint64  `cbor:"1,keyasint"` // echoed by the reply
+	Incarnation uint64  `cbor:"2,keyasint"` // incarnation of the requesting process, echoed by the reply
+	WaitedMS    int64   `cbor:"3,keyasint,omitempty"`
+	Command     Command `cbor:"4,keyasint"`
 }
 
 // PartReply is the reply to a PartCall.
 type PartReply struct {
-	Number uint64 `cbor:"1,keyasint"`
-	Life   uint64 `cbor:"2,keyasint"`
-	Answer Answer `cbor:"3,keyasint"`
+	Number      uint64 `cbor:"1,keyasint"`
+	Incarnation uint64 `cbor:"2,keyasint"`
+	Answer      Answer `cbor:"3,keyasint"`
 }
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -117,11 +117,11 @@
 
 // VoteReply is the reply to a VoteRequest. Term is that of the request if the vote is granted, else the voter's own.
 type VoteReply struct {
-	Term    uint64 `cbor:"1,keyasint"`
-	Granted bool   `cbor:"2,keyasint,omitempty"`
-	PreVote bool   `cbor:"3,keyasint,omitempty"`
-	Fresh   bool   `cbor:"4,keyasint,omitempty"` // no leader heard since the start; the vote would be granted
-	Round   uint64 `cbor:"5,keyasint"`
+	Term      uint64 `cbor:"1,keyasint"`
+	Granted   bool   `cbor:"2,keyasint,omitempty"`
+	PreVote   bool   `cbor:"3,keyasint,omitempty"`
+	Restarted bool   `cbor:"4,keyasint,omitempty"` // no leader heard since the start; the vote would be granted
+	Round     uint64 `cbor:"5,keyasint"`
 }
 
 // Append is the leader's heartbeat; with Entry or Steps it also replicates.
@@ -169,12 +169,12 @@
 
 // LeaseRequest asks a member to grant or renew the lease of a resource.
 type LeaseRequest struct {
-	Resource string `cbor:"1,keyasint"`
-	Holder   string `cbor:"2,keyasint"`
-	Term     uint64 `cbor:"3,keyasint"` // fencing number of the holder
-	Round    uint64 `cbor:"4,keyasint"`
-	Release  bool   `cbor:"5,keyasint,omitempty"`
-	Life     uint64 `cbor:"6,keyasint"` // incarnation of the requesting process, echoed by the reply
+	Resource    string `cbor:"1,keyasint"`
+	Holder      string `cbor:"2,keyasint"`
+	Term        uint64 `cbor:"3,keyasint"` // fencing number of the holder
+	Round       uint64 `cbor:"4,keyasint"`
+	Release     bool   `cbor:"5,keyasint,omitempty"`
+	Incarnation uint64 `cbor:"6,keyasint"` // incarnation of the requesting process, echoed by the reply
 	// Members is a digest of the members among which the holder counts its quorum, as of the entry At; 0 if not
 	// given.
 	Members uint64   `cbor:"7,keyasint,omitempty"`
@@ -183,11 +183,11 @@
 
 // LeaseReply is the reply to a LeaseRequest. Term is the highest fencing number that the member knows.
 type LeaseReply struct {
-	Resource string `cbor:"1,keyasint"`
-	Granted  bool   `cbor:"2,keyasint,omitempty"`
-	Term     uint64 `cbor:"3,keyasint"`
-	Round    uint64 `cbor:"4,keyasint"`
-	Life     uint64 `cbor:"5,keyasint"`
+	Resource    string `cbor:"1,keyasint"`
+	Granted     bool   `cbor:"2,keyasint,omitempty"`
+	Term        uint64 `cbor:"3,keyasint"`
+	Round       uint64 `cbor:"4,keyasint"`
+	Incarnation uint64 `cbor:"5,keyasint"`
 	// ConfirmsLongTenure says that the previous holder had a long tenure, and that the member has confirmed this to
 	// no other holder since.
 	ConfirmsLongTenure bool `cbor:"6,keyasint,omitempty"`
@@ -232,7 +232,7 @@
 type Hosts struct {
 	Shard   uint32      `cbor:"1,keyasint"`
 	At      HostsOffset `cbor:"2,keyasint"` // position after this change, which applies to the preceding offset
-	Whole   bool        `cbor:"3,keyasint,omitempty"`
+	Full    bool        `cbor:"3,keyasint,omitempty"`
 	Updated []Host      `cbor:"4,keyasint,omitempty"`
 	Removed []string    `cbor:"5,keyasint,omitempty"`
 }
@@ -247,13 +247,13 @@
 // QuotaRequest asks the owner of a shard for part of a tenant's limit, in tokens or requests, or of a service's limit
 // on retries.
 type QuotaRequest struct {
-	Router string  `cbor:"1,keyasint"`
-	Shard  uint32  `cbor:"2,keyasint"`
-	Number uint64  `cbor:"3,keyasint"` // echoed by the grant
-	Tenant string  `cbor:"4,keyasint,omitempty"`
-	Need   float64 `cbor:"5,keyasint"` // for the request at hand
-	Want   float64 `cbor:"6,keyasint"` // including requests expected soon
-	Life   uint64  `cbor:"7,keyasint"` // incarnation of the router, echoed by the grant
+	Router      string  `cbor:"1,keyasint"`
+	Shard       uint32  `cbor:"2,keyasint"`
+	Number      uint64  `cbor:"3,keyasint"` // echoed by the grant
+	Tenant      string  `cbor:"4,keyasint,omitempty"`
+	Need        float64 `cbor:"5,keyasint"` // for the request at hand
+	Want        float64 `cbor:"6,keyasint"` // including requests expected soon
+	Incarnation uint64  `cbor:"7,keyasint"` // incarnation of the router, echoed by the grant
 	// Service is set instead of Tenant for retries of requests to its hosts.
 	Service string `cbor:"10,keyasint,omitempty"`
 	// Relay asks the agent on this machine to send the request through another machine's agent, as the owner didn't
@@ -269,7 +269,7 @@
 	Number       uint64  `cbor:"2,keyasint"`
 	Granted      float64 `cbor:"3,keyasint"`           // 0, or at least what was needed
 	RetryAfterMS int64   `cbor:"9,keyasint,omitempty"` // if nothing was granted, time until there is enough for such a request
-	Life         uint64  `cbor:"5,keyasint"`
+	Incarnation  uint64  `cbor:"5,keyasint"`
 	DelayMS      int64   `cbor:"10,keyasint,omitempty"` // time from the reply before which the amount may not be used
 	ValidMS      int64   `cbor:"6,keyasint,omitempty"`  // time for which it may be used, from the request plus the delay
 	Spare        float64 `cbor:"7,keyasint,omitempty"`  // amount that may be used in addition, while no owner answers
