--- a/balance/outlier/outlier.go
+++ b/balance/outlier/outlier.go
@@ -1,31 +1,31 @@
-// Package outlier is what one proxy knows of one host's health: an average of outcomes, a run of consecutive failures,
-// and an ejection with a growing, jittered backoff. It does no I/O; time and chance are handed in.
+// Package outlier tracks one host's health as one proxy sees it: an average of outcomes, a streak of consecutive failures,
+// and an ejection with a growing, jittered backoff. It does no I/O; callers pass in time and random numbers.
 package outlier
 
 import "time"
 
-// The figures of the design, see docs/design.md.
+// Parameters of outlier detection, see docs/design.md.
 const (
-	Alpha           = 0.3  // weight of the newest outcome in the health
-	Floor           = 0.05 // health never falls below it
-	ConsecutiveFail = 2    // failures in a row that eject
-	Jitter          = 0.2  // part of a backoff that is left to chance, either way
+	Alpha           = 0.3  // weight of the newest outcome in a host's health
+	Floor           = 0.05 // lower bound of the health
+	ConsecutiveFail = 2    // consecutive failures that eject a host
+	Jitter          = 0.2  // random fraction of a backoff, either way
 	FirstBackoff    = 5 * time.Second
 	LongestBackoff  = 30 * time.Second
-	Recovered       = 0.9 // health at which the backoff starts anew
-	doublings       = 10
+	Recovered       = 0.9 // health above which the backoff starts over
+	maxDoublings    = 10
 )
 
 // Record is one host's health as one proxy sees it.
 type Record struct {
 	Health    float64
 	Streak    int // consecutive failures
-	Ejections int // since it was last well
+	Ejections int // since the host last recovered
 	Ejected   bool
 	Until     time.Duration // end of the ejection
 }
 
-// Average gives the health after one more outcome.
+// Average returns the health after one more outcome.
 func Average(health float64, ok bool) float64 {
 	if health *= 1 - Alpha; ok {
 		health += Alpha
@@ -33,13 +33,13 @@
 	return max(Floor, health)
 }
 
-// Backoff gives how long an ejection lasts; chance is between 0 and 1.
-func Backoff(first time.Duration, ejections int, chance float64) time.Duration {
-	longest := min(LongestBackoff, first<<min(ejections, doublings))
-	return time.Duration(float64(longest) * (1 + Jitter*(2*chance-1)))
+// Backoff returns the duration of an ejection after that many earlier ones; random is a random number between 0 and 1.
+func Backoff(first time.Duration, ejections int, random float64) time.Duration {
+	backoff := min(LongestBackoff, first<<min(ejections, maxDoublings))
+	return time.Duration(float64(backoff) * (1 + Jitter*(2*random-1)))
 }
 
-// Success takes an attempt that went well.
+// Success records an attempt that succeeded.
 func (r *Record) Success() {
 	if r.Streak = 0; r.Health > Recovered {
 		r.Ejections = 0
@@ -48,20 +48,20 @@
 	r.Ejected = false
 }
 
-// Failure takes an attempt that failed, and ejects after enough in a row. It reports whether it did.
-func (r *Record) Failure(first time.Duration, chance float64, now time.Duration) bool {
+// Failure records an attempt that failed, and ejects the host after enough consecutive ones. It reports whether it did.
+func (r *Record) Failure(first time.Duration, random float64, now time.Duration) bool {
 	r.Health = Average(r.Health, false)
 	r.Streak++
 	if r.Ejected && now < r.Until || r.Streak < ConsecutiveFail {
 		return false
 	}
-	r.Ejected, r.Until = true, now+Backoff(first, r.Ejections, chance)
+	r.Ejected, r.Until = true, now+Backoff(first, r.Ejections, random)
 	r.Ejections++
 	return true
 }
 
-// Out says whether the host is ejected at now.
+// Out reports whether the host is ejected at now.
 func (r *Record) Out(now time.Duration) bool { return r.Ejected && now < r.Until }
 
-// Trial says whether an ejection has ended and no attempt has gone well since: one more failure ejects again.
+// Trial reports whether an ejection has ended and no attempt has succeeded since: one more failure ejects again.
 func (r *Record) Trial(now time.Duration) bool { return r.Ejected && now >= r.Until }
--- a/balance/outlier/outlier_test.go
+++ b/balance/outlier/outlier_test.go
@@ -29,7 +29,7 @@
 	assert.Assert(t, r.Out(5*second-1) && !r.Out(5*second) && r.Trial(5*second))
 }
 
-func TestBackoffGrowsToItsCapAndStartsAnew(t *testing.T) {
+func TestBackoffGrowsToItsMaximumAndResets(t *testing.T) {
 	r, now := Record{Health: 1}, time.Duration(0)
 	r.Failure(5*second, 0.5, now)
 	for _, want := range []time.Duration{5, 10, 20, 30, 30} {
@@ -45,11 +45,11 @@
 	assert.Equal(t, r.Until-now, 5*second)
 }
 
-func TestFailuresWhileOutChangeNothingButHealth(t *testing.T) {
+func TestFailuresDuringAnEjectionOnlyChangeHealth(t *testing.T) {
 	r := Record{Health: 1}
 	r.Failure(5*second, 0.5, 0)
 	r.Failure(5*second, 0.5, 0)
-	assert.Assert(t, !r.Failure(5*second, 0.5, second), "one that was out before the ejection")
+	assert.Assert(t, !r.Failure(5*second, 0.5, second), "an attempt that was started before the ejection")
 	assert.Equal(t, r.Until, 5*second)
 }
 
--- a/balance/state.go
+++ b/balance/state.go
@@ -1,82 +1,82 @@
 package balance
 
-// This file owns the records of what an instance knows: dispatches, reqs, servers and scopes. It must never
-// decide anything.
-
 import (
 	"slices"
 
 	"ivybank/internal/fade"
 )
 
-// dispatch is one attempt for a req.
+// The types of this file record what an instance knows; they make no decisions.
+
+// dispatch is one attempt to run a request at a server.
 type dispatch struct {
-	req        *req
-	srv        *server
-	sent       int64
-	rank       float64 // this balancer's dispatches at the server, itself counted
-	out, maybe bool    // still out; may have run
-	rested     int     // how long its connection had rested, 0: not
-	counts     bool    // in flight: its body is whole, its answer not begun
-	passed     bool    // its answer has begun
+	request           *request
+	server            *server
+	sentAt            int64
+	inflightRank      float64 // this balancer's dispatches in flight at the server, itself included
+	pending, maybeRan bool    // not finished yet; may have run at the server
+	idleStep          int     // for how long its connection was idle, in doubling steps; 0: not idle
+	inFlight          bool    // its body is complete, its answer has not begun
+	answering         bool    // its answer has begun
 }
 
-// req is one request; it is dropped once it has ended and nothing of it is out.
-type req struct {
+// request is one request; it is dropped once it has ended and has no dispatch pending.
+type request struct {
 	Arrival
-	rules            *RuleSet
-	in               *scope
-	taken, giveUp    int64
-	until            int64   // the end of its client's wait, as far as it is told
-	value, luck      float64 // luck: a random number below 1
-	sends            []*dispatch
-	tenant, outs     int
-	ended, streaming bool
-	odd              int          // errors of servers that were well
-	most             int          // dispatches that its terms allow
-	order            string       // what its order of servers goes by, where it isn't the key
-	from             []*fade.Odds // its key and its tenant, as far as told
+	rules               *RuleSet
+	placement           *placement
+	arrivedAt, giveUpAt int64
+	clientDeadline      int64   // end of the client's wait, as far as it is told
+	value, random       float64 // random: a random number between 0 and 1
+	dispatches          []*dispatch
+	tenant, pending     int // index of the tenant, -1 if unknown; number of pending dispatches
+	ended, streaming    bool
+	healthyErrors       int          // errors from servers without a current failure
+	maxDispatches       int          // by the terms it arrived under
+	rankKey             string       // key of its server ranking, if other than Key
+	sources             []*fade.Odds // outcomes of its key and its tenant, if it has them
 }
 
-// server is what this balancer knows of one listed server; tend drops it when off the list and idle.
+// server is what this balancer knows of one listed server; it is dropped when off the list and idle.
 type server struct {
 	Server
-	known, ejected, silent bool // known: still on the list
-	health                 float64
-	streak, ejections      int
-	until, answered, used  int64       // end of the ejection; last answer; last outcome
-	started                int64       // at the latest
-	full                   int64       // turned a req away until then
-	out                    []*dispatch // oldest first
-	unit, lat              float64     // time for each place in flight, and of an answer; 0: not measured
-	grow                   float64     // in-flight cap that grows with answers
-	cold, ready, score     float64     // part of its capacity by age; weight and score now
-	size, ease             float64     // what it can bear beside others; mean listed weight of late
-	left                   float64     // part that reqs of placed rule sets, which have no other servers, leave
-	blips                  float64     // part of its answers that followed a failure, which they refute
+	listed, ejected, silent                 bool // listed: still on the list
+	health                                  float64
+	streak, ejections                       int
+	ejectedUntil, answeredAt, lastOutcomeAt int64
+	startedAt                               int64       // at the latest
+	fullUntil                               int64       // it refused a request: it gets none until then
+	inflight                                []*dispatch // oldest first
+	slotTime, latency                       float64     // mean time per in-flight slot and per answer; 0: not measured
+	inflightCap                             float64     // grows with answers
+	rampShare, weight, score                float64     // fraction of its capacity by age; current weight and score
+	size, avgWeight                         float64     // capacity relative to other servers; mean of recent listed shares
+	leftShare                               float64     // fraction left by restricted rule sets, which have no other servers
+	refutedShare                            float64     // fraction of its answers that followed a failure and so refute it
 }
 
-// scope is what all servers open to reqs of one placement come to. Where no rule set is placed there is one.
-type scope struct {
-	rules        *RuleSet   // one of that placement
-	total, whole float64    // ready now; of late, over the span of rates, ejected and silent ones too
-	sent, served fade.Count // first dispatches and answers
-	unit         float64    // mean time for each place
-	healthy      int        // servers that are not ejected
-	dazed        bool       // there are none
+// placement sums up the servers that are open to the requests of one set of zones and kinds. Without restricted
+// rule sets there is only one placement.
+type placement struct {
+	rules                    *RuleSet   // one rule set of that placement
+	readyWeight, totalWeight float64    // current weight in use; decaying mean, with ejected and silent servers
+	firstDispatches, answers fade.Count // decaying counts
+	slotTime                 float64    // mean time per in-flight slot
+	healthy                  int        // number of servers that are not ejected
+	panicMode                bool       // all servers are ejected: requests are spread over all of them
 }
 
-// scope finds that of a rule set's placement, the placed ones first.
-func (b *Balancer) scope(x *RuleSet) *scope {
-	i := slices.IndexFunc(b.scopes, func(c *scope) bool {
-		return slices.Equal(c.rules.Zones, x.Zones) && slices.Equal(c.rules.Kinds, x.Kinds)
+// placementOf returns the placement of a rule set; restricted ones come first in the list.
+func (b *Balancer) placementOf(x *RuleSet) *placement {
+	i := slices.IndexFunc(b.placements, func(p *placement) bool {
+		return slices.Equal(p.rules.Zones, x.Zones) && slices.Equal(p.rules.Kinds, x.Kinds)
 	})
 	if i < 0 {
-		if i = 0; !x.placed() {
-			i = len(b.scopes)
+		if i = 0; !x.restricted() {
+			i = len(b.placements)
 		}
-		b.scopes = slices.Insert(b.scopes, i, &scope{rules: x})
-		b.weigh(b.weighed)
+		b.placements = slices.Insert(b.placements, i, &placement{rules: x})
+		b.computeWeights(b.weighedAt)
 	}
-	return b.scopes[i]
+	return b.placements[i]
 }
--- a/balance/types.go
+++ b/balance/types.go
@@ -2,41 +2,41 @@
 
 import "slices"
 
-// Effect says whether a req may run more than once.
+// Effect says whether a request may run more than once.
 type Effect int
 
-// The three kinds of effect.
+// The effects of a rule set's requests.
 const (
 	Replayable    Effect = iota // may run again
-	Uniqued                     // a repeat is dropped inside its group and window
+	Uniqued                     // servers drop a repeat within their group and window
 	NonReplayable               // must never run twice
 )
 
-// Group names the servers that drop a repeat of a uniqued req.
+// Group names the servers that share their record of seen requests and so drop a repeat.
 type Group int
 
-// The groups of a uniqued rule set.
+// The groups of a deduplicated rule set.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// RuleSet is one class of reqs. Times are nanoseconds.
+// RuleSet describes one class of requests. Times are in ns.
 type RuleSet struct {
 	Name           string
 	Effect         Effect
 	Group          Group
-	Window         int64
+	Window         int64 // time for which a repeat is dropped
 	ResponseTarget int64
 	BillingValue   float64
-	OverdueValue   float64  // share of the billing value that is left past the response target
+	OverdueValue   float64  // fraction of the billing value that is left past the response target
 	Zones, Kinds   []string // the only zones and kinds of machine that may run it; empty: any
 }
 
-func (x *RuleSet) placed() bool { return len(x.Zones)+len(x.Kinds) > 0 }
+func (x *RuleSet) restricted() bool { return len(x.Zones)+len(x.Kinds) > 0 }
 
-// Placed says whether a server may run the rule set's reqs.
+// Placed reports whether a server may run the rule set's requests.
 func (x *RuleSet) Placed(s *Server) bool {
 	return (len(x.Zones) == 0 || slices.Contains(x.Zones, s.Zone)) &&
 		(len(x.Kinds) == 0 || slices.Contains(x.Kinds, s.Kind))
@@ -48,38 +48,38 @@
 	Share float64
 }
 
-// Terms is what an instance is told at its start, as far as it is read.
+// Terms are the settings of an instance, as far as the module uses them. Times are in ns.
 type Terms struct {
 	Seed          uint64
 	Zone          string
 	RuleSets      []RuleSet
 	Tenants       []Tenant
 	Copies        int // balancers of this fleet
-	Beside        int // further processes of this balancer that live now: new servers begin with their part of the cap
+	Beside        int // further live processes of this balancer: the cap of new servers is divided among all of them
 	MaxDispatches int
-	Parallel      bool // a second dispatch may be out at the same time
+	Parallel      bool // a second dispatch may run at the same time
 	CanCancel     bool
-	MaxAdvice     int64 // the longest wait that a client honours, 0 where none is advised
-	Live          bool  // listed weights move with load
-	MustAsk       bool  // the list arrives only when asked for
-	AskWithin     int64
+	MaxAdvice     int64 // longest wait that a client honours, 0 if none is advised
+	Live          bool  // listed shares follow load
+	MustAsk       bool  // the server list arrives only on request
+	AskWithin     int64 // longest time between requests for the list without a subscription
 	StartCapacity float64
 	RampTime      int64
-	Overload      float64 // times its capacity of the moment that pushes a cold server over
-	FallTime      int64   // when sent for so long; 0: not told
+	Overload      float64 // load, as a multiple of its current capacity, at which a cold server fails
+	FallTime      int64   // for how long that load has to last; 0: unknown
 	CrossPrice    float64 // points for each dispatch that crosses zones
-	Tail          float64 // weight of the part of the score that late answers cost and early denials do not
-	WastePrice    float64 // points for work that served no answer, as much as was asked for
+	Tail          float64 // weight of the part of the score that late answers reduce and early denials do not
+	WastePrice    float64 // points for work that served no answer, of the amount that was asked for
 	Tick          int64
-	WarmKeys      bool    // a server does less for a key that it met lately
-	TailMiss      float64 // share of reqs that may miss their response target before that part is less
+	WarmKeys      bool    // a server needs less work for a key that it saw recently
+	TailMiss      float64 // fraction of requests that may miss their response target before that part is reduced
 	Held          int     // answers that clients may be reading at a time, 0: no limit
-	BudgetError   int64   // told budgets are this much off at the most, either way; 0: clocks agree
-	StartError    int64   // and told starts of servers
-	GoneIsAdvice  bool    // one that is gone without having drained may still be sent to
+	BudgetError   int64   // largest error of reported budgets, either way; 0: clocks agree
+	StartError    int64   // largest error of reported start times of servers
+	GoneIsAdvice  bool    // a server that is gone without having drained may still be sent to
 }
 
-// RuleSet finds one by its name; nil where there is none.
+// RuleSet returns the rule set of that name, nil if there is none.
 func (t *Terms) RuleSet(name string) *RuleSet {
 	i := slices.IndexFunc(t.RuleSets, func(x RuleSet) bool { return x.Name == name })
 	if i < 0 {
@@ -88,12 +88,12 @@
 	return &t.RuleSets[i]
 }
 
-// Tenant finds the place of one by its name; -1 where there is none.
+// Tenant returns the index of the tenant of that name, -1 if there is none.
 func (t *Terms) Tenant(name string) int {
 	return slices.IndexFunc(t.Tenants, func(x Tenant) bool { return x.Name == name })
 }
 
-// State is where a listed server stands.
+// State is the life cycle state of a listed server.
 type State int
 
 // The states of a listed server.
@@ -103,32 +103,32 @@
 	Gone
 )
 
-// Server is one entry of the list.
+// Server is one entry of the server list.
 type Server struct {
 	ID    string
 	Zone  string
-	Kind  string
+	Kind  string // kind of machine
 	Cell  int64
 	State State
-	Share float64
-	Since int64 // clock time of its latest start, 0 when long past
+	Share float64 // weight relative to other servers
+	Since int64   // time of its latest start in ns, 0 when long past
 }
 
-// Form says how a list message changes the list.
+// Form says how a list message changes the server list.
 type Form int
 
 // The forms of a list message.
 const (
-	Changes Form = iota
-	Whole
-	Restored
-	Unavailable
+	Changes     Form = iota // entries that changed
+	Whole                   // the whole list
+	Restored                // the whole list, from an initial or stored copy: there is no subscription yet
+	Unavailable             // no list: the request for it failed
 )
 
 // Outcome is how a dispatch ended.
 type Outcome int
 
-// The outcomes. Refused, NoConnection and NotSent prove that the req never ran.
+// The outcomes. Refused, NoConnection and NotSent prove that the request never ran.
 const (
 	Served Outcome = iota
 	Errored
@@ -141,27 +141,27 @@
 	Unknown
 )
 
-// Arrival is a req as it was taken.
+// Arrival is a request as it was accepted. Times are in ns.
 type Arrival struct {
 	ID      uint64
 	RuleSet string
 	Tenant  string
 	Key     string
 	Budget  int64 // time left before the client gives up this try
-	Work    int64 // expected work, 0 when not told
-	Open    bool  // its body is still coming: its time counts from Whole
-	Shed    bool  // all balancers together deny its like: it is denied at once,
-	Back    int64 // and its client advised to wait so long, 0: as ever
+	Work    int64 // expected work, 0 if unknown
+	Open    bool  // its body is still arriving: its time starts with Whole
+	Shed    bool  // the balancers have agreed to deny requests like it: it is denied at once
+	Back    int64 // wait advised to the client of a shed request, 0: the default
 }
 
-// Advice is what other balancers' word comes to. It only ever makes this one more careful; none is the zero value.
+// Advice is the combined advice of the other balancers. It can only restrict this one; the zero value is no advice.
 type Advice struct {
-	Bounded bool               // dispatches beyond a req's first are bounded:
-	Further int                // so many may go until the next advice
-	Wary    map[string]float64 // part of its share that a server gets for now
+	Bounded bool               // dispatches beyond the first of a request are limited
+	Further int                // number of them until the next advice
+	Wary    map[string]float64 // by server ID, the fraction of its share that the server gets for now
 }
 
-// Kind is what a Decision asks of the host.
+// Kind is the action that a Decision asks of the host.
 type Kind int
 
 // The kinds of decision.
@@ -177,12 +177,12 @@
 	Log
 )
 
-// Decision is one thing for the host to do. Only the fields of its kind are set.
+// Decision is one action for the host. Only the fields of its kind are set.
 type Decision struct {
 	Kind    Kind
 	Req     uint64
 	Server  string
 	Attempt int   // Cancel, Limit
-	Time    int64 // Dispatch, Limit: abandon then; Deny: advised wait; Wake: wait
+	Time    int64 // Dispatch, Limit: deadline; Deny: advised wait; Wake: time to wait
 	Text    string
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost runs the decisions on the simulator's wire, from standard input to standard output.
+// Command simhost connects package balance to the simulator: it reads events of the simulator's wire protocol from
+// standard input and writes decisions to standard output.
 package main
 
 import (
--- a/internal/fade/keys.go
+++ b/internal/fade/keys.go
@@ -6,57 +6,59 @@
 	"ivybank/internal/draw"
 )
 
-// Keys counts what comes with each key, in a table of fixed size: keys that share a place count together.
+// Keys counts events by key in a hash table of fixed size; keys with the same table index are counted together.
 type Keys struct {
-	at  [1024]Count
-	all Count
+	counts [1024]Count
+	all    Count
 }
 
-// Add counts one more of a key and gives the part of all that it surely has: two standard deviations under its count.
+// Add counts one event of a key. It returns a lower estimate of the key's fraction of all events: two standard
+// deviations below its count.
 func (k *Keys) Add(key string, now, span int64) float64 {
-	c := &k.at[int(draw.Hash(key, "")*float64(len(k.at)))]
+	c := &k.counts[int(draw.Hash(key, "")*float64(len(k.counts)))]
 	c.Add(now, span)
 	k.all.Add(now, span)
 	return max(0, c.N-2*math.Sqrt(c.N)) / k.all.N
 }
 
-// Part is one place of a table of keys, as it is handed on.
+// Part is one entry of the table, as it is stored and passed on.
 type Part struct {
 	_     struct{} `cbor:",toarray"`
-	Place int
+	Place int      // table index
 	N     float64
 }
 
-// Parts gives the places that count.
+// Parts returns the entries with a count of at least one.
 func (k *Keys) Parts(now, span int64) (all []Part) {
-	for i := range k.at {
-		if n := k.at[i].Now(now, span); n >= 1 {
+	for i := range k.counts {
+		if n := k.counts[i].Now(now, span); n >= 1 {
 			all = append(all, Part{Place: i, N: n})
 		}
 	}
 	return all
 }
 
-// Recall counts parts that were handed on, on top of what is there. Those of another form are left out.
+// Recall adds exported entries to the table. Entries that are out of range are ignored.
 func (k *Keys) Recall(parts []Part, now int64) {
 	for _, p := range parts {
-		if p.Place >= 0 && p.Place < len(k.at) && p.N > 0 && p.N < 1e9 {
-			k.at[p.Place] = Count{N: k.at[p.Place].N + p.N, At: max(now, k.at[p.Place].At)}
+		if p.Place >= 0 && p.Place < len(k.counts) && p.N > 0 && p.N < 1e9 {
+			k.counts[p.Place] = Count{N: k.counts[p.Place].N + p.N, At: max(now, k.counts[p.Place].At)}
 			k.all = Count{N: k.all.N + p.N, At: max(now, k.all.At)}
 		}
 	}
 }
 
-// Mean is the mean of the latest values.
+// Mean is a running mean of recent values.
 type Mean struct{ V, n float64 }
 
-// Add takes one more: in the long run each counts a hundredth.
+// Add adds a value: it is the plain mean of up to 100 values, after which each new one weighs a hundredth.
 func (m *Mean) Add(x float64) {
 	m.n = min(m.n+1, 100)
 	m.V += (x - m.V) / m.n
 }
 
-// Toward moves a measured value a tenth towards the newest one. Where nothing was known that is all there is.
+// Toward is an exponential moving average: it moves a value a tenth of the way to the newest one, or replaces it if it was
+// not known.
 func Toward(old, newest float64, known bool) float64 {
 	if !known {
 		return newest
--- a/internal/fade/keys_test.go
+++ b/internal/fade/keys_test.go
@@ -9,10 +9,11 @@
 func TestKeys(t *testing.T) {
 	const span = int64(1e10)
 	var k Keys
-	// A few looks at a key say nothing of it: hundreds of balancers took a key met twice in twenty for fifty servers' worth.
+	// A few events of a key must not count as evidence: hundreds of balancers took a key that they saw twice in twenty
+	// requests for one that needs fifty servers.
 	for i := range 20 {
 		if got := k.Add(fmt.Sprint("key-", i/4), int64(i), span); got != 0 {
-			t.Fatalf("look %d: part %.2f, want none yet", i, got)
+			t.Fatalf("event %d: fraction %.2f, want 0 so far", i, got)
 		}
 	}
 	k = Keys{}
@@ -27,10 +28,10 @@
 		}
 	}
 	if got < 0.2 || got > 0.25 {
-		t.Errorf("part %.3f of a key that has a quarter", got)
+		t.Errorf("fraction %.3f for a key that has a quarter", got)
 	}
 	if n := k.all.Now(10000*1e6, span); n > 10000 {
-		t.Errorf("%v counted, want them to fade", n)
+		t.Errorf("count is %v, want it to decay", n)
 	}
 }
 
@@ -40,15 +41,15 @@
 		m.Add(x)
 	}
 	if m.V != 3 {
-		t.Errorf("got %v, want the mean of what came", m.V)
+		t.Errorf("got %v, want the mean of the values", m.V)
 	}
 	for range 1000 {
 		m.Add(7)
 	}
 	if math.Abs(m.V-7) > 0.01 {
-		t.Errorf("got %v, want the latest values to count", m.V)
+		t.Errorf("got %v, want it to follow the latest values", m.V)
 	}
 	if Toward(1, 3, false) != 3 || math.Abs(Toward(1, 3, true)-1.2) > 1e-9 {
-		t.Error("what was not known is not replaced, or what was known is")
+		t.Error("an unknown value was not replaced, or a known one was")
 	}
 }
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,4 +1,4 @@
-// Package figures serves what a process counts of itself over HTTP, in the text format of Prometheus.
+// Package figures serves the metrics of a process over HTTP, in the Prometheus text format.
 package figures
 
 import (
@@ -16,36 +16,37 @@
 	headerTimeout = 10 * time.Second
 )
 
-// Writer writes all figures of a process. The context ends with the request for them.
+// Writer writes all metrics of a process. The context ends with the request for them.
 type Writer func(ctx context.Context, w io.Writer)
 
-// Handler serves the figures at one path alone, taken as it stands.
+// Handler serves the metrics at exactly this path, without cleaning the path of a request.
 func Handler(path string, write Writer) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.URL.Path != path {
-			http.NotFound(w, q)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path != path {
+			http.NotFound(w, r)
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		write(q.Context(), w)
+		write(r.Context(), w)
 	})
 }
 
-type nothing struct{}
+type noopCloser struct{}
 
-func (nothing) Close() error { return nil }
+func (noopCloser) Close() error { return nil }
 
-// Serve serves the figures at an address of this machine until it is closed. place is PORT/PATH, or empty for nowhere.
-func Serve(ip, place string, write Writer) (io.Closer, error) {
-	if place == "" {
-		return nothing{}, nil
+// Serve serves the metrics at an address of this machine until the result is closed. The endpoint is PORT/PATH; if it is
+// empty, nothing is served.
+func Serve(ip, endpoint string, write Writer) (io.Closer, error) {
+	if endpoint == "" {
+		return noopCloser{}, nil
 	}
-	port, path, _ := strings.Cut(place, "/")
+	port, path, _ := strings.Cut(endpoint, "/")
 	listener, err := net.Listen("tcp4", net.JoinHostPort(ip, port))
 	if err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	server := &http.Server{Handler: Handler("/"+path, write), ReadHeaderTimeout: headerTimeout}
-	go func() { _ = server.Serve(listener) }() // ends with the listener
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	return server, nil
 }
--- a/internal/form/form.go
+++ b/internal/form/form.go
@@ -1,19 +1,19 @@
-// Package form has the strict reading and the one way of writing CBOR that all of the project's forms share. It owns what no form may hold:
-// doubled keys, lengths left open, tags. It must never know what is in one.
+// Package form provides the CBOR encoding that all formats of the project share: a deterministic encoder, and a strict
+// decoder that rejects duplicate map keys, indefinite lengths and tags. It must not depend on any particular format.
 package form
 
 import "github.com/fxamacker/cbor/v2"
 
-// Modes gives a writer and a reader; limits may bound the reader further.
+// Modes returns an encoder and a decoder; limits may restrict the decoder further.
 func Modes(limits cbor.DecOptions) (cbor.EncMode, cbor.DecMode) {
-	e, err := cbor.CoreDetEncOptions().EncMode()
+	encoder, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
 	limits.DupMapKey, limits.IndefLength, limits.TagsMd = cbor.DupMapKeyEnforcedAPF, cbor.IndefLengthForbidden, cbor.TagsForbidden
-	d, err := limits.DecMode()
+	decoder, err := limits.DecMode()
 	if err != nil {
 		panic(err)
 	}
-	return e, d
+	return encoder, decoder
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,4 +1,4 @@
-// Package process starts the programs of a fleet alike: settings, log, signals and exit status.
+// Package process is the common start of the fleet's programs: settings, log, signals and exit status.
 package process
 
 import (
@@ -14,13 +14,13 @@
 	"ivybank/settings"
 )
 
-// exitUsage is the status after bad settings or a bad command line.
+// exitUsage is the exit status after invalid settings or an invalid command line.
 const exitUsage = 2
 
-// Program runs until its context ends. Settings that are read again after SIGHUP come over reloads.
+// Program runs until its context ends. It receives the settings that are loaded again after SIGHUP from reloads.
 type Program func(ctx context.Context, s *settings.Settings, reloads <-chan *settings.Settings, log hclog.Logger) error
 
-// Main runs a command line and exits with one plain line where it is wrong.
+// Main runs a command line. On an error it prints one line to stderr and exits.
 func Main(root *cli.Command) {
 	if err := root.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", root.Name, err)
@@ -28,7 +28,7 @@
 	}
 }
 
-// Action makes a command's action of a program, which ends with SIGTERM or SIGINT.
+// Action turns a program, which ends on SIGTERM or SIGINT, into the action of a command.
 func Action(run Program) cli.ActionFunc {
 	return func(ctx context.Context, _ *cli.Command) error {
 		reloads := make(chan *settings.Settings, 1)
@@ -46,7 +46,7 @@
 	}
 }
 
-// reload reads the settings again at each SIGHUP. Bad ones give a warning, and the old stay.
+// reload loads the settings again at each SIGHUP. It logs a warning if they are invalid, and the old ones stay in use.
 func reload(ctx context.Context, hangup <-chan os.Signal, reloads chan<- *settings.Settings, log hclog.Logger) {
 	for {
 		select {
@@ -56,12 +56,12 @@
 		}
 		s, err := settings.Load(settings.Path())
 		if err != nil {
-			log.Warn("settings not taken", "error", err)
+			log.Warn("settings not reloaded; the previous settings stay in use", "error", err)
 			continue
 		}
 		select {
 		case reloads <- s:
-		default: // the program reads none, or has one waiting
+		default: // the program takes no new settings, or has some waiting
 		}
 	}
 }
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -1,4 +1,4 @@
-// Package tcp sets what the standard library doesn't on TCP connections.
+// Package tcp sets TCP socket options that the standard library does not offer.
 package tcp
 
 import (
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SetUserTimeout bounds how long sent bytes may stay unacknowledged before the connection fails. Connections that are
-// no TCP stay as they are.
+// SetUserTimeout bounds how long sent bytes may stay unacknowledged before the connection fails. It does nothing to
+// connections other than TCP.
 func SetUserTimeout(conn net.Conn, limit time.Duration) {
 	raw, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/rehearse/simwire/simwire.go
+++ b/rehearse/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire: it reads batches of events, hands the fields to one
-// balance.Balancer for each instance, and writes their decisions. The wire's names end here.
+// Package simwire implements the simulator's wire protocol: it reads batches of events, passes them to one
+// balance.Balancer for each instance, and writes their decisions. The names of the protocol appear only here.
 package simwire
 
 import (
@@ -15,30 +15,30 @@
 	"ivybank/terms"
 )
 
-// adapter is the state of one stream.
+// adapter is the state of one protocol stream.
 type adapter struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
 	line      int
-	now       int64
+	now       int64 // ns
 	inRound   bool
 	serial    string
-	instances map[string]*balance.Balancer // emptied by HALT
-	touched   []string                     // instances with an event in this batch; emptied by FLUSH
-	lists     [16][]balance.Server         // nil until sent, replaced by the next list of that number
+	instances map[string]*balance.Balancer // by name, from START to HALT
+	touched   []string                     // instances with an event in this round
+	lists     [16][]balance.Server         // by number; nil until received
 }
 
-// Run serves the wire until its input ends. The error names the line that could not be read.
+// Run serves the protocol until its input ends. An error names the line that could not be handled.
 func Run(in io.Reader, out io.Writer) error {
 	a := &adapter{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20),
 		instances: map[string]*balance.Balancer{}}
 	for {
-		text, err := a.next()
+		text, err := a.readLine()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
-			err = a.event(text)
+			err = a.handleLine(text)
 		}
 		if err != nil {
 			return fmt.Errorf("line %d: %w", a.line, err)
@@ -46,7 +46,7 @@
 	}
 }
 
-func (a *adapter) next() (string, error) {
+func (a *adapter) readLine() (string, error) {
 	text, err := a.in.ReadString('\n')
 	if err != nil && (text == "" || !errors.Is(err, io.EOF)) {
 		return "", err
@@ -55,7 +55,8 @@
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
-func split(text string) (string, *terms.Values) {
+// splitLine returns the message name and the fields of a line.
+func splitLine(text string) (string, *terms.Values) {
 	name, rest, _ := strings.Cut(text, " ")
 	f := &terms.Values{At: map[string]string{}}
 	for part := range strings.SplitSeq(rest, " ") {
@@ -66,11 +67,11 @@
 	return name, f
 }
 
-func (a *adapter) event(text string) error {
+func (a *adapter) handleLine(text string) error {
 	if text == "" {
 		return nil
 	}
-	name, f := split(text)
+	name, f := splitLine(text)
 	if name == "ROUND" {
 		if a.inRound {
 			return errors.New("ROUND inside a round: expected FLUSH first")
@@ -86,7 +87,7 @@
 	case "FLUSH":
 		return a.flush()
 	case "LEDGER":
-		return a.ledger(f)
+		return a.readList(f)
 	}
 	who := f.At["Who"]
 	b := a.instances[who]
@@ -103,16 +104,16 @@
 			return fmt.Errorf("%s for %q: expected an instance that was started", name, who)
 		}
 	default:
-		return nil // not known: skipped
+		return nil // unknown messages are ignored
 	}
 	if !slices.Contains(a.touched, who) {
 		a.touched = append(a.touched, who)
 	}
-	return a.tell(name, who, b, f)
+	return a.dispatchEvent(name, who, b, f)
 }
 
-// tell hands one event to its instance.
-func (a *adapter) tell(name, who string, b *balance.Balancer, f *terms.Values) error {
+// dispatchEvent passes one event to its instance.
+func (a *adapter) dispatchEvent(name, who string, b *balance.Balancer, f *terms.Values) error {
 	form, list := balance.Unavailable, []balance.Server(nil)
 	var id uint64
 	switch name {
@@ -159,7 +160,7 @@
 	if f.Err != nil {
 		return f.Err
 	}
-	a.guard(who, func() {
+	a.recoverPanic(who, func() {
 		switch name {
 		case "NEW_REQUEST":
 			b.Req(balance.Arrival{ID: id, RuleSet: f.At["Priority"], Tenant: f.At["Account"],
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// guard turns a panic of the module into a report for that instance.
-func (a *adapter) guard(who string, decide func()) {
+// recoverPanic runs decide and turns a panic of the balancer into an EXCEPTION message for that instance.
+func (a *adapter) recoverPanic(who string, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := strings.ReplaceAll(fmt.Sprint(p), "\n", " ")
@@ -188,7 +189,8 @@
 	decide()
 }
 
-func (a *adapter) ledger(f *terms.Values) error {
+// readList reads a server list: the HOST lines that follow a LEDGER message.
+func (a *adapter) readList(f *terms.Values) error {
 	n, count := f.ID("Ref"), f.ID("Elements")
 	if f.Err != nil {
 		return f.Err
@@ -199,21 +201,21 @@
 	}
 	list := []balance.Server{}
 	for range count {
-		text, err := a.next()
+		text, err := a.readLine()
 		if errors.Is(err, io.EOF) {
 			return errors.New("input ended: expected a HOST line")
 		}
 		if err != nil {
 			return err
 		}
-		name, h := split(text)
+		name, h := splitLine(text)
 		if name != "HOST" || h.At["Host"] == "" {
 			return fmt.Errorf("%s: expected a HOST line", name)
 		}
 		state, ok := map[string]balance.State{"Running": balance.Running, "Stopping": balance.Draining,
 			"Deleted": balance.Gone}[h.At["State"]]
 		if !ok {
-			state = balance.Draining // a state not known here: nothing new goes there
+			state = balance.Draining // unknown state: the server gets no new requests
 		}
 		list = append(list, balance.Server{ID: h.At["Host"], Zone: h.At["RackZone"], Kind: h.At["Shape"],
 			Cell:  h.Int("Cell"),
@@ -248,14 +250,14 @@
 	return balance.Unknown
 }
 
-// flush pulls the decisions of all instances that had an event, and ends the reply.
+// flush writes the decisions of all instances that had an event in this round, and ends the reply.
 func (a *adapter) flush() error {
 	for _, who := range a.touched {
 		b := a.instances[who]
 		if b == nil {
 			continue
 		}
-		a.guard(who, func() {
+		a.recoverPanic(who, func() {
 			for d, ok := b.Next(a.now); ok; d, ok = b.Next(a.now) {
 				a.write(who, d)
 			}
--- a/rehearse/simwire/simwire_test.go
+++ b/rehearse/simwire/simwire_test.go
@@ -12,7 +12,7 @@
 	"LEDGER Ref=0 Elements=1\nHOST Host=1.2.3.4:5 RackZone=z Cell=0 State=Running Share=1\n" +
 	"DIRECTORY_UPDATE Who=proxy-1 Revision=1 Ref=0 Form=restored\n"
 
-func TestExchange(t *testing.T) {
+func TestEventsAndDecisions(t *testing.T) {
 	in := start + "NEW_REQUEST Who=proxy-1 Call=9 Priority=r Entity=k BudgetNs=900000000\nNOVELTY Who=proxy-1\nFLUSH\n" +
 		"ROUND TsNs=2000 serial=2\nFINISHED Who=proxy-1 Call=9 Host=1.2.3.4:5 DoneFlag=0 Try=0 Reason=77 DurationNs=5\n" +
 		"ALARM Who=proxy-1 Mark=0\nFINISHED Who=proxy-1 Call=9 Host=1.2.3.4:5 DoneFlag=0 Try=0 Reason=0 DurationNs=5\nFLUSH\n"
@@ -48,14 +48,14 @@
 func TestPanicBecomesException(t *testing.T) {
 	var out strings.Builder
 	a := &adapter{out: bufio.NewWriter(&out)}
-	a.guard("proxy-1", func() { panic("no\nserver") })
+	a.recoverPanic("proxy-1", func() { panic("no\nserver") })
 	a.out.Flush()
 	if want := "EXCEPTION Who=proxy-1 Msg=no server\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
 }
 
-func TestRestartForgets(t *testing.T) {
+func TestRestartedInstanceHasNoOldRequests(t *testing.T) {
 	begin, list, _ := strings.Cut(start, "LEDGER")
 	_, begin, _ = strings.Cut(begin, "\n")
 	in := start + "NEW_REQUEST Who=proxy-1 Call=9 Priority=r Entity=k BudgetNs=900000000\nFLUSH\n" +
--- a/terms/terms.go
+++ b/terms/terms.go
@@ -1,6 +1,6 @@
-// Package terms decodes the settings that an instance is told at its start into balance.Terms. It owns
-// the names of the settings, for every host of the module; it must never decide anything, nor read a
-// setting that the module does not use.
+// Package terms decodes the settings that an instance receives at its start into balance.Terms, for every
+// host of package balance. The names of those settings appear only here. The package makes no decisions and
+// reads no setting that package balance does not use.
 package terms
 
 import (
@@ -18,20 +18,20 @@
 	"ivybank/balance"
 )
 
-// Values holds named values as text; the first one that cannot be read stays in Err.
+// Values holds named values as text. Err is the first error of reading one.
 type Values struct {
 	At  map[string]string
 	Err error
 }
 
-// Fail notes that a value is not what was expected.
+// Fail records that a value is not what was expected, unless an earlier error is recorded.
 func (v *Values) Fail(key, want string) {
 	if v.Err == nil {
 		v.Err = fmt.Errorf("%s=%q: expected %s", key, v.At[key], want)
 	}
 }
 
-// Int reads a whole number, 0 where there is none.
+// Int returns an integer, 0 if it is missing.
 func (v *Values) Int(key string) int64 {
 	text, ok := v.At[key]
 	if !ok {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// ID reads a number that must be there.
+// ID returns an unsigned integer, which must be present.
 func (v *Values) ID(key string) uint64 {
 	n, err := strconv.ParseUint(v.At[key], 10, 64)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return n
 }
 
-// Float reads a finite number, 0 where there is none.
+// Float returns a finite number, 0 if it is missing.
 func (v *Values) Float(key string) float64 {
 	text, ok := v.At[key]
 	if !ok {
@@ -66,7 +66,7 @@
 	return n
 }
 
-// Bool reads 1, 0, true or false, false where there is none.
+// Bool returns a truth value, written as 1, 0, true or false; false if it is missing.
 func (v *Values) Bool(key string) bool {
 	switch v.At[key] {
 	case "1", "true":
@@ -78,7 +78,7 @@
 	return false
 }
 
-// Words reads a list of plain values; nil where there is none.
+// Words returns a list of values separated by commas, nil if it is missing.
 func (v *Values) Words(key string) []string {
 	if text := v.At[key]; text != "" {
 		return strings.Split(text, ",")
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// Flatten turns nested JSON into path=value pairs: parts joined by dots, the length of a list of objects
-// under .count and its items under .0, .1 and so on, a list of plain values joined by commas.
+// Flatten turns nested JSON into path=value pairs. Path elements are joined by dots. A list of objects has its
+// length under .count and its items under .0, .1 and so on; a list of scalars is joined by commas.
 func Flatten(text []byte) (*Values, error) {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
 	var top map[string]any
-	if err := d.Decode(&top); err != nil {
+	if err := decoder.Decode(&top); err != nil {
 		return nil, err
 	}
 	if top == nil {
@@ -110,17 +110,17 @@
 			v.flatten(strings.TrimPrefix(path+"."+name, "."), item)
 		}
 	case []any:
-		plain := make([]string, 0, len(x))
+		scalars := make([]string, 0, len(x))
 		for i, item := range x {
 			switch item.(type) {
 			case map[string]any, []any:
 				v.flatten(path+"."+strconv.Itoa(i), item)
 			default:
-				plain = append(plain, fmt.Sprint(item))
+				scalars = append(scalars, fmt.Sprint(item))
 			}
 		}
-		if len(plain) > 0 {
-			v.At[path] = strings.Join(plain, ",")
+		if len(scalars) > 0 {
+			v.At[path] = strings.Join(scalars, ",")
 		} else {
 			v.At[path+".count"] = strconv.Itoa(len(x))
 		}
@@ -130,14 +130,14 @@
 	}
 }
 
-// Check says whether rule sets and ceilings can be served by.
+// Check returns an error if an instance cannot run with these settings.
 func Check(v *Values) error {
 	if v.Int("Ceilings.MaxDispatches") <= 0 {
 		v.Fail("Ceilings.MaxDispatches", "a number above 0")
 	}
 	n := v.Int("RuleSets.count")
 	if n <= 0 {
-		v.Fail("RuleSets", "one rule set at least")
+		v.Fail("RuleSets", "at least one rule set")
 	}
 	names := map[string]bool{}
 	for i := range n {
@@ -149,17 +149,17 @@
 		}
 		name := v.At[p+"Name"]
 		if name == "" || names[name] {
-			v.Fail(p+"Name", "a name of its own")
+			v.Fail(p+"Name", "a unique name")
 		}
 		names[name] = true
 		for _, field := range []string{"ZonesOnly", "ServedOn"} {
-			known := map[string]string{"ZonesOnly": "Zones", "ServedOn": "HostTypes"}[field]
-			_, empty := v.At[p+field+".count"]
+			allowed := map[string]string{"ZonesOnly": "Zones", "ServedOn": "HostTypes"}[field]
+			_, invalid := v.At[p+field+".count"] // an empty list
 			for _, word := range v.Words(p + field) {
-				empty = empty || v.At[known] != "" && !slices.Contains(v.Words(known), word)
+				invalid = invalid || v.At[allowed] != "" && !slices.Contains(v.Words(allowed), word)
 			}
-			if empty {
-				v.Fail(p+field, "names of "+known)
+			if invalid {
+				v.Fail(p+field, "names of "+allowed)
 			}
 		}
 	}
@@ -188,8 +188,8 @@
 	return v.Err
 }
 
-// Follows says whether settings name all that those before them named. Items of a list are told by what all items
-// of the list before have in common, as rule sets and tenants come and go.
+// Follows returns an error if new settings lack a name that the old ones have. As rule sets and tenants are added and
+// removed, an item of a list only needs the fields that all items of the old list have in common.
 func Follows(old, next []byte) error {
 	before, err := Flatten(old)
 	if err != nil {
@@ -200,7 +200,7 @@
 		return err
 	}
 	for _, key := range slices.Sorted(maps.Keys(before.At)) {
-		if _, ok := after.At[key]; ok || item.MatchString(key) {
+		if _, ok := after.At[key]; ok || listItem.MatchString(key) {
 			continue
 		}
 		if _, ok := after.At[key+".count"]; ok {
@@ -216,13 +216,13 @@
 	for _, list := range []string{"RuleSets", "Tenants"} {
 		common := fields(before, list, 0)
 		for i := range before.Int(list + ".count") {
-			here := fields(before, list, i)
-			common = slices.DeleteFunc(common, func(f string) bool { return !slices.Contains(here, f) })
+			names := fields(before, list, i)
+			common = slices.DeleteFunc(common, func(f string) bool { return !slices.Contains(names, f) })
 		}
 		for i := range after.Int(list + ".count") {
-			here := fields(after, list, i)
+			names := fields(after, list, i)
 			for _, f := range common {
-				if !slices.Contains(here, f) {
+				if !slices.Contains(names, f) {
 					return fmt.Errorf("%s.%d.%s: missing", list, i, f)
 				}
 			}
@@ -231,9 +231,9 @@
 	return after.Err
 }
 
-var item = regexp.MustCompile(`\.[0-9]+(\.|$)`)
+var listItem = regexp.MustCompile(`\.[0-9]+(\.|$)`)
 
-// fields names what one item of a list has.
+// fields returns the names of the fields of one list item.
 func fields(v *Values, list string, i int64) (names []string) {
 	p := fmt.Sprintf("%s.%d.", list, i)
 	for _, key := range slices.Sorted(maps.Keys(v.At)) {
@@ -244,7 +244,7 @@
 	return names
 }
 
-// Read decodes the settings that the module reads.
+// Read decodes the settings that package balance uses. Errors are recorded in v.Err.
 func Read(v *Values, seed uint64) balance.Terms {
 	t := balance.Terms{
 		Seed: seed, Zone: v.At["Zone"],
@@ -269,7 +269,7 @@
 		effect, ok := map[string]balance.Effect{"retryable": balance.Replayable, "dedup": balance.Uniqued,
 			"fragile": balance.NonReplayable}[v.At[p+"Effect"]]
 		if !ok {
-			effect = balance.NonReplayable // not known: the strictest
+			effect = balance.NonReplayable // unknown: the strictest
 		}
 		group, ok := map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone,
 			"cell": balance.GroupCell}[v.At[p+"Group"]]
--- a/terms/terms_test.go
+++ b/terms/terms_test.go
@@ -61,11 +61,11 @@
 	})
 }
 
-func TestCheckFurther(t *testing.T) {
+func TestCheckOptionalSettings(t *testing.T) {
 	for key, text := range map[string]string{"": "", "RuleSets.0.ServedOn": "small", "RuleSets.0.ZonesOnly": "a,b",
 		"Contract.BudgetErrorNs": "-1", "Contract.StartErrorNs": "soon", "Contract.GoneIsAdvice": "maybe",
 		"Ceilings.HeldReplies": "-2", "ScoringMix.TailMiss": "1.5", "RuleSets.0.ServedOn.count": "0",
-		"RuleSets.0.ServedOn ": "large"} {
+		"RuleSets.0.ServedOn ": "large"} { // the blank makes a second, valid case of the same name
 		v := &Values{At: map[string]string{"Ceilings.MaxDispatches": "3", "RuleSets.count": "1", "RuleSets.0.Name": "n",
 			"RuleSets.0.ClientTimeoutNs": "9", "RuleSets.0.ResponseTargetNs": "5", "HostTypes": "large,dual", "Zones": "a,c"}}
 		good := key == "" || key == "RuleSets.0.ServedOn "
@@ -76,9 +76,8 @@
 	}
 }
 
-// What the operators' standing test is judged by comes with the settings: each figure reaches the module as
-// it stands.
-func TestStandingTerms(t *testing.T) {
+// The limits of the operators' standing test come with the settings: each must reach package balance unchanged.
+func TestStandingTestSettings(t *testing.T) {
 	v, err := Flatten([]byte(`{"Discovery":"pushed","FleetSize":300,"TickNs":5000000,
 		"Ceilings":{"MaxDispatches":3,"RetryAfter":true,"MaxRetryAfterNs":1500000000},
 		"Contract":{"AskWithinNs":4000000000,"OverloadFactor":3,"FallNs":3000000000,"StartCapacity":0.16,
@@ -99,6 +98,6 @@
 	}
 	v.At["Discovery"] = "on_request"
 	if !Read(v, 5).MustAsk {
-		t.Error("a list that is asked for counts as pushed")
+		t.Error("a list that arrives on request was taken for one that is pushed")
 	}
 }
