--- a/balance/balance.go
+++ b/balance/balance.go
@@ -64,7 +64,7 @@
 )
 
 type Balancer struct { // the dispatch state of one proxy instance
-	cfg                               Terms
+	cfg                               Config
 	requests                          map[uint64]*request // until ended with no dispatch pending
 	open                              []*request          // not ended, in order of arrival
 	servers                           []*server           // by ID
@@ -92,7 +92,7 @@
 }
 
 // New creates an instance; the host passes the server list next, as Listed(Restored).
-func New(t Terms, now int64) *Balancer {
+func New(t Config, now int64) *Balancer {
 	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now, rng: draw.Dice{Seed: t.Seed}}
 	b.Retune(t, now)
 	return b
@@ -100,7 +100,7 @@
 
 // Retune applies new terms. Server state stays, and open requests keep the rules they arrived under. If the
 // deployment changes in kind, measured times and rates no longer apply and are reset.
-func (b *Balancer) Retune(t Terms, now int64) {
+func (b *Balancer) Retune(t Config, now int64) {
 	old := b.cfg
 	served := make([]fade.Count, len(t.Tenants))
 	for i, x := range t.Tenants {
@@ -116,15 +116,15 @@
 	for _, r := range b.open {
 		r.tenant = b.cfg.Tenant(r.Tenant)
 	}
-	if t.Live != old.Live || t.Copies > 2*old.Copies || old.Copies > 2*t.Copies {
+	if t.LiveWeights != old.LiveWeights || t.FleetSize > 2*old.FleetSize || old.FleetSize > 2*t.FleetSize {
 		b.rateStart, b.answerRate, b.latencyRatio = now, fade.Count{At: now}, 0
 		for _, s := range b.servers {
 			s.slotTime, s.latency, s.avgWeight, s.inflightCap = 0, 0, s.Share, min(s.inflightCap, newServerCap)
 		}
 	}
-	if t.MustAsk && !old.MustAsk {
+	if t.ListOnRequest && !old.ListOnRequest {
 		b.askAt = now + 1 + int64(b.rng.Next()*maxAskDelay(t))
-	} else if !t.MustAsk {
+	} else if !t.ListOnRequest {
 		b.askAt = 0
 	}
 }
@@ -147,7 +147,7 @@
 	r.value = b.requestValue(r, now)
 	b.meanTarget.Add(float64(r.rules.ResponseTarget))
 	b.meanValue.Add(r.value)
-	if b.startClock(r, now); a.Open { // time starts with Whole: it may wait for its whole target
+	if b.startClock(r, now); a.BodyPending { // time starts with Whole: it may wait for its whole target
 		r.arrivedAt, r.giveUpAt = now+int64((1-holdShare)*float64(r.rules.ResponseTarget)), math.MaxInt64
 	}
 	if a.Key != "" {
@@ -173,7 +173,7 @@
 func (b *Balancer) startClock(r *request, now int64) {
 	r.arrivedAt, r.clientDeadline = now, now+max(r.Budget, b.cfg.BudgetError) // the client waits until then
 	r.giveUpAt = r.clientDeadline
-	if r.rules.OverdueValue <= 0 || b.cfg.Tail > 0 && r.rules.Harmless() {
+	if r.rules.OverdueValue <= 0 || b.cfg.TailWeight > 0 && r.rules.Harmless() {
 		r.giveUpAt = min(r.giveUpAt, now+r.rules.ResponseTarget)
 	}
 	r.giveUpAt -= 2 * b.cfg.Tick
@@ -181,14 +181,14 @@
 
 // Whole reports that a pending request body is complete. The request's and its dispatches' time start here.
 func (b *Balancer) Whole(id uint64, now int64) {
-	if r := b.requests[id]; r != nil && r.Open {
-		r.Open = false
+	if r := b.requests[id]; r != nil && r.BodyPending {
+		r.BodyPending = false
 		b.startClock(r, now)
 		for i, d := range r.dispatches {
 			if d.pending {
 				d.sentAt = now
 				b.addInflight(d)
-				b.emit(Decision{Kind: Limit, Req: id, Attempt: i, Time: b.dispatchDeadline(r)})
+				b.emit(Decision{Kind: SetDeadline, Request: id, Attempt: i, Time: b.dispatchDeadline(r)})
 			}
 		}
 	}
@@ -361,21 +361,21 @@
 func byID(s *server, id string) int { return cmp.Compare(s.ID, id) }
 
 // maxAskDelay spreads calls for the list, but well within AskWithin, after which the list counts as known.
-func maxAskDelay(t Terms) float64 {
-	return min(0.5*float64(sec)+askDelay*float64(t.Copies), float64(t.AskWithin)/2)
+func maxAskDelay(t Config) float64 {
+	return min(0.5*float64(sec)+askDelay*float64(t.FleetSize), float64(t.AskWithin)/2)
 }
 
 // Listed applies a server list. If it was unavailable, it is requested again after a random delay.
-func (b *Balancer) Listed(form Form, entries []Server, now int64) {
-	if form == Unavailable {
+func (b *Balancer) Listed(form ListForm, entries []Server, now int64) {
+	if form == ListUnavailable {
 		b.askAt = now + int64((0.5+b.rng.Next())*maxAskDelay(b.cfg))
 		return
-	} else if form != Restored {
+	} else if form != ListRestored {
 		b.askAt = 0
 	}
 	b.reviewNow = true
 	for _, s := range b.servers {
-		s.listed = s.listed && form == Changes
+		s.listed = s.listed && form == ListUpdate
 	}
 	for _, e := range entries {
 		b.applyEntry(e, now)
@@ -391,7 +391,7 @@
 	s := b.servers[i]
 	if e.Since > s.Since || b.cfg.StartError > 0 && e.Since != s.Since {
 		*s = server{inflight: s.inflight, health: cmp.Or(b.meanHealth, 1),
-			inflightCap: newServerCap / float64(1+b.cfg.Beside), answeredAt: now}
+			inflightCap: newServerCap / float64(1+b.cfg.SiblingProcesses), answeredAt: now}
 		s.startedAt = min(e.Since+b.cfg.StartError, now) // clocks may differ
 	}
 	s.Server, s.listed = e, e.State != Gone
@@ -423,7 +423,7 @@
 	next := int64(math.MaxInt64)
 	if b.askAt > 0 {
 		if now >= b.askAt {
-			b.emit(Decision{Kind: Watch})
+			b.emit(Decision{Kind: RequestList})
 			b.askAt = now + max(b.cfg.AskWithin/2, sec) // in case no answer comes
 		}
 		next = b.askAt
@@ -450,7 +450,7 @@
 	b.open = slices.DeleteFunc(b.open, func(r *request) bool {
 		for i, d := range r.dispatches {
 			if r.ended && d.pending && b.cfg.CanCancel && !r.streaming {
-				b.emit(Decision{Kind: Cancel, Req: r.ID, Attempt: i})
+				b.emit(Decision{Kind: Cancel, Request: r.ID, Attempt: i})
 			}
 		}
 		return r.ended
@@ -475,7 +475,7 @@
 	for _, s := range b.servers {
 		b.meanHealth += s.health / float64(len(b.servers))
 		b.avgWeight += s.avgWeight / float64(len(b.servers))
-		if s.size = s.Share; b.cfg.Live { // a share that follows load is no size: keys would move with it
+		if s.size = s.Share; b.cfg.LiveWeights { // a share that follows load is no size: keys would move with it
 			s.size = 1
 		}
 		if s.slotTime > 0 {
@@ -519,9 +519,9 @@
 	all, work := 0.0, 0.0
 	for _, s := range b.servers {
 		if s.weight, s.leftShare = 0, 1; s.listed && s.State == Running {
-			if s.weight = s.rampShare * s.size; b.cfg.Live && s.rampShare < 1 {
+			if s.weight = s.rampShare * s.size; b.cfg.LiveWeights && s.rampShare < 1 {
 				s.weight *= min(s.avgWeight, b.avgWeight) // it looks idle because it is new
-			} else if b.cfg.Live {
+			} else if b.cfg.LiveWeights {
 				s.weight *= s.avgWeight // prefer less loaded servers
 			}
 			if !b.cfg.WarmKeys && s.rampShare >= 1 { // at equal use, requests wait longer at small servers
@@ -530,7 +530,7 @@
 			if s.slotTime > 0 {
 				s.weight *= math.Sqrt(b.slotTime / (s.slotTime * s.size))
 			}
-			s.weight *= cmp.Or(b.advice.Wary[s.ID], 1)
+			s.weight *= cmp.Or(b.advice.ShareFactors[s.ID], 1)
 			all += s.weight
 		}
 	}
@@ -542,7 +542,7 @@
 		load, sum := p.firstDispatches.N*p.slotTime/max(1, work)*all/max(1e-9, p.totalWeight), 0.0
 		p.healthy, p.readyWeight = 0, 0
 		for _, s := range b.servers {
-			if s.weight == 0 || !p.rules.Placed(&s.Server) {
+			if s.weight == 0 || !p.rules.Allows(&s.Server) {
 				continue
 			}
 			sum += s.weight * s.leftShare
@@ -610,7 +610,7 @@
 // hedgeAt is when a second dispatch may start: only if waste is cheap and few balancers share the servers.
 func (b *Balancer) hedgeAt(r *request) int64 {
 	if r.pending != 1 || b.cfg.WastePrice > hedgeMaxPrice ||
-		r.placement.healthy*hedgeBalancers < b.cfg.Copies || !b.canSend(r) {
+		r.placement.healthy*hedgeBalancers < b.cfg.FleetSize || !b.canSend(r) {
 		return math.MaxInt64
 	}
 	return r.dispatches[len(r.dispatches)-1].sentAt + int64(hedgeShare*float64(r.rules.ResponseTarget))
@@ -618,9 +618,9 @@
 
 // finalAnswer ends a request: with a deny where that is safe, with an abort otherwise.
 func (b *Balancer) finalAnswer(r *request) {
-	d := Decision{Kind: Abort, Req: r.ID}
+	d := Decision{Kind: Abort, Request: r.ID}
 	if b.canDeny(r) {
-		d.Kind, d.Time = Deny, min(b.cfg.MaxAdvice, cmp.Or(r.Back, r.rules.ResponseTarget/5))
+		d.Kind, d.Time = Deny, min(b.cfg.MaxRetryAfter, cmp.Or(r.RetryAfter, r.rules.ResponseTarget/5))
 	}
 	b.emit(d)
 	r.ended = true
@@ -629,7 +629,7 @@
 
 // Harmless reports whether a request may be denied even if it may have run.
 func (x *RuleSet) Harmless() bool {
-	return x.Effect == Replayable || x.Effect == Uniqued && x.Group == GroupAll
+	return x.Effect == Replayable || x.Effect == Deduplicated && x.Group == GroupAll
 }
 
 func (b *Balancer) canDeny(r *request) bool {
@@ -639,19 +639,19 @@
 // canSend reports whether the rules allow a further dispatch to some server.
 func (b *Balancer) canSend(r *request) bool {
 	return len(r.dispatches) < r.maxDispatches && r.healthyErrors < maxServerErrors &&
-		(r.pending == 0 || b.cfg.Parallel) &&
+		(r.pending == 0 || b.cfg.AllowParallel) &&
 		(r.rules.Effect != NonReplayable || b.canDeny(r))
 }
 
 // Again reports whether a request that may have run at one server may go to another without a second effect.
 func (x *RuleSet) Again(first, next Server, sent, now int64) bool {
 	same := x.Group == GroupAll || first.Zone == next.Zone && (x.Group == GroupZone || first.Cell == next.Cell)
-	return x.Effect == Replayable || x.Effect == Uniqued && same && now < sent+x.Window
+	return x.Effect == Replayable || x.Effect == Deduplicated && same && now < sent+x.Window
 }
 
 // allowed reports whether the request may go to this server: inside its placement, without a second effect.
 func (r *request) allowed(s *server, now int64) bool {
-	if r.rules.restricted() && !r.rules.Placed(&s.Server) {
+	if r.rules.restricted() && !r.rules.Allows(&s.Server) {
 		return false
 	}
 	for _, d := range r.dispatches {
@@ -664,7 +664,7 @@
 
 // pickServer is weighted rendezvous hashing: it returns the server of the top score that is not skipped.
 func (b *Balancer) pickServer(r *request, now int64) *server {
-	short := b.advice.Bounded && b.advice.Further < min(1, len(r.dispatches))
+	short := b.advice.RetriesLimited && b.advice.RetriesLeft < min(1, len(r.dispatches))
 	if short || !b.canSend(r) || float64(b.inflight) >= b.inflightBound(r, now) {
 		return nil
 	}
@@ -677,7 +677,7 @@
 		}
 		w := s.health * s.weightFor(p)
 		if s.Zone == b.cfg.Zone {
-			w *= 1 + zoneFactor*b.cfg.CrossPrice
+			w *= 1 + zoneFactor*b.cfg.CrossZonePrice
 		}
 		if p.panicMode {
 			w = 1
@@ -717,9 +717,9 @@
 	if r.placement.panicMode {
 		healthy = len(b.servers) // all can be picked
 	}
-	apiece := minInflight / float64(max(1, b.cfg.Copies)) // each server may always have this in flight
+	apiece := minInflight / float64(max(1, b.cfg.FleetSize)) // each server may always have this in flight
 	share := inflightShare
-	if b.cfg.Tail == 0 { // if the tail counts, a deny costs less than a late answer
+	if b.cfg.TailWeight == 0 { // if the tail counts, a deny costs less than a late answer
 		share += max(0, min(extraShare, apiece*float64(len(b.servers))-1,
 			1-2*b.refusedShare, 2*(slowRatio-b.latencyRatio)))
 	}
@@ -741,7 +741,7 @@
 	limit := min(s.inflightCap, skipFactor*s.weightFor(r.placement)/r.placement.readyWeight*
 		float64(b.inflight+1)+skipSlack)
 	// During ejections the other servers may be loaded more, unless many balancers would do so at once.
-	more := max(1, min(fewBalancers/float64(max(2, b.cfg.Copies)),
+	more := max(1, min(fewBalancers/float64(max(2, b.cfg.FleetSize)),
 		float64(len(b.servers))/float64(max(1, b.healthy))))
 	limit = min(limit, max(1, more*serverShare*float64(r.rules.ResponseTarget)/s.slotTime)) // time 0: no limit
 	return now >= s.fullUntil && float64(len(s.inflight)) < limit
@@ -755,19 +755,19 @@
 	if b.timeouts[d.idleStep].Now(now, idleLossSpan) > idleLossLimit+b.timeouts[0].Now(now, idleLossSpan) {
 		// The network may drop what comes over idle connections: they are closed while such loss is seen.
 		d.idleStep = 0
-		b.emit(Decision{Kind: Close, Server: s.ID})
+		b.emit(Decision{Kind: CloseConnections, Server: s.ID})
 	}
-	if b.advice.Further -= min(1, len(r.dispatches)); len(r.dispatches) == 0 {
+	if b.advice.RetriesLeft -= min(1, len(r.dispatches)); len(r.dispatches) == 0 {
 		r.placement.firstDispatches.Add(now, span)
 	}
-	if r.dispatches = append(r.dispatches, d); !r.Open {
+	if r.dispatches = append(r.dispatches, d); !r.BodyPending {
 		b.addInflight(d)
 	}
 	r.pending++
 	if r.tenant >= 0 {
 		b.tenantRates[r.tenant].Add(now, span)
 	}
-	b.emit(Decision{Kind: Dispatch, Req: r.ID, Server: s.ID, Time: b.dispatchDeadline(r)})
+	b.emit(Decision{Kind: Dispatch, Request: r.ID, Server: s.ID, Time: b.dispatchDeadline(r)})
 }
 
 // dispatchDeadline is when a dispatch ends by itself. A server whose clock is ahead refuses or aborts what
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -9,13 +9,13 @@
 )
 
 // newBalancer returns an instance with n running servers of one zone and cell, named a, b, c...
-func newBalancer(n int, change func(*Terms)) *Balancer {
-	t := Terms{Seed: 7, Zone: "z", MaxDispatches: 3, CanCancel: true, Tick: 5 * ms, StartCapacity: 0.2, WarmKeys: true,
+func newBalancer(n int, change func(*Config)) *Balancer {
+	t := Config{Seed: 7, Zone: "z", MaxDispatches: 3, CanCancel: true, Tick: 5 * ms, StartCapacity: 0.2, WarmKeys: true,
 		RampTime: 20 * sec, RuleSets: []RuleSet{
 			{Name: "again", Effect: Replayable, BillingValue: 1, ResponseTarget: sec},
-			{Name: "cell", Effect: Uniqued, Group: GroupCell, Window: sec, BillingValue: 1, ResponseTarget: sec},
-			{Name: "zone", Effect: Uniqued, Group: GroupZone, Window: sec, BillingValue: 1, ResponseTarget: sec},
-			{Name: "all", Effect: Uniqued, Group: GroupAll, Window: sec, BillingValue: 1, ResponseTarget: sec},
+			{Name: "cell", Effect: Deduplicated, Group: GroupCell, Window: sec, BillingValue: 1, ResponseTarget: sec},
+			{Name: "zone", Effect: Deduplicated, Group: GroupZone, Window: sec, BillingValue: 1, ResponseTarget: sec},
+			{Name: "all", Effect: Deduplicated, Group: GroupAll, Window: sec, BillingValue: 1, ResponseTarget: sec},
 			{Name: "once", Effect: NonReplayable, BillingValue: 1, ResponseTarget: sec}}}
 	if change != nil {
 		change(&t)
@@ -25,7 +25,7 @@
 	for i := range list {
 		list[i] = Server{ID: string(rune('a' + i)), Zone: "z", Share: 1}
 	}
-	b.Listed(Restored, list, 0)
+	b.Listed(ListRestored, list, 0)
 	b.reviewServers(0)
 	return b
 }
@@ -37,7 +37,7 @@
 }
 
 // drain returns the pending decisions of one kind, or for kind -1 all but wakes and logs.
-func drain(b *Balancer, now int64, kind Kind) (got []Decision) {
+func drain(b *Balancer, now int64, kind DecisionKind) (got []Decision) {
 	for d, ok := b.Next(now); ok; d, ok = b.Next(now) {
 		if d.Kind == kind || kind < 0 && d.Kind != Wake && d.Kind != Log {
 			got = append(got, d)
@@ -61,11 +61,11 @@
 		budget  int64
 		setup   func(*Balancer)
 		at      int64
-		want    Kind
+		want    DecisionKind
 	}{
 		{"no server", 0, "once", 2 * sec, nil, 200 * ms, Deny},
 		{"all draining", 2, "once", 2 * sec, func(b *Balancer) {
-			b.Listed(Changes, []Server{{ID: "a", State: Draining}, {ID: "b", State: Gone}}, 0)
+			b.Listed(ListUpdate, []Server{{ID: "a", State: Draining}, {ID: "b", State: Gone}}, 0)
 		}, 200 * ms, Deny},
 		{"a budget of 4 ms", 2, "once", 4 * ms, nil, 0, Deny},
 		{"unknown rule set counts as non-replayable", 1, "other", 20 * ms, nil, 10 * ms, Abort},
@@ -150,7 +150,7 @@
 		if b.sendTo(r, b.servers[0], 0); b.canSend(r) {
 			t.Error("a second dispatch is allowed")
 		}
-		if b.cfg.Parallel = true; !b.canSend(r) || r.allowed(b.servers[0], 0) || !r.allowed(b.servers[1], 0) {
+		if b.cfg.AllowParallel = true; !b.canSend(r) || r.allowed(b.servers[0], 0) || !r.allowed(b.servers[1], 0) {
 			t.Error("a parallel dispatch must be allowed at another server only")
 		}
 	})
@@ -195,7 +195,7 @@
 		assertNear(t, "refuted share", s.refutedShare, 0.5, 0.05)
 	})
 	t.Run("short response targets shorten a first ejection", func(t *testing.T) {
-		b := newBalancer(1, func(t *Terms) { t.RuleSets = append(t.RuleSets, RuleSet{ResponseTarget: 200 * ms}) })
+		b := newBalancer(1, func(t *Config) { t.RuleSets = append(t.RuleSets, RuleSet{ResponseTarget: 200 * ms}) })
 		b.eject(b.servers[0], 0)
 		assertNear(t, "backoff, s", float64(b.servers[0].ejectedUntil)/float64(sec), 1.2, 1.2*backoffJitter)
 	})
@@ -251,9 +251,9 @@
 		b := newBalancer(2, nil)
 		b.servers[0].health, b.servers[0].ejected = 0.4, true
 		b.reviewServers(0)
-		b.Listed(Changes, []Server{{ID: "c"}}, sec)
+		b.Listed(ListUpdate, []Server{{ID: "c"}}, sec)
 		assertNear(t, "new server", b.servers[2].health, 0.7, 1e-12)
-		b.Listed(Changes, []Server{{ID: "a", Since: sec}}, 2*sec)
+		b.Listed(ListUpdate, []Server{{ID: "a", Since: sec}}, 2*sec)
 		s := b.servers[0]
 		assertNear(t, "restarted", s.health, 0.7, 1e-12)
 		if s.ejected || s.inflightCap != newServerCap {
@@ -296,7 +296,7 @@
 			if c.closed {
 				step = 0 // a new connection
 			}
-			if got := b.decisions[0].Kind == Close; got != c.closed || s.inflight[0].idleStep != step {
+			if got := b.decisions[0].Kind == CloseConnections; got != c.closed || s.inflight[0].idleStep != step {
 				t.Errorf("after %d ms: closed %v, step %d", c.idle/ms, got, s.inflight[0].idleStep)
 			}
 		}
@@ -312,7 +312,7 @@
 		b.timeouts[3].N = 0.5
 		now := 3*sec + idleLossSpan
 		s.lastOutcomeAt = now - sec
-		if b.sendTo(addRequest(b, 2, "once", "k"), s, now); b.decisions[len(b.decisions)-1].Kind == Close || s.inflight[0].idleStep != 3 {
+		if b.sendTo(addRequest(b, 2, "once", "k"), s, now); b.decisions[len(b.decisions)-1].Kind == CloseConnections || s.inflight[0].idleStep != 3 {
 			t.Error("connections are closed for a loss that has decayed")
 		}
 	})
@@ -370,7 +370,7 @@
 	})
 	t.Run("few keys move when a server leaves, and keys are not correlated", func(t *testing.T) {
 		b, c := newBalancer(5, nil), newBalancer(5, nil)
-		c.Listed(Changes, []Server{{ID: "e", State: Gone}}, 0)
+		c.Listed(ListUpdate, []Server{{ID: "e", State: Gone}}, 0)
 		c.placementOf(&c.cfg.RuleSets[0])
 		same := 0.0
 		last := ""
@@ -399,7 +399,7 @@
 		}
 	})
 	t.Run("a price on crossing zones favours the own zone", func(t *testing.T) {
-		b := newBalancer(2, func(t *Terms) { t.CrossPrice = 2 / zoneFactor })
+		b := newBalancer(2, func(t *Config) { t.CrossZonePrice = 2 / zoneFactor })
 		b.servers[1].Zone = "y"
 		assertNear(t, "own zone", tally(b)["a"], 0.75, 0.015)
 	})
@@ -411,7 +411,7 @@
 			balancers, ejected int
 			want               bool
 		}{{2, 0, false}, {2, 4, true}, {8, 4, false}} {
-			b := newBalancer(8, func(t *Terms) { t.Copies = c.balancers })
+			b := newBalancer(8, func(t *Config) { t.FleetSize = c.balancers })
 			for _, s := range b.servers[:c.ejected] {
 				s.ejected, s.ejectedUntil = true, sec
 			}
@@ -426,7 +426,7 @@
 	})
 	t.Run("no new requests to a draining server", func(t *testing.T) {
 		b := newBalancer(2, nil)
-		b.Listed(Changes, []Server{{ID: "a", Zone: "z", State: Draining}}, 0)
+		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", State: Draining}}, 0)
 		b.computeWeights(0)
 		for i := range 100 {
 			if s := b.pickServer(&request{maxDispatches: 3, rules: &b.cfg.RuleSets[0], placement: b.placementOf(&b.cfg.RuleSets[0]),
@@ -449,13 +449,13 @@
 			{8, 1, minInflight, inflightShare}, {80, 0, calm, inflightShare},
 			{80, slowRatio, 0.1 * minInflight, inflightShare},
 			{80, slowRatio / 2, calm - (calm-0.1*minInflight)/64, inflightShare}} {
-			b.cfg.Copies, b.latencyRatio = c.balancers, c.latencyRatio
+			b.cfg.FleetSize, b.latencyRatio = c.balancers, c.latencyRatio
 			r.random = 0
 			assertNear(t, fmt.Sprint("bound of ", c.balancers), b.inflightBound(r, 1000*sec), c.least+100*c.share, 1e-9)
 		}
 	})
 	t.Run("a balancer in panic mode among many still sends", func(t *testing.T) {
-		b := newBalancer(3, func(t *Terms) { t.Copies = 20 })
+		b := newBalancer(3, func(t *Config) { t.FleetSize = 20 })
 		for _, s := range b.servers {
 			s.streak = streakLimit
 		}
@@ -483,7 +483,7 @@
 		}
 	})
 	t.Run("a tenant above its share ranks lower", func(t *testing.T) {
-		b := newBalancer(1, func(t *Terms) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
+		b := newBalancer(1, func(t *Config) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
 		b.answerRate.N, b.tenantRates[0].N, b.tenantRates[1].N = 10, 8, 2
 		x, y := &request{maxDispatches: 3, rules: &b.cfg.RuleSets[0]}, &request{rules: &b.cfg.RuleSets[0], tenant: 1}
 		if b.requestValue(x, 0) >= b.requestValue(y, 0) {
@@ -493,32 +493,32 @@
 }
 
 func TestListIsRequestedAgain(t *testing.T) {
-	ask := func(t *Terms) { t.MustAsk, t.AskWithin = true, 10*sec }
+	ask := func(t *Config) { t.ListOnRequest, t.AskWithin = true, 10*sec }
 	b := newBalancer(1, ask)
-	if len(drain(b, sec, Watch)) != 1 {
+	if len(drain(b, sec, RequestList)) != 1 {
 		t.Fatal("the list is not requested at the start")
 	}
-	b.Listed(Whole, []Server{{ID: "a"}}, 2*sec)
-	if len(drain(b, 60*sec, Watch)) != 0 {
+	b.Listed(ListReplace, []Server{{ID: "a"}}, 2*sec)
+	if len(drain(b, 60*sec, RequestList)) != 0 {
 		t.Error("a subscribed instance requested the list again")
 	}
 	for range 5 {
-		b.Listed(Unavailable, nil, 60*sec)
+		b.Listed(ListUnavailable, nil, 60*sec)
 		if wait := b.askAt - 60*sec; wait <= 0 || wait > 5*sec {
 			t.Errorf("requested again after %d ms", wait/ms)
 		}
 	}
-	if len(drain(b, 65*sec, Watch)) != 1 {
+	if len(drain(b, 65*sec, RequestList)) != 1 {
 		t.Error("a failed call is not repeated")
 	}
-	if len(drain(b, 71*sec, Watch)) != 1 {
+	if len(drain(b, 71*sec, RequestList)) != 1 {
 		t.Error("a call that was never answered is not repeated")
 	}
 }
 
 // New terms must not apply to requests that are open, and must not discard the state of servers.
 func TestRetune(t *testing.T) {
-	b := newBalancer(2, func(t *Terms) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
+	b := newBalancer(2, func(t *Config) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
 	b.servers[0].health, b.servers[1].streak = 0.4, 1
 	b.tenantRates[1].Add(0, span)
 	old := addRequest(b, 1, "once", "k")
@@ -538,7 +538,7 @@
 	}
 	assertNear(t, "dispatches of the tenant", b.tenantRates[0].Now(0, span), 1, 1e-9)
 	for _, d := range drain(b, 0, Dispatch) {
-		b.Finished(d.Req, 0, Errored, false, 1, 0)
+		b.Finished(d.Request, 0, Errored, false, 1, 0)
 	}
 	if got := drain(b, 1, -1); len(got) != 2 || got[0].Kind != Abort || got[1].Kind != Deny {
 		t.Errorf("got %v, want the old request aborted as it may have run, the new one denied", got)
@@ -548,7 +548,7 @@
 // A request is in flight, and its time runs, only from the end of its body to the begin of its answer.
 func TestStreamedRequest(t *testing.T) {
 	b := newBalancer(1, nil)
-	b.Req(Arrival{ID: 1, RuleSet: "once", Budget: 2 * sec, Open: true}, 0)
+	b.Req(Arrival{ID: 1, RuleSet: "once", Budget: 2 * sec, BodyPending: true}, 0)
 	if got := drain(b, 0, Dispatch); len(got) != 1 || b.inflight != 0 || len(b.servers[0].inflight) != 0 {
 		t.Fatalf("got %v, %d in flight, want one dispatch that does not count as in flight", got, b.inflight)
 	}
@@ -557,7 +557,7 @@
 	}
 	b.Whole(1, 10*sec)
 	b.Whole(1, 11*sec) // must not count twice
-	if got := drain(b, 10*sec, Limit); len(got) != 1 || got[0].Time != 11*sec-2*b.cfg.Tick || b.inflight != 1 {
+	if got := drain(b, 10*sec, SetDeadline); len(got) != 1 || got[0].Time != 11*sec-2*b.cfg.Tick || b.inflight != 1 {
 		t.Fatalf("got %v, %d in flight, want the time to start with the end of the body", got, b.inflight)
 	}
 	b.Started(1)
@@ -576,9 +576,9 @@
 
 // A request whose body is no longer buffered must not be dispatched again, even if a repeat would be safe.
 func TestNoDispatchWithoutBufferedBody(t *testing.T) {
-	for rules, want := range map[string]Kind{"again": Deny, "once": Deny} {
+	for rules, want := range map[string]DecisionKind{"again": Deny, "once": Deny} {
 		b := newBalancer(2, nil)
-		b.Req(Arrival{ID: 1, RuleSet: rules, Budget: 2 * sec, Open: true}, 0)
+		b.Req(Arrival{ID: 1, RuleSet: rules, Budget: 2 * sec, BodyPending: true}, 0)
 		drain(b, 0, Dispatch)
 		b.Spent(1)
 		b.Finished(1, 0, NoConnection, false, 1, 1)
@@ -591,8 +591,8 @@
 // A new server starts with half the in-flight cap if a second process of this balancer sends to it too.
 func TestNewServerCapIsDividedAmongProcesses(t *testing.T) {
 	for beside, want := range []float64{newServerCap, newServerCap / 2} {
-		b := newBalancer(2, func(t *Terms) { t.Beside = beside })
-		b.Listed(Changes, []Server{{ID: "a", Zone: "z", Share: 1, Since: sec}}, sec)
+		b := newBalancer(2, func(t *Config) { t.SiblingProcesses = beside })
+		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: sec}}, sec)
 		assertNear(t, "cap", b.servers[0].inflightCap, want, 0)
 	}
 }
@@ -600,7 +600,7 @@
 // After a lull in traffic the decayed rate must not limit a balancer. Constantly low traffic is no lull.
 func TestRateIsResetAfterALull(t *testing.T) {
 	bound := func(gap int64, answers int) float64 {
-		b := newBalancer(4, func(t *Terms) { t.Copies = 2 })
+		b := newBalancer(4, func(t *Config) { t.FleetSize = 2 })
 		b.rateStart = -100 * sec
 		addRequest(b, 1, "once", "k")
 		for range answers {
--- a/balance/close_test.go
+++ b/balance/close_test.go
@@ -23,7 +23,7 @@
 		{"many more", 100, 8, 0, 0.3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBalancer(c.servers, func(t *Terms) { t.Copies = c.balancers })
+			b := newBalancer(c.servers, func(t *Config) { t.FleetSize = c.balancers })
 			r := addRequest(b, 1, "again", "k")
 			b.healthy -= c.ejected
 			idle := b.inflightBound(r, 100*sec)
@@ -36,7 +36,7 @@
 // More in flight only adds to the refusals of servers that refuse most requests: with half of the dispatches refused
 // the narrow bound must apply, and few refusals must leave the wide one. Answers restore it.
 func TestRefusalsNarrowTheInflightBound(t *testing.T) {
-	b := newBalancer(8, func(t *Terms) { t.Copies = 2 })
+	b := newBalancer(8, func(t *Config) { t.FleetSize = 2 })
 	r := addRequest(b, 1, "again", "k")
 	share := func() float64 {
 		b.answerRate = fade.Count{}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -36,8 +36,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := 0.0
 			for seed := range uint64(balancers) {
-				b := newBalancer(servers, func(x *Terms) {
-					x.Seed, x.Copies, x.RuleSets[0].Kinds = seed, balancers, c.kinds
+				b := newBalancer(servers, func(x *Config) {
+					x.Seed, x.FleetSize, x.RuleSets[0].Kinds = seed, balancers, c.kinds
 				})
 				for i, s := range b.servers {
 					if s.Kind = "large"; i < 2 {
@@ -46,7 +46,7 @@
 				}
 				in := b.placementOf(&b.cfg.RuleSets[0])
 				b.reviewServers(100 * sec)
-				b.Listed(Changes, []Server{{ID: "a", Kind: "small", Zone: "z", Share: 1, Since: 101 * sec}}, 101*sec)
+				b.Listed(ListUpdate, []Server{{ID: "a", Kind: "small", Zone: "z", Share: 1, Since: 101 * sec}}, 101*sec)
 				for _, s := range b.servers[servers-c.ejected:] {
 					s.ejected, s.ejectedUntil = true, 200*sec
 				}
--- a/balance/copies_test.go
+++ b/balance/copies_test.go
@@ -16,8 +16,8 @@
 		{"only the servers of its placement count", 4 * hedgeBalancers, []string{"small"}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBalancer(4, func(t *Terms) {
-				t.Parallel, t.Copies, t.RuleSets[0].Kinds = true, c.balancers, c.kinds
+			b := newBalancer(4, func(t *Config) {
+				t.AllowParallel, t.FleetSize, t.RuleSets[0].Kinds = true, c.balancers, c.kinds
 			})
 			b.servers[0].Kind, b.servers[1].Kind = "small", "small"
 			r := addRequest(b, 1, "again", "k")
--- a/balance/lean_test.go
+++ b/balance/lean_test.go
@@ -19,7 +19,7 @@
 		{"there are no restricted requests", 0, 100, 0.25},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBalancer(4, func(t *Terms) { t.RuleSets[1].Kinds = []string{"small"} })
+			b := newBalancer(4, func(t *Config) { t.RuleSets[1].Kinds = []string{"small"} })
 			b.servers[0].Kind = "small"
 			free, restricted := b.placementOf(&b.cfg.RuleSets[0]), b.placementOf(&b.cfg.RuleSets[1])
 			free.firstDispatches, restricted.firstDispatches = fade.Count{N: c.free}, fade.Count{N: c.restricted}
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -5,7 +5,7 @@
 // State that one instance exports must be imported by another: the same ejections, times and rates, but nothing of
 // another process of a server.
 func TestMemoryRoundTrip(t *testing.T) {
-	source := newBalancer(4, func(t *Terms) { t.Tenants = []Tenant{{Name: "x", Share: 1}} })
+	source := newBalancer(4, func(t *Config) { t.Tenants = []Tenant{{Name: "x", Share: 1}} })
 	now := 60 * sec
 	for i := range 200 {
 		now += 20 * ms
@@ -16,7 +16,7 @@
 			if d.Server == "a" {
 				o = Errored
 			}
-			source.Finished(d.Req, 0, o, true, 10*ms, now+10*ms)
+			source.Finished(d.Request, 0, o, true, 10*ms, now+10*ms)
 		}
 	}
 	// All requests have the same key and may have gone to other servers only.
@@ -24,7 +24,7 @@
 	a.lastOutcomeAt, a.health = now, 0.3
 	source.eject(a, now)
 	m := source.Memory(now + sec)
-	other := newBalancer(4, func(t *Terms) { t.Tenants = []Tenant{{Name: "x", Share: 1}} })
+	other := newBalancer(4, func(t *Config) { t.Tenants = []Tenant{{Name: "x", Share: 1}} })
 	other.servers[3].Since = 5
 	later := now + 3*sec
 	other.Recall(m, later)
@@ -61,7 +61,7 @@
 			if d.Server == "a" {
 				t.Fatal("dispatched to an ejected server")
 			}
-			b.Finished(d.Req, 0, Served, true, 10*ms, sec)
+			b.Finished(d.Request, 0, Served, true, 10*ms, sec)
 		}
 	}
 	b.reviewServers(4 * sec)
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -50,7 +50,7 @@
 	// fleet had capacity.
 	for _, at := range []int64{sec, 4 * sec, 30 * sec} {
 		b := newBalancer(4, nil)
-		b.cfg.Copies = 4
+		b.cfg.FleetSize = 4
 		r := addRequest(b, 1, "again", "k")
 		for now := int64(0); now < at; now += 10 * ms {
 			b.answerRate.Add(now, span)
@@ -61,8 +61,8 @@
 
 func TestInflightBoundUsesMeanTarget(t *testing.T) {
 	// Requests with a short response target were denied first, although most of what is in flight belongs to others.
-	b := newBalancer(4, func(t *Terms) {
-		t.Copies = 4
+	b := newBalancer(4, func(t *Config) {
+		t.FleetSize = 4
 		t.RuleSets = append(t.RuleSets, RuleSet{Name: "short", ResponseTarget: sec / 10})
 	})
 	long, short := addRequest(b, 1, "again", "k"), addRequest(b, 2, "short", "k")
@@ -84,8 +84,8 @@
 		tail  float64
 		end   int64
 	}{{"again", 0.3, sec}, {"again", 0, 2 * sec}, {"all", 0.3, sec}, {"cell", 0.3, 2 * sec}, {"once", 0.3, 2 * sec}} {
-		b := newBalancer(2, func(t *Terms) {
-			t.Tail = c.tail
+		b := newBalancer(2, func(t *Config) {
+			t.TailWeight = c.tail
 			for i := range t.RuleSets {
 				t.RuleSets[i].OverdueValue = 0.3
 			}
@@ -98,14 +98,14 @@
 
 func TestSharesThatFollowLoad(t *testing.T) {
 	// Shares that follow load were taken for sizes: all balancers moved their keys with each list.
-	b := newBalancer(2, func(t *Terms) { t.Live = true })
-	b.Listed(Changes, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
+	b := newBalancer(2, func(t *Config) { t.LiveWeights = true })
+	b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
 	b.reviewServers(sec)
 	if a := b.servers[0]; a.size != 1 || a.weight < 0.8 || a.weight >= 1 {
 		t.Errorf("size %.2f, weight %.2f", a.size, a.weight)
 	}
 	for range 50 {
-		b.Listed(Changes, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
+		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
 	}
 	b.computeWeights(0)
 	assertNear(t, "in the long run", b.servers[0].weight, 0.1, 0.02)
@@ -114,11 +114,11 @@
 // When the deployment changes in kind, old measurements must not limit the new one. The servers' health and ejections
 // stay, and no server gets a burst.
 func TestRetuneToAnotherDeployment(t *testing.T) {
-	b := newBalancer(4, func(t *Terms) { t.MustAsk, t.AskWithin, t.Copies = true, 10*sec, 2 })
+	b := newBalancer(4, func(t *Config) { t.ListOnRequest, t.AskWithin, t.FleetSize = true, 10*sec, 2 })
 	b.askAt = 0 // subscribed
 	b.servers[0].ejected, b.servers[0].ejectedUntil = true, 100*sec
 	b.servers[1].health = 0.4
-	b.Listed(Changes, []Server{{ID: "c", Zone: "z", State: Draining}}, sec)
+	b.Listed(ListUpdate, []Server{{ID: "c", Zone: "z", State: Draining}}, sec)
 	for _, s := range b.servers {
 		s.slotTime, s.latency, s.inflightCap = float64(sec), float64(sec), 50
 	}
@@ -126,7 +126,7 @@
 	open := addRequest(b, 1, "once", "k")
 	b.servers[3].listed = false // off the list
 	next := b.cfg
-	next.MustAsk, next.Live, next.Copies, next.Tail = false, true, 40, 0.3
+	next.ListOnRequest, next.LiveWeights, next.FleetSize, next.TailWeight = false, true, 40, 0.3
 	next.RuleSets = []RuleSet{{Name: "once", Effect: Replayable, ResponseTarget: sec / 5, BillingValue: 1}}
 	b.Retune(next, 60*sec)
 	if open.rules.Effect != NonReplayable || open.rules.ResponseTarget != sec {
@@ -148,17 +148,17 @@
 			t.Errorf("a dispatch to %s, which is not available", d.Server)
 		}
 	}
-	if n := len(drain(b, 90*sec, Watch)); n != 0 {
+	if n := len(drain(b, 90*sec, RequestList)); n != 0 {
 		t.Error("requested a list that is pushed")
 	}
-	next.MustAsk, next.Live, next.Copies = true, false, 2
+	next.ListOnRequest, next.LiveWeights, next.FleetSize = true, false, 2
 	b.Retune(next, 100*sec)
-	if n := len(drain(b, 112*sec, Watch)); n != 1 {
+	if n := len(drain(b, 112*sec, RequestList)); n != 1 {
 		t.Errorf("requested the list %d times after the change back, want once", n)
 	}
 	// New terms that do not change the kind of deployment keep the measurements.
 	b.servers[1].slotTime, b.answerRate.N = 7, 5
-	next.Copies = 3
+	next.FleetSize = 3
 	if b.Retune(next, 113*sec); b.servers[1].slotTime != 7 || b.answerRate.N != 5 {
 		t.Error("new terms of the same kind of deployment discarded measurements")
 	}
@@ -167,16 +167,18 @@
 // A share that follows load makes a new server look idle: it got five times its share while cold (rule 4, ebene-main
 // with servers that crash).
 func TestColdServerWithShareThatFollowsLoad(t *testing.T) {
-	b := newBalancer(40, func(t *Terms) { t.Live, t.Copies, t.Overload, t.FallTime, t.StartCapacity = true, 20, 3, sec, 0.4 })
+	b := newBalancer(40, func(t *Config) {
+		t.LiveWeights, t.FleetSize, t.OverloadFactor, t.OverloadTime, t.StartCapacity = true, 20, 3, sec, 0.4
+	})
 	list := []Server{}
 	for _, s := range b.servers {
 		list = append(list, Server{ID: s.ID, Zone: "z", Share: 0.2})
 	}
 	for range 100 {
-		b.Listed(Changes, list, sec)
+		b.Listed(ListUpdate, list, sec)
 	}
 	b.answerRate.N, b.answerRate.At = 35*float64(span/sec), 10*sec
-	b.Listed(Changes, []Server{{ID: list[0].ID, Zone: "z", Share: 1, Since: 10 * sec}}, 10*sec)
+	b.Listed(ListUpdate, []Server{{ID: list[0].ID, Zone: "z", Share: 1, Since: 10 * sec}}, 10*sec)
 	b.reviewServers(10 * sec)
 	s := b.servers[0]
 	assertNear(t, "fraction of all", s.weight/b.placementOf(&RuleSet{}).readyWeight, 0.4/39.4, 0.002)
@@ -186,9 +188,9 @@
 // the budget, and a suspect server gets less.
 func TestAdvice(t *testing.T) {
 	t.Run("shed", func(t *testing.T) {
-		b := New(Terms{Seed: 1, Copies: 1, MaxDispatches: 3, MaxAdvice: sec, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: NonReplayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
-		b.Listed(Whole, []Server{{ID: "s", Share: 1}}, 0)
-		b.Req(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec, Shed: true, Back: 700 * ms}, 0)
+		b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, MaxRetryAfter: sec, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: NonReplayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
+		b.Listed(ListReplace, []Server{{ID: "s", Share: 1}}, 0)
+		b.Req(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec, Shed: true, RetryAfter: 700 * ms}, 0)
 		var got []Decision
 		for d, ok := b.Next(0); ok; d, ok = b.Next(0) {
 			if d.Kind == Deny || d.Kind == Dispatch {
@@ -201,9 +203,9 @@
 	})
 	t.Run("further", func(t *testing.T) {
 		for further, want := range []int{1, 2} {
-			b := New(Terms{Seed: 1, Copies: 1, MaxDispatches: 3, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: Replayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
-			b.Advised(Advice{Bounded: true, Further: further})
-			b.Listed(Whole, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}, {ID: "v", Share: 1}}, 0)
+			b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: Replayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
+			b.Advised(Advice{RetriesLimited: true, RetriesLeft: further})
+			b.Listed(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}, {ID: "v", Share: 1}}, 0)
 			b.Req(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec}, 0)
 			sent := 0
 			for now := int64(0); now < 60*ms; now += 5 * ms {
@@ -220,9 +222,9 @@
 		}
 	})
 	t.Run("suspect server", func(t *testing.T) {
-		b := New(Terms{Seed: 1, Copies: 1, Tick: 5 * ms}, 0)
-		b.Listed(Whole, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}}, 0)
-		b.Advised(Advice{Wary: map[string]float64{"s": 0.25}})
+		b := New(Config{Seed: 1, FleetSize: 1, Tick: 5 * ms}, 0)
+		b.Listed(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}}, 0)
+		b.Advised(Advice{ShareFactors: map[string]float64{"s": 0.25}})
 		b.reviewServers(0)
 		if s, u := b.servers[0].weight, b.servers[1].weight; s != u/4 {
 			t.Errorf("weights %v and %v, want a quarter", s, u)
--- a/balance/source_test.go
+++ b/balance/source_test.go
@@ -20,7 +20,7 @@
 			case Dispatch:
 				sent[key(i)]++
 				if o := end(key(i), d.Server); o != TimedOut {
-					b.Finished(d.Req, len(b.requests[d.Req].dispatches)-1, o, o == Served, 5*ms, now)
+					b.Finished(d.Request, len(b.requests[d.Request].dispatches)-1, o, o == Served, 5*ms, now)
 				}
 			case Deny:
 				shed[key(i)]++
@@ -43,7 +43,7 @@
 
 func TestFailuresOfASource(t *testing.T) {
 	start := func() *Balancer {
-		return newBalancer(6, func(t *Terms) { t.Tenants = []Tenant{{Name: "t", Share: 1}} })
+		return newBalancer(6, func(t *Config) { t.Tenants = []Tenant{{Name: "t", Share: 1}} })
 	}
 	good := func(i int) string { return fmt.Sprint("key-", i%50) }
 	bad := func(i int) string { // one in five has a key that fails at every server
@@ -100,13 +100,13 @@
 func TestFailuresAtTwoHealthyServersEndARequest(t *testing.T) {
 	// A request that fails everywhere went to all six servers that its terms allow and lowered the health of each
 	// (pnw-core rough-1).
-	b := newBalancer(6, func(t *Terms) { t.MaxDispatches = 6 })
+	b := newBalancer(6, func(t *Config) { t.MaxDispatches = 6 })
 	b.Req(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
 	for i := range 6 {
 		now := int64(i) * 10 * ms
 		for _, d := range drain(b, now, -1) {
 			if d.Kind == Dispatch {
-				b.Finished(d.Req, len(b.requests[1].dispatches)-1, Errored, false, 5*ms, now)
+				b.Finished(d.Request, len(b.requests[1].dispatches)-1, Errored, false, 5*ms, now)
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 		t.Errorf("%d servers blamed for one request, want only the first", blamed)
 	}
 	// A request that failed only at servers with other failures is tried again: their errors say nothing of the request.
-	b = newBalancer(6, func(t *Terms) { t.MaxDispatches = 6 })
+	b = newBalancer(6, func(t *Config) { t.MaxDispatches = 6 })
 	b.Req(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
 	for i := range 3 {
 		now := int64(i) * 10 * ms
@@ -130,7 +130,7 @@
 			s.streak = 1
 		}
 		for _, d := range drain(b, now, Dispatch) {
-			b.Finished(d.Req, len(b.requests[1].dispatches)-1, Errored, false, 5*ms, now)
+			b.Finished(d.Request, len(b.requests[1].dispatches)-1, Errored, false, 5*ms, now)
 		}
 	}
 	if r := b.requests[1]; r == nil || len(r.dispatches) < 3 {
--- a/balance/standing_test.go
+++ b/balance/standing_test.go
@@ -39,7 +39,7 @@
 	outcome  Outcome
 }
 
-func newSimulation(instances, servers int, change func(*Terms)) *simulation {
+func newSimulation(instances, servers int, change func(*Config)) *simulation {
 	c := &simulation{rng: draw.Dice{Seed: 3}, work: 100 * ms, busy: map[string]int64{}, sent: map[string][]int64{},
 		open: map[uint64]string{}, asked: map[string]int{}, served: map[string]int{},
 		wakes: make([]int64, instances)}
@@ -48,15 +48,15 @@
 		list[i] = Server{ID: fmt.Sprintf("s-%03d", i), Zone: "z", Share: 1}
 	}
 	for i := range instances {
-		t := Terms{Seed: uint64(i + 1), Zone: "z", Copies: instances, MaxDispatches: 3, CanCancel: true, Tick: step,
-			StartCapacity: 0.2, RampTime: 20 * sec, Overload: 3, FallTime: 3 * sec, WastePrice: 1,
+		t := Config{Seed: uint64(i + 1), Zone: "z", FleetSize: instances, MaxDispatches: 3, CanCancel: true, Tick: step,
+			StartCapacity: 0.2, RampTime: 20 * sec, OverloadFactor: 3, OverloadTime: 3 * sec, WastePrice: 1,
 			RuleSets: []RuleSet{{Name: "dear", Effect: NonReplayable, ResponseTarget: 800 * ms, BillingValue: 1},
 				{Name: "cheap", Effect: Replayable, ResponseTarget: 800 * ms, BillingValue: 0.2}}}
 		if change != nil {
 			change(&t)
 		}
 		b := New(t, 0)
-		b.Listed(Whole, list, 0)
+		b.Listed(ListReplace, list, 0)
 		c.all = append(c.all, b)
 	}
 	return c
@@ -97,7 +97,7 @@
 				case Wake:
 					c.wakes[i] = min(c.wakes[i], c.now+d.Time)
 				case Deny, Abort:
-					delete(c.open, d.Req)
+					delete(c.open, d.Request)
 				case Dispatch:
 					c.dispatch(i, d)
 				}
@@ -109,11 +109,11 @@
 // dispatch queues a request at a server, which refuses it if it would wait for a second.
 func (c *simulation) dispatch(instance int, d Decision) {
 	attempt := 0
-	if r := c.all[instance].requests[d.Req]; r != nil {
+	if r := c.all[instance].requests[d.Request]; r != nil {
 		attempt = len(r.dispatches) - 1
 	}
 	c.sent[d.Server] = append(c.sent[d.Server], c.now)
-	a := answer{at: c.now + ms, sent: c.now, instance: instance, request: d.Req, attempt: attempt, outcome: Refused}
+	a := answer{at: c.now + ms, sent: c.now, instance: instance, request: d.Request, attempt: attempt, outcome: Refused}
 	if from := max(c.now, c.busy[d.Server]); from < c.now+sec {
 		c.busy[d.Server] = from + c.work
 		if a.at, a.outcome = from+c.work, Served; a.at > d.Time {
@@ -138,7 +138,7 @@
 	for _, hot := range []float64{0, 0.06} {
 		t.Run(fmt.Sprint("hot key ", hot), func(t *testing.T) {
 			const servers, utilisation = 20, 0.85
-			c := newSimulation(300, servers, func(t *Terms) { t.StartCapacity = 0.16 })
+			c := newSimulation(300, servers, func(t *Config) { t.StartCapacity = 0.16 })
 			c.work = 20 * ms // some have several cores
 			rate := utilisation * servers * float64(sec) / float64(c.work) / 300
 			each := func() {
@@ -155,7 +155,7 @@
 			c.play(5*sec, each)
 			startedAt := c.now
 			for i, b := range c.all {
-				b.Listed(Changes, []Server{{ID: "s-007", Zone: "z", Share: 1, Since: startedAt}}, startedAt)
+				b.Listed(ListUpdate, []Server{{ID: "s-007", Zone: "z", Share: 1, Since: startedAt}}, startedAt)
 				c.wakes[i] = startedAt
 			}
 			c.play(startedAt+10*sec, each)
@@ -164,13 +164,13 @@
 			for i, from := range got {
 				n := 0
 				for _, at := range got[i:] {
-					if at < from+terms.FallTime {
+					if at < from+terms.OverloadTime {
 						n++
 					}
 				}
-				full := float64(terms.FallTime) / float64(c.work)
+				full := float64(terms.OverloadTime) / float64(c.work)
 				warm := terms.StartCapacity + (1-terms.StartCapacity)*float64(from-startedAt)/float64(terms.RampTime)
-				allowed := terms.Overload * warm * full
+				allowed := terms.OverloadFactor * warm * full
 				if most := allowed + 3*math.Sqrt(allowed) + 3; float64(n) > most {
 					t.Fatalf("%d requests in the FallTime after %d ms, %.0f are allowed", n, (from-startedAt)/ms, most)
 				}
@@ -214,7 +214,7 @@
 
 // A tenant inside its share is served even if others ask for twice what servers can take.
 func TestTenantInsideShare(t *testing.T) {
-	c := newSimulation(10, 10, func(t *Terms) { t.Tenants = []Tenant{{"small", 0.1}, {"mid", 0.3}, {"flood", 0.6}} })
+	c := newSimulation(10, 10, func(t *Config) { t.Tenants = []Tenant{{"small", 0.1}, {"mid", 0.3}, {"flood", 0.6}} })
 	c.play(30*sec, func() {
 		for i := range c.all {
 			for tenant, rate := range []float64{0.8, 2.5, 20} {
@@ -264,14 +264,14 @@
 	for _, within := range []int64{sec, 2 * sec, 4 * sec, 30 * sec} {
 		at := map[int64]bool{}
 		for seed := range uint64(100) {
-			b := New(Terms{Seed: seed, MustAsk: true, AskWithin: within, Copies: 300, Tick: step}, 0)
+			b := New(Config{Seed: seed, ListOnRequest: true, AskWithin: within, FleetSize: 300, Tick: step}, 0)
 			first := b.askAt
-			b.Listed(Whole, nil, first)
+			b.Listed(ListReplace, nil, first)
 			if b.askAt != 0 {
 				t.Fatal("requests the list although it is subscribed")
 			}
 			for now := 10 * sec; now < 40*sec; now = b.askAt { // discovery is down
-				b.Listed(Unavailable, nil, now)
+				b.Listed(ListUnavailable, nil, now)
 				if wait := b.askAt - now; wait <= 0 || wait >= within {
 					t.Fatalf("requests the list %d ms after a failure, %d allowed", wait/ms, within/ms)
 				}
--- a/balance/types.go
+++ b/balance/types.go
@@ -8,7 +8,7 @@
 // The effects of a rule set's requests.
 const (
 	Replayable    Effect = iota // may run again
-	Uniqued                     // servers drop a repeat within their group and window
+	Deduplicated                // servers drop a repeat within their group and window
 	NonReplayable               // must never run twice
 )
 
@@ -36,8 +36,8 @@
 
 func (x *RuleSet) restricted() bool { return len(x.Zones)+len(x.Kinds) > 0 }
 
-// Placed reports whether a server may run the rule set's requests.
-func (x *RuleSet) Placed(s *Server) bool {
+// Allows reports whether a server may run the rule set's requests.
+func (x *RuleSet) Allows(s *Server) bool {
 	return (len(x.Zones) == 0 || slices.Contains(x.Zones, s.Zone)) &&
 		(len(x.Kinds) == 0 || slices.Contains(x.Kinds, s.Kind))
 }
@@ -48,39 +48,39 @@
 	Share float64
 }
 
-// Terms are the settings of an instance, as far as the module uses them. Times are in ns.
-type Terms struct {
-	Seed          uint64
-	Zone          string
-	RuleSets      []RuleSet
-	Tenants       []Tenant
-	Copies        int // balancers of this fleet
-	Beside        int // further live processes of this balancer: the cap of new servers is divided among all of them
-	MaxDispatches int
-	Parallel      bool // a second dispatch may run at the same time
-	CanCancel     bool
-	MaxAdvice     int64 // longest wait that a client honours, 0 if none is advised
-	Live          bool  // listed shares follow load
-	MustAsk       bool  // the server list arrives only on request
-	AskWithin     int64 // longest time between requests for the list without a subscription
-	StartCapacity float64
-	RampTime      int64
-	Overload      float64 // load, as a multiple of its current capacity, at which a cold server fails
-	FallTime      int64   // for how long that load has to last; 0: unknown
-	CrossPrice    float64 // points for each dispatch that crosses zones
-	Tail          float64 // weight of the part of the score that late answers reduce and early denials do not
-	WastePrice    float64 // points for work that served no answer, of the amount that was asked for
-	Tick          int64
-	WarmKeys      bool    // a server needs less work for a key that it saw recently
-	TailMiss      float64 // fraction of requests that may miss their response target before that part is reduced
-	Held          int     // answers that clients may be reading at a time, 0: no limit
-	BudgetError   int64   // largest error of reported budgets, either way; 0: clocks agree
-	StartError    int64   // largest error of reported start times of servers
-	GoneIsAdvice  bool    // a server that is gone without having drained may still be sent to
+// Config are the settings of an instance, as far as the module uses them. Times are in ns.
+type Config struct {
+	Seed             uint64
+	Zone             string
+	RuleSets         []RuleSet
+	Tenants          []Tenant
+	FleetSize        int // balancers of this fleet
+	SiblingProcesses int // further live processes of this balancer: the cap of new servers is divided among all of them
+	MaxDispatches    int
+	AllowParallel    bool // a second dispatch may run at the same time
+	CanCancel        bool
+	MaxRetryAfter    int64 // longest wait that a client honours, 0 if none is advised
+	LiveWeights      bool  // listed shares follow load
+	ListOnRequest    bool  // the server list arrives only on request
+	AskWithin        int64 // longest time between requests for the list without a subscription
+	StartCapacity    float64
+	RampTime         int64
+	OverloadFactor   float64 // load, as a multiple of its current capacity, at which a cold server fails
+	OverloadTime     int64   // for how long that load has to last; 0: unknown
+	CrossZonePrice   float64 // points for each dispatch that crosses zones
+	TailWeight       float64 // weight of the part of the score that late answers reduce and early denials do not
+	WastePrice       float64 // points for work that served no answer, of the amount that was asked for
+	Tick             int64
+	WarmKeys         bool    // a server needs less work for a key that it saw recently
+	TailMissRate     float64 // fraction of requests that may miss their response target before that part is reduced
+	MaxHeldAnswers   int     // answers that clients may be reading at a time, 0: no limit
+	BudgetError      int64   // largest error of reported budgets, either way; 0: clocks agree
+	StartError       int64   // largest error of reported start times of servers
+	GoneIsAdvice     bool    // a server that is gone without having drained may still be sent to
 }
 
 // RuleSet returns the rule set of that name, nil if there is none.
-func (t *Terms) RuleSet(name string) *RuleSet {
+func (t *Config) RuleSet(name string) *RuleSet {
 	i := slices.IndexFunc(t.RuleSets, func(x RuleSet) bool { return x.Name == name })
 	if i < 0 {
 		return nil
@@ -89,7 +89,7 @@
 }
 
 // Tenant returns the index of the tenant of that name, -1 if there is none.
-func (t *Terms) Tenant(name string) int {
+func (t *Config) Tenant(name string) int {
 	return slices.IndexFunc(t.Tenants, func(x Tenant) bool { return x.Name == name })
 }
 
@@ -114,15 +114,15 @@
 	Since int64   // time of its latest start in ns, 0 when long past
 }
 
-// Form says how a list message changes the server list.
-type Form int
+// ListForm says how a list message changes the server list.
+type ListForm int
 
 // The forms of a list message.
 const (
-	Changes     Form = iota // entries that changed
-	Whole                   // the whole list
-	Restored                // the whole list, from an initial or stored copy: there is no subscription yet
-	Unavailable             // no list: the request for it failed
+	ListUpdate      ListForm = iota // entries that changed
+	ListReplace                     // the whole list
+	ListRestored                    // the whole list, from an initial or stored copy: there is no subscription yet
+	ListUnavailable                 // no list: the request for it failed
 )
 
 // Outcome is how a dispatch ended.
@@ -143,44 +143,44 @@
 
 // Arrival is a request as it was accepted. Times are in ns.
 type Arrival struct {
-	ID      uint64
-	RuleSet string
-	Tenant  string
-	Key     string
-	Budget  int64 // time left before the client gives up this try
-	Work    int64 // expected work, 0 if unknown
-	Open    bool  // its body is still arriving: its time starts with Whole
-	Shed    bool  // the balancers have agreed to deny requests like it: it is denied at once
-	Back    int64 // wait advised to the client of a shed request, 0: the default
+	ID          uint64
+	RuleSet     string
+	Tenant      string
+	Key         string
+	Budget      int64 // time left before the client gives up this try
+	Work        int64 // expected work, 0 if unknown
+	BodyPending bool  // its body is still arriving: its time starts with Whole
+	Shed        bool  // the balancers have agreed to deny requests like it: it is denied at once
+	RetryAfter  int64 // wait advised to the client of a shed request, 0: the default
 }
 
 // Advice is the combined advice of the other balancers. It can only restrict this one; the zero value is no advice.
 type Advice struct {
-	Bounded bool               // dispatches beyond the first of a request are limited
-	Further int                // number of them until the next advice
-	Wary    map[string]float64 // by server ID, the fraction of its share that the server gets for now
+	RetriesLimited bool               // dispatches beyond the first of a request are limited
+	RetriesLeft    int                // number of them until the next advice
+	ShareFactors   map[string]float64 // by server ID, the fraction of its share that the server gets for now
 }
 
-// Kind is the action that a Decision asks of the host.
-type Kind int
+// DecisionKind is the action that a Decision asks of the host.
+type DecisionKind int
 
 // The kinds of decision.
 const (
-	Dispatch Kind = iota
-	Limit
+	Dispatch DecisionKind = iota
+	SetDeadline
 	Deny
 	Abort
 	Cancel
-	Watch
-	Close
+	RequestList
+	CloseConnections
 	Wake
 	Log
 )
 
 // Decision is one action for the host. Only the fields of its kind are set.
 type Decision struct {
-	Kind    Kind
-	Req     uint64
+	Kind    DecisionKind
+	Request uint64
 	Server  string
 	Attempt int   // Cancel, Limit
 	Time    int64 // Dispatch, Limit: deadline; Deny: advised wait; Wake: time to wait
--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -119,7 +119,7 @@
 	s = proxy.Start{Listen: o.Listen, Discovery: o.Discovery, Sockets: o.Limits.Sockets, Pollers: pollers,
 		Memory: int64(o.Limits.Memory * heapPart * (1 << 20)), Known: o.Known, Terms: terms.Read(v, seed),
 		DialTimeout: v.Int("Ceilings.DialTimeoutNs"), ConnIdle: v.Int("Ceilings.ConnIdleNs")}
-	s.Terms.MustAsk = v.At["Discovery"] != "pushed" // not set: as it always was, the module asks
+	s.Terms.ListOnRequest = v.At["Discovery"] != "pushed" // not set: as it always was, the module asks
 	for i := range v.Int("RuleSets.count") {
 		s.LongestTimeout = max(s.LongestTimeout, v.Int(fmt.Sprintf("RuleSets.%d.ClientTimeoutNs", i)))
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -454,11 +454,11 @@
 
 // advise has the module know what has changed.
 func (f *Fleet) advise(now int64) {
-	a := balance.Advice{Bounded: f.t.Overload != nil, Wary: f.wary.care(f.t.Me, f.swim.Alive, now)}
-	if a.Bounded {
-		a.Further = f.spare.Left()
+	a := balance.Advice{RetriesLimited: f.t.Overload != nil, ShareFactors: f.wary.care(f.t.Me, f.swim.Alive, now)}
+	if a.RetriesLimited {
+		a.RetriesLeft = f.spare.Left()
 	}
-	if a.Bounded == f.advice.Bounded && a.Further == f.advice.Further && len(a.Wary) == 0 && len(f.advice.Wary) == 0 {
+	if a.RetriesLimited == f.advice.RetriesLimited && a.RetriesLeft == f.advice.RetriesLeft && len(a.ShareFactors) == 0 && len(f.advice.ShareFactors) == 0 {
 		return
 	}
 	f.advice = a
@@ -589,7 +589,7 @@
 			s.Owners = append(s.Owners, Owner{id, who, (now - at) / ms})
 		}
 	}
-	for id, part := range f.advice.Wary {
+	for id, part := range f.advice.ShareFactors {
 		s.Wary = append(s.Wary, fmt.Sprintf("%s %.2f", id, part))
 	}
 	slices.SortFunc(s.Wary, strings.Compare)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -220,11 +220,11 @@
 			m.members[i].Finished("s-4", balance.TimedOut, true, 0, m.now)
 		}
 	})
-	if got := m.advice[3].Wary["s-4"]; got == 0 || got > careful || len(m.advice[3].Wary) != 1 {
-		t.Errorf("a third is told %v", m.advice[3].Wary)
+	if got := m.advice[3].ShareFactors["s-4"]; got == 0 || got > careful || len(m.advice[3].ShareFactors) != 1 {
+		t.Errorf("a third is told %v", m.advice[3].ShareFactors)
 	}
 	m.run(6*sec, nil)
-	if len(m.advice[3].Wary) != 0 {
+	if len(m.advice[3].ShareFactors) != 0 {
 		t.Error("care outlives its reports")
 	}
 }
@@ -298,14 +298,14 @@
 		m.members[0].Sent("s-1", false, m.now)
 	}
 	m.run(200*ms, nil)
-	if a := m.advice[0]; !a.Bounded || a.Further < 2 {
+	if a := m.advice[0]; !a.RetriesLimited || a.RetriesLeft < 2 {
 		t.Fatalf("told %+v", a)
 	}
 	for range 10 {
 		m.members[0].Sent("s-1", true, m.now)
 	}
 	m.run(200*ms, nil)
-	if a := m.advice[0]; a.Further != 0 {
+	if a := m.advice[0]; a.RetriesLeft != 0 {
 		t.Errorf("told %+v when all is spent", a)
 	}
 }
--- a/fleet/recall/recall.go
+++ b/fleet/recall/recall.go
@@ -74,12 +74,12 @@
 }
 
 // Shape is a number for what the terms hold that a memory refers to.
-func Shape(t *balance.Terms) uint64 {
+func Shape(t *balance.Config) uint64 {
 	h := fnv.New64a()
 	for _, r := range t.RuleSets {
 		fmt.Fprintln(h, r.Name, r.Effect, r.Group, r.ResponseTarget)
 	}
-	fmt.Fprintln(h, t.Live, t.Copies/2, len(t.Tenants))
+	fmt.Fprintln(h, t.LiveWeights, t.FleetSize/2, len(t.Tenants))
 	return h.Sum64()
 }
 
@@ -92,7 +92,7 @@
 }
 
 // Weigh gives what of a memory is to be believed: each part by its age, and what is too old as not known.
-func Weigh(m Memory, whose string, t *balance.Terms, now Now, trust int64) (Memory, []Verdict) {
+func Weigh(m Memory, whose string, t *balance.Config, now Now, trust int64) (Memory, []Verdict) {
 	var out []Verdict
 	judge := func(part string, kept bool, why string, a ...any) bool {
 		out = append(out, Verdict{part, kept, fmt.Sprintf(why, a...)})
--- a/fleet/recall/recall_test.go
+++ b/fleet/recall/recall_test.go
@@ -7,8 +7,8 @@
 	"ivybank/balance"
 )
 
-func terms() *balance.Terms {
-	return &balance.Terms{Copies: 12, RuleSets: []balance.RuleSet{{Name: "view", ResponseTarget: 8e8}}}
+func terms() *balance.Config {
+	return &balance.Config{FleetSize: 12, RuleSets: []balance.RuleSet{{Name: "view", ResponseTarget: 8e8}}}
 }
 
 // kept is a memory as it was written at a time.
@@ -25,7 +25,7 @@
 	for name, c := range map[string]struct {
 		whose string
 		now   Now
-		terms *balance.Terms
+		terms *balance.Config
 		want  func(m Memory) bool
 	}{
 		"at once": {"a", at(1000*sec, 100*sec), terms(), func(m Memory) bool {
@@ -46,7 +46,7 @@
 		"of the future":               {"a", Now{Wall: 900 * sec, Boot: "c", Up: sec}, terms(), func(m Memory) bool { return m.Whose == "" }},
 		"after the machine's restart": {"a", Now{Wall: 1002 * sec, Boot: "c", Up: sec}, terms(), func(m Memory) bool { return m.Module.Servers[0].Left == 2*sec }},
 		"of another proxy":            {"z", at(1000*sec, 100*sec), terms(), func(m Memory) bool { return m.Whose == "" }},
-		"of other terms": {"a", at(1000*sec, 100*sec), &balance.Terms{Copies: 12}, func(m Memory) bool {
+		"of other terms": {"a", at(1000*sec, 100*sec), &balance.Config{FleetSize: 12}, func(m Memory) bool {
 			return m.Module.Rate == 0 && len(m.Module.Servers) == 2
 		}},
 	} {
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -80,7 +80,7 @@
 		r.shed, back = p.limited(r)
 	}
 	p.module.Req(balance.Arrival{ID: r.id, RuleSet: r.call.RuleSet, Tenant: r.call.Tenant, Key: r.call.Key,
-		Budget: max(1, budget), Work: r.call.Work, Open: r.flow != nil && !r.flow.whole, Shed: r.shed, Back: back}, now)
+		Budget: max(1, budget), Work: r.call.Work, BodyPending: r.flow != nil && !r.flow.whole, Shed: r.shed, RetryAfter: back}, now)
 }
 
 // withdraw ends the open req, if any, of a client that has gone or broken it off.
--- a/proxy/discovery.go
+++ b/proxy/discovery.go
@@ -63,14 +63,14 @@
 			r = roll{}
 		}
 	}
-	p.listed(balance.Restored, r, now)
+	p.listed(balance.ListRestored, r, now)
 }
 
 // listed hands a line to the module and keeps the addresses.
-func (p *Proxy) listed(form balance.Form, r roll, now int64) {
+func (p *Proxy) listed(form balance.ListForm, r roll, now int64) {
 	p.list.generation = r.Generation
 	p.discovered(form, r, now)
-	if form != balance.Changes {
+	if form != balance.ListUpdate {
 		for _, h := range p.hosts {
 			h.ready, h.listed = false, false
 		}
@@ -183,7 +183,7 @@
 // subscribe keeps a watch up where the list comes unasked; there the module has no say in it. What is out or
 // still comes while the process drains goes by the list too.
 func (p *Proxy) subscribe(now int64) {
-	if !p.terms.MustAsk {
+	if !p.terms.ListOnRequest {
 		p.again(now)
 	}
 }
@@ -216,7 +216,7 @@
 func (p *Proxy) heard(w *watch, now int64) {
 	if p.list.watch == w {
 		if !w.spoke {
-			p.module.Listed(balance.Changes, nil, now)
+			p.module.Listed(balance.ListUpdate, nil, now)
 		}
 		w.spoke, p.list.missing, p.list.failures = true, 0, 0
 		p.listen(w, now)
@@ -243,14 +243,14 @@
 		// What it misses counts as told before long, and its end was spread already: the next is opened at once.
 		p.list.missing = w.last
 		p.watch(now)
-	case !p.terms.MustAsk:
+	case !p.terms.ListOnRequest:
 		wait := min(reopen, firstReopen*math.Pow(2, float64(p.list.failures-1)))
 		p.after(now, int64(wait*(0.5+p.dice.Next())), p.subscribe)
 	case p.list.missing > 0 && now < p.list.missing+silenceTold-reopen:
 		p.after(now, int64(reopen*(0.5+p.dice.Next())), p.again)
 	default: // the module says when to ask again
 		p.list.missing = 0
-		p.module.Listed(balance.Unavailable, nil, now)
+		p.module.Listed(balance.ListUnavailable, nil, now)
 	}
 }
 
@@ -335,9 +335,9 @@
 		logrus.Warnf("line of the list ignored: %v", err)
 		return
 	}
-	form := balance.Changes
+	form := balance.ListUpdate
 	if r.Reset {
-		form = balance.Whole
+		form = balance.ListReplace
 	}
 	p.listed(form, r, now)
 }
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -37,7 +37,7 @@
 	Sockets           int // file descriptors that the process may hold
 	Pollers           int
 	Known             []byte // the list of hosts as it was last held, in discovery's form
-	Terms             balance.Terms
+	Terms             balance.Config
 	DialTimeout       int64        // a connection not up by then counts as failed
 	ConnIdle          int64        // hosts close a connection that stood idle for so long
 	LongestTimeout    int64        // the longest client timeout of any rule set
@@ -80,7 +80,7 @@
 	works     *works          // nil: no plans are taken part in
 	limits    *limits         // nil: none hold for the fleet
 	deaf      bool            // they are to be, but their address is taken
-	terms     *balance.Terms  // replaced whole, never changed
+	terms     *balance.Config // replaced whole, never changed
 	sockets   int             // descriptors that this process may hold now
 	held      holds.Table     // hosts out by hand
 	seen      map[string]bool // ids that were listed; the oldest go past mostSeen
--- a/proxy/operate.go
+++ b/proxy/operate.go
@@ -130,7 +130,7 @@
 // relist hands the module all hosts as they are shown now. It is not discovery's word: should the module be about to ask for that, it still
 // does.
 func (p *Proxy) relist(now int64) {
-	p.module.Listed(balance.Restored, p.listing(func(h *host) balance.Server { return h.shown }), now)
+	p.module.Listed(balance.ListRestored, p.listing(func(h *host) balance.Server { return h.shown }), now)
 	p.listPeers(now)
 }
 
@@ -216,7 +216,7 @@
 	if other { // it knows of drains that the list handed over at start is too old for
 		p.other.Store(true)
 		p.beside(true)
-	} else if p.terms.MustAsk {
+	} else if p.terms.ListOnRequest {
 		p.letIn()
 		return
 	} // else all that whoever pushes the list holds counts as told from the first moment on
@@ -236,7 +236,7 @@
 	}
 	p.sockets = p.start.Sockets / part
 	t := *p.terms
-	t.Beside = part - 1
+	t.SiblingProcesses = part - 1
 	p.module.Retune(t, p.now())
 	if p.start.Memory > 0 {
 		debug.SetMemoryLimit(p.start.Memory / int64(part))
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -80,7 +80,7 @@
 	}
 	p.deaf = false
 	t := x.Terms
-	t.RuleSets, t.Tenants, t.MaxAdvice, t.Seed = p.terms.RuleSets, p.terms.Tenants, p.terms.MaxAdvice, p.terms.Seed^uint64(t.Me)
+	t.RuleSets, t.Tenants, t.MaxAdvice, t.Seed = p.terms.RuleSets, p.terms.Tenants, p.terms.MaxRetryAfter, p.terms.Seed^uint64(t.Me)
 	t.Life = max(least, swim.LifeOf(now)) // by the clock of the day; should it have been set back, peers tell
 	q := &peers{Fleet: *x, conn: conn, raw: raw, name: peer.Fleet(x.Name), fleet: fleet.New(t, now), asking: map[string]bool{},
 		probes: &http.Client{Timeout: time.Duration(x.ProbeTimeout), Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Duration(p.start.ConnIdle / 2)}}}
@@ -110,7 +110,7 @@
 	least := uint64(0)
 	if q := p.peers; q != nil {
 		if x != nil && reflect.DeepEqual(q.Fleet.but(x), *x) &&
-			q.fleet.Same(p.terms.RuleSets, p.terms.Tenants, p.terms.MaxAdvice) {
+			q.fleet.Same(p.terms.RuleSets, p.terms.Tenants, p.terms.MaxRetryAfter) {
 			return
 		}
 		if x == nil {
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	return New(Start{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6,
 		Known: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`),
-		Terms: balance.Terms{Tick: 5e6, MaxDispatches: 3, Copies: 1}})
+		Terms: balance.Config{Tick: 5e6, MaxDispatches: 3, FleetSize: 1}})
 }
 
 // pair is a connection as the proxy holds it, and its other side.
@@ -197,7 +197,7 @@
 	t.Run("moved", func(t *testing.T) {
 		p := testProxy(t)
 		c, _ := parked(t, p, 1)
-		p.listed(balance.Changes, roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:2", State: "ready"}}}, 2)
+		p.listed(balance.ListUpdate, roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:2", State: "ready"}}}, 2)
 		if !c.closed || p.host("s").addr != "127.0.0.1:2" {
 			t.Fatal("a connection to the old address was kept")
 		}
@@ -290,7 +290,7 @@
 // Nothing new begins at a server that was told to drain while a connection to it came up.
 func TestDrainedMeanwhile(t *testing.T) {
 	p := testProxy(t)
-	p.listed(balance.Changes, roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}, 1)
+	p.listed(balance.ListUpdate, roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}, 1)
 	nb, _ := pair(t)
 	d := &dispatch{req: &req{outs: 1}, host: p.host("s"), out: true}
 	c := &hostConn{wire: wire{nb: nb}, host: d.host}
@@ -393,7 +393,7 @@
 
 // A host taken out by hand, by a plan or by another's word just after the start is not discovery's word: the list is still asked for.
 func TestAsksAllTheSame(t *testing.T) {
-	p := New(Start{Sockets: 100, Terms: balance.Terms{Copies: 1, MustAsk: true, AskWithin: 2e9, Tick: 5e6, RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
+	p := New(Start{Sockets: 100, Terms: balance.Config{FleetSize: 1, ListOnRequest: true, AskWithin: 2e9, Tick: 5e6, RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
 		Known: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`)})
 	now := p.now()
 	p.holding(holds.Table{Version: 1, Hosts: map[string]holds.Hold{"s": {Out: true, From: now}}}, now)
@@ -403,7 +403,7 @@
 	asked := false
 	for at := now; at < now+3e9; at += 5e7 {
 		for d, ok := p.module.Next(at); ok; d, ok = p.module.Next(at) {
-			asked = asked || d.Kind == balance.Watch
+			asked = asked || d.Kind == balance.RequestList
 		}
 	}
 	if !asked {
--- a/proxy/return.go
+++ b/proxy/return.go
@@ -103,7 +103,7 @@
 	c.meter.Before = m.Service
 	c.own, c.newest, c.life = m.Module.Servers, m.Newest, m.Life
 	if len(m.List.Hosts) > 0 && m.List.Generation >= p.list.generation {
-		p.listed(balance.Restored, rollOf(m.List), now)
+		p.listed(balance.ListRestored, rollOf(m.List), now)
 		c.source, c.listAt = "disk", now-m.List.Age
 	}
 	if p.start.Holds != nil && p.start.Holds.Restore(m.Holds) {
@@ -217,13 +217,13 @@
 }
 
 // discovered notes that discovery has spoken; what others said of drains is past with it.
-func (p *Proxy) discovered(form balance.Form, r roll, now int64) {
+func (p *Proxy) discovered(form balance.ListForm, r roll, now int64) {
 	c := p.comeback
-	if c == nil || form == balance.Restored {
+	if c == nil || form == balance.ListRestored {
 		return
 	}
 	c.source, c.listAt = "discovery", now
-	if form == balance.Whole {
+	if form == balance.ListReplace {
 		clear(c.drained)
 		c.unsure = false // the module is told all of it in a moment
 		p.stop(c.sureAt)
@@ -252,7 +252,7 @@
 	p.watch(now)
 	if !c.unsure {
 		c.unsure = true
-		p.module.Listed(balance.Restored, p.listing(func(h *host) balance.Server {
+		p.module.Listed(balance.ListRestored, p.listing(func(h *host) balance.Server {
 			s := h.shown
 			s.State = max(s.State, balance.Draining)
 			return s
--- a/proxy/route.go
+++ b/proxy/route.go
@@ -16,22 +16,22 @@
 	for d, ok := p.module.Next(now); ok; d, ok = p.module.Next(now) {
 		switch d.Kind {
 		case balance.Dispatch:
-			p.send(p.reqs[d.Req], d.Server, d.Time, now)
+			p.send(p.reqs[d.Request], d.Server, d.Time, now)
 		case balance.Deny:
-			p.final(p.reqs[d.Req], &p.count.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: d.Time})
+			p.final(p.reqs[d.Request], &p.count.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: d.Time})
 		case balance.Abort:
-			p.final(p.reqs[d.Req], &p.count.Aborted, http1.Answer{Status: http.StatusBadGateway})
+			p.final(p.reqs[d.Request], &p.count.Aborted, http1.Answer{Status: http.StatusBadGateway})
 		case balance.Cancel:
-			if r := p.reqs[d.Req]; r != nil && d.Attempt < len(r.dispatches) {
+			if r := p.reqs[d.Request]; r != nil && d.Attempt < len(r.dispatches) {
 				p.giveUp(r.dispatches[d.Attempt], balance.Cancelled, now)
 			}
-		case balance.Limit:
-			if r := p.reqs[d.Req]; r != nil && d.Attempt < len(r.dispatches) && r.dispatches[d.Attempt].out {
+		case balance.SetDeadline:
+			if r := p.reqs[d.Request]; r != nil && d.Attempt < len(r.dispatches) && r.dispatches[d.Attempt].out {
 				p.limit(r.dispatches[d.Attempt], d.Time, now)
 			}
-		case balance.Watch:
+		case balance.RequestList:
 			p.watch(now)
-		case balance.Close:
+		case balance.CloseConnections:
 			if h := p.host(d.Server); h != nil {
 				p.closeIdle(h)
 			}
--- a/proxy/standing_test.go
+++ b/proxy/standing_test.go
@@ -51,7 +51,7 @@
 	s := Start{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6, LongestTimeout: 3e9, Discovery: "127.0.0.1:1",
 		Known: []byte(`{"generation":7,"instances":[
 			{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`),
-		Terms: balance.Terms{Tick: 5e6, MaxDispatches: 3, Copies: 300, MustAsk: true, AskWithin: 4e9,
+		Terms: balance.Config{Tick: 5e6, MaxDispatches: 3, FleetSize: 300, ListOnRequest: true, AskWithin: 4e9,
 			CanCancel: true, RuleSets: []balance.RuleSet{
 				{Name: "once", Effect: balance.NonReplayable, ResponseTarget: 8e8, BillingValue: 1},
 				{Name: "again", ResponseTarget: 8e8, BillingValue: 1, OverdueValue: 0.5}}}}
@@ -61,7 +61,7 @@
 	return New(s)
 }
 
-func pushed(s *Start) { s.Terms.MustAsk = false }
+func pushed(s *Start) { s.Terms.ListOnRequest = false }
 
 // attach has the kernel take what is written to a connection; nothing is read from it.
 func attach(t *testing.T, p *Proxy, e end) {
@@ -141,7 +141,7 @@
 func moduleAsks(p *Proxy, from, to int64) bool {
 	for at := from; at < to; at += 5e7 {
 		for d, ok := p.module.Next(at); ok; d, ok = p.module.Next(at) {
-			if d.Kind == balance.Watch {
+			if d.Kind == balance.RequestList {
 				return true
 			}
 		}
@@ -159,7 +159,7 @@
 			for seed := range uint64(20) {
 				p := standing(t, change)
 				p.dice.Seed = seed
-				p.module.Listed(balance.Whole, []balance.Server{{ID: "s"}}, p.now()) // subscribed
+				p.module.Listed(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now()) // subscribed
 				from := p.now()
 				w := spoken(t, p, from)
 				p.heard(w, from+2e9) // an empty line is a sign of life
@@ -190,7 +190,7 @@
 	}{"refused": {0, 2, 5}, "busy": {2e9, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			p := standing(t, nil)
-			p.module.Listed(balance.Whole, []balance.Server{{ID: "s"}}, p.now())
+			p.module.Listed(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			from := p.now()
 			spoken(t, p, from)
 			at, calls := fire(t, p), 0
@@ -223,7 +223,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := standing(t, nil)
-			p.module.Listed(balance.Whole, []balance.Server{{ID: "s"}}, p.now())
+			p.module.Listed(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			now := p.now()
 			at := end(p, spoken(t, p, now), now)
 			if p.list.watch != nil || p.count.Watches != 0 {
@@ -366,7 +366,7 @@
 func TestTermAnswersWhatIsSent(t *testing.T) {
 	p := standing(t, nil)
 	p.start.Known, p.drain.begun = nil, true
-	p.listed(balance.Whole, roll{Instances: []entry{}}, p.now()) // no server: each is denied
+	p.listed(balance.ListReplace, roll{Instances: []entry{}}, p.now()) // no server: each is denied
 	resting, _, _ := customer(t, p)
 	unread, other, unreadIn := customer(t, p)
 	half, _, halfIn := customer(t, p)
@@ -454,7 +454,7 @@
 					host, _ := parked(t, p, now-1e9)
 					attach(t, p, host)
 				} else {
-					p.listed(balance.Whole, roll{Instances: []entry{}}, now)
+					p.listed(balance.ListReplace, roll{Instances: []entry{}}, now)
 				}
 				cl, _, in := customer(t, p)
 				p.take(cl, sentAhead{Call: asks(c.rules, "a", timeout), at: now})
@@ -513,12 +513,12 @@
 func TestNothingGrows(t *testing.T) {
 	p := standing(t, nil)
 	now := p.now()
-	p.listed(balance.Whole, roll{Instances: []entry{}}, now)
+	p.listed(balance.ListReplace, roll{Instances: []entry{}}, now)
 	cl, _, in := customer(t, p)
 	for i := range 3000 {
 		at := now + int64(i)*1e8
 		id := fmt.Sprint(i)
-		p.listed(balance.Whole, roll{Generation: int64(i), Instances: []entry{
+		p.listed(balance.ListReplace, roll{Generation: int64(i), Instances: []entry{
 			{ID: "h" + id, Addr: "127.0.0.1:1", State: "draining"},
 			{ID: "g" + id, Addr: "127.0.0.1:1", State: "draining"}}}, at)
 		p.heard(spoken(t, p, at), at)
@@ -547,7 +547,7 @@
 func TestLoopWaits(t *testing.T) {
 	p := standing(t, nil)
 	now := p.now()
-	p.listed(balance.Whole, roll{Instances: []entry{}}, now)
+	p.listed(balance.ListReplace, roll{Instances: []entry{}}, now)
 	spoken(t, p, now)
 	cl, _, _ := customer(t, p)
 	p.await(cl, now)
--- a/rehearse/emu/emu_test.go
+++ b/rehearse/emu/emu_test.go
@@ -206,7 +206,7 @@
 func TestJudge(t *testing.T) {
 	const s = int64(1e9)
 	once := balance.RuleSet{Name: "once", Effect: balance.NonReplayable}
-	cell := balance.RuleSet{Name: "cell", Effect: balance.Uniqued, Group: balance.GroupCell, Window: s}
+	cell := balance.RuleSet{Name: "cell", Effect: balance.Deduplicated, Group: balance.GroupCell, Window: s}
 	for name, x := range map[string]struct {
 		do   func(c *Virtual, f *Fleet)
 		rule int
--- a/rehearse/emu/return.go
+++ b/rehearse/emu/return.go
@@ -54,7 +54,7 @@
 	for _, e := range st.list {
 		st.fleet.Judge.Told(st.id, e.ID, e.State)
 	}
-	st.policy.Listed(balance.Restored, st.list, now)
+	st.policy.Listed(balance.ListRestored, st.list, now)
 	if p, ok := st.policy.(remembers); ok && st.kept != nil {
 		p.Recall(m.Module, now)
 	}
@@ -86,8 +86,8 @@
 }
 
 // note keeps the list as it is told.
-func (st *seat) note(form balance.Form, entries []balance.Server) {
-	if form == balance.Whole {
+func (st *seat) note(form balance.ListForm, entries []balance.Server) {
+	if form == balance.ListReplace {
 		st.list = slices.Clone(entries)
 		return
 	}
--- a/rehearse/emu/seat.go
+++ b/rehearse/emu/seat.go
@@ -21,7 +21,7 @@
 	Req(a balance.Arrival, now int64)
 	Finished(id uint64, attempt int, o balance.Outcome, final bool, took, now int64)
 	Withdrawn(id uint64)
-	Listed(form balance.Form, entries []balance.Server, now int64)
+	Listed(form balance.ListForm, entries []balance.Server, now int64)
 	Next(now int64) (balance.Decision, bool)
 }
 
@@ -66,7 +66,7 @@
 type Seats struct {
 	fleet      *Fleet
 	clock      *Virtual
-	terms      balance.Terms
+	terms      balance.Config
 	clients    Clients
 	result     func(Result)
 	log        hash.Hash // of every decision
@@ -79,7 +79,7 @@
 	peers      *Peers         // nil: balancers do not hear one another
 	sets       map[string]int // places of rule sets and tenants
 	tenants    map[string]int
-	make       func(t balance.Terms, now int64) Policy
+	make       func(t balance.Config, now int64) Policy
 	start      []balance.Server // the list that every process is handed at its start
 	keeps      Keeps
 }
@@ -94,7 +94,7 @@
 	listed bool              // a watch is up
 	life   int               // counts starts: what was due for an earlier process is not done
 	gone   bool
-	terms  balance.Terms
+	terms  balance.Config
 	list   []balance.Server // as it was last told whole; for what is kept
 	kept   *recall.Memory   // nil: nothing was written down
 	own    []balance.Learnt // what was believed of that at the latest start,
@@ -127,14 +127,14 @@
 func SeedOf(seed uint64, balancer int) uint64 { return seed*1000003 + uint64(balancer) + 1 }
 
 // NewSeats puts a policy in each balancer's place; terms are those of the deployment.
-func NewSeats(f *Fleet, c *Virtual, zones []string, t balance.Terms, cl Clients, seed uint64,
-	policy func(t balance.Terms, now int64) Policy, result func(Result)) *Seats {
+func NewSeats(f *Fleet, c *Virtual, zones []string, t balance.Config, cl Clients, seed uint64,
+	policy func(t balance.Config, now int64) Policy, result func(Result)) *Seats {
 	s := &Seats{fleet: f, clock: c, terms: t, clients: cl, result: result, log: sha256.New(), make: policy}
 	s.dice.Seed = seed
 	s.start, _ = f.List()
 	f.Others = s.strike
 	for i, zone := range zones {
-		t.Seed, t.Zone, t.Copies = SeedOf(seed, i), zone, len(zones)
+		t.Seed, t.Zone, t.FleetSize = SeedOf(seed, i), zone, len(zones)
 		st := &seat{Seats: s, id: i, zone: zone, terms: t}
 		s.seats = append(s.seats, st)
 		st.begin()
@@ -147,7 +147,7 @@
 	var all []fleet.Terms
 	for i := range s.seats {
 		t := terms(i, len(s.seats))
-		t.Seed, t.RuleSets, t.Tenants, t.MaxAdvice = seed, s.terms.RuleSets, s.terms.Tenants, s.terms.MaxAdvice
+		t.Seed, t.RuleSets, t.Tenants, t.MaxAdvice = seed, s.terms.RuleSets, s.terms.Tenants, s.terms.MaxRetryAfter
 		all = append(all, t)
 	}
 	s.sets, s.tenants = map[string]int{}, map[string]int{}
@@ -206,7 +206,7 @@
 	arrival := balance.Arrival{ID: r.id, RuleSet: a.RuleSet, Tenant: a.Tenant, Key: a.Key, Budget: st.clients.Timeout, Work: a.Work}
 	if st.peers != nil {
 		r.luck = draw.Hash(fmt.Sprint(a.At, a.Key), a.RuleSet) // an ask and its retries have it in common
-		arrival.Shed, arrival.Back = st.peers.Fleet(st.id).Arrive(st.sets[a.RuleSet], st.tenants[a.Tenant], r.luck, false, now)
+		arrival.Shed, arrival.RetryAfter = st.peers.Fleet(st.id).Arrive(st.sets[a.RuleSet], st.tenants[a.Tenant], r.luck, false, now)
 		r.shed = arrival.Shed
 	}
 	st.policy.Req(arrival, now)
@@ -263,21 +263,21 @@
 	for d, ok := st.policy.Next(now); ok; d, ok = st.policy.Next(now) {
 		if d.Kind != balance.Log {
 			st.Decided++
-			fmt.Fprintf(st.log, "%d %d %d %d %s %d %d\n", now, st.id, d.Kind, d.Req, d.Server, d.Attempt, d.Time)
+			fmt.Fprintf(st.log, "%d %d %d %d %s %d %d\n", now, st.id, d.Kind, d.Request, d.Server, d.Attempt, d.Time)
 		}
-		r := st.reqs[d.Req]
+		r := st.reqs[d.Request]
 		switch d.Kind {
 		case balance.Dispatch:
 			st.dispatch(r, d.Server, d.Time)
 		case balance.Deny:
-			st.final(r, d.Req, Denied, d.Time)
+			st.final(r, d.Request, Denied, d.Time)
 		case balance.Abort:
-			st.final(r, d.Req, Aborted, 0)
+			st.final(r, d.Request, Aborted, 0)
 		case balance.Cancel:
 			if r != nil && d.Attempt < len(r.sends) {
 				st.giveUp(r, d.Attempt, balance.Cancelled)
 			}
-		case balance.Watch:
+		case balance.RequestList:
 			st.watch()
 		case balance.Wake:
 			st.wake++
@@ -299,31 +299,31 @@
 			return
 		}
 		if st.fleet.Down() {
-			st.policy.Listed(balance.Unavailable, nil, st.clock.Now())
+			st.policy.Listed(balance.ListUnavailable, nil, st.clock.Now())
 			st.decide()
 			return
 		}
 		entries, _ := st.fleet.List()
-		st.told(balance.Whole, entries)
+		st.told(balance.ListReplace, entries)
 		if !st.listed {
 			st.listed = true
 			st.fleet.Watch(func(e Entry) {
 				if st.life == life && !st.gone {
-					st.told(balance.Changes, []balance.Server{e.Server})
+					st.told(balance.ListUpdate, []balance.Server{e.Server})
 				}
 			}, func() {
 				if st.life != life || st.gone {
 					return
 				}
 				st.listed = false
-				st.policy.Listed(balance.Unavailable, nil, st.clock.Now())
+				st.policy.Listed(balance.ListUnavailable, nil, st.clock.Now())
 				st.decide()
 			})
 		}
 	})
 }
 
-func (st *seat) told(form balance.Form, entries []balance.Server) {
+func (st *seat) told(form balance.ListForm, entries []balance.Server) {
 	for _, e := range entries {
 		st.fleet.Judge.Told(st.id, e.ID, e.State)
 	}
--- a/rehearse/lab/baseline.go
+++ b/rehearse/lab/baseline.go
@@ -17,12 +17,12 @@
 var Policies = []string{"module", "random", "least", "two", "oracle"}
 
 // newPolicy gives what puts a policy in a balancer's place.
-func newPolicy(name string, f *emu.Fleet) func(t balance.Terms, now int64) emu.Policy {
-	return func(t balance.Terms, now int64) emu.Policy {
+func newPolicy(name string, f *emu.Fleet) func(t balance.Config, now int64) emu.Policy {
+	return func(t balance.Config, now int64) emu.Policy {
 		if name == "module" {
 			return balance.New(t, now)
 		}
-		p := &plain{t: t, reqs: map[uint64]*plainReq{}, out: map[string]int{}, asks: t.MustAsk}
+		p := &plain{t: t, reqs: map[uint64]*plainReq{}, out: map[string]int{}, asks: t.ListOnRequest}
 		p.dice.Seed = t.Seed
 		switch name {
 		case "least":
@@ -56,7 +56,7 @@
 
 // plain is a policy that knows the list and its own dispatches, nothing else.
 type plain struct {
-	t       balance.Terms
+	t       balance.Config
 	dice    draw.Dice
 	pick    func(c []balance.Server, r *plainReq) int
 	servers []balance.Server     // by id
@@ -134,12 +134,12 @@
 	}
 }
 
-func (p *plain) Listed(form balance.Form, entries []balance.Server, now int64) {
-	if form == balance.Unavailable {
+func (p *plain) Listed(form balance.ListForm, entries []balance.Server, now int64) {
+	if form == balance.ListUnavailable {
 		p.askAt = now + 5e8
 		return
 	}
-	if form != balance.Changes {
+	if form != balance.ListUpdate {
 		p.servers = nil
 	}
 	for _, e := range entries {
@@ -167,7 +167,7 @@
 func (p *plain) plan(now int64) {
 	if p.asks || p.askAt > 0 && now >= p.askAt {
 		p.asks, p.askAt = false, 0
-		p.todo = append(p.todo, balance.Decision{Kind: balance.Watch})
+		p.todo = append(p.todo, balance.Decision{Kind: balance.RequestList})
 	}
 	next := int64(math.MaxInt64)
 	if p.askAt > 0 {
@@ -179,14 +179,14 @@
 			p.dispatch(r, now)
 		}
 		if !r.ended && (r.outs == 0 || now >= r.giveUp) {
-			d := balance.Decision{Kind: balance.Abort, Req: r.ID}
+			d := balance.Decision{Kind: balance.Abort, Request: r.ID}
 			if p.harmless(r) {
-				d.Kind, d.Time = balance.Deny, min(p.t.MaxAdvice, r.rules.ResponseTarget/5)
+				d.Kind, d.Time = balance.Deny, min(p.t.MaxRetryAfter, r.rules.ResponseTarget/5)
 			}
 			p.todo = append(p.todo, d)
 			for i, s := range r.sends {
 				if s.out {
-					p.todo = append(p.todo, balance.Decision{Kind: balance.Cancel, Req: r.ID, Attempt: i})
+					p.todo = append(p.todo, balance.Decision{Kind: balance.Cancel, Request: r.ID, Attempt: i})
 				}
 			}
 			p.end(r)
@@ -227,5 +227,5 @@
 	r.sends = append(r.sends, plainSend{srv: left[i], maybe: true, out: true, at: now})
 	r.outs++
 	p.out[left[i].ID]++
-	p.todo = append(p.todo, balance.Decision{Kind: balance.Dispatch, Req: r.ID, Server: left[i].ID, Time: r.giveUp})
+	p.todo = append(p.todo, balance.Decision{Kind: balance.Dispatch, Request: r.ID, Server: left[i].ID, Time: r.giveUp})
 }
--- a/rehearse/lab/experiment.go
+++ b/rehearse/lab/experiment.go
@@ -142,7 +142,7 @@
 	Problems int               `toml:"problems"` // bad rows past which a run stops
 }
 
-var effects = map[string]balance.Effect{"replayable": balance.Replayable, "uniqued": balance.Uniqued, "non-replayable": balance.NonReplayable}
+var effects = map[string]balance.Effect{"replayable": balance.Replayable, "uniqued": balance.Deduplicated, "non-replayable": balance.NonReplayable}
 var groups = map[string]balance.Group{"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}
 
 // Load reads and checks an experiment.
@@ -261,10 +261,10 @@
 }
 
 // terms is what the module would be told of this deployment.
-func (e *Experiment) terms() balance.Terms {
-	t := balance.Terms{MaxDispatches: 3, CanCancel: true, MaxAdvice: 15e8, MustAsk: true, AskWithin: 2e9,
-		StartCapacity: e.Fleet.StartCapacity, RampTime: int64(e.Fleet.Ramp), CrossPrice: 0.01, WastePrice: 0.05, Tick: 5e6,
-		Copies: e.Fleet.Balancers, Overload: e.Fleet.FallOver, FallTime: int64(e.Fleet.FallAfter)}
+func (e *Experiment) terms() balance.Config {
+	t := balance.Config{MaxDispatches: 3, CanCancel: true, MaxRetryAfter: 15e8, ListOnRequest: true, AskWithin: 2e9,
+		StartCapacity: e.Fleet.StartCapacity, RampTime: int64(e.Fleet.Ramp), CrossZonePrice: 0.01, WastePrice: 0.05, Tick: 5e6,
+		FleetSize: e.Fleet.Balancers, OverloadFactor: e.Fleet.FallOver, OverloadTime: int64(e.Fleet.FallAfter)}
 	for _, r := range e.RuleSets {
 		t.RuleSets = append(t.RuleSets, balance.RuleSet{Name: r.Name, Effect: effects[r.Effect], Group: groups[r.Group],
 			Window: int64(r.Window), ResponseTarget: int64(r.Target), BillingValue: r.Value})
--- a/rehearse/lab/lab_test.go
+++ b/rehearse/lab/lab_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func run(t *testing.T, e *Experiment, policy func(t balance.Terms, now int64) emu.Policy) *Figures {
+func run(t *testing.T, e *Experiment, policy func(t balance.Config, now int64) emu.Policy) *Figures {
 	t.Helper()
 	f, err := virtual(e, e.Variants[0], 7, policy, &Problems{Tell: func(what string) { t.Log(what) }})
 	if err != nil {
@@ -163,16 +163,16 @@
 
 // A planted breach of each rule is caught, by what servers and clients saw; the module alone has none.
 func TestPlanted(t *testing.T) {
-	module := func(t balance.Terms, now int64) emu.Policy { return balance.New(t, now) }
-	spoilt := func(spoil func(d balance.Decision) []balance.Decision) func(balance.Terms, int64) emu.Policy {
-		return func(t balance.Terms, now int64) emu.Policy { return &faulty{Policy: module(t, now), spoil: spoil} }
+	module := func(t balance.Config, now int64) emu.Policy { return balance.New(t, now) }
+	spoilt := func(spoil func(d balance.Decision) []balance.Decision) func(balance.Config, int64) emu.Policy {
+		return func(t balance.Config, now int64) emu.Policy { return &faulty{Policy: module(t, now), spoil: spoil} }
 	}
 	as := func(change func(*balance.Decision)) func(d balance.Decision) []balance.Decision {
 		return func(d balance.Decision) []balance.Decision { change(&d); return []balance.Decision{d} }
 	}
 	for name, x := range map[string]struct {
 		with   []string
-		policy func(balance.Terms, int64) emu.Policy
+		policy func(balance.Config, int64) emu.Policy
 		rule   int
 	}{
 		"none": {nil, module, 0},
@@ -197,9 +197,9 @@
 			return []balance.Decision{d}
 		}), 2},
 		"does not hear of drains": {[]string{"kind = \"crash\" -> kind = \"drain\"", "for = \"1s\" -> for = \"4s\""},
-			func(t balance.Terms, now int64) emu.Policy { return &deaf{module(t, now)} }, 3},
+			func(t balance.Config, now int64) emu.Policy { return &deaf{module(t, now)} }, 3},
 		// The module would hold itself back once answers are late, so chance is spoilt here.
-		"floods a cold server": {[]string{"rate = 60.0 -> rate = 400.0"}, func(t balance.Terms, now int64) emu.Policy {
+		"floods a cold server": {[]string{"rate = 60.0 -> rate = 400.0"}, func(t balance.Config, now int64) emu.Policy {
 			return &faulty{Policy: newPolicy("random", nil)(t, now), spoil: as(func(d *balance.Decision) {
 				if d.Kind == balance.Dispatch {
 					d.Server = "s-001"
@@ -224,8 +224,8 @@
 // deaf hears of no change of the list.
 type deaf struct{ emu.Policy }
 
-func (d *deaf) Listed(form balance.Form, entries []balance.Server, now int64) {
-	if form == balance.Restored {
+func (d *deaf) Listed(form balance.ListForm, entries []balance.Server, now int64) {
+	if form == balance.ListRestored {
 		d.Policy.Listed(form, entries, now)
 	}
 }
--- a/rehearse/lab/run.go
+++ b/rehearse/lab/run.go
@@ -241,7 +241,7 @@
 }
 
 // virtual plays one run in virtual time.
-func virtual(e *Experiment, v Variant, seed uint64, policy func(t balance.Terms, now int64) emu.Policy, p *Problems) (*Figures, error) {
+func virtual(e *Experiment, v Variant, seed uint64, policy func(t balance.Config, now int64) emu.Policy, p *Problems) (*Figures, error) {
 	begun := time.Now()
 	clock := emu.NewVirtual(1e12)
 	fleet := emu.NewFleet(clock, seed, e.nature(), e.wire(), e.machines(), int64(e.Fleet.Grace))
--- a/rehearse/lab/sockets.go
+++ b/rehearse/lab/sockets.go
@@ -29,7 +29,7 @@
 type rig struct {
 	e             *Experiment
 	number        int64 // of the rigs of this process
-	terms         balance.Terms
+	terms         balance.Config
 	clock         *emu.Wall
 	fleet         *emu.Fleet
 	ctx           context.Context
@@ -212,7 +212,7 @@
 func (r *rig) configuration(listen, discovery string, seed uint64, proxy int) ([]byte, error) {
 	x := r.e
 	t := r.terms
-	kinds := map[balance.Effect]string{balance.Replayable: "retryable", balance.Uniqued: "dedup", balance.NonReplayable: "fragile"}
+	kinds := map[balance.Effect]string{balance.Replayable: "retryable", balance.Deduplicated: "dedup", balance.NonReplayable: "fragile"}
 	sets, tenants := []any{}, []any{}
 	for _, s := range x.RuleSets {
 		group := s.Group
@@ -231,12 +231,12 @@
 	told := map[string]any{"name": fmt.Sprint("n", proxy), "listen": listen, "discovery": discovery,
 		"seed": fmt.Sprintf("%x", emu.SeedOf(seed, proxy)), "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 4096},
 		"known": json.RawMessage(r.line(proxy, true, version, servers)),
-		"settings": map[string]any{"FleetSize": t.Copies, "Me": proxy, "Zone": r.e.zone(proxy), "TickNs": t.Tick, "Discovery": "on_request",
-			"Ceilings": map[string]any{"MaxDispatches": t.MaxDispatches, "ParallelTries": t.Parallel, "Cancel": t.CanCancel, "RetryAfter": true,
-				"MaxRetryAfterNs": t.MaxAdvice, "DialTimeoutNs": int64(250e6), "ConnIdleNs": int64(60e9), "MayTell": r.links != nil, "Probes": true},
+		"settings": map[string]any{"FleetSize": t.FleetSize, "Me": proxy, "Zone": r.e.zone(proxy), "TickNs": t.Tick, "Discovery": "on_request",
+			"Ceilings": map[string]any{"MaxDispatches": t.MaxDispatches, "ParallelTries": t.AllowParallel, "Cancel": t.CanCancel, "RetryAfter": true,
+				"MaxRetryAfterNs": t.MaxRetryAfter, "DialTimeoutNs": int64(250e6), "ConnIdleNs": int64(60e9), "MayTell": r.links != nil, "Probes": true},
 			"Contract": map[string]any{"AskWithinNs": t.AskWithin, "StartCapacity": t.StartCapacity, "RampTimeNs": t.RampTime,
-				"OverloadFactor": t.Overload, "FallNs": t.FallTime},
-			"Prices": map[string]any{"CrossZone": t.CrossPrice, "Waste": t.WastePrice}, "RuleSets": sets, "Tenants": tenants}}
+				"OverloadFactor": t.OverloadFactor, "FallNs": t.OverloadTime},
+			"Prices": map[string]any{"CrossZone": t.CrossZonePrice, "Waste": t.WastePrice}, "RuleSets": sets, "Tenants": tenants}}
 	if r.links != nil {
 		told["peer_listen"], told["peers"] = r.links.told(proxy)
 	}
--- a/rehearse/simwire/simwire.go
+++ b/rehearse/simwire/simwire.go
@@ -114,17 +114,17 @@
 
 // dispatchEvent passes one event to its instance.
 func (a *adapter) dispatchEvent(name, who string, b *balance.Balancer, f *terms.Values) error {
-	form, list := balance.Unavailable, []balance.Server(nil)
+	form, list := balance.ListUnavailable, []balance.Server(nil)
 	var id uint64
 	switch name {
 	case "DIRECTORY_UPDATE":
 		var ok bool
-		form, ok = map[string]balance.Form{"update": balance.Changes, "replace": balance.Whole,
-			"restored": balance.Restored, "unavailable": balance.Unavailable}[f.At["Form"]]
+		form, ok = map[string]balance.ListForm{"update": balance.ListUpdate, "replace": balance.ListReplace,
+			"restored": balance.ListRestored, "unavailable": balance.ListUnavailable}[f.At["Form"]]
 		if !ok {
 			return nil
 		}
-		if form != balance.Unavailable {
+		if form != balance.ListUnavailable {
 			n := f.ID("Ref")
 			if f.Err != nil {
 				return f.Err
@@ -272,16 +272,16 @@
 func (a *adapter) write(who string, d balance.Decision) {
 	switch d.Kind {
 	case balance.Dispatch:
-		fmt.Fprintf(a.out, "CALL_OUT Who=%s Call=%d Host=%s TryUntilNs=%d\n", who, d.Req, d.Server, d.Time)
+		fmt.Fprintf(a.out, "CALL_OUT Who=%s Call=%d Host=%s TryUntilNs=%d\n", who, d.Request, d.Server, d.Time)
 	case balance.Deny:
-		fmt.Fprintf(a.out, "SAY_NO Who=%s Call=%d BackoffNs=%d\n", who, d.Req, d.Time)
+		fmt.Fprintf(a.out, "SAY_NO Who=%s Call=%d BackoffNs=%d\n", who, d.Request, d.Time)
 	case balance.Abort:
-		fmt.Fprintf(a.out, "LOSE Who=%s Call=%d\n", who, d.Req)
+		fmt.Fprintf(a.out, "LOSE Who=%s Call=%d\n", who, d.Request)
 	case balance.Cancel:
-		fmt.Fprintf(a.out, "STOP_ATTEMPT Who=%s Call=%d Try=%d\n", who, d.Req, d.Attempt)
-	case balance.Watch:
+		fmt.Fprintf(a.out, "STOP_ATTEMPT Who=%s Call=%d Try=%d\n", who, d.Request, d.Attempt)
+	case balance.RequestList:
 		fmt.Fprintf(a.out, "LISTEN Who=%s On=1\n", who)
-	case balance.Close:
+	case balance.CloseConnections:
 		fmt.Fprintf(a.out, "HANG_UP Who=%s Host=%s\n", who, d.Server)
 	case balance.Wake:
 		fmt.Fprintf(a.out, "NOTIFY_ME Who=%s DelayNs=%d Mark=0\n", who, d.Time)
--- a/terms/terms.go
+++ b/terms/terms.go
@@ -245,28 +245,28 @@
 }
 
 // Read decodes the settings that package balance uses. Errors are recorded in v.Err.
-func Read(v *Values, seed uint64) balance.Terms {
-	t := balance.Terms{
+func Read(v *Values, seed uint64) balance.Config {
+	t := balance.Config{
 		Seed: seed, Zone: v.At["Zone"],
-		Copies:        int(v.Int("FleetSize")),
+		FleetSize:     int(v.Int("FleetSize")),
 		MaxDispatches: int(v.Int("Ceilings.MaxDispatches")),
-		Parallel:      v.Bool("Ceilings.ParallelTries"), CanCancel: v.Bool("Ceilings.Cancel"),
-		Live:      v.At["Weights"] == "live",
-		MustAsk:   v.At["Discovery"] == "on_request",
-		AskWithin: v.Int("Contract.AskWithinNs"), StartCapacity: v.Float("Contract.StartCapacity"),
-		RampTime: v.Int("Contract.RampTimeNs"), CrossPrice: v.Float("Prices.CrossZone"),
+		AllowParallel: v.Bool("Ceilings.ParallelTries"), CanCancel: v.Bool("Ceilings.Cancel"),
+		LiveWeights:   v.At["Weights"] == "live",
+		ListOnRequest: v.At["Discovery"] == "on_request",
+		AskWithin:     v.Int("Contract.AskWithinNs"), StartCapacity: v.Float("Contract.StartCapacity"),
+		RampTime: v.Int("Contract.RampTimeNs"), CrossZonePrice: v.Float("Prices.CrossZone"),
 		WastePrice: v.Float("Prices.Waste"), Tick: v.Int("TickNs"),
-		Tail: v.Float("ScoringMix.Tail"), TailMiss: v.Float("ScoringMix.TailMiss"),
-		Overload: v.Float("Contract.OverloadFactor"), FallTime: v.Int("Contract.FallNs"),
-		WarmKeys: v.Bool("Extra.WarmKeys"), Held: int(v.Int("Ceilings.HeldReplies")), BudgetError: v.Int("Contract.BudgetErrorNs"),
+		TailWeight: v.Float("ScoringMix.Tail"), TailMissRate: v.Float("ScoringMix.TailMiss"),
+		OverloadFactor: v.Float("Contract.OverloadFactor"), OverloadTime: v.Int("Contract.FallNs"),
+		WarmKeys: v.Bool("Extra.WarmKeys"), MaxHeldAnswers: int(v.Int("Ceilings.HeldReplies")), BudgetError: v.Int("Contract.BudgetErrorNs"),
 		StartError: v.Int("Contract.StartErrorNs"), GoneIsAdvice: v.Bool("Contract.GoneIsAdvice"),
 	}
 	if v.Bool("Ceilings.RetryAfter") {
-		t.MaxAdvice = v.Int("Ceilings.MaxRetryAfterNs")
+		t.MaxRetryAfter = v.Int("Ceilings.MaxRetryAfterNs")
 	}
 	for i := range v.Int("RuleSets.count") {
 		p := fmt.Sprintf("RuleSets.%d.", i)
-		effect, ok := map[string]balance.Effect{"retryable": balance.Replayable, "dedup": balance.Uniqued,
+		effect, ok := map[string]balance.Effect{"retryable": balance.Replayable, "dedup": balance.Deduplicated,
 			"fragile": balance.NonReplayable}[v.At[p+"Effect"]]
 		if !ok {
 			effect = balance.NonReplayable // unknown: the strictest
--- a/terms/terms_test.go
+++ b/terms/terms_test.go
@@ -29,8 +29,8 @@
 			"Ceilings.RetryAfter": "true", "Ceilings.MaxRetryAfterNs": "15", "Discovery": "on_request",
 			"RuleSets.count": "1", "RuleSets.0.Name": "n", "RuleSets.0.Effect": "dedup", "RuleSets.0.Group": "zone",
 			"Tenants.count": "1", "Tenants.0.Name": "t", "Tenants.0.Share": "0.5"}}
-		want := balance.Terms{Seed: 9, Zone: "a", Copies: 3, MaxDispatches: 3, MaxAdvice: 15, MustAsk: true,
-			RuleSets: []balance.RuleSet{{Name: "n", Effect: balance.Uniqued, Group: balance.GroupZone}},
+		want := balance.Config{Seed: 9, Zone: "a", FleetSize: 3, MaxDispatches: 3, MaxRetryAfter: 15, ListOnRequest: true,
+			RuleSets: []balance.RuleSet{{Name: "n", Effect: balance.Deduplicated, Group: balance.GroupZone}},
 			Tenants:  []balance.Tenant{{Name: "t", Share: 0.5}}}
 		if got := Read(v, 9); v.Err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, %v, want %+v", got, v.Err, want)
@@ -40,7 +40,7 @@
 		v := &Values{At: map[string]string{"Contract.BudgetErrorNs": "5", "Contract.StartErrorNs": "6",
 			"Contract.GoneIsAdvice": "true", "Ceilings.HeldReplies": "7", "ScoringMix.Tail": "0.2", "ScoringMix.TailMiss": "0.01",
 			"RuleSets.count": "1", "RuleSets.0.ServedOn": "small,tiny", "RuleSets.0.ZonesOnly": "a"}}
-		want := balance.Terms{BudgetError: 5, StartError: 6, GoneIsAdvice: true, Held: 7, Tail: 0.2, TailMiss: 0.01,
+		want := balance.Config{BudgetError: 5, StartError: 6, GoneIsAdvice: true, MaxHeldAnswers: 7, TailWeight: 0.2, TailMissRate: 0.01,
 			RuleSets: []balance.RuleSet{{Effect: balance.NonReplayable, Group: balance.GroupCell,
 				Kinds: []string{"small", "tiny"}, Zones: []string{"a"}}}}
 		if got := Read(v, 0); v.Err != nil || !reflect.DeepEqual(got, want) {
@@ -88,8 +88,8 @@
 	if err == nil {
 		err = Check(v)
 	}
-	want := balance.Terms{Seed: 5, Copies: 300, MaxDispatches: 3, MaxAdvice: 15e8, AskWithin: 4e9, Overload: 3,
-		FallTime: 3e9, StartCapacity: 0.16, RampTime: 24e9, Tick: 5e6,
+	want := balance.Config{Seed: 5, FleetSize: 300, MaxDispatches: 3, MaxRetryAfter: 15e8, AskWithin: 4e9, OverloadFactor: 3,
+		OverloadTime: 3e9, StartCapacity: 0.16, RampTime: 24e9, Tick: 5e6,
 		RuleSets: []balance.RuleSet{{Name: "filing", Effect: balance.NonReplayable, Group: balance.GroupCell,
 			ResponseTarget: 8e8, BillingValue: 1}},
 		Tenants: []balance.Tenant{{Name: "halls", Share: 0.64}, {Name: "offices", Share: 0.21}}}
@@ -97,7 +97,7 @@
 		t.Fatalf("got %+v, %v, %v, want %+v", got, err, v.Err, want)
 	}
 	v.At["Discovery"] = "on_request"
-	if !Read(v, 5).MustAsk {
+	if !Read(v, 5).ListOnRequest {
 		t.Error("a list that arrives on request was taken for one that is pushed")
 	}
 }
