--- a/agent/process.go
+++ b/agent/process.go
@@ -97,7 +97,7 @@
 func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
 
 // Introduce tells peers of control processes.
-func (p *Process) Introduce(ips ...string) { p.peers.Introduce(true, ips...) }
+func (p *Process) Introduce(ips ...string) { p.peers.AddPeers(true, ips...) }
 
 // KnownAgents gives the addresses of agents that peers have told of.
 func (p *Process) KnownAgents() []string { return p.peers.AgentIPs() }
@@ -120,7 +120,7 @@
 }
 
 // OpenLink keeps a connection to a control process.
-func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.OpenLink {
+func (p *Process) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	address := net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort()))
 	return wire.Open(p.ctx, address, hello, events, p.do)
 }
--- a/control/identity_test.go
+++ b/control/identity_test.go
@@ -17,7 +17,7 @@
 	"ivybank/wire"
 )
 
-// appendingMachine holds all commands that it was given.
+// appendingMachine is a state machine whose state is the concatenation of all commands.
 type appendingMachine struct{ state []byte }
 
 func (m *appendingMachine) Apply(commands []byte, _ time.Duration) {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func load(t *testing.T, s *settings.Settings, path string, machines []replica.Machine) (stored, *store.Folder) {
+func load(t *testing.T, s *settings.Settings, path string, machines []replica.StateMachine) (stored, *store.DataDir) {
 	t.Helper()
 	folder, err := store.Open(path)
 	assert.NilError(t, err)
@@ -41,11 +41,12 @@
 	return disk, folder
 }
 
-// A founder's parts start from the founding entry, and are found again; where their file is spoilt the whole disk is lost.
+// A founder's parts start from the founding entry and are loaded again after a restart. If their file is damaged, the
+// whole disk counts as lost.
 func TestFounderLoadsItsParts(t *testing.T) {
 	s := &settings.Settings{IP: "10.0.0.1", Seeds: []string{"10.0.0.1:8665", "10.0.0.2:8665"}, Bootstrap: true}
 	path := t.TempDir()
-	machines := []replica.Machine{&appendingMachine{}, &appendingMachine{}}
+	machines := []replica.StateMachine{&appendingMachine{}, &appendingMachine{}}
 	disk, folder := load(t, s, path, machines)
 	assert.Equal(t, len(disk.parts), len(machines))
 	for _, part := range disk.parts {
@@ -53,7 +54,7 @@
 	}
 	founded := disk.parts[1].Entry
 	step := &wire.Entry{Term: 1, Index: 2, After: founded.Position(), Commands: []byte("x")}
-	save := &replica.Save{Disk: replica.Disk{Term: 1}, Entries: []*wire.Entry{step}}
+	save := &replica.Save{Disk: replica.PersistentState{Term: 1}, Entries: []*wire.Entry{step}}
 	_, err := folder.SaveParts(&store.PartsBatch{Saves: []store.PartSave{{Part: 1, Save: save}}})
 	assert.NilError(t, err)
 
