--- a/control/node.go
+++ b/control/node.go
@@ -271,7 +271,7 @@
 	if len(body) == 0 {
 		return // no configuration yet
 	}
-	c, err := config.Read(body)
+	c, err := config.Decode(body)
 	if err != nil {
 		n.log.Error("cannot read committed configuration", "error", err)
 		return
--- a/control/parts.go
+++ b/control/parts.go
@@ -45,7 +45,7 @@
 
 // newPartMachines creates the empty state machine of each part, or none if the fleet runs without coordination.
 func partMachines(s *settings.Settings) []*coordination.Machine {
-	if !s.Coordinates() {
+	if !s.CoordinationEnabled() {
 		return nil
 	}
 	history := max(shortestHistory, time.Duration(historyFactor*s.Bounds.HistoryS*float64(time.Second)))
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -54,18 +54,18 @@
 
 func (p *agentProcess) Now() time.Duration { return p.world.now - p.born }
 
-func (p *agentProcess) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *agentProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &link{world: p.world, owner: &p.process, to: ip, hello: hello, events: events}
 	p.links = append(p.links, l)
 	p.world.links = append(p.world.links, l)
 	return l
 }
 
-func (p *agentProcess) KnownControls() []string { return p.world.coreIPs() }
-func (p *agentProcess) Introduce(...string)     {}
+func (p *agentProcess) KnownControlIPs() []string { return p.world.coreIPs() }
+func (p *agentProcess) AddControlIPs(...string)   {}
 
-// KnownAgents returns all agents that exist.
-func (p *agentProcess) KnownAgents() []string {
+// KnownAgentIPs returns all agents that exist.
+func (p *agentProcess) KnownAgentIPs() []string {
 	var ips []string
 	for _, m := range p.world.machines {
 		if !m.core && !m.gone {
