--- a/proxy/discovery.go
+++ b/proxy/discovery.go
@@ -70,14 +70,14 @@
 			r = roll{}
 		}
 	}
-	p.listed(balance.Restored, r, now)
+	p.listed(balance.ListRestored, r, now)
 }
 
 // applyList passes a list to the balancer and keeps the addresses.
-func (p *Proxy) listed(form balance.Form, r roll, now int64) {
+func (p *Proxy) listed(form balance.ListForm, r roll, now int64) {
 	p.list.generation = r.Generation
 	p.discovered(form, r, now)
-	if form != balance.Changes {
+	if form != balance.ListUpdate {
 		for _, h := range p.hosts {
 			h.ready, h.listed = false, false
 		}
@@ -190,7 +190,7 @@
 // subscribe keeps a watch open where discovery pushes the list; there the balancer does not ask for it. It does so
 // while the process drains too, as the list still matters to open dispatches and requests that still come.
 func (p *Proxy) subscribe(now int64) {
-	if !p.terms.MustAsk {
+	if !p.terms.ListOnRequest {
 		p.again(now)
 	}
 }
@@ -223,7 +223,7 @@
 func (p *Proxy) heard(w *watch, now int64) {
 	if p.list.watch == w {
 		if !w.spoke {
-			p.module.Listed(balance.Changes, nil, now)
+			p.module.Listed(balance.ListUpdate, nil, now)
 		}
 		w.spoke, p.list.missing, p.list.failures = true, 0, 0
 		p.listen(w, now)
@@ -251,14 +251,14 @@
 		// once.
 		p.list.missing = w.last
 		p.watch(now)
-	case !p.terms.MustAsk:
+	case !p.terms.ListOnRequest:
 		wait := min(reopen, firstReopen*math.Pow(2, float64(p.list.failures-1)))
 		p.after(now, int64(wait*(0.5+p.dice.Next())), p.subscribe)
 	case p.list.missing > 0 && now < p.list.missing+silenceTold-reopen:
 		p.after(now, int64(reopen*(0.5+p.dice.Next())), p.again)
 	default: // the balancer decides when to ask again
 		p.list.missing = 0
-		p.module.Listed(balance.Unavailable, nil, now)
+		p.module.Listed(balance.ListUnavailable, nil, now)
 	}
 }
 
@@ -344,9 +344,9 @@
 		logrus.Warnf("ignoring a host list line: %v", err)
 		return
 	}
-	form := balance.Changes
+	form := balance.ListUpdate
 	if r.Reset {
-		form = balance.Whole
+		form = balance.ListReplace
 	}
 	p.listed(form, r, now)
 }
