--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -36,7 +36,7 @@
 	Sockets           int // file descriptors that the process may hold
 	Pollers           int
 	KnownHosts        []byte // the host list as it was last saved, in discovery's format
-	Terms             balance.Terms
+	Terms             balance.Config
 	DialTimeout       int64        // a connection that takes longer counts as failed
 	ConnIdle          int64        // hosts close a connection that was idle for so long
 	LongestTimeout    int64        // the longest client timeout of any rule set
@@ -79,7 +79,7 @@
 	works     *works          // nil: no maintenance plans
 	limits    *limits         // nil: no fleet-wide limits
 	deaf      bool            // peers are configured, but their address is in use
-	terms     *balance.Terms  // replaced as a whole, never modified
+	terms     *balance.Config // replaced as a whole, never modified
 	sockets   int             // descriptors that this process may hold now
 	held      holds.Table     // hosts that operators took out of use
 	seen      map[string]bool // IDs that were listed; the oldest are removed above maxSeenIDs
--- a/router/limit/limiter.go
+++ b/router/limit/limiter.go
@@ -165,8 +165,9 @@
 	q := &ownerRequest{shard: shard, sentAt: now, relayed: now < l.shards[shard].relayUntil,
 		reply: make(chan *wire.QuotaGrant, 1)}
 	q.reserved, q.reservedUntil = a.prefetched.TakeAll()
-	q.message = &wire.QuotaRequest{Router: l.router, Life: l.incarnation, Shard: shard, Number: l.lastNumber,
-		Tenant: d.key.tenant, Service: d.key.service, Need: d.cost - q.reserved, Want: a.requestAmount(d.cost) - q.reserved, Relay: q.relayed}
+	q.message = &wire.QuotaRequest{Router: l.router, Incarnation: l.incarnation, Shard: shard, Number: l.lastNumber,
+		Tenant: d.key.tenant, Service: d.key.service, Need: d.cost - q.reserved,
+		Want: a.requestAmount(d.cost) - q.reserved, Relay: q.relayed}
 	l.pending[l.lastNumber] = q.reply
 	return q, nil, 0
 }
@@ -274,7 +275,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	reply := l.pending[g.Number]
-	if reply == nil || g.Router != l.router || g.Life != l.incarnation {
+	if reply == nil || g.Router != l.router || g.Incarnation != l.incarnation {
 		l.droppedReplies++
 		return
 	}
--- a/router/limit/simulation_test.go
+++ b/router/limit/simulation_test.go
@@ -99,7 +99,7 @@
 		defer sim.mu.Unlock()
 		sim.owner = quota.NewOwner(sim.now())
 		if start {
-			sim.owner.AddStart(sim.now())
+			sim.owner.AddStartAmount(sim.now())
 		}
 	})
 }
@@ -127,8 +127,8 @@
 		return
 	}
 	grant := sim.owner.Take(q.Tenant, quota.LimitOf(sim.tenant, &limitBounds), quota.Request{Need: q.Need, Want: q.Want}, sim.now())
-	reply := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: grant.Amount, Spare: grant.Spare,
-		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.Empty.Milliseconds()}
+	reply := &wire.QuotaGrant{Router: q.Router, Number: q.Number, Incarnation: q.Incarnation, Granted: grant.Amount, Spare: grant.Spare,
+		ValidMS: grant.Valid.Milliseconds(), DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.RetryAfter.Milliseconds()}
 	time.AfterFunc(oneWay, func() { l.HandleGrant(reply) })
 }
 
