--- a/config/config.go
+++ b/config/config.go
@@ -34,20 +34,20 @@
 
 // Route maps a host name and a path prefix to services.
 type Route struct {
-	Name               string         `json:"name"`
-	Hostname           string         `json:"hostname"`
-	PathPrefix         string         `json:"path_prefix"`
-	Type               RouteType      `json:"route_type"`
-	TimeoutMS          float64        `json:"timeout_ms"`
-	FirstEventTargetMS float64        `json:"target_ms"`
-	Priority           int            `json:"priority"`
-	Backend            string         `json:"backend"`
-	TrafficSplits      []TrafficSplit `json:"traffic_split"`
-	MaxAttempts        int            `json:"max_attempts"`
-	Public             bool           `json:"public"`
-	Sticky             bool           `json:"sticky"`
-	Resumable          bool           `json:"resumable"`
-	EventIntervalTargetMS   float64        `json:"gap_aim_ms"`
+	Name                  string         `json:"name"`
+	Hostname              string         `json:"hostname"`
+	PathPrefix            string         `json:"path_prefix"`
+	Type                  RouteType      `json:"route_type"`
+	TimeoutMS             float64        `json:"timeout_ms"`
+	FirstEventTargetMS    float64        `json:"target_ms"`
+	Priority              int            `json:"priority"`
+	Backend               string         `json:"backend"`
+	TrafficSplits         []TrafficSplit `json:"traffic_split"`
+	MaxAttempts           int            `json:"max_attempts"`
+	Public                bool           `json:"public"`
+	Sticky                bool           `json:"sticky"`
+	Resumable             bool           `json:"resumable"`
+	EventIntervalTargetMS float64        `json:"gap_aim_ms"`
 }
 
 // TrafficSplit is one service's share of a route's traffic.
