--- a/control/history_test.go
+++ b/control/history_test.go
@@ -142,7 +142,7 @@
 	return string(bits) + string(now.digest[:]) + string(all[:]) + fmt.Sprint(now.revision)
 }
 
-// apply reports whether a call can have had its answer with current as the current version, and returns the next one
+// apply reports whether a call can have had its answer with current as the current version, and returns the next one.
 func (one *call) apply(now version, taken []version) (next version, takes, fits bool) {
 	if one.kind == readCall {
 		return now, false, one.read == now
--- a/control/paces.go
+++ b/control/slow_hosts.go
@@ -10,14 +10,14 @@
 // slowHostsInterval is how often the owner of a shard publishes its slow hosts while there are any.
 const slowInterval = 250 * time.Millisecond
 
-// paces is what the owner of a shard knows about the streaming speed of its hosts. It is dropped with the lease.
+// slowHosts is what the owner of a shard knows about the streaming speed of its hosts. It is dropped with the lease.
 type paces struct {
 	table  *slowhost.Detector
 	toldAt time.Duration
 	told   bool // the last published list was not empty
 }
 
-// onPaces records a router's measurements if this node owns the shard.
+// onEventIntervals records a router's measurements if this node owns the shard.
 func (n *Node) onPaces(p *wire.EventIntervals) {
 	if int(p.Shard) >= len(n.shards) {
 		return
@@ -31,7 +31,7 @@
 	}
 }
 
-// publishSlow publishes the slow hosts of a shard while there are any, and an empty list once there are none left.
+// publishSlowHosts publishes the slow hosts of a shard while there are any, and an empty list once there are none left.
 func (n *Node) publishSlow(s *shard, now time.Duration) {
 	if s.table == nil || !s.holder.Holds(now) || now < s.paces.toldAt+slowInterval {
 		return
--- a/control/paces_test.go
+++ b/control/slow_hosts_test.go
@@ -10,7 +10,7 @@
 	"ivybank/wire"
 )
 
-// reportPaces has a machine's router report for a while how fast six hosts stream, the last one slower by a factor.
+// reportEventIntervals has a machine's router report for a while how fast six hosts stream, the last one slower by a factor.
 func tellPaces(w *world, m *machine, slowness int64, span time.Duration) {
 	for end := w.now + span; w.now < end; {
 		told := &wire.EventIntervals{Shard: 0, Service: "service-0"}
