--- a/control/environment.go
+++ b/control/environment.go
@@ -25,7 +25,7 @@
 	// At most one write is in progress at a time.
 	SaveParts(b *store.PartsBatch)
 	// OpenLink maintains a connection to the control process at an address.
-	LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
+	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
 	// ReadHosts starts a read of the platform's host list; Node.HostsRead is called with the result.
 	ReadHosts()
 	// KnownControls returns the addresses of the control processes that were learned from peers.
--- a/control/members.go
+++ b/control/members.go
@@ -40,7 +40,7 @@
 	self := n.replica.Self()
 	hello := wire.Hello{Role: wire.RoleControl, Node: self.ID, IP: self.IP, Fleet: n.replica.Fleet()}
 	events := wire.LinkEvents{Received: n.onGroup, Connected: func() { n.followReach(ip) }}
-	n.links[ip] = n.env.LinkHandle(ip, hello, events)
+	n.links[ip] = n.env.OpenLink(ip, hello, events)
 }
 
 // updateReachability tells the replicas once this node and a peer are connected in both directions, so that requests
--- a/control/node.go
+++ b/control/node.go
@@ -26,7 +26,7 @@
 const (
 	joinInterval  = 200 * time.Millisecond
 	groupInterval = time.Second
-	// memberSilenceShare is the share of sync_s for which a member may be silent before another machine replaces it.
+	// memberTimeoutShare is the share of sync_s for which a member may be silent before another machine replaces it.
 	// The replacement has sync_s from its own start, which is no earlier than the silence; the rest is for the change
 	// of members.
 	silenceShare    = 0.5
@@ -69,7 +69,7 @@
 	replicas    []*replica.Replica // the configuration's group, then those of the parts; each is a separate replica group
 	parts       []*part            // of the coordination state; empty without coordination
 	savingParts bool
-	wholeParts  bool                   // the next write of the parts has to include everything
+	wholeParts  bool                   // the next write of the parts has to be a full one
 	passed      map[uint64]*passedCall // by number of the request
 	nextPassed  uint64
 
--- a/control/parts.go
+++ b/control/parts.go
@@ -56,7 +56,7 @@
 	return machines
 }
 
-// asReplicaMachines converts machines to the interface of package replica.
+// asStateMachines converts machines to the interface of package replica.
 func replicated(machines []*coordination.Machine) []replica.StateMachine {
 	all := make([]replica.StateMachine, len(machines))
 	for i, m := range machines {
@@ -151,7 +151,7 @@
 	n.env.SaveParts(b)
 }
 
-// wholeBatch returns a batch with the complete stored state of every part.
+// fullBatch returns a batch with the complete stored state of every part.
 func (n *Node) wholeBatch() *store.PartsBatch {
 	whole := &store.PartsBatch{Full: true}
 	for _, p := range n.parts {
@@ -160,7 +160,7 @@
 	return whole
 }
 
-// PartsSaved handles a completed write. wantsWhole makes the next write a whole one.
+// PartsSaved handles a completed write. wantsFull makes the next write a full one.
 func (n *Node) PartsSaved(b *store.PartsBatch, wantsWhole bool) {
 	n.savingParts, n.wholeParts = false, wantsWhole
 	for _, s := range b.Saves {
--- a/control/process.go
+++ b/control/process.go
@@ -178,7 +178,7 @@
 func (p *Process) SpoiltDatagrams() int64 { return p.peers.Malformed.Load() }
 
 // OpenLink maintains a connection to a control process.
-func (p *Process) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	return wire.Open(p.ctx, net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort())), hello, events, p.Do)
 }
 
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -36,7 +36,7 @@
 	}, true})
 }
 
-func (p *nodeProcess) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *nodeProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &link{world: p.world, owner: &p.process, to: ip, hello: hello, events: events}
 	p.links = append(p.links, l)
 	p.world.links = append(p.world.links, l)
--- a/control/simulation_parts_test.go
+++ b/control/simulation_parts_test.go
@@ -95,5 +95,5 @@
 	p.node.Flush()
 }
 
-// partsRotation is after how many writes, on average, a disk requests a whole one.
+// partsRotation is after how many writes, on average, a disk requests a full one.
 const partsRotation = 50
