--- a/control/paces.go
+++ b/control/slow_hosts.go
@@ -3,22 +3,22 @@
 import (
 	"time"
 
-	"ivybank/control/pace"
+	"ivybank/control/slowhost"
 	"ivybank/wire"
 )
 
-// slowInterval is how often the owner of a shard tells which hosts are slow, while some are.
+// slowHostsInterval is how often the owner of a shard publishes its slow hosts while there are any.
 const slowInterval = 250 * time.Millisecond
 
-// paces is what the owner of a shard knows of how fast its hosts stream. It is lost with the lease.
+// slowHosts is what the owner of a shard knows about the streaming speed of its hosts. It is dropped with the lease.
 type paces struct {
-	table  *pace.Table
+	table  *slowhost.Detector
 	toldAt time.Duration
-	told   bool // some hosts were slow when it was told last
+	told   bool // the last published list was not empty
 }
 
-// onPaces takes what a router saw, while this node owns the shard.
-func (n *Node) onPaces(p *wire.Paces) {
+// onEventIntervals records a router's measurements if this node owns the shard.
+func (n *Node) onPaces(p *wire.EventIntervals) {
 	if int(p.Shard) >= len(n.shards) {
 		return
 	}
@@ -27,11 +27,11 @@
 		return
 	}
 	for _, h := range p.Hosts {
-		s.paces.table.Observe(p.Service, h.Host, time.Duration(h.Microsecond)*time.Microsecond, now)
+		s.paces.table.Observe(p.Service, h.Host, time.Duration(h.Microseconds)*time.Microsecond, now)
 	}
 }
 
-// publishSlow feeds which hosts are slow, as long as any are, and once more when none is left.
+// publishSlowHosts publishes the slow hosts of a shard while there are any, and an empty list once there are none left.
 func (n *Node) publishSlow(s *shard, now time.Duration) {
 	if s.table == nil || !s.holder.Holds(now) || now < s.paces.toldAt+slowInterval {
 		return
--- a/control/paces_test.go
+++ b/control/slow_hosts_test.go
@@ -10,23 +10,23 @@
 	"ivybank/wire"
 )
 
-// tellPaces has the router of a machine tell how fast six hosts stream, the last of them so many times as slowly, for a while.
+// reportEventIntervals has a machine's router report for a while how fast six hosts stream, the last one slower by a factor.
 func tellPaces(w *world, m *machine, slowness int64, span time.Duration) {
 	for end := w.now + span; w.now < end; {
-		told := &wire.Paces{Shard: 0, Service: "service-0"}
+		told := &wire.EventIntervals{Shard: 0, Service: "service-0"}
 		for i := range int64(6) {
-			pace := wire.Pace{Host: fmt.Sprint("h", i), Microsecond: 28_000}
+			pace := wire.HostEventInterval{Host: fmt.Sprint("h", i), Microseconds: 28_000}
 			if i == 5 {
-				pace.Microsecond *= slowness
+				pace.Microseconds *= slowness
 			}
 			told.Hosts = append(told.Hosts, pace)
 		}
-		m.agent.agent.OnRouterMessage(m.agent.router, &wire.Message{Paces: told})
+		m.agent.agent.OnRouterMessage(m.agent.router, &wire.Message{EventIntervals: told})
 		w.playUntil(w.now + 200*time.Millisecond)
 	}
 }
 
-// What one machine's router saw of a slow host reaches the routers of all, by way of the shard's owner, and is taken back.
+// A slow host that one router has measured is published to all routers by the shard's owner, and later withdrawn.
 func TestSlowHostsAreToldToAllRouters(t *testing.T) {
 	w := settledWorld(t, 5, 1)
 	var agents []*machine
@@ -49,7 +49,7 @@
 	}
 }
 
-// A process that owns no shard takes nothing, and tells nothing.
+// A process that doesn't own the shard records and publishes nothing.
 func TestPacesAreTakenByTheOwnerAlone(t *testing.T) {
 	w := settledWorld(t, 6, 1)
 	for _, m := range w.machines {
@@ -57,8 +57,8 @@
 			continue
 		}
 		n := m.node.node
-		n.onPaces(&wire.Paces{Shard: 99})
-		n.onPaces(&wire.Paces{Shard: 0, Service: "service-0", Hosts: []wire.Pace{{Host: "h", Microsecond: 1}}})
+		n.onPaces(&wire.EventIntervals{Shard: 99})
+		n.onPaces(&wire.EventIntervals{Shard: 0, Service: "service-0", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 1}}})
 		assert.Equal(t, n.shards[0].paces.table != nil, n.shards[0].holder.Holds(m.node.Now()))
 	}
 }
