--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -201,7 +201,8 @@
 // abandonRound releases what members granted in a round that wasn't won, so that another candidate may win.
 func (h *Holder) abandonRound(now time.Duration) *wire.LeaseRequest {
 	h.requesting, h.freeSince, h.nextRequestAt = false, now, now+RenewInterval
-	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Incarnation: h.incarnation, Release: true}
+	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round,
+		Incarnation: h.incarnation, Release: true}
 }
 
 // RetryNow makes the next request due immediately, because members may now grant what they refused before.
@@ -217,7 +218,8 @@
 		return nil
 	}
 	h.holding, h.requesting, h.nextRequestAt = false, false, now+Duration // replies in flight don't count
-	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round, Incarnation: h.incarnation, Release: true}
+	return &wire.LeaseRequest{Resource: h.resource, Holder: h.self, Term: h.term, Round: h.round,
+		Incarnation: h.incarnation, Release: true}
 }
 
 // Resource returns the name of the leased resource.
--- a/control/quota/owner.go
+++ b/control/quota/owner.go
@@ -74,17 +74,17 @@
 // bucket doesn't hold yet is granted with a delay, so that whatever is used by any moment has been filled by then.
 // Admission is based on what the largest recent requests need, so that small ones don't keep the bucket too empty for
 // large ones.
-func (o *Owner) Take(name string, l Limit, ask Request, now time.Duration) Grant {
-	if !(ask.Need >= 0 && ask.Need <= l.Capacity) { // negative, not a number, or more than the bucket can ever hold
+func (o *Owner) Take(name string, l Limit, request Request, now time.Duration) Grant {
+	if !(request.Need >= 0 && request.Need <= l.Capacity) { // negative, not a number, or more than the bucket can ever hold
 		return Grant{RetryAfter: maxRetryWait}
 	}
 	b := o.bucket(name, l, now)
-	b.largest = max(min(ask.Need, l.Capacity/2), b.largest)
-	if required := l.admissionLevel(max(ask.Need, b.largest)); b.level < required {
+	b.largest = max(min(request.Need, l.Capacity/2), b.largest)
+	if required := l.admissionLevel(max(request.Need, b.largest)); b.level < required {
 		return Grant{RetryAfter: l.timeToGain(required - b.level)}
 	}
-	ahead := max(0, min(ask.Want-ask.Need, (b.level-ask.Need)*aheadShare))
-	amount := ask.Need + ahead
+	ahead := max(0, min(request.Want-request.Need, (b.level-request.Need)*aheadShare))
+	amount := request.Need + ahead
 	b.level -= amount
 	spare := min(sparePerGrant*amount, b.spare)
 	b.spare -= spare
--- a/control/replica/election.go
+++ b/control/replica/election.go
@@ -14,7 +14,7 @@
 	r.votes = map[string]bool{r.self.ID: now >= r.leaderHeardAt+LeaseDuration}
 	r.restartVotes = map[string]bool{r.self.ID: r.justRestarted}
 	r.scheduleElection(now)
-	r.requestVotes(&wire.VoteRequest{Term: r.disk.Term + 1, PreVote: true, Round: r.round})
+	r.requestVotes(&wire.VoteRequest{Term: r.state.Term + 1, PreVote: true, Round: r.round})
 	r.countVotes(now)
 }
 
@@ -24,17 +24,17 @@
 func (r *Replica) startElection(restartRound uint64, transfer bool, now time.Duration) {
 	r.role, r.restartRound = Candidate, restartRound
 	r.round = r.random.Uint64() | 1
-	r.disk.Term++
-	r.disk.VotedFor = r.self.ID
+	r.state.Term++
+	r.state.VotedFor = r.self.ID
 	r.requestSave(false, true)
 	r.votes = map[string]bool{}
 	r.scheduleElection(now)
 	r.failedElections++ // reset if it wins
-	r.requestVotes(&wire.VoteRequest{Term: r.disk.Term, Round: r.round, RestartRound: restartRound, Transfer: transfer})
+	r.requestVotes(&wire.VoteRequest{Term: r.state.Term, Round: r.round, RestartRound: restartRound, Transfer: transfer})
 }
 
 func (r *Replica) requestVotes(q *wire.VoteRequest) {
-	last := r.disk.Entry.Position()
+	last := r.state.Entry.Position()
 	q.Candidate, q.LastTerm, q.LastIndex = r.self.ID, last.Term, last.Index
 	for _, m := range r.Members() {
 		if q.PreVote {
@@ -48,9 +48,9 @@
 // onVoteRequest answers a candidate. A learner votes too, because the newest entry, which names it a member, may not
 // have reached it yet; the candidate only counts votes of its own members.
 func (r *Replica) onVoteRequest(from wire.Member, q *wire.VoteRequest, now time.Duration) {
-	reply := &wire.VoteReply{Term: r.disk.Term, PreVote: q.PreVote, Round: q.Round}
-	upToDate := !(Position{Term: q.LastTerm, Index: q.LastIndex}).Less(r.disk.Entry.Position())
-	willing := q.Term >= r.disk.Term && upToDate
+	reply := &wire.VoteReply{Term: r.state.Term, PreVote: q.PreVote, Round: q.Round}
+	upToDate := !(Position{Term: q.LastTerm, Index: q.LastIndex}).Less(r.state.Entry.Position())
+	willing := q.Term >= r.state.Term && upToDate
 	if reply.Restarted = q.PreVote && r.justRestarted && willing && !r.hasPriorityOver(q); reply.Restarted {
 		r.restartConfirmed[q.Candidate] = q.Round
 		r.yieldElection(now)
@@ -60,22 +60,22 @@
 		return
 	}
 	if q.PreVote {
-		reply.Granted = q.Term > r.disk.Term
+		reply.Granted = q.Term > r.state.Term
 		if reply.Granted {
 			reply.Term = q.Term
 		}
 		r.send(from, &wire.Message{VoteReply: reply})
 		return
 	}
-	if q.Term > r.disk.Term {
+	if q.Term > r.state.Term {
 		r.becomeFollower(q.Term, now)
 	}
-	if r.disk.VotedFor == "" {
-		r.disk.VotedFor = q.Candidate
+	if r.state.VotedFor == "" {
+		r.state.VotedFor = q.Candidate
 		r.requestSave(false, true)
 	}
-	reply.Term = r.disk.Term
-	reply.Granted = r.disk.VotedFor == q.Candidate && r.role == Follower
+	reply.Term = r.state.Term
+	reply.Granted = r.state.VotedFor == q.Candidate && r.role == Follower
 	if reply.Granted {
 		r.scheduleElection(now)
 	}
@@ -90,7 +90,7 @@
 	if !r.IsMember() || r.leave.started || !r.termDurable() {
 		return false
 	}
-	own, others := r.disk.Entry.Position(), Position{Term: q.LastTerm, Index: q.LastIndex}
+	own, others := r.state.Entry.Position(), Position{Term: q.LastTerm, Index: q.LastIndex}
 	return others.Less(own) || own == others && r.group.before(r.self.ID, q.Candidate)
 }
 
@@ -122,7 +122,7 @@
 // noLeaseLeft reports whether a vote request proves that no leader's lease is left: either the leader of the term
 // before gave it up, or all members have restarted and this process has confirmed its own restart in that very round.
 func (r *Replica) noLeaseLeft(q *wire.VoteRequest) bool {
-	if q.Transfer && !q.PreVote && q.Term == r.disk.Term+1 {
+	if q.Transfer && !q.PreVote && q.Term == r.state.Term+1 {
 		return true
 	}
 	return q.RestartRound != 0 && r.justRestarted && r.restartConfirmed[q.Candidate] == q.RestartRound
@@ -134,13 +134,13 @@
 		r.countVotes(now)
 	}
 	if !p.Granted {
-		if p.Term > r.disk.Term {
+		if p.Term > r.state.Term {
 			r.becomeFollower(p.Term, now)
 		}
 		return
 	}
-	preVoteCounts := p.PreVote && r.role == PreCandidate && p.Term == r.disk.Term+1
-	voteCounts := !p.PreVote && r.role == Candidate && p.Term == r.disk.Term
+	preVoteCounts := p.PreVote && r.role == PreCandidate && p.Term == r.state.Term+1
+	voteCounts := !p.PreVote && r.role == Candidate && p.Term == r.state.Term
 	if p.Round == r.round && (preVoteCounts || voteCounts) {
 		r.votes[from.ID] = true
 		r.countVotes(now)
@@ -149,7 +149,7 @@
 
 func (r *Replica) countVotes(now time.Duration) {
 	if r.role == Candidate && r.savedSequence >= r.sequence {
-		r.votes[r.self.ID] = true // the own vote counts once it is on disk
+		r.votes[r.self.ID] = true // its own vote counts once it is on disk
 	}
 	won := HasQuorum(r.Members(), func(id string) bool { return r.votes[id] })
 	switch {
@@ -188,19 +188,19 @@
 	r.peers, r.heartbeatSentAt, r.madeAt = map[string]*peer{}, map[uint64]time.Duration{}, map[uint64]time.Duration{}
 	r.nextHeartbeat = now
 	if r.machine != nil {
-		r.clock.raiseTo(r.disk.Entry.Time, now)
+		r.clock.raiseTo(r.state.Entry.Time, now)
 		r.refreshPeers(now)
 		for _, p := range r.peers {
-			p.received = r.disk.Entry.Position() // one that doesn't have it says so, and gets what it lacks
+			p.received = r.state.Entry.Position() // one that doesn't have it says so, and gets what it lacks
 		}
 	}
 	// The existing entry is only committed by an entry of the leader's own term.
-	r.appendUnchanged(r.disk.Entry.Members, now)
+	r.appendUnchanged(r.state.Entry.Members, now)
 }
 
 // onTransfer starts an election at once, as the leader of this term has given up its lease.
 func (r *Replica) onTransfer(from wire.Member, q *wire.Transfer, now time.Duration) {
-	if q.Term == r.disk.Term && r.role == Follower && r.leader.ID == from.ID && r.IsMember() && !r.leave.started {
+	if q.Term == r.state.Term && r.role == Follower && r.leader.ID == from.ID && r.IsMember() && !r.leave.started {
 		r.startElection(0, true, now)
 	}
 }
--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -146,7 +146,7 @@
 // confirmsRestart has one replica answer another's pre-vote, and reports whether the answer confirms that it has just
 // restarted.
 func confirmsRestart(asked, candidate *Replica) bool {
-	last := candidate.disk.Entry.Position()
+	last := candidate.state.Entry.Position()
 	q := &wire.VoteRequest{Term: candidate.Term() + 1, Candidate: candidate.self.ID, LastTerm: last.Term, LastIndex: last.Index, PreVote: true, Round: 9}
 	asked.TakeMessages()
 	asked.Receive(candidate.self, &wire.Message{VoteRequest: q}, 0)
@@ -163,9 +163,9 @@
 	assert.Assert(t, !confirmsRestart(low.replica, high.replica))
 
 	low, high = newPair()
-	newer := *high.replica.disk.Entry
+	newer := *high.replica.state.Entry
 	newer.Index++
-	high.replica.disk.Entry = &newer
+	high.replica.state.Entry = &newer
 	assert.Assert(t, confirmsRestart(low.replica, high.replica), "the newer entry goes first")
 	assert.Assert(t, !confirmsRestart(high.replica, low.replica))
 
--- a/control/replica/leader.go
+++ b/control/replica/leader.go
@@ -59,7 +59,7 @@
 	}
 	lost := now > r.leaderSince+LeaseDuration && now > r.leaseStart(now)+LeaseDuration+maxElectionJitter
 	if lost {
-		r.becomeFollower(r.disk.Term, now)
+		r.becomeFollower(r.state.Term, now)
 		return
 	}
 	r.changeMembers(now)
@@ -96,12 +96,12 @@
 // peer at a time: if the link is slower than the rate of proposals, the peer gets whatever is newest once the link is
 // free.
 func (r *Replica) sendAppend(p *peer, now time.Duration) {
-	a := &wire.Append{Term: r.disk.Term, Leader: r.self.ID, LeaderIP: r.self.IP, Round: r.heartbeatNumber,
+	a := &wire.Append{Term: r.state.Term, Leader: r.self.ID, LeaderIP: r.self.IP, Round: r.heartbeatNumber,
 		Commit: r.committed.Position(), RestartRound: r.restartRound}
 	if r.machine != nil {
 		a.Time = r.clock.at(now)
 	}
-	newest := r.disk.Entry.Position()
+	newest := r.state.Entry.Position()
 	if p.received != newest && p.sentInHeartbeat == 0 {
 		if a.Steps = r.stepsFrom(p.received); a.Steps == nil {
 			a.Entry = r.fullEntry()
@@ -120,7 +120,9 @@
 	slices.Sort(starts)
 	slices.Reverse(starts)
 	for _, start := range starts {
-		if HasQuorum(r.Members(), func(id string) bool { return id == r.self.ID || r.peers[id] != nil && r.peers[id].ackedSentAt >= start }) {
+		if HasQuorum(r.Members(), func(id string) bool {
+			return id == r.self.ID || r.peers[id] != nil && r.peers[id].ackedSentAt >= start
+		}) {
 			return start
 		}
 	}
@@ -128,11 +130,11 @@
 }
 
 func (r *Replica) onAppend(from wire.Member, a *wire.Append, now time.Duration) {
-	if a.Term < r.disk.Term {
-		r.send(from, &wire.Message{AppendReply: &wire.AppendReply{Term: r.disk.Term}})
+	if a.Term < r.state.Term {
+		r.send(from, &wire.Message{AppendReply: &wire.AppendReply{Term: r.state.Term}})
 		return
 	}
-	if a.Term > r.disk.Term || r.role != Follower {
+	if a.Term > r.state.Term || r.role != Follower {
 		r.becomeFollower(a.Term, now)
 	}
 	r.leader, r.leaderHeardAt = wire.Member{ID: a.Leader, IP: a.LeaderIP}, now
@@ -143,7 +145,7 @@
 	r.scheduleElection(now)
 	r.clock.observe(a.Term, a.Time, now)
 	r.followCommit(a) // commits the entry before, as under a steady stream each message carries the next entry
-	if a.Entry != nil && r.disk.Entry.Position().Less(a.Entry.Position()) {
+	if a.Entry != nil && r.state.Entry.Position().Less(a.Entry.Position()) {
 		r.takeFull(a.Entry)
 		r.followCommit(a)
 	}
@@ -155,34 +157,34 @@
 	if r.termDurable() {
 		r.send(from, r.appendReply(a.Round, r.durable))
 	}
-	if r.durable != r.disk.Entry.Position() && (a.Entry != nil || a.Steps != nil) || !r.termDurable() {
-		r.sendAfterSave(from, r.appendReply(a.Round, r.disk.Entry.Position()))
+	if r.durable != r.state.Entry.Position() && (a.Entry != nil || a.Steps != nil) || !r.termDurable() {
+		r.sendAfterSave(from, r.appendReply(a.Round, r.state.Entry.Position()))
 	}
 }
 
 // followCommit marks the newest entry committed if the leader's commit position covers it: that very entry, or a
 // later one of the same leader, as a leader makes its next entry only once the one before is committed.
 func (r *Replica) followCommit(a *wire.Append) {
-	at := r.disk.Entry.Position()
+	at := r.state.Entry.Position()
 	ofThisLeader := at.Term == a.Term && a.Commit.Term == a.Term && !a.Commit.Less(at)
 	if (at == a.Commit || ofThisLeader) && r.committed.Position().Less(at) {
-		r.committed = r.disk.Entry
+		r.committed = r.state.Entry
 	}
 }
 
 func (r *Replica) appendReply(round uint64, stored Position) *wire.Message {
-	return &wire.Message{AppendReply: &wire.AppendReply{Term: r.disk.Term, Round: round, Stored: stored,
-		Received: r.disk.Entry.Position()}}
+	return &wire.Message{AppendReply: &wire.AppendReply{Term: r.state.Term, Round: round, Stored: stored,
+		Received: r.state.Entry.Position()}}
 }
 
 // onAppendReply processes a follower's acknowledgement. One with the current term belongs to this leadership, as only
 // one process leads a term, and leads it only once; the round tells when the heartbeat was sent.
 func (r *Replica) onAppendReply(from wire.Member, p *wire.AppendReply, now time.Duration) {
-	if p.Term > r.disk.Term {
+	if p.Term > r.state.Term {
 		r.becomeFollower(p.Term, now)
 		return
 	}
-	if r.role != Leader || p.Term != r.disk.Term {
+	if r.role != Leader || p.Term != r.state.Term {
 		return
 	}
 	other := r.peers[from.ID]
@@ -204,7 +206,7 @@
 		other.stored, other.storedAt, other.lag = p.Stored, now, r.age(p.Stored, now)
 		r.advanceCommit(now)
 	}
-	if r.role == Leader && other.sentInHeartbeat == 0 && other.received != r.disk.Entry.Position() {
+	if r.role == Leader && other.sentInHeartbeat == 0 && other.received != r.state.Entry.Position() {
 		r.startHeartbeat(now) // the reply to this heartbeat then acknowledges this entry
 		r.sendAppend(other, now)
 	}
@@ -213,7 +215,7 @@
 // age returns how long ago this leader made an entry; if unknown, a value longer than any bound.
 func (r *Replica) age(at Position, now time.Duration) time.Duration {
 	madeAt, ok := r.madeAt[at.Index]
-	if !ok || at.Term != r.disk.Term {
+	if !ok || at.Term != r.state.Term {
 		return now - neverHeard
 	}
 	return now - madeAt
@@ -222,14 +224,14 @@
 // advanceCommit commits the newest entry once a quorum has it on disk. A pending membership change goes before
 // whatever is proposed next.
 func (r *Replica) advanceCommit(now time.Duration) {
-	newest := r.disk.Entry.Position()
-	if r.committed.Position() == newest || newest.Term != r.disk.Term {
+	newest := r.state.Entry.Position()
+	if r.committed.Position() == newest || newest.Term != r.state.Term {
 		return
 	}
 	if !HasQuorum(r.Members(), func(id string) bool { return r.hasStored(id, newest) }) {
 		return
 	}
-	r.committed = r.disk.Entry
+	r.committed = r.state.Entry
 	r.applyNewest()
 	if !r.changeMembers(now) {
 		r.broadcast(now)
--- a/control/replica/machine.go
+++ b/control/replica/machine.go
@@ -137,7 +137,7 @@
 
 // fullEntry returns the newest entry with the full state.
 func (r *Replica) fullEntry() *wire.Entry {
-	newest := r.disk.Entry
+	newest := r.state.Entry
 	if r.machine == nil {
 		return newest
 	}
@@ -178,21 +178,22 @@
 
 // takeStep has a follower accept a step that follows its newest entry.
 func (r *Replica) takeStep(step *wire.Entry) {
-	if r.machine == nil || r.disk.Entry == nil || step.After != r.disk.Entry.Position() || !step.After.Less(step.Position()) {
+	if r.machine == nil || r.state.Entry == nil ||
+		step.After != r.state.Entry.Position() || !step.After.Less(step.Position()) {
 		return
 	}
 	r.machine.Apply(step.Commands, step.Time)
 	r.keepStep(step)
-	r.storeEntry(resolveStep(r.disk.Entry, step), step)
+	r.storeEntry(resolveStep(r.state.Entry, step), step)
 }
 
 // TakeFullSave returns a write of everything that has to be found after a restart, even if no write is pending.
 func (r *Replica) TakeFullSave() *Save {
 	s := r.TakeSave()
 	if s == nil {
-		s = &Save{Sequence: r.sequence, State: r.disk}
+		s = &Save{Sequence: r.sequence, State: r.state}
 	}
-	s.EntryChanged, s.VoteChanged, s.Entries = r.disk.Entry != nil, true, nil
+	s.EntryChanged, s.VoteChanged, s.Entries = r.state.Entry != nil, true, nil
 	if s.EntryChanged {
 		s.Entries = []*wire.Entry{r.fullEntry()}
 	}
--- a/control/replica/machine_test.go
+++ b/control/replica/machine_test.go
@@ -158,7 +158,7 @@
 	if r.unapplied != nil {
 		return r.unapplied.After
 	}
-	return r.disk.Entry.Position()
+	return r.state.Entry.Position()
 }
 
 // checkMachines checks that a position identifies one entry and one state, and that a leader serves from what is
--- a/control/replica/members.go
+++ b/control/replica/members.go
@@ -72,7 +72,7 @@
 func (r *Replica) wipedMember(now time.Duration) string {
 	for _, id := range sortedIDs(r.learners) {
 		l := r.learners[id]
-		if l.stored.Term != r.disk.Term || now > l.heard+maxContactAge {
+		if l.stored.Term != r.state.Term || now > l.heard+maxContactAge {
 			continue
 		}
 		for _, m := range r.Members() {
@@ -126,10 +126,10 @@
 	raisesMajority := len(r.Members())%2 == 1
 	for _, id := range sortedIDs(r.learners) {
 		l := r.learners[id]
-		if now > l.heard+maxContactAge || l.stored.Term != r.disk.Term {
+		if now > l.heard+maxContactAge || l.stored.Term != r.state.Term {
 			continue
 		}
-		upToDate := l.stored == r.disk.Entry.Position() || now < l.storedAt+readyValidity && l.lag < maxReadyLag
+		upToDate := l.stored == r.state.Entry.Position() || now < l.storedAt+readyValidity && l.lag < maxReadyLag
 		if upToDate || !raisesMajority {
 			return l
 		}
@@ -180,7 +180,7 @@
 	if !r.Leading(now) {
 		return // a leader without a lease may not know everything that was acknowledged
 	}
-	r.send(from, &wire.Message{LeaveReply: &wire.LeaveReply{Term: r.disk.Term}})
+	r.send(from, &wire.Message{LeaveReply: &wire.LeaveReply{Term: r.state.Term}})
 }
 
 // safeWithout reports whether a majority of the other members has everything that was acknowledged on disk.
@@ -217,7 +217,7 @@
 		return
 	}
 	leader := r.Leader(now)
-	if r.leave.transferTerm != 0 && r.leave.transferTerm == r.disk.Term && leader.ID == "" && now >= r.leave.nextRequestAt {
+	if r.leave.transferTerm != 0 && r.leave.transferTerm == r.state.Term && leader.ID == "" && now >= r.leave.nextRequestAt {
 		r.sendTransfer(now) // no one has stood for leader yet, so the previous message may be lost
 		return
 	}
@@ -241,15 +241,15 @@
 	var next *peer
 	for _, id := range sortedIDs(r.peers) {
 		p := r.peers[id]
-		if p.stored == r.disk.Entry.Position() && !p.isLeaving(now) && (next == nil || p.heard > next.heard) {
+		if p.stored == r.state.Entry.Position() && !p.isLeaving(now) && (next == nil || p.heard > next.heard) {
 			next = p
 		}
 	}
 	if next == nil {
 		return
 	}
-	r.becomeFollower(r.disk.Term, now)
-	r.leave.transferTarget, r.leave.transferTerm = next.member, r.disk.Term
+	r.becomeFollower(r.state.Term, now)
+	r.leave.transferTarget, r.leave.transferTerm = next.member, r.state.Term
 	r.sendTransfer(now)
 }
 
@@ -260,7 +260,7 @@
 }
 
 func (r *Replica) onLeaveReply(from wire.Member, p *wire.LeaveReply) {
-	if r.leave.started && p.Term == r.disk.Term && from.ID == r.leader.ID {
+	if r.leave.started && p.Term == r.state.Term && from.ID == r.leader.ID {
 		r.leave.done = true
 	}
 }
--- a/control/replica/replica.go
+++ b/control/replica/replica.go
@@ -125,7 +125,7 @@
 	self          wire.Member
 	group         GroupConfig
 	random        *rand.Rand
-	disk          PersistentState
+	state         PersistentState
 	durable       Position // newest entry known to be on this replica's disk
 	sequence      uint64   // of the newest Save
 	savedSequence uint64   // of the newest Save that has completed
@@ -150,8 +150,8 @@
 	// restartVotes are the members that have answered in that round that they heard no leader since they started.
 	restartVotes     map[string]bool
 	justRestarted    bool              // no leader heard and no lease joined since the start
-	restartConfirmed map[string]uint64 // by candidate, the round in which this process told it so
-	restartRound     uint64            // pre-vote round by which the current leader was elected after all had restarted, else 0
+	restartConfirmed map[string]uint64 // by candidate, the round in which this process confirmed its restart
+	restartRound     uint64            // pre-vote round of the leader's election after all had restarted, else 0
 	electionAt       time.Duration
 	failedElections  int           // elections in a row in which it stood and nobody was elected
 	yieldUntil       time.Duration // until then it lets another restarted replica stand first
@@ -169,16 +169,17 @@
 }
 
 // New returns a replica of a group in which each entry is full, from the state found on disk.
-func New(self wire.Member, group GroupConfig, disk PersistentState, random *rand.Rand, now time.Duration) *Replica {
-	return NewWithStateMachine(self, group, disk, nil, random, now)
+func New(self wire.Member, group GroupConfig, state PersistentState, random *rand.Rand, now time.Duration) *Replica {
+	return NewWithStateMachine(self, group, state, nil, random, now)
 }
 
 // NewWithStateMachine returns a replica from the state found on disk. The machine must be at that state's entry.
-func NewWithStateMachine(self wire.Member, group GroupConfig, disk PersistentState, machine StateMachine, random *rand.Rand, now time.Duration) *Replica {
-	r := &Replica{self: self, group: group, disk: disk, random: random, durable: disk.Entry.Position(),
+func NewWithStateMachine(self wire.Member, group GroupConfig, state PersistentState, machine StateMachine,
+	random *rand.Rand, now time.Duration) *Replica {
+	r := &Replica{self: self, group: group, state: state, random: random, durable: state.Entry.Position(),
 		learners: map[string]*peer{}, justRestarted: true, restartConfirmed: map[string]uint64{}, machine: machine}
-	if r.clock.knownAt = now; disk.Entry != nil {
-		r.clock = groupClock{disk.Entry.Term, disk.Entry.Time, now}
+	if r.clock.knownAt = now; state.Entry != nil {
+		r.clock = groupClock{state.Entry.Term, state.Entry.Time, now}
 	}
 	r.leaderHeardAt = now // the previous run may have acknowledged a heartbeat right before the restart
 	r.scheduleElection(now)
@@ -215,7 +216,7 @@
 func (r *Replica) Role() Role { return r.role }
 
 // Term returns the current term.
-func (r *Replica) Term() uint64 { return r.disk.Term }
+func (r *Replica) Term() uint64 { return r.state.Term }
 
 // TargetSize returns the wanted number of members.
 func (r *Replica) TargetSize() int { return r.group.TargetSize }
@@ -233,22 +234,22 @@
 func (r *Replica) Committed() *wire.Entry { return r.committed }
 
 // Newest returns the newest entry, committed or not; nil before the first.
-func (r *Replica) Newest() *wire.Entry { return r.disk.Entry }
+func (r *Replica) Newest() *wire.Entry { return r.state.Entry }
 
 // Fleet returns the number of the fleet; 0 before the first entry.
 func (r *Replica) Fleet() uint64 {
-	if r.disk.Entry == nil {
+	if r.state.Entry == nil {
 		return 0
 	}
-	return r.disk.Entry.Fleet
+	return r.state.Entry.Fleet
 }
 
 // Members returns the members of the newest entry.
 func (r *Replica) Members() []wire.Member {
-	if r.disk.Entry == nil {
+	if r.state.Entry == nil {
 		return nil
 	}
-	return r.disk.Entry.Members
+	return r.state.Entry.Members
 }
 
 // IsMember reports whether the newest entry names this replica.
@@ -266,12 +267,12 @@
 // Leading reports whether this replica is the leader, its lease is valid at now, and Committed includes everything
 // that was ever acknowledged.
 func (r *Replica) Leading(now time.Duration) bool {
-	return r.role == Leader && r.committed != nil && r.committed.Term == r.disk.Term &&
+	return r.role == Leader && r.committed != nil && r.committed.Term == r.state.Term &&
 		now < r.leaseStart(now)+LeaseDuration-LeaseMargin
 }
 
 // HasUncommitted reports whether the newest entry is not committed yet.
-func (r *Replica) HasUncommitted() bool { return r.committed.Position() != r.disk.Entry.Position() }
+func (r *Replica) HasUncommitted() bool { return r.committed.Position() != r.state.Entry.Position() }
 
 // AllRestarted reports whether the current leader was elected while all members had just restarted, this run of this
 // process among them. Then nothing that any of them granted before is still in force.
@@ -297,7 +298,7 @@
 	if r.HasUncommitted() {
 		return Position{}, ErrBusy
 	}
-	return r.appendEntry(r.disk.Entry.Members, value, now), nil
+	return r.appendEntry(r.state.Entry.Members, value, now), nil
 }
 
 // appendUnchanged makes the leader's next entry with the state of the one before.
@@ -306,13 +307,13 @@
 		r.appendEntry(members, nil, now)
 		return
 	}
-	r.appendEntry(members, r.disk.Entry.Value, now)
+	r.appendEntry(members, r.state.Entry.Value, now)
 }
 
 // appendEntry makes the leader's next entry from a new value or, with a machine, from commands.
 func (r *Replica) appendEntry(members []wire.Member, payload []byte, now time.Duration) Position {
-	last := r.disk.Entry
-	e := &wire.Entry{Term: r.disk.Term, Index: last.Index + 1, Members: members, Fleet: last.Fleet}
+	last := r.state.Entry
+	e := &wire.Entry{Term: r.state.Term, Index: last.Index + 1, Members: members, Fleet: last.Fleet}
 	if r.machine == nil {
 		e.Value = payload
 		r.storeEntry(e, e)
@@ -332,10 +333,10 @@
 
 // storeEntry adopts a newer entry and requests a write of it in the form in which it was made or sent.
 func (r *Replica) storeEntry(e, sent *wire.Entry) {
-	if e.Position().Less(r.disk.Entry.Position()) {
+	if e.Position().Less(r.state.Entry.Position()) {
 		panic("replica: an older entry would replace a newer one")
 	}
-	r.disk.Entry = e
+	r.state.Entry = e
 	r.queueUnsaved(sent)
 	r.requestSave(true, false)
 }
@@ -349,7 +350,7 @@
 	if vote {
 		r.voteSequence = r.sequence
 	}
-	r.pending = &Save{Sequence: r.sequence, State: r.disk, EntryChanged: entry, VoteChanged: vote}
+	r.pending = &Save{Sequence: r.sequence, State: r.state, EntryChanged: entry, VoteChanged: vote}
 }
 
 // TakeSave returns the pending write; nil if there is none.
@@ -442,8 +443,8 @@
 
 // becomeFollower enters a newer term without a vote, or gives up a candidacy or leadership.
 func (r *Replica) becomeFollower(term uint64, now time.Duration) {
-	if term > r.disk.Term {
-		r.disk.Term, r.disk.VotedFor = term, ""
+	if term > r.state.Term {
+		r.state.Term, r.state.VotedFor = term, ""
 		r.requestSave(false, true)
 	}
 	r.applyNewest()
--- a/control/replica/sim_test.go
+++ b/control/replica/sim_test.go
@@ -144,7 +144,7 @@
 		return fmt.Sprintf("%s/%d is down, entry %v", n.ip, n.incarnation, n.disk.Entry.Position())
 	}
 	r := n.replica
-	return fmt.Sprintf("%s %v term %d entry %v committed %v members %v", r.self.ID, r.Role(), r.Term(), r.disk.Entry.Position(),
+	return fmt.Sprintf("%s %v term %d entry %v committed %v members %v", r.self.ID, r.Role(), r.Term(), r.state.Entry.Position(),
 		r.committed.Position(), r.Members())
 }
 
--- a/control/store/files_test.go
+++ b/control/store/files_test.go
@@ -55,9 +55,9 @@
 	disk, err = open(t, path).Load()
 	assert.NilError(t, err)
 	assert.Equal(t, disk.Entry.Index, uint64(6))
-	aside, err := filepath.Glob(filepath.Join(path, "*"+tempSuffix))
+	left, err := filepath.Glob(filepath.Join(path, "*"+tempSuffix))
 	assert.NilError(t, err)
-	assert.Equal(t, len(aside), 0, "temporary files don't accumulate")
+	assert.Equal(t, len(left), 0, "temporary files don't accumulate")
 }
 
 // A file that has its final name was completely on disk. If the newest one is corrupt, no older one is used in its
--- a/control/store/filesystem.go
+++ b/control/store/filesystem.go
@@ -103,12 +103,12 @@
 }
 
 func (f osDir) sync() error {
-	folder, err := os.Open(string(f))
+	dir, err := os.Open(string(f))
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	defer folder.Close()
-	if err := folder.Sync(); err != nil {
+	defer dir.Close()
+	if err := dir.Sync(); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
--- a/control/store/parts.go
+++ b/control/store/parts.go
@@ -245,7 +245,8 @@
 }
 
 // replay advances the machines through the batches of a journal.
-func replay(machines []replica.StateMachine, founded *wire.Entry, batches [][]partRecord) ([]replica.PersistentState, error) {
+func replay(machines []replica.StateMachine, founded *wire.Entry, batches [][]partRecord) (
+	[]replica.PersistentState, error) {
 	votes := make([]vote, len(machines))
 	chains := make([][]*wire.Entry, len(machines))
 	for part := range chains {
--- a/wire/link.go
+++ b/wire/link.go
@@ -30,7 +30,8 @@
 	current atomic.Pointer[Conn]
 }
 
-// Open starts a link. Its events are passed to dispatch, one after the other, until the context ends or the link is closed.
+// Open starts a link. Its events are passed to dispatch, one after the other, until the context ends or the link is
+// closed.
 func Open(ctx context.Context, address string, hello Hello, events LinkEvents, dispatch func(event func())) *Link {
 	ctx, stop := context.WithCancel(ctx)
 	l := newLink(address, hello, events, dispatch)
@@ -40,7 +41,8 @@
 }
 
 func newLink(address string, hello Hello, events LinkEvents, dispatch func(event func())) *Link {
-	return &Link{address: address, hello: hello, events: events, dispatch: dispatch, stop: func() {}, after: time.After, redialNow: make(chan struct{}, 1)}
+	return &Link{address: address, hello: hello, events: events, dispatch: dispatch, stop: func() {}, after: time.After,
+		redialNow: make(chan struct{}, 1)}
 }
 
 // Close closes the link.
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -268,7 +268,7 @@
 	Router       string  `cbor:"1,keyasint"`
 	Number       uint64  `cbor:"2,keyasint"`
 	Granted      float64 `cbor:"3,keyasint"`           // 0, or at least what was needed
-	RetryAfterMS int64   `cbor:"9,keyasint,omitempty"` // if nothing was granted, time until there is enough for such a request
+	RetryAfterMS int64   `cbor:"9,keyasint,omitempty"` // time until there is enough, if nothing was granted
 	Incarnation  uint64  `cbor:"5,keyasint"`
 	DelayMS      int64   `cbor:"10,keyasint,omitempty"` // time from the reply before which the amount may not be used
 	ValidMS      int64   `cbor:"6,keyasint,omitempty"`  // time for which it may be used, from the request plus the delay
