--- a/balance/balance.go
+++ b/balance/balance.go
@@ -94,13 +94,13 @@
 // New creates an instance; the host passes the server list next, as Listed(Restored).
 func New(t Config, now int64) *Balancer {
 	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now, rng: draw.Dice{Seed: t.Seed}}
-	b.Retune(t, now)
+	b.Reconfigure(t, now)
 	return b
 }
 
-// Retune applies new terms. Server state stays, and open requests keep the rules they arrived under. If the
+// Reconfigure applies new terms. Server state stays, and open requests keep the rules they arrived under. If the
 // deployment changes in kind, measured times and rates no longer apply and are reset.
-func (b *Balancer) Retune(t Config, now int64) {
+func (b *Balancer) Reconfigure(t Config, now int64) {
 	old := b.cfg
 	served := make([]fade.Count, len(t.Tenants))
 	for i, x := range t.Tenants {
@@ -129,11 +129,11 @@
 	}
 }
 
-// Advised applies the combined advice of the other balancers.
-func (b *Balancer) Advised(a Advice) { b.advice, b.reviewNow = a, true }
+// ApplyAdvice applies the combined advice of the other balancers.
+func (b *Balancer) ApplyAdvice(a Advice) { b.advice, b.reviewNow = a, true }
 
-// Req accepts a new request.
-func (b *Balancer) Req(a Arrival, now int64) {
+// AddRequest accepts a new request.
+func (b *Balancer) AddRequest(a Arrival, now int64) {
 	r := &request{Arrival: a, rules: b.cfg.RuleSet(a.RuleSet), tenant: b.cfg.Tenant(a.Tenant),
 		random: b.rng.Next(), maxDispatches: b.cfg.MaxDispatches}
 	if r.rules == nil { // unknown: the strictest rules
@@ -173,14 +173,14 @@
 func (b *Balancer) startClock(r *request, now int64) {
 	r.arrivedAt, r.clientDeadline = now, now+max(r.Budget, b.cfg.BudgetError) // the client waits until then
 	r.giveUpAt = r.clientDeadline
-	if r.rules.OverdueValue <= 0 || b.cfg.TailWeight > 0 && r.rules.Harmless() {
+	if r.rules.OverdueValue <= 0 || b.cfg.TailWeight > 0 && r.rules.CanDenyAfterRun() {
 		r.giveUpAt = min(r.giveUpAt, now+r.rules.ResponseTarget)
 	}
 	r.giveUpAt -= 2 * b.cfg.Tick
 }
 
-// Whole reports that a pending request body is complete. The request's and its dispatches' time start here.
-func (b *Balancer) Whole(id uint64, now int64) {
+// BodyComplete reports that a pending request body is complete. The request's and its dispatches' time start here.
+func (b *Balancer) BodyComplete(id uint64, now int64) {
 	if r := b.requests[id]; r != nil && r.BodyPending {
 		r.BodyPending = false
 		b.startClock(r, now)
@@ -194,15 +194,15 @@
 	}
 }
 
-// Spent reports that a request's body is no longer buffered: the request cannot be dispatched again.
-func (b *Balancer) Spent(id uint64) {
+// BodyDropped reports that a request's body is no longer buffered: the request cannot be dispatched again.
+func (b *Balancer) BodyDropped(id uint64) {
 	if r := b.requests[id]; r != nil {
 		r.maxDispatches = 0
 	}
 }
 
-// Passed reports that an answer has begun to stream: the server has done its work.
-func (b *Balancer) Passed(id uint64, attempt int, took, now int64) {
+// AnswerStarted reports that an answer has begun to stream: the server has done its work.
+func (b *Balancer) AnswerStarted(id uint64, attempt int, took, now int64) {
 	if r := b.requests[id]; r != nil && attempt < len(r.dispatches) && r.dispatches[attempt].pending {
 		b.removeInflight(r.dispatches[attempt])
 		r.dispatches[attempt].answering = true
@@ -231,8 +231,8 @@
 	}
 }
 
-// Started reports that an answer streams to the client; the balancer no longer ends the dispatch.
-func (b *Balancer) Started(id uint64) {
+// StreamStarted reports that an answer streams to the client; the balancer no longer ends the dispatch.
+func (b *Balancer) StreamStarted(id uint64) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
@@ -365,8 +365,8 @@
 	return min(0.5*float64(sec)+askDelay*float64(t.FleetSize), float64(t.AskWithin)/2)
 }
 
-// Listed applies a server list. If it was unavailable, it is requested again after a random delay.
-func (b *Balancer) Listed(form ListForm, entries []Server, now int64) {
+// UpdateList applies a server list. If it was unavailable, it is requested again after a random delay.
+func (b *Balancer) UpdateList(form ListForm, entries []Server, now int64) {
 	if form == ListUnavailable {
 		b.askAt = now + int64((0.5+b.rng.Next())*maxAskDelay(b.cfg))
 		return
@@ -627,13 +627,13 @@
 	b.forget(r)
 }
 
-// Harmless reports whether a request may be denied even if it may have run.
-func (x *RuleSet) Harmless() bool {
+// CanDenyAfterRun reports whether a request may be denied even if it may have run.
+func (x *RuleSet) CanDenyAfterRun() bool {
 	return x.Effect == Replayable || x.Effect == Deduplicated && x.Group == GroupAll
 }
 
 func (b *Balancer) canDeny(r *request) bool {
-	return r.rules.Harmless() || !slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
+	return r.rules.CanDenyAfterRun() || !slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
 }
 
 // canSend reports whether the rules allow a further dispatch to some server.
@@ -643,8 +643,8 @@
 		(r.rules.Effect != NonReplayable || b.canDeny(r))
 }
 
-// Again reports whether a request that may have run at one server may go to another without a second effect.
-func (x *RuleSet) Again(first, next Server, sent, now int64) bool {
+// CanRepeat reports whether a request that may have run at one server may go to another without a second effect.
+func (x *RuleSet) CanRepeat(first, next Server, sent, now int64) bool {
 	same := x.Group == GroupAll || first.Zone == next.Zone && (x.Group == GroupZone || first.Cell == next.Cell)
 	return x.Effect == Replayable || x.Effect == Deduplicated && same && now < sent+x.Window
 }
@@ -655,7 +655,7 @@
 		return false
 	}
 	for _, d := range r.dispatches {
-		if d.pending && d.server == s || d.maybeRan && !r.rules.Again(d.server.Server, s.Server, d.sentAt, now) {
+		if d.pending && d.server == s || d.maybeRan && !r.rules.CanRepeat(d.server.Server, s.Server, d.sentAt, now) {
 			return false
 		}
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -25,14 +25,14 @@
 	for i := range list {
 		list[i] = Server{ID: string(rune('a' + i)), Zone: "z", Share: 1}
 	}
-	b.Listed(ListRestored, list, 0)
+	b.UpdateList(ListRestored, list, 0)
 	b.reviewServers(0)
 	return b
 }
 
 // addRequest adds a request and returns the balancer's record of it.
 func addRequest(b *Balancer, id uint64, rules, key string) *request {
-	b.Req(Arrival{ID: id, RuleSet: rules, Key: key, Budget: 2 * sec}, 0)
+	b.AddRequest(Arrival{ID: id, RuleSet: rules, Key: key, Budget: 2 * sec}, 0)
 	return b.requests[id]
 }
 
@@ -65,7 +65,7 @@
 	}{
 		{"no server", 0, "once", 2 * sec, nil, 200 * ms, Deny},
 		{"all draining", 2, "once", 2 * sec, func(b *Balancer) {
-			b.Listed(ListUpdate, []Server{{ID: "a", State: Draining}, {ID: "b", State: Gone}}, 0)
+			b.UpdateList(ListUpdate, []Server{{ID: "a", State: Draining}, {ID: "b", State: Gone}}, 0)
 		}, 200 * ms, Deny},
 		{"a budget of 4 ms", 2, "once", 4 * ms, nil, 0, Deny},
 		{"unknown rule set counts as non-replayable", 1, "other", 20 * ms, nil, 10 * ms, Abort},
@@ -79,7 +79,7 @@
 			if c.setup != nil {
 				c.setup(b)
 			}
-			b.Req(Arrival{ID: 1, RuleSet: c.rules, Budget: c.budget}, 0)
+			b.AddRequest(Arrival{ID: 1, RuleSet: c.rules, Budget: c.budget}, 0)
 			got := drain(b, 0, -1)
 			got = append(got, drain(b, c.at, -1)...)
 			n := 0
@@ -251,9 +251,9 @@
 		b := newBalancer(2, nil)
 		b.servers[0].health, b.servers[0].ejected = 0.4, true
 		b.reviewServers(0)
-		b.Listed(ListUpdate, []Server{{ID: "c"}}, sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "c"}}, sec)
 		assertNear(t, "new server", b.servers[2].health, 0.7, 1e-12)
-		b.Listed(ListUpdate, []Server{{ID: "a", Since: sec}}, 2*sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Since: sec}}, 2*sec)
 		s := b.servers[0]
 		assertNear(t, "restarted", s.health, 0.7, 1e-12)
 		if s.ejected || s.inflightCap != newServerCap {
@@ -263,7 +263,7 @@
 	t.Run("with only a streaming answer open nothing is due", func(t *testing.T) {
 		b := newBalancer(1, nil)
 		b.sendTo(addRequest(b, 1, "once", "k"), b.servers[0], 0)
-		b.Started(1)
+		b.StreamStarted(1)
 		if got := drain(b, sec, Wake); len(got) != 0 {
 			t.Errorf("got %v", got)
 		}
@@ -273,7 +273,7 @@
 		s := b.servers[0]
 		s.latency = float64(100 * ms)
 		b.sendTo(addRequest(b, 1, "once", "k"), s, 0)
-		b.Started(1)
+		b.StreamStarted(1)
 		if b.reviewServers(9 * sec); s.silent {
 			t.Error("the server counts as silent")
 		}
@@ -370,7 +370,7 @@
 	})
 	t.Run("few keys move when a server leaves, and keys are not correlated", func(t *testing.T) {
 		b, c := newBalancer(5, nil), newBalancer(5, nil)
-		c.Listed(ListUpdate, []Server{{ID: "e", State: Gone}}, 0)
+		c.UpdateList(ListUpdate, []Server{{ID: "e", State: Gone}}, 0)
 		c.placementOf(&c.cfg.RuleSets[0])
 		same := 0.0
 		last := ""
@@ -426,7 +426,7 @@
 	})
 	t.Run("no new requests to a draining server", func(t *testing.T) {
 		b := newBalancer(2, nil)
-		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", State: Draining}}, 0)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", State: Draining}}, 0)
 		b.computeWeights(0)
 		for i := range 100 {
 			if s := b.pickServer(&request{maxDispatches: 3, rules: &b.cfg.RuleSets[0], placement: b.placementOf(&b.cfg.RuleSets[0]),
@@ -498,12 +498,12 @@
 	if len(drain(b, sec, RequestList)) != 1 {
 		t.Fatal("the list is not requested at the start")
 	}
-	b.Listed(ListReplace, []Server{{ID: "a"}}, 2*sec)
+	b.UpdateList(ListReplace, []Server{{ID: "a"}}, 2*sec)
 	if len(drain(b, 60*sec, RequestList)) != 0 {
 		t.Error("a subscribed instance requested the list again")
 	}
 	for range 5 {
-		b.Listed(ListUnavailable, nil, 60*sec)
+		b.UpdateList(ListUnavailable, nil, 60*sec)
 		if wait := b.askAt - 60*sec; wait <= 0 || wait > 5*sec {
 			t.Errorf("requested again after %d ms", wait/ms)
 		}
@@ -526,7 +526,7 @@
 	next := b.cfg
 	next.MaxDispatches, next.Tenants = 1, []Tenant{{"y", 1}}
 	next.RuleSets = []RuleSet{{Name: "once", Effect: Replayable, ResponseTarget: sec / 5, BillingValue: 1}}
-	b.Retune(next, 0)
+	b.Reconfigure(next, 0)
 	if old.rules.Effect != NonReplayable || old.rules.ResponseTarget != sec || old.maxDispatches != 3 || old.tenant != 0 {
 		t.Errorf("got %+v, at most %d dispatches, tenant %d for the open request, want its old rules and its tenant's new index", old.rules, old.maxDispatches, old.tenant)
 	}
@@ -548,20 +548,20 @@
 // A request is in flight, and its time runs, only from the end of its body to the begin of its answer.
 func TestStreamedRequest(t *testing.T) {
 	b := newBalancer(1, nil)
-	b.Req(Arrival{ID: 1, RuleSet: "once", Budget: 2 * sec, BodyPending: true}, 0)
+	b.AddRequest(Arrival{ID: 1, RuleSet: "once", Budget: 2 * sec, BodyPending: true}, 0)
 	if got := drain(b, 0, Dispatch); len(got) != 1 || b.inflight != 0 || len(b.servers[0].inflight) != 0 {
 		t.Fatalf("got %v, %d in flight, want one dispatch that does not count as in flight", got, b.inflight)
 	}
 	if got := drain(b, 10*sec, -1); len(got) != 0 || b.servers[0].silent {
 		t.Fatalf("got %v while the body arrives", got)
 	}
-	b.Whole(1, 10*sec)
-	b.Whole(1, 11*sec) // must not count twice
+	b.BodyComplete(1, 10*sec)
+	b.BodyComplete(1, 11*sec) // must not count twice
 	if got := drain(b, 10*sec, SetDeadline); len(got) != 1 || got[0].Time != 11*sec-2*b.cfg.Tick || b.inflight != 1 {
 		t.Fatalf("got %v, %d in flight, want the time to start with the end of the body", got, b.inflight)
 	}
-	b.Started(1)
-	b.Passed(1, 0, sec/10, 10*sec+sec/10)
+	b.StreamStarted(1)
+	b.AnswerStarted(1, 0, sec/10, 10*sec+sec/10)
 	if b.inflight != 0 || b.servers[0].latency != float64(sec)/10 {
 		t.Fatalf("%d in flight, answer time %v, want the server's latency measured to the begin of the answer", b.inflight, b.servers[0].latency)
 	}
@@ -578,9 +578,9 @@
 func TestNoDispatchWithoutBufferedBody(t *testing.T) {
 	for rules, want := range map[string]DecisionKind{"again": Deny, "once": Deny} {
 		b := newBalancer(2, nil)
-		b.Req(Arrival{ID: 1, RuleSet: rules, Budget: 2 * sec, BodyPending: true}, 0)
+		b.AddRequest(Arrival{ID: 1, RuleSet: rules, Budget: 2 * sec, BodyPending: true}, 0)
 		drain(b, 0, Dispatch)
-		b.Spent(1)
+		b.BodyDropped(1)
 		b.Finished(1, 0, NoConnection, false, 1, 1)
 		if got := drain(b, 1, -1); len(got) != 1 || got[0].Kind != want {
 			t.Errorf("%s: got %v, want it denied", rules, got)
@@ -592,7 +592,7 @@
 func TestNewServerCapIsDividedAmongProcesses(t *testing.T) {
 	for beside, want := range []float64{newServerCap, newServerCap / 2} {
 		b := newBalancer(2, func(t *Config) { t.SiblingProcesses = beside })
-		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: sec}}, sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: sec}}, sec)
 		assertNear(t, "cap", b.servers[0].inflightCap, want, 0)
 	}
 }
@@ -606,7 +606,7 @@
 		for range answers {
 			b.answerRate.Add(0, span)
 		}
-		b.Req(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, gap)
+		b.AddRequest(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, gap)
 		for at := gap; at < gap+sec/2; at += sec / 200 { // 200 answers a second
 			b.answerRate.Add(at, span)
 		}
@@ -620,7 +620,7 @@
 	b.rateStart = -100 * sec
 	addRequest(b, 1, "once", "k")
 	b.answerRate.Add(0, span)
-	if b.Req(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, 3*sec); b.rateStart != -100*sec {
+	if b.AddRequest(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, 3*sec); b.rateStart != -100*sec {
 		t.Error("a usual gap was taken for a lull")
 	}
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -46,7 +46,7 @@
 				}
 				in := b.placementOf(&b.cfg.RuleSets[0])
 				b.reviewServers(100 * sec)
-				b.Listed(ListUpdate, []Server{{ID: "a", Kind: "small", Zone: "z", Share: 1, Since: 101 * sec}}, 101*sec)
+				b.UpdateList(ListUpdate, []Server{{ID: "a", Kind: "small", Zone: "z", Share: 1, Since: 101 * sec}}, 101*sec)
 				for _, s := range b.servers[servers-c.ejected:] {
 					s.ejected, s.ejectedUntil = true, 200*sec
 				}
@@ -57,7 +57,7 @@
 				in.firstDispatches = fade.Count{N: 1000, At: 101 * sec}
 				in.answers = fade.Count{N: 1000 * (1 - c.failed), At: 101 * sec}
 				for i := range uint64(requests) {
-					b.Req(Arrival{ID: i, RuleSet: "again", Key: fmt.Sprint("key-", i), Budget: sec}, 101*sec)
+					b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: fmt.Sprint("key-", i), Budget: sec}, 101*sec)
 					r := b.requests[i]
 					for range c.tries {
 						r.dispatches = append(r.dispatches, &dispatch{request: r, server: b.servers[1]})
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -9,70 +9,72 @@
 // This file exports and imports the state that an instance has learnt. It must not decide which of it to trust: package
 // recall does that for what it stores and passes on.
 
-// Memory is what an instance has learnt. All times are ages or times left, in ns, so that no clocks have to agree.
-type Memory struct {
-	Servers []Learnt    // by ID
-	Rate    float64     // answers per second
-	Tenants []Load      // dispatches per second by tenant
-	Jam     float64     // mean time of dispatches over their response target
-	Target  float64     // mean response target of requests; 0: unknown
-	Worth   float64     // mean billing value of requests; 0: unknown
-	Keys    []fade.Part // request counts of popular keys
+// Snapshot is what an instance has learnt. All times are ages or times left, in ns, so that no clocks have to agree.
+// The tags keep the field names of stored snapshots.
+type Snapshot struct {
+	Servers      []ServerSnapshot // by ID
+	Rate         float64          // answers per second
+	Tenants      []TenantRate     // dispatches per second by tenant
+	LatencyRatio float64          `json:"Jam"`    // mean time of dispatches over their response target
+	MeanTarget   float64          `json:"Target"` // mean response target of requests; 0: unknown
+	MeanValue    float64          `json:"Worth"`  // mean billing value of requests; 0: unknown
+	Keys         []fade.Part      // request counts of popular keys
 }
 
-// Load is the dispatch rate of a tenant.
-type Load struct {
+// TenantRate is the dispatch rate of a tenant.
+type TenantRate struct {
 	Name string
 	Rate float64
 }
 
-// Learnt is what is known of one process of a server.
-type Learnt struct {
-	ID        string
-	Since     int64 // start of the process by the list; the record says nothing of any other process
-	Draining  bool  // by the list
-	Health    float64
-	Streak    int
-	Ejections int
-	Left      int64   // time left of its ejection; 0: it is in use
-	Unit, Lat float64 // mean time per in-flight slot and per answer, in ns; 0: unknown
-	Grow      float64 // in-flight cap
-	Blips     float64 // fraction of its answers that followed a failure and so refute it
-	Met       int64   // age of the latest outcome that this process saw there itself; -1: none
+// ServerSnapshot is what is known of one process of a server.
+type ServerSnapshot struct {
+	ID             string
+	Since          int64 // start of the process by the list; the record says nothing of any other process
+	Draining       bool  // by the list
+	Health         float64
+	Streak         int
+	Ejections      int
+	EjectionLeft   int64   `json:"Left"`  // time left of its ejection; 0: it is in use
+	SlotTime       float64 `json:"Unit"`  // mean time per in-flight slot, in ns; 0: unknown
+	Latency        float64 `json:"Lat"`   // mean time of an answer, in ns; 0: unknown
+	InflightCap    float64 `json:"Grow"`  // in-flight cap
+	RefutedShare   float64 `json:"Blips"` // fraction of its answers that followed a failure and so refute it
+	LastOutcomeAge int64   `json:"Met"`   // age of the latest outcome that this process saw there itself; -1: none
 }
 
-// Memory returns what is known now.
-func (b *Balancer) Memory(now int64) Memory {
+// Snapshot returns what is known now.
+func (b *Balancer) Snapshot(now int64) Snapshot {
 	perSecond := func(c *fade.Count) float64 { return c.Now(now, span) * float64(sec) / float64(span) }
-	m := Memory{Rate: perSecond(&b.answerRate), Jam: b.latencyRatio, Target: b.meanTarget.V, Worth: b.meanValue.V, Keys: b.keyCounts.Parts(now, keySpan)}
+	m := Snapshot{Rate: perSecond(&b.answerRate), LatencyRatio: b.latencyRatio, MeanTarget: b.meanTarget.V, MeanValue: b.meanValue.V, Keys: b.keyCounts.Parts(now, keySpan)}
 	for i, t := range b.cfg.Tenants {
-		m.Tenants = append(m.Tenants, Load{t.Name, perSecond(&b.tenantRates[i])})
+		m.Tenants = append(m.Tenants, TenantRate{t.Name, perSecond(&b.tenantRates[i])})
 	}
-	m.Servers = b.Learnt(now)
+	m.Servers = b.ServerSnapshots(now)
 	return m
 }
 
-// Learnt returns what is known of the servers alone.
-func (b *Balancer) Learnt(now int64) (all []Learnt) {
+// ServerSnapshots returns what is known of the servers alone.
+func (b *Balancer) ServerSnapshots(now int64) (all []ServerSnapshot) {
 	for _, s := range b.servers {
 		if !s.listed {
 			continue
 		}
-		l := Learnt{ID: s.ID, Since: s.Since, Draining: s.State == Draining, Health: s.health, Streak: s.streak, Ejections: s.ejections,
-			Unit: s.slotTime, Lat: s.latency, Grow: s.inflightCap, Blips: s.refutedShare, Met: -1}
+		l := ServerSnapshot{ID: s.ID, Since: s.Since, Draining: s.State == Draining, Health: s.health, Streak: s.streak, Ejections: s.ejections,
+			SlotTime: s.slotTime, Latency: s.latency, InflightCap: s.inflightCap, RefutedShare: s.refutedShare, LastOutcomeAge: -1}
 		if s.ejected {
-			l.Left = max(1, s.ejectedUntil-now)
+			l.EjectionLeft = max(1, s.ejectedUntil-now)
 		}
 		if s.lastOutcomeAt > 0 {
-			l.Met = now - s.lastOutcomeAt
+			l.LastOutcomeAge = now - s.lastOutcomeAt
 		}
 		all = append(all, l)
 	}
 	return all
 }
 
-// Recall imports what was known of servers of which this process has seen no outcome itself. It is called after Listed.
-func (b *Balancer) Recall(m Memory, now int64) {
+// Restore imports what was known of servers of which this process has seen no outcome itself. It is called after Listed.
+func (b *Balancer) Restore(m Snapshot, now int64) {
 	for _, l := range m.Servers {
 		i, had := slices.BinarySearchFunc(b.servers, l.ID, byID)
 		if !had || b.servers[i].Since != l.Since || b.servers[i].lastOutcomeAt > 0 {
@@ -80,9 +82,9 @@
 		}
 		s := b.servers[i]
 		s.health, s.streak, s.ejections = max(minHealth, l.Health), l.Streak, l.Ejections
-		s.ejected, s.ejectedUntil = l.Left > 0, now+l.Left
-		s.slotTime, s.latency, s.refutedShare, s.answeredAt = l.Unit, l.Lat, l.Blips, now
-		if s.inflightCap = max(1, l.Grow); b.rampCapacity(s, now) < 1 { // a cold server starts with the default cap
+		s.ejected, s.ejectedUntil = l.EjectionLeft > 0, now+l.EjectionLeft
+		s.slotTime, s.latency, s.refutedShare, s.answeredAt = l.SlotTime, l.Latency, l.RefutedShare, now
+		if s.inflightCap = max(1, l.InflightCap); b.rampCapacity(s, now) < 1 { // a cold server starts with the default cap
 			s.inflightCap = min(s.inflightCap, newServerCap)
 		}
 	}
@@ -95,10 +97,10 @@
 			b.tenantRates[i] = fade.Count{N: max(b.tenantRates[i].Now(now, span), x.Rate*float64(span)/float64(sec)), At: now}
 		}
 	}
-	b.latencyRatio = max(b.latencyRatio, m.Jam)
-	if m.Target > 0 && b.meanTarget.V == 0 {
-		b.meanTarget.Add(m.Target)
-		b.meanValue.Add(m.Worth)
+	b.latencyRatio = max(b.latencyRatio, m.LatencyRatio)
+	if m.MeanTarget > 0 && b.meanTarget.V == 0 {
+		b.meanTarget.Add(m.MeanTarget)
+		b.meanValue.Add(m.MeanValue)
 	}
 	b.reviewNow = true
 	b.keyCounts.Recall(m.Keys, now)
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -10,7 +10,7 @@
 	for i := range 200 {
 		now += 20 * ms
 		id := uint64(i + 1)
-		source.Req(Arrival{ID: id, RuleSet: "again", Tenant: "x", Key: "k", Budget: 2 * sec}, now)
+		source.AddRequest(Arrival{ID: id, RuleSet: "again", Tenant: "x", Key: "k", Budget: 2 * sec}, now)
 		for _, d := range drain(source, now, Dispatch) {
 			o := Served
 			if d.Server == "a" {
@@ -23,11 +23,11 @@
 	a := source.servers[0]
 	a.lastOutcomeAt, a.health = now, 0.3
 	source.eject(a, now)
-	m := source.Memory(now + sec)
+	m := source.Snapshot(now + sec)
 	other := newBalancer(4, func(t *Config) { t.Tenants = []Tenant{{Name: "x", Share: 1}} })
 	other.servers[3].Since = 5
 	later := now + 3*sec
-	other.Recall(m, later)
+	other.Restore(m, later)
 	assertNear(t, "rate", other.answerRate.Now(later, span), source.answerRate.Now(now+sec, span), 0.01)
 	assertNear(t, "rate of the tenant", other.tenantRates[0].Now(later, span), source.tenantRates[0].Now(now+sec, span), 0.01)
 	x := other.servers[0]
@@ -45,7 +45,7 @@
 	}
 	// Servers with outcomes of its own are not overwritten.
 	other.servers[1].lastOutcomeAt, other.servers[1].health = later, 0.8
-	other.Recall(Memory{Servers: []Learnt{{ID: "b", Health: 0.1, Left: sec}}}, later)
+	other.Restore(Snapshot{Servers: []ServerSnapshot{{ID: "b", Health: 0.1, EjectionLeft: sec}}}, later)
 	if b := other.servers[1]; b.ejected || b.health != 0.8 {
 		t.Errorf("got %+v, want its own state to be kept", b)
 	}
@@ -54,9 +54,9 @@
 // A server whose ejection was imported gets no requests, and returns like any other ejected server.
 func TestImportedEjection(t *testing.T) {
 	b := newBalancer(2, nil)
-	b.Recall(Memory{Servers: []Learnt{{ID: "a", Health: 0.2, Streak: 2, Left: 2 * sec, Ejections: 1, Grow: 3}}}, sec)
+	b.Restore(Snapshot{Servers: []ServerSnapshot{{ID: "a", Health: 0.2, Streak: 2, EjectionLeft: 2 * sec, Ejections: 1, InflightCap: 3}}}, sec)
 	for i := range uint64(20) {
-		b.Req(Arrival{ID: i + 1, RuleSet: "again", Key: "k" + string(rune('a'+i)), Budget: 2 * sec}, sec)
+		b.AddRequest(Arrival{ID: i + 1, RuleSet: "again", Key: "k" + string(rune('a'+i)), Budget: 2 * sec}, sec)
 		for _, d := range drain(b, sec, Dispatch) {
 			if d.Server == "a" {
 				t.Fatal("dispatched to an ejected server")
--- a/balance/more_test.go
+++ b/balance/more_test.go
@@ -21,7 +21,7 @@
 		{"one zone", func(x *RuleSet) { x.Zones = []string{"y"} }, nil, "c"},
 		{"both", func(x *RuleSet) { x.Kinds, x.Zones = []string{"small"}, []string{"y"} }, nil, ""},
 		{"its server drains", func(x *RuleSet) { x.Kinds = []string{"small"} }, func(b *Balancer) {
-			b.Listed(ListUpdate, []Server{{ID: "b", Zone: "z", Kind: "small", State: Draining}}, 0)
+			b.UpdateList(ListUpdate, []Server{{ID: "b", Zone: "z", Kind: "small", State: Draining}}, 0)
 		}, ""},
 		{"its server is ejected", func(x *RuleSet) { x.Kinds = []string{"small"} }, func(b *Balancer) {
 			b.servers[1].ejected, b.servers[1].ejectedUntil = true, sec
@@ -37,14 +37,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(3, func(t *Config) { c.restrict(&t.RuleSets[0]) })
-			b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Kind: "large", Share: 1},
+			b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Kind: "large", Share: 1},
 				{ID: "b", Zone: "z", Kind: "small", Share: 1}, {ID: "c", Zone: "y", Kind: "large", Share: 1}}, 0)
 			if c.setup != nil {
 				c.setup(b)
 			}
 			sent := 0
 			for i := range uint64(40) {
-				b.Req(Arrival{ID: i, RuleSet: "again", Budget: sec}, 0)
+				b.AddRequest(Arrival{ID: i, RuleSet: "again", Budget: sec}, 0)
 			}
 			for _, d := range drain(b, 0, Dispatch) {
 				if sent++; d.Server != c.want {
@@ -61,19 +61,19 @@
 func TestWrongStartTimes(t *testing.T) {
 	// The clock of a starting server may be behind: with a start time 25 s too early it looked warm at once.
 	b := newBalancer(2, func(t *Config) { t.StartError = 25 * sec })
-	b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: 79 * sec}}, 100*sec)
+	b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: 79 * sec}}, 100*sec)
 	assertNear(t, "capacity of a server that may have started now", b.rampCapacity(b.servers[0], 100*sec), 0.2, 1e-9)
 	assertNear(t, "10 s on", b.rampCapacity(b.servers[0], 110*sec), 0.6, 1e-9)
 	assertNear(t, "a server started long ago", b.rampCapacity(b.servers[1], 100*sec), 1, 1e-9)
 	// The start time of a second process may be before that of the first.
-	b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: 78 * sec}}, 105*sec)
+	b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: 78 * sec}}, 105*sec)
 	assertNear(t, "the next process", b.rampCapacity(b.servers[0], 105*sec), 0.28, 1e-9)
 }
 
 func TestClocksThatDiffer(t *testing.T) {
 	start := func() (*Balancer, *request) {
 		b := newBalancer(2, func(t *Config) { t.BudgetError = 1500 * ms })
-		b.Req(Arrival{ID: 1, RuleSet: "once", Budget: 3 * ms}, 0)
+		b.AddRequest(Arrival{ID: 1, RuleSet: "once", Budget: 3 * ms}, 0)
 		return b, b.requests[1]
 	}
 	// Requests arrived with a budget reported 1.5 s too short and were denied without a try.
@@ -108,7 +108,7 @@
 		b := newBalancer(6, func(t *Config) { t.WarmKeys = warm })
 		got := map[string]bool{}
 		for i := range uint64(60) {
-			b.Req(Arrival{ID: i, RuleSet: "again", Key: "k", Budget: sec}, 0)
+			b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: "k", Budget: sec}, 0)
 			b.computeWeights(0)
 			b.keyCounts = fade.Keys{} // so that the key is not split
 			got[b.pickServer(b.requests[i], 0).ID] = true
@@ -129,7 +129,7 @@
 		want  float64
 	}{{true, 0, 4}, {false, 0, 8}, {false, sec, 4}} {
 		b := newBalancer(2, func(t *Config) { t.WarmKeys, t.RampTime = c.warm, 10*sec })
-		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 4, Since: c.since}}, sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 4, Since: c.since}}, sec)
 		b.reviewServers(2 * sec)
 		a, other := b.servers[0], b.servers[1]
 		assertNear(t, "weight relative to a server of a quarter of its size", a.weight/a.rampShare/other.weight, c.want, 1e-9)
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -21,7 +21,7 @@
 			if i%4 == 0 {
 				key = "hot"
 			}
-			b.Req(Arrival{ID: i, RuleSet: "again", Key: key, Budget: 2 * sec}, now)
+			b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: key, Budget: 2 * sec}, now)
 			r := b.requests[i]
 			b.inflight = 0
 			b.computeWeights(0)
@@ -99,13 +99,13 @@
 func TestSharesThatFollowLoad(t *testing.T) {
 	// Shares that follow load were taken for sizes: all balancers moved their keys with each list.
 	b := newBalancer(2, func(t *Config) { t.LiveWeights = true })
-	b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
+	b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
 	b.reviewServers(sec)
 	if a := b.servers[0]; a.size != 1 || a.weight < 0.8 || a.weight >= 1 {
 		t.Errorf("size %.2f, weight %.2f", a.size, a.weight)
 	}
 	for range 50 {
-		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 0.1}}, sec)
 	}
 	b.computeWeights(0)
 	assertNear(t, "in the long run", b.servers[0].weight, 0.1, 0.02)
@@ -118,7 +118,7 @@
 	b.askAt = 0 // subscribed
 	b.servers[0].ejected, b.servers[0].ejectedUntil = true, 100*sec
 	b.servers[1].health = 0.4
-	b.Listed(ListUpdate, []Server{{ID: "c", Zone: "z", State: Draining}}, sec)
+	b.UpdateList(ListUpdate, []Server{{ID: "c", Zone: "z", State: Draining}}, sec)
 	for _, s := range b.servers {
 		s.slotTime, s.latency, s.inflightCap = float64(sec), float64(sec), 50
 	}
@@ -128,7 +128,7 @@
 	next := b.cfg
 	next.ListOnRequest, next.LiveWeights, next.FleetSize, next.TailWeight = false, true, 40, 0.3
 	next.RuleSets = []RuleSet{{Name: "once", Effect: Replayable, ResponseTarget: sec / 5, BillingValue: 1}}
-	b.Retune(next, 60*sec)
+	b.Reconfigure(next, 60*sec)
 	if open.rules.Effect != NonReplayable || open.rules.ResponseTarget != sec {
 		t.Error("the open request lost its old rules")
 	}
@@ -152,14 +152,14 @@
 		t.Error("requested a list that is pushed")
 	}
 	next.ListOnRequest, next.LiveWeights, next.FleetSize = true, false, 2
-	b.Retune(next, 100*sec)
+	b.Reconfigure(next, 100*sec)
 	if n := len(drain(b, 112*sec, RequestList)); n != 1 {
 		t.Errorf("requested the list %d times after the change back, want once", n)
 	}
 	// New terms that do not change the kind of deployment keep the measurements.
 	b.servers[1].slotTime, b.answerRate.N = 7, 5
 	next.FleetSize = 3
-	if b.Retune(next, 113*sec); b.servers[1].slotTime != 7 || b.answerRate.N != 5 {
+	if b.Reconfigure(next, 113*sec); b.servers[1].slotTime != 7 || b.answerRate.N != 5 {
 		t.Error("new terms of the same kind of deployment discarded measurements")
 	}
 }
@@ -175,10 +175,10 @@
 		list = append(list, Server{ID: s.ID, Zone: "z", Share: 0.2})
 	}
 	for range 100 {
-		b.Listed(ListUpdate, list, sec)
+		b.UpdateList(ListUpdate, list, sec)
 	}
 	b.answerRate.N, b.answerRate.At = 35*float64(span/sec), 10*sec
-	b.Listed(ListUpdate, []Server{{ID: list[0].ID, Zone: "z", Share: 1, Since: 10 * sec}}, 10*sec)
+	b.UpdateList(ListUpdate, []Server{{ID: list[0].ID, Zone: "z", Share: 1, Since: 10 * sec}}, 10*sec)
 	b.reviewServers(10 * sec)
 	s := b.servers[0]
 	assertNear(t, "fraction of all", s.weight/b.placementOf(&RuleSet{}).readyWeight, 0.4/39.4, 0.002)
@@ -189,8 +189,8 @@
 func TestAdvice(t *testing.T) {
 	t.Run("shed", func(t *testing.T) {
 		b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, MaxRetryAfter: sec, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: NonReplayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
-		b.Listed(ListReplace, []Server{{ID: "s", Share: 1}}, 0)
-		b.Req(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec, Shed: true, RetryAfter: 700 * ms}, 0)
+		b.UpdateList(ListReplace, []Server{{ID: "s", Share: 1}}, 0)
+		b.AddRequest(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec, Shed: true, RetryAfter: 700 * ms}, 0)
 		var got []Decision
 		for d, ok := b.Next(0); ok; d, ok = b.Next(0) {
 			if d.Kind == Deny || d.Kind == Dispatch {
@@ -204,9 +204,9 @@
 	t.Run("further", func(t *testing.T) {
 		for further, want := range []int{1, 2} {
 			b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: Replayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
-			b.Advised(Advice{RetriesLimited: true, RetriesLeft: further})
-			b.Listed(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}, {ID: "v", Share: 1}}, 0)
-			b.Req(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec}, 0)
+			b.ApplyAdvice(Advice{RetriesLimited: true, RetriesLeft: further})
+			b.UpdateList(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}, {ID: "v", Share: 1}}, 0)
+			b.AddRequest(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec}, 0)
 			sent := 0
 			for now := int64(0); now < 60*ms; now += 5 * ms {
 				for d, ok := b.Next(now); ok; d, ok = b.Next(now) {
@@ -223,8 +223,8 @@
 	})
 	t.Run("suspect server", func(t *testing.T) {
 		b := New(Config{Seed: 1, FleetSize: 1, Tick: 5 * ms}, 0)
-		b.Listed(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}}, 0)
-		b.Advised(Advice{ShareFactors: map[string]float64{"s": 0.25}})
+		b.UpdateList(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}}, 0)
+		b.ApplyAdvice(Advice{ShareFactors: map[string]float64{"s": 0.25}})
 		b.reviewServers(0)
 		if s, u := b.servers[0].weight, b.servers[1].weight; s != u/4 {
 			t.Errorf("weights %v and %v, want a quarter", s, u)
--- a/balance/source_test.go
+++ b/balance/source_test.go
@@ -14,7 +14,7 @@
 	sent, shed = map[string]int{}, map[string]int{}
 	for i := range n {
 		now, id := from+int64(i)*10*ms, uint64(from)+uint64(i)
-		b.Req(Arrival{ID: id, RuleSet: "once", Key: key(i), Tenant: "t", Budget: 2 * sec}, now)
+		b.AddRequest(Arrival{ID: id, RuleSet: "once", Key: key(i), Tenant: "t", Budget: 2 * sec}, now)
 		for _, d := range drain(b, now, -1) {
 			switch d.Kind {
 			case Dispatch:
@@ -101,7 +101,7 @@
 	// A request that fails everywhere went to all six servers that its terms allow and lowered the health of each
 	// (pnw-core rough-1).
 	b := newBalancer(6, func(t *Config) { t.MaxDispatches = 6 })
-	b.Req(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
+	b.AddRequest(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
 	for i := range 6 {
 		now := int64(i) * 10 * ms
 		for _, d := range drain(b, now, -1) {
@@ -123,7 +123,7 @@
 	}
 	// A request that failed only at servers with other failures is tried again: their errors say nothing of the request.
 	b = newBalancer(6, func(t *Config) { t.MaxDispatches = 6 })
-	b.Req(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
+	b.AddRequest(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
 	for i := range 3 {
 		now := int64(i) * 10 * ms
 		for _, s := range b.servers {
--- a/balance/standing_test.go
+++ b/balance/standing_test.go
@@ -56,7 +56,7 @@
 			change(&t)
 		}
 		b := New(t, 0)
-		b.Listed(ListReplace, list, 0)
+		b.UpdateList(ListReplace, list, 0)
 		c.all = append(c.all, b)
 	}
 	return c
@@ -68,7 +68,7 @@
 	what := tenant + rules
 	c.open[c.last] = what
 	c.asked[what]++
-	c.all[instance].Req(Arrival{ID: c.last, RuleSet: rules, Tenant: tenant, Key: key, Budget: 3 * sec}, c.now)
+	c.all[instance].AddRequest(Arrival{ID: c.last, RuleSet: rules, Tenant: tenant, Key: key, Budget: 3 * sec}, c.now)
 	c.wakes[instance] = c.now
 }
 
@@ -155,7 +155,7 @@
 			c.play(5*sec, each)
 			startedAt := c.now
 			for i, b := range c.all {
-				b.Listed(ListUpdate, []Server{{ID: "s-007", Zone: "z", Share: 1, Since: startedAt}}, startedAt)
+				b.UpdateList(ListUpdate, []Server{{ID: "s-007", Zone: "z", Share: 1, Since: startedAt}}, startedAt)
 				c.wakes[i] = startedAt
 			}
 			c.play(startedAt+10*sec, each)
@@ -250,7 +250,7 @@
 			t.Errorf("third %d: %.3f served", third+1, x)
 		}
 		b := c.all[0]
-		kept = append(kept, len(b.requests)+len(b.open)+len(b.decisions)+cap(b.servers)+len(b.Memory(c.now).Keys))
+		kept = append(kept, len(b.requests)+len(b.open)+len(b.decisions)+cap(b.servers)+len(b.Snapshot(c.now).Keys))
 	}
 	t.Log(kept)
 	if kept[2] > 2*kept[0]+20 {
@@ -266,12 +266,12 @@
 		for seed := range uint64(100) {
 			b := New(Config{Seed: seed, ListOnRequest: true, AskWithin: within, FleetSize: 300, Tick: step}, 0)
 			first := b.askAt
-			b.Listed(ListReplace, nil, first)
+			b.UpdateList(ListReplace, nil, first)
 			if b.askAt != 0 {
 				t.Fatal("requests the list although it is subscribed")
 			}
 			for now := 10 * sec; now < 40*sec; now = b.askAt { // discovery is down
-				b.Listed(ListUnavailable, nil, now)
+				b.UpdateList(ListUnavailable, nil, now)
 				if wait := b.askAt - now; wait <= 0 || wait >= within {
 					t.Fatalf("requests the list %d ms after a failure, %d allowed", wait/ms, within/ms)
 				}
--- a/cmd/ivybank/state.go
+++ b/cmd/ivybank/state.go
@@ -76,14 +76,14 @@
 	}
 	for _, l := range m.Module.Servers {
 		out, met := "-", "never"
-		if l.Left > 0 {
-			out = time.Duration(l.Left).Round(time.Millisecond).String()
+		if l.EjectionLeft > 0 {
+			out = time.Duration(l.EjectionLeft).Round(time.Millisecond).String()
 		}
-		if l.Met >= 0 {
-			met = time.Duration(l.Met).Round(time.Millisecond).String()
+		if l.LastOutcomeAge >= 0 {
+			met = time.Duration(l.LastOutcomeAge).Round(time.Millisecond).String()
 		}
 		fmt.Fprintf(t, "%s\t%s\t%.2f\t%d\t%s\t%d\t%s\t%s\n", l.ID, [...]string{"ready", "draining", "gone"}[states[l.ID]], l.Health, l.Streak, out, l.Ejections,
-			time.Duration(l.Lat).Round(100*time.Microsecond), met)
+			time.Duration(l.Latency).Round(100*time.Microsecond), met)
 	}
 	return t.Flush()
 }
--- a/fleet/learn.go
+++ b/fleet/learn.go
@@ -108,8 +108,8 @@
 			if id == "" || peer.Ns(b.Age) > metFor {
 				continue
 			}
-			x.told[i].Beliefs = append(x.told[i].Beliefs, recall.Belief{Heard: now, Start: b.Since, Server: balance.Learnt{ID: id,
-				Health: float64(b.Health) / 100, Left: peer.Ns(b.Left), Draining: b.Drains, Met: peer.Ns(b.Age)}})
+			x.told[i].Beliefs = append(x.told[i].Beliefs, recall.Belief{Heard: now, Start: b.Since, Server: balance.ServerSnapshot{ID: id,
+				Health: float64(b.Health) / 100, EjectionLeft: peer.Ns(b.Left), Draining: b.Drains, LastOutcomeAge: peer.Ns(b.Age)}})
 		}
 		if len(x.told[i].Beliefs) > len(f.servers) { // it said some things twice
 			x.told[i].Beliefs = x.told[i].Beliefs[len(x.told[i].Beliefs)-len(f.servers):]
@@ -123,11 +123,11 @@
 }
 
 // Answer tells one that comes back what this process has met itself: what is out or drains first, then what is unwell.
-func (f *Fleet) Answer(to int, servers []balance.Learnt, now int64) {
-	met := slices.DeleteFunc(slices.Clone(servers), func(l balance.Learnt) bool {
-		return now-f.learn.begun < oldEnough || !l.Draining && (l.Met < 0 || l.Met > metFor || l.Left == 0 && l.Health > worthTold)
+func (f *Fleet) Answer(to int, servers []balance.ServerSnapshot, now int64) {
+	met := slices.DeleteFunc(slices.Clone(servers), func(l balance.ServerSnapshot) bool {
+		return now-f.learn.begun < oldEnough || !l.Draining && (l.LastOutcomeAge < 0 || l.LastOutcomeAge > metFor || l.EjectionLeft == 0 && l.Health > worthTold)
 	})
-	slices.SortStableFunc(met, func(x, y balance.Learnt) int { return rank(x) - rank(y) })
+	slices.SortStableFunc(met, func(x, y balance.ServerSnapshot) int { return rank(x) - rank(y) })
 	f.learn.Taught++
 	for begun := false; len(met) > 0 || !begun; begun = true {
 		d, room := f.swim.Datagram(peer.Teach)
@@ -138,17 +138,17 @@
 			l := met[0]
 			met = met[1:]
 			d.Beliefs = append(d.Beliefs, peer.Belief{Server: peer.Server(l.ID), Since: peer.Start(l.Since), Health: uint8(100 * min(1, max(0, l.Health))),
-				Left: uint16(min(l.Left/1e7, 1<<16-1)), Drains: l.Draining, Age: peer.Hundredths(max(0, l.Met))})
+				Left: uint16(min(l.EjectionLeft/1e7, 1<<16-1)), Drains: l.Draining, Age: peer.Hundredths(max(0, l.LastOutcomeAge))})
 		}
 		f.todo = append(f.todo, Action{Kind: Send, To: to, Datagram: d, due: !begun})
 	}
 }
 
-func rank(l balance.Learnt) int {
+func rank(l balance.ServerSnapshot) int {
 	switch {
 	case l.Draining:
 		return 0
-	case l.Left > 0:
+	case l.EjectionLeft > 0:
 		return 1
 	}
 	return 2
--- a/fleet/learn_test.go
+++ b/fleet/learn_test.go
@@ -10,8 +10,8 @@
 // class is a mesh in which all learn and teach; the members' servers are known to the old.
 type class struct {
 	*mesh
-	knows []balance.Learnt // that old members hold
-	heard map[int]int      // by member: the most beliefs of one other
+	knows []balance.ServerSnapshot // that old members hold
+	heard map[int]int              // by member: the most beliefs of one other
 }
 
 func newClass(n int) *class {
@@ -59,14 +59,14 @@
 func TestLessons(t *testing.T) {
 	c := newClass(6)
 	for i := range 10 {
-		l := balance.Learnt{ID: servers(10)[i], Health: 0.3, Left: 3 * sec, Met: sec}
+		l := balance.ServerSnapshot{ID: servers(10)[i], Health: 0.3, EjectionLeft: 3 * sec, LastOutcomeAge: sec}
 		switch i {
 		case 0:
-			l.Met = -1 // of another's word
+			l.LastOutcomeAge = -1 // of another's word
 		case 1:
-			l.Health, l.Left = 1, 0 // well
+			l.Health, l.EjectionLeft = 1, 0 // well
 		case 2:
-			l.Met, l.Left, l.Draining = -1, 0, true // as the list told it
+			l.LastOutcomeAge, l.EjectionLeft, l.Draining = -1, 0, true // as the list told it
 		}
 		c.knows = append(c.knows, l)
 	}
--- a/fleet/recall/recall.go
+++ b/fleet/recall/recall.go
@@ -53,7 +53,7 @@
 	Up      int64
 	Shape   uint64 // of the terms
 	List    List
-	Module  balance.Memory
+	Module  balance.Snapshot
 	Holds   holds.Table
 	Newest  int64   // Unix ns of the newest idempotency key's beginning; 0: none
 	Service float64 // part of the worth that was served in time over the last seconds; 0: not known
@@ -115,11 +115,11 @@
 		fadeBelief(&x.Servers[i], age, trust)
 	}
 	if !judge("rates", age < rateFor && m.Shape == Shape(t), "%.1f answers a second", x.Rate) {
-		x.Rate, x.Tenants, x.Jam, x.Target, x.Worth, x.Keys = 0, nil, 0, 0, 0, nil
+		x.Rate, x.Tenants, x.LatencyRatio, x.MeanTarget, x.MeanValue, x.Keys = 0, nil, 0, 0, 0, nil
 	}
 	left := max(0, 1-float64(age)/float64(rateFor))
 	x.Rate *= left
-	x.Jam *= left
+	x.LatencyRatio *= left
 	x.Tenants = slices.Clone(x.Tenants)
 	for i := range x.Tenants {
 		x.Tenants[i].Rate *= left
@@ -132,25 +132,25 @@
 }
 
 // fadeBelief lets time pass for what is known of one server.
-func fadeBelief(l *balance.Learnt, age, trust int64) {
+func fadeBelief(l *balance.ServerSnapshot, age, trust int64) {
 	part := max(0, 1-float64(age)/float64(trust))
 	if l.Health += (1 - l.Health) * (1 - part); !(l.Health > 0 && l.Health <= 1) {
 		l.Health = 1
 	}
-	l.Met = -1 // of another process: it is not first-hand any more
-	if l.Left > age {
-		l.Left -= age
-	} else if l.Left > 0 { // its time is over: it is one failure away from the next, as the module would have it
-		l.Left, l.Streak, l.Grow = 0, doubted-1, 1
+	l.LastOutcomeAge = -1 // of another process: it is not first-hand any more
+	if l.EjectionLeft > age {
+		l.EjectionLeft -= age
+	} else if l.EjectionLeft > 0 { // its time is over: it is one failure away from the next, as the module would have it
+		l.EjectionLeft, l.Streak, l.InflightCap = 0, doubted-1, 1
 	}
 	if age > paceFor {
-		l.Unit, l.Lat = 0, 0
+		l.SlotTime, l.Latency = 0, 0
 	}
-	l.Grow = 1 + (max(1, l.Grow)-1)*part
+	l.InflightCap = 1 + (max(1, l.InflightCap)-1)*part
 }
 
 // Later lets time pass for what was believed of servers.
-func Later(own []balance.Learnt, age, trust int64) []balance.Learnt {
+func Later(own []balance.ServerSnapshot, age, trust int64) []balance.ServerSnapshot {
 	own = slices.Clone(own)
 	for i := range own {
 		fadeBelief(&own[i], age, trust)
@@ -166,9 +166,9 @@
 
 // Belief is one server in it.
 type Belief struct {
-	Server balance.Learnt // Health, Left, Draining, Since and Met alone
-	Heard  int64          // when
-	Start  uint32         // of the server's process as it came; Since is what the returner's own list has for it
+	Server balance.ServerSnapshot // Health, Left, Draining, Since and Met alone
+	Heard  int64                  // when
+	Start  uint32                 // of the server's process as it came; Since is what the returner's own list has for it
 }
 
 // Match keeps what is said of processes that the returner's own list names; since gives a server's start there, and its form on the wire.
@@ -190,10 +190,10 @@
 // Learn works out what to believe of servers by others' word and one's own, which may be none. What oneself held to be out stays so. Two
 // others have to say that a server is out; where one alone does it is met as one that comes back from an ejection: the first failure
 // ejects it. What is said of another process than the latest that anybody knows is void.
-func Learn(own []balance.Learnt, told []Told, now int64) []balance.Learnt {
+func Learn(own []balance.ServerSnapshot, told []Told, now int64) []balance.ServerSnapshot {
 	var order []string
-	latest, had := map[string]int64{}, map[string]balance.Learnt{}
-	note := func(l balance.Learnt) {
+	latest, had := map[string]int64{}, map[string]balance.ServerSnapshot{}
+	note := func(l balance.ServerSnapshot) {
 		if since, ok := latest[l.ID]; !ok {
 			order = append(order, l.ID)
 			latest[l.ID] = l.Since
@@ -211,11 +211,11 @@
 		}
 	}
 	slices.Sort(order)
-	var out []balance.Learnt
+	var out []balance.ServerSnapshot
 	for _, id := range order {
 		l, mine := had[id]
 		if mine = mine && l.Since == latest[id]; !mine {
-			l = balance.Learnt{ID: id, Since: latest[id], Health: 1, Grow: 1}
+			l = balance.ServerSnapshot{ID: id, Since: latest[id], Health: 1, InflightCap: 1}
 		}
 		var left []int64 // that others say is left of an ejection
 		for _, t := range told {
@@ -224,7 +224,7 @@
 					continue
 				}
 				l.Draining = l.Draining || b.Server.Draining
-				if x := b.Server.Left - (now - b.Heard); x > 0 {
+				if x := b.Server.EjectionLeft - (now - b.Heard); x > 0 {
 					left = append(left, x)
 				}
 				if !mine {
@@ -232,12 +232,12 @@
 				}
 			}
 		}
-		switch l.Met = -1; {
-		case l.Left > 0:
+		switch l.LastOutcomeAge = -1; {
+		case l.EjectionLeft > 0:
 		case len(left) >= enough:
-			l.Left, l.Streak, l.Ejections = slices.Min(left), doubted, max(1, l.Ejections)
+			l.EjectionLeft, l.Streak, l.Ejections = slices.Min(left), doubted, max(1, l.Ejections)
 		case len(left) > 0:
-			l.Health, l.Streak, l.Grow = min(l.Health, wary), doubted-1, 1
+			l.Health, l.Streak, l.InflightCap = min(l.Health, wary), doubted-1, 1
 		}
 		out = append(out, l)
 	}
@@ -300,18 +300,18 @@
 
 // Sound says whether a memory's figures are some that there can be; one that was made up or is of another form is dropped whole.
 func (m *Memory) Sound() bool {
-	for _, x := range []float64{m.Module.Rate, m.Module.Jam, m.Module.Target, m.Module.Worth, m.Service} {
+	for _, x := range []float64{m.Module.Rate, m.Module.LatencyRatio, m.Module.MeanTarget, m.Module.MeanValue, m.Service} {
 		if math.IsNaN(x) || x < 0 || x > 1e15 {
 			return false
 		}
 	}
 	for _, l := range m.Module.Servers {
-		for _, x := range []float64{l.Health, l.Unit, l.Lat, l.Grow, l.Blips} {
+		for _, x := range []float64{l.Health, l.SlotTime, l.Latency, l.InflightCap, l.RefutedShare} {
 			if math.IsNaN(x) || x < 0 || x > 1e15 {
 				return false
 			}
 		}
-		if l.ID == "" || l.Left < 0 || l.Streak < 0 || l.Ejections < 0 {
+		if l.ID == "" || l.EjectionLeft < 0 || l.Streak < 0 || l.Ejections < 0 {
 			return false
 		}
 	}
--- a/fleet/recall/recall_test.go
+++ b/fleet/recall/recall_test.go
@@ -14,9 +14,9 @@
 // kept is a memory as it was written at a time.
 func kept() Memory {
 	m := Memory{Whose: "a", Wall: 1000 * sec, Boot: "b", Up: 100 * sec, Shape: Shape(terms()), List: List{Generation: 3, Age: sec, Hosts: []Host{{balance.Server{ID: "s-1"}, "x"}}}}
-	m.Module = balance.Memory{Rate: 60, Servers: []balance.Learnt{
-		{ID: "s-1", Health: 0.4, Left: 4 * sec, Streak: 2, Ejections: 1, Lat: 5, Unit: 5, Grow: 9, Met: sec},
-		{ID: "s-2", Health: 1, Lat: 5, Unit: 5, Grow: 9, Met: 0}}}
+	m.Module = balance.Snapshot{Rate: 60, Servers: []balance.ServerSnapshot{
+		{ID: "s-1", Health: 0.4, EjectionLeft: 4 * sec, Streak: 2, Ejections: 1, Latency: 5, SlotTime: 5, InflightCap: 9, LastOutcomeAge: sec},
+		{ID: "s-2", Health: 1, Latency: 5, SlotTime: 5, InflightCap: 9, LastOutcomeAge: 0}}}
 	return m
 }
 
@@ -29,22 +29,22 @@
 		want  func(m Memory) bool
 	}{
 		"at once": {"a", at(1000*sec, 100*sec), terms(), func(m Memory) bool {
-			return m.Module.Rate == 60 && m.Module.Servers[0].Left == 4*sec && m.Module.Servers[0].Met == -1 && m.List.Generation == 3
+			return m.Module.Rate == 60 && m.Module.Servers[0].EjectionLeft == 4*sec && m.Module.Servers[0].LastOutcomeAge == -1 && m.List.Generation == 3
 		}},
-		"an ejection goes on for what was left": {"a", at(1003*sec, 103*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].Left == sec }},
+		"an ejection goes on for what was left": {"a", at(1003*sec, 103*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == sec }},
 		"one that is over leaves the state of one that has come back": {"a", at(1005*sec, 105*sec), terms(), func(m Memory) bool {
 			x := m.Module.Servers[0]
-			return x.Left == 0 && x.Streak == 1 && x.Grow == 1
+			return x.EjectionLeft == 0 && x.Streak == 1 && x.InflightCap == 1
 		}},
 		"too old for servers, not for the list": {"a", at(1040*sec, 140*sec), terms(), func(m Memory) bool {
 			return len(m.Module.Servers) == 0 && len(m.List.Hosts) == 1 && m.Module.Rate > 15 && m.Module.Rate < 25
 		}},
 		"a day old": {"a", at(90000*sec, 89000*sec), terms(), func(m Memory) bool { return len(m.List.Hosts) == 0 && m.Module.Rate == 0 }},
 		// The clock of the day jumped; the machine's own did not.
-		"a clock that jumped ahead":   {"a", at(5000*sec, 101*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].Left == 3*sec }},
-		"a clock that jumped back":    {"a", at(10*sec, 101*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].Left == 3*sec }},
+		"a clock that jumped ahead":   {"a", at(5000*sec, 101*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == 3*sec }},
+		"a clock that jumped back":    {"a", at(10*sec, 101*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == 3*sec }},
 		"of the future":               {"a", Now{Wall: 900 * sec, Boot: "c", Up: sec}, terms(), func(m Memory) bool { return m.Whose == "" }},
-		"after the machine's restart": {"a", Now{Wall: 1002 * sec, Boot: "c", Up: sec}, terms(), func(m Memory) bool { return m.Module.Servers[0].Left == 2*sec }},
+		"after the machine's restart": {"a", Now{Wall: 1002 * sec, Boot: "c", Up: sec}, terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == 2*sec }},
 		"of another proxy":            {"z", at(1000*sec, 100*sec), terms(), func(m Memory) bool { return m.Whose == "" }},
 		"of other terms": {"a", at(1000*sec, 100*sec), &balance.Config{FleetSize: 12}, func(m Memory) bool {
 			return m.Module.Rate == 0 && len(m.Module.Servers) == 2
@@ -56,7 +56,7 @@
 			if !c.want(got) {
 				t.Errorf("got %+v, by %v", got, verdicts)
 			}
-			if m.Module.Servers[0].Left != 4*sec {
+			if m.Module.Servers[0].EjectionLeft != 4*sec {
 				t.Error("what was handed in has changed")
 			}
 		})
@@ -65,15 +65,15 @@
 
 func TestLearn(t *testing.T) {
 	const since = 77
-	out := func(left int64) balance.Learnt {
-		return balance.Learnt{ID: "s-1", Since: since, Health: 0.3, Left: left}
+	out := func(left int64) balance.ServerSnapshot {
+		return balance.ServerSnapshot{ID: "s-1", Since: since, Health: 0.3, EjectionLeft: left}
 	}
-	told := func(by int, l balance.Learnt) Told {
+	told := func(by int, l balance.ServerSnapshot) Told {
 		return Told{By: by, Beliefs: []Belief{{Server: l, Heard: 10 * sec}}}
 	}
-	own := []balance.Learnt{{ID: "s-1", Since: since, Health: 0.9, Grow: 5, Lat: 3}}
+	own := []balance.ServerSnapshot{{ID: "s-1", Since: since, Health: 0.9, InflightCap: 5, Latency: 3}}
 	for name, c := range map[string]struct {
-		own    []balance.Learnt
+		own    []balance.ServerSnapshot
 		told   []Told
 		left   int64
 		streak int
@@ -83,24 +83,24 @@
 		// A survivor whose own link is broken holds a healthy server to be out.
 		"one alone does not eject":             {nil, []Told{told(1, out(5*sec)), {By: 2}}, 0, 1, 0.3},
 		"nor against what one knows oneself":   {own, []Told{told(1, out(5*sec))}, 0, 1, 0.5},
-		"what one held out oneself stays so":   {[]balance.Learnt{out(9 * sec)}, nil, 9 * sec, 0, 0.3},
+		"what one held out oneself stays so":   {[]balance.ServerSnapshot{out(9 * sec)}, nil, 9 * sec, 0, 0.3},
 		"an ejection that is over says little": {nil, []Told{told(1, out(sec/2)), told(2, out(sec/2))}, 0, 0, 0.3},
-		"another process is another server": {own, []Told{told(1, balance.Learnt{ID: "s-1", Since: since - 1, Health: 0.1, Left: 5 * sec}),
-			told(2, balance.Learnt{ID: "s-1", Since: since - 1, Health: 0.1, Left: 5 * sec})}, 0, 0, 0.9},
-		"a later process voids what is known": {own, []Told{told(1, balance.Learnt{ID: "s-1", Since: since + 1, Health: 1})}, 0, 0, 1},
+		"another process is another server": {own, []Told{told(1, balance.ServerSnapshot{ID: "s-1", Since: since - 1, Health: 0.1, EjectionLeft: 5 * sec}),
+			told(2, balance.ServerSnapshot{ID: "s-1", Since: since - 1, Health: 0.1, EjectionLeft: 5 * sec})}, 0, 0, 0.9},
+		"a later process voids what is known": {own, []Told{told(1, balance.ServerSnapshot{ID: "s-1", Since: since + 1, Health: 1})}, 0, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := Learn(c.own, c.told, 11*sec)
 			if len(got) != 1 {
 				t.Fatalf("got %+v", got)
 			}
-			if l := got[0]; l.Left != c.left || l.Streak != c.streak || l.Health != c.health || l.Met != -1 {
+			if l := got[0]; l.EjectionLeft != c.left || l.Streak != c.streak || l.Health != c.health || l.LastOutcomeAge != -1 {
 				t.Errorf("got %+v, want left %d, streak %d, health %.1f", l, c.left, c.streak, c.health)
 			}
 		})
 	}
 	t.Run("a drain that one tells of", func(t *testing.T) {
-		got := Learn(own, []Told{told(1, balance.Learnt{ID: "s-1", Since: since, Health: 1, Draining: true})}, 11*sec)
+		got := Learn(own, []Told{told(1, balance.ServerSnapshot{ID: "s-1", Since: since, Health: 1, Draining: true})}, 11*sec)
 		if len(got) != 1 || !got[0].Draining {
 			t.Errorf("got %+v", got)
 		}
@@ -109,7 +109,7 @@
 
 func TestMatch(t *testing.T) {
 	listed := func(id string) (int64, uint32, bool) { return 500, 5, id == "s-1" }
-	told := []Told{{By: 1, Beliefs: []Belief{{Server: balance.Learnt{ID: "s-1"}, Start: 5}, {Server: balance.Learnt{ID: "s-1"}, Start: 6}, {Server: balance.Learnt{ID: "s-2"}, Start: 5}}}}
+	told := []Told{{By: 1, Beliefs: []Belief{{Server: balance.ServerSnapshot{ID: "s-1"}, Start: 5}, {Server: balance.ServerSnapshot{ID: "s-1"}, Start: 6}, {Server: balance.ServerSnapshot{ID: "s-2"}, Start: 5}}}}
 	got := Match(told, listed)
 	if len(got) != 1 || len(got[0].Beliefs) != 1 || got[0].Beliefs[0].Server.Since != 500 {
 		t.Errorf("got %+v, want the one of the process that is listed", got)
@@ -144,7 +144,7 @@
 	for _, spoil := range []func(m *Memory){
 		func(m *Memory) { m.Module.Rate = -1 },
 		func(m *Memory) { m.Module.Servers[0].ID = "" },
-		func(m *Memory) { m.Module.Servers[0].Grow = 1e300 },
+		func(m *Memory) { m.Module.Servers[0].InflightCap = 1e300 },
 		func(m *Memory) { m.List.Hosts[0].State = 9 },
 		func(m *Memory) { m.List.Hosts[0].Addr = "" },
 	} {
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -132,7 +132,7 @@
 // republishHosts passes all hosts to the balancer as they are now. This does not count as a list from discovery: if
 // the balancer is about to ask for one, it still does.
 func (p *Proxy) relist(now int64) {
-	p.module.Listed(balance.ListRestored, p.listing(func(h *host) balance.Server { return h.shown }), now)
+	p.module.UpdateList(balance.ListRestored, p.listing(func(h *host) balance.Server { return h.shown }), now)
 	p.listPeers(now)
 }
 
@@ -241,7 +241,7 @@
 	p.sockets = p.start.Sockets / part
 	t := *p.terms
 	t.SiblingProcesses = part - 1
-	p.module.Retune(t, p.now())
+	p.module.Reconfigure(t, p.now())
 	if p.start.Memory > 0 {
 		debug.SetMemoryLimit(p.start.Memory / int64(part))
 	}
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -82,7 +82,7 @@
 	if r.shed, back = p.sheds(r, now); !r.shed {
 		r.shed, back = p.limited(r)
 	}
-	p.module.Req(balance.Arrival{ID: r.id, RuleSet: r.call.RuleSet, Tenant: r.call.Tenant, Key: r.call.Key,
+	p.module.AddRequest(balance.Arrival{ID: r.id, RuleSet: r.call.RuleSet, Tenant: r.call.Tenant, Key: r.call.Key,
 		Budget: max(1, budget), Work: r.call.Work, BodyPending: r.flow != nil && !r.flow.whole, Shed: r.shed, RetryAfter: back}, now)
 }
 
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -41,7 +41,7 @@
 	f.held = append(f.held, call.Body)
 	if r := c.req; r != nil && r.flow == f {
 		if last {
-			p.module.Whole(r.id, now)
+			p.module.BodyComplete(r.id, now)
 			for _, d := range r.dispatches {
 				if d.out {
 					d.sent = now
@@ -64,7 +64,7 @@
 	}
 	if len(f.held) > 0 && !f.spent {
 		f.spent = true
-		p.module.Spent(d.req.id)
+		p.module.BodyDropped(d.req.id)
 	}
 	for i, b := range f.held {
 		c.write(http1.AppendPiece(nil, f.length < 0, b, false))
@@ -158,8 +158,8 @@
 	r.relay = c
 	p.count.Streamed++
 	p.stop(d.limit)
-	p.module.Started(r.id)
-	p.module.Passed(r.id, d.index, now-d.sent, now)
+	p.module.StreamStarted(r.id)
+	p.module.AnswerStarted(r.id, d.index, now-d.sent, now)
 	cl := r.client
 	a.Close = r.call.Close || p.lastAnswer(cl) || a.Length < 0 && r.call.Old
 	cl.last = cl.last || a.Close
--- a/proxy/discovery.go
+++ b/proxy/discovery.go
@@ -106,7 +106,7 @@
 			p.tidy(h)
 		}
 	}
-	p.module.Listed(form, servers, now)
+	p.module.UpdateList(form, servers, now)
 	p.listPeers(now)
 }
 
@@ -223,7 +223,7 @@
 func (p *Proxy) heard(w *watch, now int64) {
 	if p.list.watch == w {
 		if !w.spoke {
-			p.module.Listed(balance.ListUpdate, nil, now)
+			p.module.UpdateList(balance.ListUpdate, nil, now)
 		}
 		w.spoke, p.list.missing, p.list.failures = true, 0, 0
 		p.listen(w, now)
@@ -258,7 +258,7 @@
 		p.after(now, int64(reopen*(0.5+p.dice.Next())), p.again)
 	default: // the balancer decides when to ask again
 		p.list.missing = 0
-		p.module.Listed(balance.ListUnavailable, nil, now)
+		p.module.UpdateList(balance.ListUnavailable, nil, now)
 	}
 }
 
--- a/proxy/maintenance.go
+++ b/proxy/maintenance.go
@@ -109,15 +109,15 @@
 	if !w.crew.State().Busy() {
 		return s
 	}
-	known := map[string]balance.Learnt{}
-	for _, l := range p.module.Learnt(now) {
+	known := map[string]balance.ServerSnapshot{}
+	for _, l := range p.module.ServerSnapshots(now) {
 		known[l.ID] = l
 	}
 	for _, h := range p.hosts {
 		if !h.listed {
 			continue
 		}
-		s.Servers = append(s.Servers, order.Server{Target: plan.Of(h.told), Listed: h.told.State == balance.Running, Well: known[h.id].Left == 0, Warm: p.terms.RampTime <= 0 || now-h.since >= p.terms.RampTime, Hand: p.held.Hosts[h.id].Out})
+		s.Servers = append(s.Servers, order.Server{Target: plan.Of(h.told), Listed: h.told.State == balance.Running, Well: known[h.id].EjectionLeft == 0, Warm: p.terms.RampTime <= 0 || now-h.since >= p.terms.RampTime, Hand: p.held.Hosts[h.id].Out})
 	}
 	for _, t := range w.crew.State().Away() {
 		for _, r := range p.reqs {
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -124,7 +124,7 @@
 		q.probes.CloseIdleConnections()
 		p.peers = nil
 		p.closeWorks()
-		p.module.Advised(balance.Advice{})
+		p.module.ApplyAdvice(balance.Advice{})
 	}
 	p.start.Fleet = x
 	p.openPeers(least, now)
@@ -206,9 +206,9 @@
 		case fleet.Probe:
 			p.probe(q, a.Server)
 		case fleet.Advise:
-			p.module.Advised(a.Advice)
+			p.module.ApplyAdvice(a.Advice)
 		case fleet.Teach:
-			q.fleet.Answer(a.To, p.module.Learnt(now), now)
+			q.fleet.Answer(a.To, p.module.ServerSnapshots(now), now)
 		case fleet.Deliver:
 			if p.works != nil {
 				p.works.crew.Heard(a.To, a.Letter, now)
--- a/proxy/recovery.go
+++ b/proxy/recovery.go
@@ -42,9 +42,9 @@
 	source   string // where the list in use is from: start, disk, discovery
 	listAt   int64  // when it was reported, as far as known
 	verdicts []recall.Verdict
-	own      []balance.Learnt // what was trusted of the snapshot
-	newest   int64            // start of the newest idempotency key in the snapshot
-	life     uint64           // incarnation of the process before
+	own      []balance.ServerSnapshot // what was trusted of the snapshot
+	newest   int64                    // start of the newest idempotency key in the snapshot
+	life     uint64                   // incarnation of the process before
 	meter    recall.Meter
 	number   uint64
 	writing  bool
@@ -112,7 +112,7 @@
 	if p.start.Holds != nil && p.start.Holds.Restore(m.Holds) {
 		p.holding(m.Holds, now)
 	}
-	p.module.Recall(m.Module, now)
+	p.module.Restore(m.Module, now)
 }
 
 // minIncarnation returns a value that the next incarnation must reach: one taken from wall time might be too low.
@@ -167,7 +167,7 @@
 	c.number++
 	at := clocks()
 	m := recall.Memory{Whose: p.start.Listen, Number: c.number, Wall: at.Wall, Boot: at.Boot, Up: at.Up, Shape: recall.Shape(p.terms),
-		Module: p.module.Memory(now), Holds: p.held, Service: c.meter.Service(10e9, now), Newest: c.newest, Life: c.life}
+		Module: p.module.Snapshot(now), Holds: p.held, Service: c.meter.Service(10e9, now), Newest: c.newest, Life: c.life}
 	m.List = recall.List{Generation: p.list.generation, Age: now - c.listAt}
 	for _, h := range p.hosts {
 		if h.listed {
@@ -216,7 +216,7 @@
 		}
 	}
 	p.reshow(now)
-	p.module.Recall(balance.Memory{Servers: all}, now)
+	p.module.Restore(balance.Snapshot{Servers: all}, now)
 }
 
 // noteDiscovery records that discovery has sent a list, which replaces what peers reported on draining.
@@ -256,7 +256,7 @@
 	p.watch(now)
 	if !c.unsure {
 		c.unsure = true
-		p.module.Listed(balance.ListRestored, p.listing(func(h *host) balance.Server {
+		p.module.UpdateList(balance.ListRestored, p.listing(func(h *host) balance.Server {
 			s := h.shown
 			s.State = max(s.State, balance.Draining)
 			return s
--- a/proxy/requirements_test.go
+++ b/proxy/requirements_test.go
@@ -159,7 +159,7 @@
 			for seed := range uint64(20) {
 				p := standing(t, change)
 				p.dice.Seed = seed
-				p.module.Listed(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now()) // as after a subscription
+				p.module.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now()) // as after a subscription
 				from := p.now()
 				w := spoken(t, p, from)
 				p.heard(w, from+2e9) // an empty line keeps the watch alive
@@ -190,7 +190,7 @@
 	}{"refused": {0, 2, 5}, "busy": {2e9, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
 			p := standing(t, nil)
-			p.module.Listed(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
+			p.module.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			from := p.now()
 			spoken(t, p, from)
 			at, calls := fire(t, p), 0
@@ -223,7 +223,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := standing(t, nil)
-			p.module.Listed(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
+			p.module.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			now := p.now()
 			at := end(p, spoken(t, p, now), now)
 			if p.list.watch != nil || p.count.Watches != 0 {
--- a/rehearse/emu/return.go
+++ b/rehearse/emu/return.go
@@ -20,8 +20,8 @@
 
 // remembers is a policy that hands out what it has learnt and takes it back.
 type remembers interface {
-	Memory(now int64) balance.Memory
-	Recall(m balance.Memory, now int64)
+	Snapshot(now int64) balance.Snapshot
+	Restore(m balance.Snapshot, now int64)
 }
 
 // Keep has all balancers write down what they have learnt from now on.
@@ -54,9 +54,9 @@
 	for _, e := range st.list {
 		st.fleet.Judge.Told(st.id, e.ID, e.State)
 	}
-	st.policy.Listed(balance.ListRestored, st.list, now)
+	st.policy.UpdateList(balance.ListRestored, st.list, now)
 	if p, ok := st.policy.(remembers); ok && st.kept != nil {
-		p.Recall(m.Module, now)
+		p.Restore(m.Module, now)
 	}
 	st.own = m.Module.Servers
 	st.clock.At(now, st.decide)
@@ -77,7 +77,7 @@
 		return
 	}
 	at := st.now()
-	m := recall.Memory{Whose: st.whose(), Wall: at.Wall, Boot: at.Boot, Up: at.Up, Shape: recall.Shape(&st.terms), Module: p.Memory(st.clock.Now())}
+	m := recall.Memory{Whose: st.whose(), Wall: at.Wall, Boot: at.Boot, Up: at.Up, Shape: recall.Shape(&st.terms), Module: p.Snapshot(st.clock.Now())}
 	for _, e := range st.list {
 		m.List.Hosts = append(m.List.Hosts, recall.Host{Server: e, Addr: e.ID})
 	}
@@ -114,7 +114,7 @@
 		}
 		return st.list[i].Since, peer.Start(st.list[i].Since), true
 	})
-	p.Recall(balance.Memory{Servers: recall.Learn(recall.Later(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
+	p.Restore(balance.Snapshot{Servers: recall.Learn(recall.Later(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
 	st.decide()
 }
 
--- a/rehearse/emu/seat.go
+++ b/rehearse/emu/seat.go
@@ -18,10 +18,10 @@
 
 // Policy is what decides: the module, or what it is compared with.
 type Policy interface {
-	Req(a balance.Arrival, now int64)
+	AddRequest(a balance.Arrival, now int64)
 	Finished(id uint64, attempt int, o balance.Outcome, final bool, took, now int64)
 	Withdrawn(id uint64)
-	Listed(form balance.ListForm, entries []balance.Server, now int64)
+	UpdateList(form balance.ListForm, entries []balance.Server, now int64)
 	Next(now int64) (balance.Decision, bool)
 }
 
@@ -95,10 +95,10 @@
 	life   int               // counts starts: what was due for an earlier process is not done
 	gone   bool
 	terms  balance.Config
-	list   []balance.Server // as it was last told whole; for what is kept
-	kept   *recall.Memory   // nil: nothing was written down
-	own    []balance.Learnt // what was believed of that at the latest start,
-	begun  int64            // and when that was
+	list   []balance.Server         // as it was last told whole; for what is kept
+	kept   *recall.Memory           // nil: nothing was written down
+	own    []balance.ServerSnapshot // what was believed of that at the latest start,
+	begun  int64                    // and when that was
 }
 
 // asked is one try of a client at a balancer.
@@ -169,12 +169,12 @@
 	st := s.seats[i]
 	switch a.Kind {
 	case fleet.Advise:
-		if p, ok := st.policy.(interface{ Advised(balance.Advice) }); ok {
-			p.Advised(a.Advice)
+		if p, ok := st.policy.(interface{ ApplyAdvice(balance.Advice) }); ok {
+			p.ApplyAdvice(a.Advice)
 		}
 	case fleet.Teach:
 		if p, ok := st.policy.(remembers); ok {
-			s.peers.Fleet(i).Answer(a.To, p.Memory(s.clock.Now()).Servers, s.clock.Now())
+			s.peers.Fleet(i).Answer(a.To, p.Snapshot(s.clock.Now()).Servers, s.clock.Now())
 		}
 	case fleet.Recall:
 		st.learn(a.Told)
@@ -209,7 +209,7 @@
 		arrival.Shed, arrival.RetryAfter = st.peers.Fleet(st.id).Arrive(st.sets[a.RuleSet], st.tenants[a.Tenant], r.luck, false, now)
 		r.shed = arrival.Shed
 	}
-	st.policy.Req(arrival, now)
+	st.policy.AddRequest(arrival, now)
 	st.clock.At(now+st.clients.Timeout, func() {
 		if !r.ended { // the judge has it open still: a lost req
 			r.ended = true
@@ -299,7 +299,7 @@
 			return
 		}
 		if st.fleet.Down() {
-			st.policy.Listed(balance.ListUnavailable, nil, st.clock.Now())
+			st.policy.UpdateList(balance.ListUnavailable, nil, st.clock.Now())
 			st.decide()
 			return
 		}
@@ -316,7 +316,7 @@
 					return
 				}
 				st.listed = false
-				st.policy.Listed(balance.ListUnavailable, nil, st.clock.Now())
+				st.policy.UpdateList(balance.ListUnavailable, nil, st.clock.Now())
 				st.decide()
 			})
 		}
@@ -328,7 +328,7 @@
 		st.fleet.Judge.Told(st.id, e.ID, e.State)
 	}
 	st.note(form, entries)
-	st.policy.Listed(form, entries, st.clock.Now())
+	st.policy.UpdateList(form, entries, st.clock.Now())
 	st.decide()
 }
 
--- a/rehearse/lab/baseline.go
+++ b/rehearse/lab/baseline.go
@@ -94,7 +94,7 @@
 	return best
 }
 
-func (p *plain) Req(a balance.Arrival, now int64) {
+func (p *plain) AddRequest(a balance.Arrival, now int64) {
 	r := &plainReq{Arrival: a, giveUp: now + a.Budget}
 	if x := p.t.RuleSet(a.RuleSet); x != nil {
 		r.rules = *x
@@ -134,7 +134,7 @@
 	}
 }
 
-func (p *plain) Listed(form balance.ListForm, entries []balance.Server, now int64) {
+func (p *plain) UpdateList(form balance.ListForm, entries []balance.Server, now int64) {
 	if form == balance.ListUnavailable {
 		p.askAt = now + 5e8
 		return
@@ -201,7 +201,7 @@
 }
 
 func (p *plain) harmless(r *plainReq) bool {
-	return r.rules.Harmless() || !slices.ContainsFunc(r.sends, func(s plainSend) bool { return s.maybe || s.out })
+	return r.rules.CanDenyAfterRun() || !slices.ContainsFunc(r.sends, func(s plainSend) bool { return s.maybe || s.out })
 }
 
 // dispatch takes a server of those that the rules leave.
@@ -214,7 +214,7 @@
 			return true
 		}
 		return slices.ContainsFunc(r.sends, func(x plainSend) bool {
-			return x.maybe && !r.rules.Again(x.srv, s, x.at, now)
+			return x.maybe && !r.rules.CanRepeat(x.srv, s, x.at, now)
 		})
 	})
 	if len(left) == 0 {
--- a/rehearse/lab/lab_test.go
+++ b/rehearse/lab/lab_test.go
@@ -224,9 +224,9 @@
 // deaf hears of no change of the list.
 type deaf struct{ emu.Policy }
 
-func (d *deaf) Listed(form balance.ListForm, entries []balance.Server, now int64) {
+func (d *deaf) UpdateList(form balance.ListForm, entries []balance.Server, now int64) {
 	if form == balance.ListRestored {
-		d.Policy.Listed(form, entries, now)
+		d.Policy.UpdateList(form, entries, now)
 	}
 }
 
--- a/rehearse/simwire/simwire.go
+++ b/rehearse/simwire/simwire.go
@@ -163,16 +163,16 @@
 	a.recoverPanic(who, func() {
 		switch name {
 		case "NEW_REQUEST":
-			b.Req(balance.Arrival{ID: id, RuleSet: f.At["Priority"], Tenant: f.At["Account"],
+			b.AddRequest(balance.Arrival{ID: id, RuleSet: f.At["Priority"], Tenant: f.At["Account"],
 				Key: f.At["Entity"], Budget: budget, Work: work}, a.now)
 		case "WITHDRAWN":
 			b.Withdrawn(id)
 		case "STARTED":
-			b.Started(id)
+			b.StreamStarted(id)
 		case "FINISHED":
 			b.Finished(id, try, outcome(f.At["Reason"]), final, took, a.now)
 		case "DIRECTORY_UPDATE":
-			b.Listed(form, list, a.now)
+			b.UpdateList(form, list, a.now)
 		}
 	})
 	return nil
