--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -143,7 +143,7 @@
 	env.deliver("10.0.0.2", groupMessage(8, 90, 90, "10.0.0.2"))
 	assert.Assert(t, env.links["10.0.0.2"].closed)
 	env.deliver("10.0.0.2", configMessage(900, true))
-	env.deliver("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 99, Offset: 1}, Whole: true}})
+	env.deliver("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 99, Offset: 1}, Full: true}})
 	assert.Equal(t, env.revision(), int64(4))
 	for _, m := range env.toRouter {
 		assert.Assert(t, m.Hosts == nil)
@@ -153,7 +153,7 @@
 func TestHostsWithOldFencingTokenAreIgnored(t *testing.T) {
 	env := newTestEnv()
 	hosts := func(term, offset uint64) *wire.Message {
-		return &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: term, Offset: offset}, Whole: true}}
+		return &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: term, Offset: offset}, Full: true}}
 	}
 	count := func() (n int) {
 		for _, m := range env.toRouter {
@@ -181,7 +181,7 @@
 	env := newTestEnv()
 	env.deliver("10.0.0.1", groupMessage(7, 3, 9, "10.0.0.1"))
 	env.deliver("10.0.0.1", configMessage(4, true))
-	env.deliver("10.0.0.1", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 5, Offset: 2}, Whole: true, Updated: []wire.Host{{ID: "h"}}}})
+	env.deliver("10.0.0.1", &wire.Message{Hosts: &wire.Hosts{At: wire.HostsOffset{Term: 5, Offset: 2}, Full: true, Updated: []wire.Host{{ID: "h"}}}})
 	env.agent.RouterDisconnected(env)
 	env.toRouter = nil
 	env.agent.OnRouterMessage(env, &wire.Message{Subscribe: &wire.Subscribe{}})
@@ -193,9 +193,9 @@
 
 func TestQuotaRequestsGoToShardOwner(t *testing.T) {
 	env := newTestEnv()
-	request := &wire.Message{QuotaRequest: &wire.QuotaRequest{Shard: 1, Number: 3, Life: 5}}
+	request := &wire.Message{QuotaRequest: &wire.QuotaRequest{Shard: 1, Number: 3, Incarnation: 5}}
 	env.agent.OnRouterMessage(env, request) // no owner is known: the request is dropped
-	env.deliver("10.0.0.3", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 5, Offset: 2}, Whole: true}})
+	env.deliver("10.0.0.3", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 5, Offset: 2}, Full: true}})
 	env.agent.OnRouterMessage(env, request)
 	sent := env.links["10.0.0.3"].sent
 	assert.Assert(t, len(sent) == 1 && sent[0] == request)
--- a/agent/event_intervals_test.go
+++ b/agent/event_intervals_test.go
@@ -14,7 +14,7 @@
 	env := newTestEnv()
 	intervals := &wire.Message{EventIntervals: &wire.EventIntervals{Shard: 1, Service: "s", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 5}}}}
 	env.agent.OnRouterMessage(env, intervals) // no owner is known: the message is dropped
-	env.deliver("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Whole: true}})
+	env.deliver("10.0.0.2", &wire.Message{Hosts: &wire.Hosts{Shard: 1, At: wire.HostsOffset{Term: 7, Offset: 1}, Full: true}})
 	env.agent.OnRouterMessage(env, intervals)
 	for ip, link := range env.links {
 		sent := 0
--- a/control/parts.go
+++ b/control/parts.go
@@ -56,7 +56,7 @@
 	return machines
 }
 
-// asReplicaMachines converts machines to the interface of package replica.
+// asStateMachines converts machines to the interface of package replica.
 func replicated(machines []*coordination.Machine) []replica.StateMachine {
 	all := make([]replica.StateMachine, len(machines))
 	for i, m := range machines {
@@ -78,7 +78,7 @@
 func (n *Node) newParts(from Start) {
 	n.replicas = []*replica.Replica{n.replica}
 	for i, start := range from.Parts {
-		group := replica.GroupConfig{Target: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
+		group := replica.GroupConfig{TargetSize: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
 			Name: "part-" + strconv.Itoa(i)}
 		p := &part{number: i, machine: start.Machine}
 		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
@@ -151,16 +151,16 @@
 	n.env.SaveParts(b)
 }
 
-// wholeBatch returns a batch with the complete stored state of every part.
+// fullBatch returns a batch with the complete stored state of every part.
 func (n *Node) wholeBatch() *store.PartsBatch {
-	whole := &store.PartsBatch{Whole: true}
+	whole := &store.PartsBatch{Full: true}
 	for _, p := range n.parts {
 		whole.Saves = append(whole.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeFullSave()})
 	}
 	return whole
 }
 
-// PartsSaved handles a completed write. wantsWhole makes the next write a whole one.
+// PartsSaved handles a completed write. wantsFull makes the next write a full one.
 func (n *Node) PartsSaved(b *store.PartsBatch, wantsWhole bool) {
 	n.savingParts, n.wholeParts = false, wantsWhole
 	for _, s := range b.Saves {
--- a/control/process.go
+++ b/control/process.go
@@ -166,7 +166,7 @@
 // SaveTenures queues a write of the tenures.
 func (p *Process) SaveTenures(t lease.LongTenures) {
 	p.writes <- func() {
-		err := p.folder.SaveTenures(t.Long)
+		err := p.folder.SaveLongTenures(t.Resources)
 		p.Do(func() { p.node.TenuresSaved(t, err) })
 	}
 }
@@ -178,7 +178,7 @@
 func (p *Process) SpoiltDatagrams() int64 { return p.peers.Malformed.Load() }
 
 // OpenLink maintains a connection to a control process.
-func (p *Process) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	return wire.Open(p.ctx, net.JoinHostPort(ip, strconv.Itoa(p.settings.InternalPort())), hello, events, p.Do)
 }
 
--- a/router/exchange_test.go
+++ b/router/exchange_test.go
@@ -51,7 +51,7 @@
 	_ = q.conn.Close()
 }
 
-// headerAction says how a fake host continues once it has read the header of a request.
+// headerAction is how a fake host continues once it has read the header of a request.
 type headerAction int
 
 const (
@@ -159,7 +159,7 @@
 	s := &settings.Settings{NodeName: "n", IP: "127.0.0.1", Bounds: settings.Bounds{RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 50}}
 	r := New(s, hclog.NewNullLogger())
 	r.applyConfig(&wire.Config{Revision: 1, Body: wire.Deflate([]byte(testConfig))})
-	hostList := &wire.Hosts{Shard: hostlist.ShardOf("s"), At: wire.HostsOffset{Term: 1, Offset: 1}, Whole: true}
+	hostList := &wire.Hosts{Shard: hostlist.ShardOf("s"), At: wire.HostsOffset{Term: 1, Offset: 1}, Full: true}
 	for _, h := range hosts {
 		hostList.Updated = append(hostList.Updated, wire.Host{ID: h.id, Service: "s", Address: h.listener.Addr().String(), Slots: 8})
 	}
--- a/router/limit/limiter_test.go
+++ b/router/limit/limiter_test.go
@@ -32,7 +32,7 @@
 
 // grantTo returns a grant of an amount to a request, with a tenth of it as spare quota.
 func grantTo(q *wire.QuotaRequest, amount float64) *wire.QuotaGrant {
-	return &wire.QuotaGrant{Router: q.Router, Number: q.Number, Life: q.Life, Granted: amount, Spare: amount / 10, ValidMS: 400}
+	return &wire.QuotaGrant{Router: q.Router, Number: q.Number, Incarnation: q.Incarnation, Granted: amount, Spare: amount / 10, ValidMS: 400}
 }
 
 func noReply(*wire.QuotaRequest) *wire.QuotaGrant { return nil }
@@ -67,8 +67,8 @@
 func TestGrantToEarlierIncarnationIsDropped(t *testing.T) {
 	o := newScriptedOwner()
 	o.reply = func(q *wire.QuotaRequest) *wire.QuotaGrant {
-		o.limiter.HandleGrant(&wire.QuotaGrant{Router: "n", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life + 2})
-		o.limiter.HandleGrant(&wire.QuotaGrant{Router: "other", Number: q.Number, Granted: 50, ValidMS: 400, Life: q.Life})
+		o.limiter.HandleGrant(&wire.QuotaGrant{Router: "n", Number: q.Number, Granted: 50, ValidMS: 400, Incarnation: q.Incarnation + 2})
+		o.limiter.HandleGrant(&wire.QuotaGrant{Router: "other", Number: q.Number, Granted: 50, ValidMS: 400, Incarnation: q.Incarnation})
 		assert.Equal(t, len(o.limiter.pending), 1, "a grant to another router or incarnation was accepted")
 		return grantTo(q, 5)
 	}
