--- a/control/calls.go
+++ b/control/calls.go
@@ -97,7 +97,7 @@
 	case len(n.parts) == 0:
 		n.refuse(c, refusedNoLeader)
 		return
-	case coordination.Check(&c.command) != nil:
+	case coordination.Validate(&c.command) != nil:
 		c.finishWith(wire.Invalid)
 		return
 	}
@@ -150,7 +150,7 @@
 	if !p.replica.Leading(now) {
 		return false
 	}
-	if a, decided := p.machine.Answer(&c.command, p.replica.GroupTime(now)); decided {
+	if a, decided := p.machine.TryAnswer(&c.command, p.replica.GroupTime(now)); decided {
 		c.finish(a)
 		return true
 	}
--- a/control/coordination/bounds_test.go
+++ b/control/coordination/bounds_test.go
@@ -27,7 +27,7 @@
 		with(watch("g.", 0), func(c *wire.Command) { c.WaitMS = 0 }),
 		with(watch("g.", 0), func(c *wire.Command) { c.WaitMS = MaxWait.Milliseconds() }),
 	} {
-		assert.NilError(t, Check(&c), "%+v", c)
+		assert.NilError(t, Validate(&c), "%+v", c)
 	}
 	for _, refused := range []struct {
 		command wire.Command
@@ -51,7 +51,7 @@
 		{with(watch("g.", 0), func(c *wire.Command) { c.WaitMS = -1 }), errWait},
 		{with(watch("g.", 0), func(c *wire.Command) { c.WaitMS = MaxWait.Milliseconds() + 1 }), errWait},
 	} {
-		err := Check(&refused.command)
+		err := Validate(&refused.command)
 		assert.ErrorIs(t, err, refused.err, "%+v", refused.command)
 		assert.ErrorIs(t, err, ErrInvalid)
 		s := New(testHistory)
@@ -140,7 +140,7 @@
 
 // TestFullStateFitsAFrame fills all there is: locks, numbers, keys and records, with the longest names and all bytes.
 func TestFullStateFitsAFrame(t *testing.T) {
-	m := NewMachine(testHistory)
+	m := NewStateMachine(testHistory)
 	holder := strings.Repeat("h", MaxHolderBytes)
 	full(t, m.State, func(i int) wire.Command { return begin(longName(i), holder) })
 	full(t, m.State, func(i int) wire.Command { return number(longName(i)) })
@@ -148,7 +148,7 @@
 	full(t, m.State, func(i int) wire.Command { return putOver("g.", fmt.Sprint(i), 7) })
 	body := m.Snapshot()
 	assert.Assert(t, len(body) < wire.MaxFrame*7/8, "%d bytes", len(body))
-	restored := NewMachine(testHistory)
+	restored := NewStateMachine(testHistory)
 	assert.NilError(t, restored.Restore(body))
 	sameBytes(t, restored.Snapshot(), body)
 }
--- a/control/coordination/check.go
+++ b/control/coordination/check.go
@@ -30,8 +30,8 @@
 	errWait   invalid = "wait_ms is out of bounds"
 )
 
-// Check tells whether a command's fields are there and within their bounds. It depends on the command alone.
-func Check(c *wire.Command) error {
+// Validate tells whether a command's fields are there and within their bounds. It depends on the command alone.
+func Validate(c *wire.Command) error {
 	if !validText(c.Name, MaxNameBytes) {
 		return errName
 	}
--- a/control/coordination/machine.go
+++ b/control/coordination/machine.go
@@ -14,15 +14,15 @@
 // decoder reads them. A command with text that is no UTF-8 is left to Check, and spoils none beside it.
 var encoder, decoder = form.Modes(cbor.DecOptions{MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid})
 
-// Machine is the replicated state of one part, as package replica leads it on. It implements replica.StateMachine.
-type Machine struct {
+// StateMachine is the replicated state of one part, as package replica leads it on. It implements replica.StateMachine.
+type StateMachine struct {
 	*State
 	// Answers are those to the commands that were applied last; none where they were malformed.
 	Answers []wire.Answer
 }
 
-// NewMachine makes a machine with an empty state.
-func NewMachine(history time.Duration) *Machine { return &Machine{State: New(history)} }
+// NewStateMachine makes a machine with an empty state.
+func NewStateMachine(history time.Duration) *StateMachine { return &StateMachine{State: New(history)} }
 
 // Encode gives commands as an entry carries them; nil for none.
 func Encode(commands []wire.Command) []byte {
@@ -54,7 +54,7 @@
 }
 
 // Apply implements replica.StateMachine. Malformed commands, which no process of ours sends, change nothing and have no answers.
-func (m *Machine) Apply(commands []byte, at time.Duration) {
+func (m *StateMachine) Apply(commands []byte, at time.Duration) {
 	decoded, err := decodeCommands(commands)
 	if err != nil {
 		m.Answers = nil
@@ -64,17 +64,17 @@
 }
 
 // Snapshot implements replica.StateMachine.
-func (m *Machine) Snapshot() []byte { return encode(m.image()) }
+func (m *StateMachine) Snapshot() []byte { return encode(m.image()) }
 
 // SnapshotAfter implements replica.StateMachine. It changes neither the state nor the answers.
-func (m *Machine) SnapshotAfter(commands []byte, at time.Duration) []byte {
-	after := &Machine{State: m.clone()}
+func (m *StateMachine) SnapshotAfter(commands []byte, at time.Duration) []byte {
+	after := &StateMachine{State: m.clone()}
 	after.Apply(commands, at)
 	return after.Snapshot()
 }
 
 // Restore implements replica.StateMachine. After an error, an ErrSnapshot, the state is the one before.
-func (m *Machine) Restore(value []byte) error {
+func (m *StateMachine) Restore(value []byte) error {
 	restored, err := decodeState(value, m.history)
 	if err != nil {
 		return err
--- a/control/coordination/machine_test.go
+++ b/control/coordination/machine_test.go
@@ -11,11 +11,11 @@
 	"ivybank/wire"
 )
 
-var _ replica.StateMachine = (*Machine)(nil)
+var _ replica.StateMachine = (*StateMachine)(nil)
 
 // someMachine has something of each kind.
-func someMachine() *Machine {
-	m := NewMachine(testHistory)
+func someMachine() *StateMachine {
+	m := NewStateMachine(testHistory)
 	m.Apply(Encode([]wire.Command{
 		begin("l", "a"), begin("m", "b"), number("n"), put("g.a", "1"), put("g.b", "2"), put("h.a", "3"),
 		putOver("g.a", "x", 7), put("g.a", "4"),
@@ -48,7 +48,7 @@
 }
 
 func TestTextThatIsNoUTF8SpoilsNoOtherCommand(t *testing.T) {
-	m := NewMachine(testHistory)
+	m := NewStateMachine(testHistory)
 	m.Apply(Encode([]wire.Command{number("\xff"), begin("l", "\xc0"), put("g.a", "\xfe"), number("n")}), 0)
 	assert.DeepEqual(t, m.Answers, []wire.Answer{
 		outcome(wire.Invalid), outcome(wire.Invalid), outcome(wire.Invalid), {Outcome: wire.Done, Number: 1},
@@ -56,7 +56,7 @@
 }
 
 func TestAnswersAreFresh(t *testing.T) {
-	m := NewMachine(testHistory)
+	m := NewStateMachine(testHistory)
 	m.Apply(Encode([]wire.Command{number("n")}), 0)
 	first := m.Answers
 	m.Apply(Encode([]wire.Command{number("n")}), 0)
@@ -72,12 +72,12 @@
 }
 
 func TestRestoreOfNothing(t *testing.T) {
-	for _, body := range [][]byte{nil, {}, NewMachine(testHistory).Snapshot()} {
+	for _, body := range [][]byte{nil, {}, NewStateMachine(testHistory).Snapshot()} {
 		m := someMachine()
 		state := m.State
 		assert.NilError(t, m.Restore(body))
 		assert.Assert(t, m.State == state)
-		sameBytes(t, m.Snapshot(), NewMachine(testHistory).Snapshot())
+		sameBytes(t, m.Snapshot(), NewStateMachine(testHistory).Snapshot())
 		assert.Equal(t, len(m.Answers), 0)
 	}
 }
@@ -158,12 +158,12 @@
 	f.Add(someMachine().Snapshot(), Encode([]wire.Command{begin("l", "b"), put("g.a", "5"), watch("g.", 1)}))
 	f.Add([]byte{}, []byte{0xff})
 	f.Fuzz(func(t *testing.T, state, commands []byte) {
-		m := NewMachine(testHistory)
+		m := NewStateMachine(testHistory)
 		if m.Restore(state) != nil {
 			return
 		}
 		snapshot := m.Snapshot()
-		again := NewMachine(testHistory)
+		again := NewStateMachine(testHistory)
 		assert.NilError(t, again.Restore(snapshot))
 		m.Apply(commands, time.Hour)
 		again.Apply(commands, time.Hour)
@@ -173,8 +173,8 @@
 }
 
 // busyMachine has as much as a busy part: some thousand records.
-func busyMachine() *Machine {
-	m := NewMachine(testHistory)
+func busyMachine() *StateMachine {
+	m := NewStateMachine(testHistory)
 	for i := range 5000 {
 		m.Apply(Encode([]wire.Command{
 			put(fmt.Sprintf("g%d.%d", i%8, i%300), fmt.Sprintf("%016x", i)), begin(fmt.Sprint("l", i%80), "a"), number("n"),
--- a/control/coordination/rapid_test.go
+++ b/control/coordination/rapid_test.go
@@ -14,7 +14,7 @@
 
 // trial plays entries on two replicas and on the model. Commands come again at any later time.
 type trial struct {
-	first, second *Machine
+	first, second *StateMachine
 	model         *model
 	sent          []wire.Command
 	fences        []uint64 // that were handed out
@@ -23,8 +23,8 @@
 
 func newTrial() *trial {
 	return &trial{
-		first:  NewMachine(modelHistory),
-		second: NewMachine(modelHistory),
+		first:  NewStateMachine(modelHistory),
+		second: NewStateMachine(modelHistory),
 		model:  newModel(modelHistory),
 		fences: []uint64{1},
 	}
@@ -103,7 +103,7 @@
 // restore has the second replica begin anew from a snapshot.
 func (tr *trial) restore(t *rapid.T) {
 	snapshot := tr.first.Snapshot()
-	tr.second = NewMachine(modelHistory)
+	tr.second = NewStateMachine(modelHistory)
 	assert.NilError(t, tr.second.Restore(snapshot))
 	sameBytes(t, tr.second.Snapshot(), snapshot)
 	assert.Equal(t, tr.second.keys.bytes, tr.first.keys.bytes)
@@ -115,7 +115,7 @@
 	c := tr.drawNew(t)
 	later := rapid.SampledFrom([]time.Duration{0, time.Second, 5 * time.Second}).Draw(t, "later")
 	before := tr.first.Snapshot()
-	answer, ready := tr.first.Answer(&c, tr.now+later)
+	answer, ready := tr.first.TryAnswer(&c, tr.now+later)
 	sameBytes(t, tr.first.Snapshot(), before)
 	switch c.Kind {
 	case wire.GetKey:
--- a/control/coordination/rules_test.go
+++ b/control/coordination/rules_test.go
@@ -170,19 +170,19 @@
 	one(s, put("g.b", "2"), 0)
 	one(s, put("h.a", "3"), 0)
 	one(s, put("g.a", "4"), 0)
-	answer, ready := s.Answer(ptr(watch("g.", 1)), 0)
+	answer, ready := s.TryAnswer(ptr(watch("g.", 1)), 0)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, wire.Answer{Outcome: wire.Done, Revision: 3, Events: []wire.Change{
 		{Key: "g.b", Value: "2", Revision: 2},
 		{Key: "g.a", Value: "4", Revision: 3},
 	}})
-	answer, ready = s.Answer(ptr(watch("g.", 0)), 0)
+	answer, ready = s.TryAnswer(ptr(watch("g.", 0)), 0)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, revised(3))
-	answer, ready = s.Answer(ptr(watch("g.", 3)), 0)
+	answer, ready = s.TryAnswer(ptr(watch("g.", 3)), 0)
 	assert.Assert(t, !ready)
 	assert.DeepEqual(t, answer, revised(3))
-	_, ready = s.Answer(ptr(watch("nobody.", 1)), 0)
+	_, ready = s.TryAnswer(ptr(watch("nobody.", 1)), 0)
 	assert.Assert(t, !ready)
 }
 
@@ -191,7 +191,7 @@
 	assert.DeepEqual(t, one(s, get("g.a"), 0), outcome(wire.NotFound))
 	one(s, put("g.a", "1"), 0)
 	one(s, put("g.b", "2"), 0)
-	answer, ready := s.Answer(ptr(get("g.b")), 0)
+	answer, ready := s.TryAnswer(ptr(get("g.b")), 0)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, wire.Answer{Outcome: wire.Done, Value: "2", Revision: 2})
 }
@@ -235,11 +235,11 @@
 }
 
 func TestLostNothingByARestore(t *testing.T) {
-	m := NewMachine(testHistory)
+	m := NewStateMachine(testHistory)
 	m.Apply(Encode([]wire.Command{
 		begin("l", "a"), begin("l", "a"), number("n"), put("g.a", "1"), put("g.a", "2"), putOver("g.a", "x", 1),
 	}), 5)
-	restored := NewMachine(testHistory)
+	restored := NewStateMachine(testHistory)
 	assert.NilError(t, restored.Restore(m.Snapshot()))
 	sameBytes(t, restored.Snapshot(), m.Snapshot())
 	again := []wire.Command{
@@ -257,19 +257,19 @@
 func TestAnswerFromMemory(t *testing.T) {
 	s := New(testHistory)
 	one(s, begin("l", "a"), 0)
-	answer, ready := s.Answer(ptr(begin("l", "b")), testHold-1)
+	answer, ready := s.TryAnswer(ptr(begin("l", "b")), testHold-1)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, outcome(wire.HeldByOther))
-	answer, ready = s.Answer(ptr(begin("l", "")), 0)
+	answer, ready = s.TryAnswer(ptr(begin("l", "")), 0)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, outcome(wire.Invalid))
 	for _, c := range []wire.Command{
 		begin("l", "a"), heartbeat("l", "b", 1), finish("l", "b", 1), number("n"), put("g.a", "1"), begin("free", "b"),
 	} {
-		_, ready := s.Answer(&c, 0)
+		_, ready := s.TryAnswer(&c, 0)
 		assert.Assert(t, !ready, "%+v", c)
 	}
-	_, ready = s.Answer(ptr(begin("l", "b")), testHold)
+	_, ready = s.TryAnswer(ptr(begin("l", "b")), testHold)
 	assert.Assert(t, !ready)
 }
 
--- a/control/coordination/state.go
+++ b/control/coordination/state.go
@@ -53,7 +53,7 @@
 
 // apply carries one command out at the newest time.
 func (s *State) apply(c *wire.Command) wire.Answer {
-	if Check(c) != nil {
+	if Validate(c) != nil {
 		return wire.Answer{Outcome: wire.Invalid}
 	}
 	switch c.Kind {
@@ -75,11 +75,11 @@
 	}
 }
 
-// Answer decides on a command without changing the state, where that can be done: a read, a lock that another one holds, a
+// TryAnswer decides on a command without changing the state, where that can be done: a read, a lock that another one holds, a
 // call that is invalid, a watch that has something to tell. It reports false where the command has to be applied, or a watch
 // has to wait; the answer of a watch that has to wait is the one to give when its time is over.
-func (s *State) Answer(c *wire.Command, at time.Duration) (wire.Answer, bool) {
-	if Check(c) != nil {
+func (s *State) TryAnswer(c *wire.Command, at time.Duration) (wire.Answer, bool) {
+	if Validate(c) != nil {
 		return wire.Answer{Outcome: wire.Invalid}, true
 	}
 	switch c.Kind {
--- a/control/parts.go
+++ b/control/parts.go
@@ -26,7 +26,7 @@
 type part struct {
 	number  int // starting at 0
 	replica *replica.Replica
-	machine *coordination.Machine
+	machine *coordination.StateMachine
 	members []wire.Member // the members to which the links were adjusted last
 
 	queue      []*partCall // not yet in a log entry
@@ -40,24 +40,24 @@
 // PartStart is what a part starts from: its stored state, and the state machine replayed to it.
 type PartStart struct {
 	Disk    replica.PersistentState
-	Machine *coordination.Machine
+	Machine *coordination.StateMachine
 }
 
 // newPartMachines creates the empty state machine of each part, or none if the fleet runs without coordination.
-func partMachines(s *settings.Settings) []*coordination.Machine {
+func partMachines(s *settings.Settings) []*coordination.StateMachine {
 	if !s.CoordinationEnabled() {
 		return nil
 	}
 	history := max(shortestHistory, time.Duration(historyFactor*s.Bounds.HistoryS*float64(time.Second)))
-	machines := make([]*coordination.Machine, coordinationParts)
+	machines := make([]*coordination.StateMachine, coordinationParts)
 	for i := range machines {
-		machines[i] = coordination.NewMachine(history)
+		machines[i] = coordination.NewStateMachine(history)
 	}
 	return machines
 }
 
 // asStateMachines converts machines to the interface of package replica.
-func replicated(machines []*coordination.Machine) []replica.StateMachine {
+func replicated(machines []*coordination.StateMachine) []replica.StateMachine {
 	all := make([]replica.StateMachine, len(machines))
 	for i, m := range machines {
 		all[i] = m
@@ -66,7 +66,7 @@
 }
 
 // partStarts combines the stored state of each part with its state machine.
-func partStarts(disks []replica.PersistentState, machines []*coordination.Machine) []PartStart {
+func partStarts(disks []replica.PersistentState, machines []*coordination.StateMachine) []PartStart {
 	starts := make([]PartStart, len(machines))
 	for i := range starts {
 		starts[i] = PartStart{Disk: disks[i], Machine: machines[i]}
--- a/coordclient/client.go
+++ b/coordclient/client.go
@@ -107,7 +107,7 @@
 			return r, nil
 		}
 		failure.Last = err
-		failure.MayHaveHappened = failure.MayHaveHappened || !promisesNothing(err)
+		failure.MayHaveTakenEffect = failure.MayHaveTakenEffect || !promisesNothing(err)
 		at = (at + 1) % uint32(len(c.addresses))
 		sleep(ctx, jittered(pause))
 	}
--- a/coordclient/client_test.go
+++ b/coordclient/client_test.go
@@ -63,13 +63,13 @@
 			virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
 				w.fail(test.fault, here, there)
 				began := time.Now()
-				number, err := c.Next(within(t, time.Minute), "n")
+				number, err := c.NextNumber(within(t, time.Minute), "n")
 				assert.NilError(t, err)
 				assert.Equal(t, number, uint64(1))
 				assert.Assert(t, time.Since(began) <= test.longest, "took %v", time.Since(began))
 
 				before := w.count(third)
-				_, err = c.Next(within(t, time.Minute), "n")
+				_, err = c.NextNumber(within(t, time.Minute), "n")
 				assert.NilError(t, err)
 				assert.Equal(t, w.count(third), before+1)
 				assert.Assert(t, w.count("") <= 4, "the address that answered is asked first: %v", w.calls)
@@ -82,7 +82,7 @@
 	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
 		w.fail(status(http.StatusServiceUnavailable), here, there, third)
 		began := time.Now()
-		_, err := c.Next(within(t, 10*time.Second), "n")
+		_, err := c.NextNumber(within(t, 10*time.Second), "n")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, time.Since(began), 10*time.Second)
 		attempts := w.count("")
@@ -108,10 +108,10 @@
 			virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
 				w.fail(status(http.StatusServiceUnavailable), there, third)
 				w.fail(test.fault, here)
-				_, err := c.Next(within(t, 5*time.Second), "n")
+				_, err := c.NextNumber(within(t, 5*time.Second), "n")
 				var unanswered *coordclient.UnansweredError
 				assert.Assert(t, errors.As(err, &unanswered))
-				assert.Equal(t, unanswered.MayHaveHappened, test.may)
+				assert.Equal(t, unanswered.MayHaveTakenEffect, test.may)
 			})
 		})
 	}
@@ -121,7 +121,7 @@
 	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, err := c.Next(ctx, "n")
+		_, err := c.NextNumber(ctx, "n")
 		assert.ErrorIs(t, err, context.Canceled)
 		assert.Equal(t, w.count(""), 0)
 	})
@@ -130,7 +130,7 @@
 func TestInvalidCallIsNotRepeated(t *testing.T) {
 	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
 		w.fail(status(http.StatusBadRequest), here, there, third)
-		_, err := c.Next(within(t, time.Minute), "n")
+		_, err := c.NextNumber(within(t, time.Minute), "n")
 		var told *coordclient.StatusError
 		assert.Assert(t, errors.As(err, &told))
 		assert.Equal(t, told.Status, http.StatusBadRequest)
--- a/coordclient/errors.go
+++ b/coordclient/errors.go
@@ -45,10 +45,10 @@
 
 // UnansweredError means that the caller's context ended before any clear answer had come.
 type UnansweredError struct {
-	// MayHaveHappened is false where every attempt got the promise that nothing was done, or was never sent.
-	MayHaveHappened bool
-	Cause           error // why the context ended
-	Last            error // how the last attempt failed; nil where there was none
+	// MayHaveTakenEffect is false where every attempt got the promise that nothing was done, or was never sent.
+	MayHaveTakenEffect bool
+	Cause              error // why the context ended
+	Last               error // how the last attempt failed; nil where there was none
 }
 
 // Error implements error.
--- a/coordclient/example_test.go
+++ b/coordclient/example_test.go
@@ -60,16 +60,16 @@
 }
 
 // Numbers of one name rise; some may be left out.
-func ExampleClient_Next() {
+func ExampleClient_NextNumber() {
 	client, done := exampleClient()
 	defer done()
 	ctx := context.Background()
 
-	first, err := client.Next(ctx, "extract")
+	first, err := client.NextNumber(ctx, "extract")
 	if err != nil {
 		log.Fatal(err)
 	}
-	second, err := client.Next(ctx, "extract")
+	second, err := client.NextNumber(ctx, "extract")
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/coordclient/keys.go
+++ b/coordclient/keys.go
@@ -21,8 +21,8 @@
 	Revision uint64 `json:"rev"`
 }
 
-// Next gives a number that is greater than every one that was given under the name before the call. Numbers may be left out.
-func (c *Client) Next(ctx context.Context, name string) (uint64, error) {
+// NextNumber gives a number that is greater than every one that was given under the name before the call. Numbers may be left out.
+func (c *Client) NextNumber(ctx context.Context, name string) (uint64, error) {
 	r, err := c.do(ctx, post("/v1/numbers/"+url.PathEscape(name), struct{}{}))
 	if err != nil {
 		return 0, err
--- a/rehearse/soak/callers_test.go
+++ b/rehearse/soak/callers_test.go
@@ -188,7 +188,7 @@
 
 func (a *applications) drawNumbers(ctx context.Context, number int, random *rand.Rand) {
 	c, _ := a.client()
-	each(ctx, random, func(ctx context.Context) { _, _ = c.Next(ctx, fmt.Sprint("n", random.IntN(numbersShared))) })
+	each(ctx, random, func(ctx context.Context) { _, _ = c.NextNumber(ctx, fmt.Sprint("n", random.IntN(numbersShared))) })
 }
 
 // putAndRead puts and reads keys, half of the puts upon the revision that was read last.
--- a/rehearse/soak/coordination_test.go
+++ b/rehearse/soak/coordination_test.go
@@ -85,7 +85,7 @@
 	for i := range 16 {
 		names.Go(func() {
 			c, _ := a.client()
-			_, err := c.Next(ctx, fmt.Sprint("n", i))
+			_, err := c.NextNumber(ctx, fmt.Sprint("n", i))
 			assert.Check(t, err, "number n%d %s", i, when)
 		})
 	}
