--- a/control/replica/election_test.go
+++ b/control/replica/election_test.go
@@ -39,7 +39,7 @@
 	n.downUntil = s.now + 100*time.Millisecond // by then none of its earlier messages are in flight
 }
 
-func TestLeaderIsBackSoonWhereAllRestart(t *testing.T) {
+func TestLeaderReturnsSoonAfterAllRestart(t *testing.T) {
 	sum := time.Duration(0)
 	for seed := range uint64(100) {
 		s := newCalmSim(t, seed)
@@ -56,7 +56,7 @@
 	assert.Assert(t, sum/100 < LeaseDuration*2/3, "a leader after %v on average", sum/100)
 }
 
-func TestLeaderIsBackSoonWhereAllRestartAndOneIsEmpty(t *testing.T) {
+func TestLeaderReturnsSoonAfterAllRestartAndOneIsEmpty(t *testing.T) {
 	sum := time.Duration(0)
 	for seed := range uint64(100) {
 		s := newCalmSim(t, seed)
@@ -134,7 +134,7 @@
 	assert.Assert(t, versionOf([]byte(s.acked)) > versionOf([]byte(acked)))
 }
 
-func TestDiskOfTheLeaderMayStall(t *testing.T) {
+func TestCommitsContinueWhileTheLeadersDiskStalls(t *testing.T) {
 	s := newCalmSim(t, 1)
 	leader := s.leader()
 	before := s.commits
--- a/control/replica/members_test.go
+++ b/control/replica/members_test.go
@@ -27,7 +27,7 @@
 
 func TestWipedMemberReturnsInTimeAtAnyProposalRate(t *testing.T) {
 	for _, every := range []int{1, 4, 10, 25, 1_000_000} {
-		worst, joint := time.Duration(0), time.Duration(0)
+		worst, changing := time.Duration(0), time.Duration(0)
 		for seed := range uint64(30) {
 			s := newCalmSim(t, seed)
 			s.rate = every
@@ -43,9 +43,9 @@
 				}
 				assert.Assert(t, s.now < began+maxRepairTime, "seed %d, one proposal in %d steps: not a member after %v", seed, every, maxRepairTime)
 			}
-			worst, joint = max(worst, s.now-began), max(joint, s.now-changedAt)
+			worst, changing = max(worst, s.now-began), max(changing, s.now-changedAt)
 		}
-		t.Logf("one proposal in %d steps of 5 ms while idle: member again after %v at worst, membership change in progress for %v", every, worst, joint)
+		t.Logf("one proposal in %d steps of 5 ms while idle: member again after %v at worst, membership change in progress for %v", every, worst, changing)
 	}
 }
 
