--- a/proxy/http1/parse.go
+++ b/proxy/http1/parse.go
@@ -174,7 +174,7 @@
 	return !p.stream && (p.parted || p.got > p.wholly || p.early && p.length > p.wholly)
 }
 
-// HeadDone reports whether a message's head has arrived and its body has not.
+// HeadDone reports whether a message's head is complete and its body is not.
 func (p *parser) HeadIn() bool { return p.begun && p.at != head }
 
 // ExpectsContinue reports whether the sender waits for 100 Continue; it is false once the first byte of the body
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -78,7 +78,7 @@
 	comeback  *comeback       // nil: not configured
 	works     *works          // nil: no maintenance plans
 	limits    *limits         // nil: no fleet-wide limits
-	deaf      bool            // peers are configured, but their address is in use
+	deaf      bool            // the address for peers is in use
 	terms     *balance.Terms  // replaced as a whole, never modified
 	sockets   int             // descriptors that this process may hold now
 	held      holds.Table     // hosts that operators took out of use
