--- a/proxy/admin/admin.go
+++ b/proxy/admin/admin.go
@@ -53,10 +53,10 @@
 	Text   string
 }
 
-// Yes returns a reply with status 200.
+// OK returns a reply with status 200.
 func OK(text string) Reply { return Reply{http.StatusOK, text} }
 
-// No returns an error reply with its reason.
+// Error returns an error reply with its reason.
 func Error(status int, text string) Reply { return Reply{status, text} }
 
 // Parse returns the call that a method and an escaped path stand for, or a non-zero error reply.
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -11,7 +11,7 @@
 	"ivybank/fleet/swim"
 )
 
-// If its last tick is longer ago, the core is ticked before it is asked.
+// maxLimitTickAgeNs bounds the age of the last tick: above it the core is ticked before it is asked.
 const limitsLate = 100e6
 
 // limits is the event loop's state of the fleet-wide limits.
@@ -20,10 +20,10 @@
 	terms  lease.Terms
 	ticked int64
 	timer  *timer
-	bad    int64 // undecodable datagrams
+	bad    int64 // undecodable datagrams and those with a wrong sender
 }
 
-// withLimitsOf returns x with the limits of y.
+// withLimitsOf returns c with the limits of other.
 func (x FleetConfig) but(y *FleetConfig) FleetConfig {
 	x.Limits, x.Voters, x.Drift = y.Limits, y.Voters, y.Drift
 	return x
--- a/proxy/listen.go
+++ b/proxy/listen.go
@@ -11,7 +11,7 @@
 	"syscall"
 )
 
-// An accept on a listener that was set to blocking mode returns after this time.
+// acceptTimeoutNs bounds an accept on a listener that was set to blocking mode.
 const acceptWait = 5e7
 
 // listener accepts from when it is opened until it is stopped. nbio retries after every error of Accept, so the
