--- a/cmd/ivycontrol/main.go
+++ b/cmd/ivycontrol/main.go
@@ -23,7 +23,7 @@
 	process.Main(&cli.Command{
 		Name:  "ivycontrol",
 		Usage: "control process of a router fleet",
-		Description: "The environment variable " + settings.Variable + " names the settings file; the default is " +
+		Description: "The environment variable " + settings.PathEnvVar + " names the settings file; the default is " +
 			settings.DefaultPath + ".",
 		Commands: []*cli.Command{
 			{Name: "serve", Usage: "run the control process", Action: process.Action(serve)},
--- a/config/config.go
+++ b/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads and checks the operator's configuration: routes, services, limits and tenants.
+// Package config parses and checks the operator's configuration: routes, services, limits and tenants.
 package config
 
 import (
@@ -10,20 +10,20 @@
 	"strings"
 )
 
-// RouteType says what may be repeated.
+// RouteType says whether the requests of a route may be repeated.
 type RouteType string
 
-// The types of route.
+// The route types.
 const (
 	Idempotent RouteType = "idempotent"
 	Unsafe     RouteType = "unsafe"
 	Streaming  RouteType = "streaming"
 )
 
-// TokenUnit is the unit of a tenant whose limit is counted in tokens.
+// TokenUnit is the unit of a tenant's limit that counts tokens; any other unit counts requests.
 const TokenUnit = "token_count"
 
-// Config is one version, as the operator sends it.
+// Config is one revision of the configuration, as the operator sends it.
 type Config struct {
 	Revision int64     `json:"revision"`
 	Routes   []Route   `json:"routes"`
@@ -34,29 +34,29 @@
 
 // Route maps a host name and a path prefix to services.
 type Route struct {
-	Name        string    `json:"name"`
-	Hostname    string    `json:"hostname"`
-	PathPrefix  string    `json:"path_prefix"`
-	Type        RouteType `json:"route_type"`
-	TimeoutMS   float64   `json:"timeout_ms"`
-	TargetMS    float64   `json:"target_ms"`
-	Priority    int       `json:"priority"`
-	Backend     string    `json:"backend"`
-	Split       []Split   `json:"traffic_split"`
-	MaxAttempts int       `json:"max_attempts"`
-	Public      bool      `json:"public"`
-	Sticky      bool      `json:"sticky"`
-	Resumable   bool      `json:"resumable"`
-	GapAimMS    float64   `json:"gap_aim_ms"`
+	Name                  string         `json:"name"`
+	Hostname              string         `json:"hostname"`
+	PathPrefix            string         `json:"path_prefix"`
+	Type                  RouteType      `json:"route_type"`
+	TimeoutMS             float64        `json:"timeout_ms"`
+	FirstEventTargetMS    float64        `json:"target_ms"`
+	Priority              int            `json:"priority"`
+	Backend               string         `json:"backend"`
+	TrafficSplits         []TrafficSplit `json:"traffic_split"`
+	MaxAttempts           int            `json:"max_attempts"`
+	Public                bool           `json:"public"`
+	Sticky                bool           `json:"sticky"`
+	Resumable             bool           `json:"resumable"`
+	EventIntervalTargetMS float64        `json:"gap_aim_ms"`
 }
 
-// Split is one service's part of a route's traffic.
-type Split struct {
+// TrafficSplit is one service's share of a route's traffic.
+type TrafficSplit struct {
 	Backend string  `json:"backend"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a set of hosts that do the same.
+// Service is a set of interchangeable hosts.
 type Service struct {
 	Name       string  `json:"name"`
 	HealthPath string  `json:"health_path"`
@@ -71,7 +71,7 @@
 	KVTokens int `json:"kv_tokens"`
 }
 
-// Limits bound what clients may send; sizes in bytes.
+// Limits bound what clients may send. Sizes are in bytes.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"max_header_bytes"`
 	MaxBodyBytes    int64   `json:"max_body_bytes"`
@@ -79,19 +79,19 @@
 	IdleTimeoutMS   float64 `json:"idle_timeout_ms"`
 }
 
-// Tenant is a customer with its keys and its limit.
+// Tenant is a customer with its API keys and its rate limit.
 type Tenant struct {
-	Name        string   `json:"name"`
-	APIKeys     []string `json:"api_keys"`
-	Priority    *int     `json:"priority"`
-	Unit        string   `json:"unit"`
-	PlainTokens float64  `json:"plain_tokens"`
-	RatePerS    float64  `json:"rate_per_s"`
-	Burst       float64  `json:"burst"`
+	Name          string   `json:"name"`
+	APIKeys       []string `json:"api_keys"`
+	Priority      *int     `json:"priority"`
+	Unit          string   `json:"unit"`
+	DefaultTokens float64  `json:"plain_tokens"`
+	RatePerS      float64  `json:"rate_per_s"`
+	Burst         float64  `json:"burst"`
 }
 
-// Read reads a configuration whole, without a check of what it says.
-func Read(body []byte) (*Config, error) {
+// Decode decodes a configuration without checking its values. Data after its end is an error.
+func Decode(body []byte) (*Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	c := &Config{}
 	if err := decoder.Decode(c); err != nil {
@@ -103,7 +103,7 @@
 	return c, nil
 }
 
-// Check finds what makes a configuration invalid.
+// Check validates a configuration and returns the first error found.
 func (c *Config) Check() error {
 	if c.Revision <= 0 {
 		return fmt.Errorf("revision: %d is not above 0", c.Revision)
@@ -115,16 +115,16 @@
 		}
 		services[s.Name] = true
 	}
-	places := map[[2]string]string{}
+	routesByPlace := map[[2]string]string{}
 	for _, r := range c.Routes {
 		if err := r.check(services); err != nil {
 			return fmt.Errorf("route %q: %w", r.Name, err)
 		}
-		place := [2]string{strings.ToLower(r.Hostname), r.PathPrefix}
-		if other, taken := places[place]; taken {
+		key := [2]string{strings.ToLower(r.Hostname), r.PathPrefix}
+		if other, exists := routesByPlace[key]; exists {
 			return fmt.Errorf("route %q: shares host and prefix with %q", r.Name, other)
 		}
-		places[place] = r.Name
+		routesByPlace[key] = r.Name
 	}
 	return c.checkTenants()
 }
@@ -136,11 +136,11 @@
 	if r.TimeoutMS <= 0 {
 		return fmt.Errorf("timeout_ms: %v is not above 0", r.TimeoutMS)
 	}
-	if len(r.Split) == 0 && !services[r.Backend] {
+	if len(r.TrafficSplits) == 0 && !services[r.Backend] {
 		return fmt.Errorf("unknown service %q", r.Backend)
 	}
 	sum := 0.0
-	for _, s := range r.Split {
+	for _, s := range r.TrafficSplits {
 		if !services[s.Backend] {
 			return fmt.Errorf("unknown service %q", s.Backend)
 		}
@@ -149,14 +149,14 @@
 		}
 		sum += s.Weight
 	}
-	if len(r.Split) > 0 && sum <= 0 {
+	if len(r.TrafficSplits) > 0 && sum <= 0 {
 		return errors.New("weights add up to 0")
 	}
 	return nil
 }
 
 func (c *Config) checkTenants() error {
-	owner := map[string]string{}
+	tenantsByKey := map[string]string{}
 	names := map[string]bool{}
 	for _, t := range c.Tenants {
 		if t.Name == "" || names[t.Name] {
@@ -164,10 +164,10 @@
 		}
 		names[t.Name] = true
 		for _, key := range t.APIKeys {
-			if other, taken := owner[key]; taken {
+			if other, exists := tenantsByKey[key]; exists {
 				return fmt.Errorf("tenants %q and %q share a key", other, t.Name)
 			}
-			owner[key] = t.Name
+			tenantsByKey[key] = t.Name
 		}
 	}
 	return nil
--- a/control/node.go
+++ b/control/node.go
@@ -26,7 +26,7 @@
 const (
 	joinInterval  = 200 * time.Millisecond
 	groupInterval = time.Second
-	// memberSilenceShare is the share of sync_s for which a member may be silent before another machine replaces it.
+	// memberTimeoutShare is the share of sync_s for which a member may be silent before another machine replaces it.
 	// The replacement has sync_s from its own start, which is no earlier than the silence; the rest is for the change
 	// of members.
 	silenceShare    = 0.5
@@ -69,7 +69,7 @@
 	replicas    []*replica.Replica // the configuration's group, then those of the parts; each is a separate replica group
 	parts       []*part            // of the coordination state; empty without coordination
 	savingParts bool
-	wholeParts  bool                   // the next write of the parts has to include everything
+	wholeParts  bool                   // the next write of the parts has to be a full one
 	passed      map[uint64]*passedCall // by number of the request
 	nextPassed  uint64
 
@@ -136,7 +136,7 @@
 	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
 		callers: map[string]int{}, passed: map[uint64]*passedCall{}, counts: newNodeCounts(), validator: &validate.Validator{}}
 	self := wire.Member{ID: from.Identity.ID, IP: s.IP}
-	group := replica.GroupConfig{Target: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
+	group := replica.GroupConfig{TargetSize: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
 	n.replica = replica.New(self, group, from.Disk, from.Random, n.now())
 	n.newParts(from)
 	n.granter = lease.NewGranter(longTenure(s), from.Tenures, n.now())
@@ -271,7 +271,7 @@
 	if len(body) == 0 {
 		return // no configuration yet
 	}
-	c, err := config.Read(body)
+	c, err := config.Decode(body)
 	if err != nil {
 		n.log.Error("cannot read committed configuration", "error", err)
 		return
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -25,7 +25,7 @@
 // SaveTenures stores them on the simulated disk after a while, or not at all if the process ends before.
 func (p *nodeProcess) SaveTenures(t lease.LongTenures) {
 	w, m := p.world, p.machine
-	long := slices.Clone(t.Long)
+	long := slices.Clone(t.Resources)
 	w.delayed = append(w.delayed, delayed{w.now + time.Duration(1+w.random.IntN(30))*time.Millisecond, func() {
 		if m.node != p {
 			return
@@ -36,7 +36,7 @@
 	}, true})
 }
 
-func (p *nodeProcess) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *nodeProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &link{world: p.world, owner: &p.process, to: ip, hello: hello, events: events}
 	p.links = append(p.links, l)
 	p.world.links = append(p.world.links, l)
@@ -54,18 +54,18 @@
 
 func (p *agentProcess) Now() time.Duration { return p.world.now - p.born }
 
-func (p *agentProcess) LinkHandle(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
+func (p *agentProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
 	l := &link{world: p.world, owner: &p.process, to: ip, hello: hello, events: events}
 	p.links = append(p.links, l)
 	p.world.links = append(p.world.links, l)
 	return l
 }
 
-func (p *agentProcess) KnownControls() []string { return p.world.coreIPs() }
-func (p *agentProcess) Introduce(...string)     {}
+func (p *agentProcess) KnownControlIPs() []string { return p.world.coreIPs() }
+func (p *agentProcess) AddControlIPs(...string)   {}
 
-// KnownAgents returns all agents that exist.
-func (p *agentProcess) KnownAgents() []string {
+// KnownAgentIPs returns all agents that exist.
+func (p *agentProcess) KnownAgentIPs() []string {
 	var ips []string
 	for _, m := range p.world.machines {
 		if !m.core && !m.gone {
--- a/control/store/files_test.go
+++ b/control/store/files_test.go
@@ -23,7 +23,7 @@
 func save(t *testing.T, f *DataDir, term, index uint64) {
 	t.Helper()
 	disk := replica.PersistentState{Term: term, VotedFor: "a", Entry: &wire.Entry{Term: term, Index: index, Value: []byte("value")}}
-	assert.NilError(t, f.Save(&replica.Save{Disk: disk, EntryChanged: true, VoteChanged: true}))
+	assert.NilError(t, f.Save(&replica.Save{State: disk, EntryChanged: true, VoteChanged: true}))
 }
 
 func TestNewestVersionIsLoaded(t *testing.T) {
@@ -55,9 +55,9 @@
 	disk, err = open(t, path).Load()
 	assert.NilError(t, err)
 	assert.Equal(t, disk.Entry.Index, uint64(6))
-	aside, err := filepath.Glob(filepath.Join(path, "*"+tempSuffix))
+	left, err := filepath.Glob(filepath.Join(path, "*"+tempSuffix))
 	assert.NilError(t, err)
-	assert.Equal(t, len(aside), 0, "temporary files don't accumulate")
+	assert.Equal(t, len(left), 0, "temporary files don't accumulate")
 }
 
 // A file that has its final name was completely on disk. If the newest one is corrupt, no older one is used in its
@@ -139,6 +139,6 @@
 		assert.NilError(t, err)
 		s = next
 	}
-	assert.Equal(t, len(s.Orders), maxRememberedUpdates)
+	assert.Equal(t, len(s.AcceptedUpdates), maxRememberedUpdates)
 	assert.Assert(t, s.Accepted(DigestOf(maxRememberedUpdates+4, []byte(strings.Repeat("x", (maxRememberedUpdates+4)%7)))))
 }
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -132,7 +132,7 @@
 // republishHosts passes all hosts to the balancer as they are now. This does not count as a list from discovery: if
 // the balancer is about to ask for one, it still does.
 func (p *Proxy) relist(now int64) {
-	p.module.Listed(balance.Restored, p.listing(func(h *host) balance.Server { return h.shown }), now)
+	p.module.UpdateList(balance.ListRestored, p.listing(func(h *host) balance.Server { return h.shown }), now)
 	p.listPeers(now)
 }
 
@@ -220,7 +220,7 @@
 	if other { // it knows of drains that the saved list is too old for
 		p.other.Store(true)
 		p.beside(true)
-	} else if p.terms.MustAsk {
+	} else if p.terms.ListOnRequest {
 		p.letIn()
 		return
 	} // else the list of whoever pushes it counts as delivered from the start
@@ -240,8 +240,8 @@
 	}
 	p.sockets = p.start.Sockets / part
 	t := *p.terms
-	t.Beside = part - 1
-	p.module.Retune(t, p.now())
+	t.SiblingProcesses = part - 1
+	p.module.Reconfigure(t, p.now())
 	if p.start.Memory > 0 {
 		debug.SetMemoryLimit(p.start.Memory / int64(part))
 	}
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -82,8 +82,8 @@
 	if r.shed, back = p.sheds(r, now); !r.shed {
 		r.shed, back = p.limited(r)
 	}
-	p.module.Req(balance.Arrival{ID: r.id, RuleSet: r.call.RuleSet, Tenant: r.call.Tenant, Key: r.call.Key,
-		Budget: max(1, budget), Work: r.call.Work, Open: r.flow != nil && !r.flow.whole, Shed: r.shed, Back: back}, now)
+	p.module.AddRequest(balance.Arrival{ID: r.id, RuleSet: r.call.RuleSet, Tenant: r.call.Tenant, Key: r.call.Key,
+		Budget: max(1, budget), Work: r.call.Work, BodyPending: r.flow != nil && !r.flow.whole, Shed: r.shed, RetryAfter: back}, now)
 }
 
 // withdraw ends the open request, if any, of a client that disconnected or sent a malformed request after it.
