--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -289,7 +289,7 @@
 			{8 * minIdleTime, 4, true}, {99 * minIdleTime, 4, true}} {
 			b := newBalancer(1, nil)
 			s, now := b.servers[0], 5*sec+c.idle
-			b.timeouts[3], b.timeouts[4] = fade.Count{N: idleLossLimit + 0.01, At: now}, fade.Count{N: idleLossLimit + 0.01, At: now}
+			b.timeouts[3], b.timeouts[4] = fade.Counter{Value: idleLossLimit + 0.01, At: now}, fade.Counter{Value: idleLossLimit + 0.01, At: now}
 			s.lastOutcomeAt = 5 * sec
 			b.sendTo(addRequest(b, 1, "once", "k"), s, now)
 			step := c.step
@@ -307,9 +307,9 @@
 		s.lastOutcomeAt = sec
 		b.sendTo(addRequest(b, 1, "once", "k"), s, 2*sec)
 		b.Finished(1, 0, TimedOut, false, sec, 3*sec)
-		assertNear(t, "loss", b.timeouts[3].N, 0.15, 1e-12)
-		assertNear(t, "loss over busy connections", b.timeouts[0].N, 0, 1e-12)
-		b.timeouts[3].N = 0.5
+		assertNear(t, "loss", b.timeouts[3].Value, 0.15, 1e-12)
+		assertNear(t, "loss over busy connections", b.timeouts[0].Value, 0, 1e-12)
+		b.timeouts[3].Value = 0.5
 		now := 3*sec + idleLossSpan
 		s.lastOutcomeAt = now - sec
 		if b.sendTo(addRequest(b, 2, "once", "k"), s, now); b.decisions[len(b.decisions)-1].Kind == CloseConnections || s.inflight[0].idleStep != 3 {
@@ -439,7 +439,7 @@
 		b := newBalancer(9, nil)
 		b.servers[0].ejected, b.servers[0].ejectedUntil = true, sec
 		b.reviewServers(0)
-		b.answerRate.N, b.answerRate.At = 100*float64(span/sec), 1000*sec
+		b.answerRate.Value, b.answerRate.At = 100*float64(span/sec), 1000*sec
 		r := addRequest(b, 1, "again", "k")
 		calm := calmInflight * 8 / 9 // one of nine is ejected
 		for _, c := range []struct {
@@ -484,7 +484,7 @@
 	})
 	t.Run("a tenant above its share ranks lower", func(t *testing.T) {
 		b := newBalancer(1, func(t *Config) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
-		b.answerRate.N, b.tenantRates[0].N, b.tenantRates[1].N = 10, 8, 2
+		b.answerRate.Value, b.tenantRates[0].Value, b.tenantRates[1].Value = 10, 8, 2
 		x, y := &request{maxDispatches: 3, rules: &b.cfg.RuleSets[0]}, &request{rules: &b.cfg.RuleSets[0], tenant: 1}
 		if b.requestValue(x, 0) >= b.requestValue(y, 0) {
 			t.Errorf("got %.2f for x, %.2f for y", b.requestValue(x, 0), b.requestValue(y, 0))
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -67,10 +67,10 @@
 	})
 	long, short := addRequest(b, 1, "again", "k"), addRequest(b, 2, "short", "k")
 	long.value, short.value = 1, 1
-	b.answerRate.N, b.answerRate.At = 400, 100*sec
+	b.answerRate.Value, b.answerRate.At = 400, 100*sec
 	assertNear(t, "bounds", b.inflightBound(long, 100*sec), b.inflightBound(short, 100*sec), 1e-9)
 	// When capacity is short, less valuable requests give way.
-	b.meanValue.V, short.value = 1, 8
+	b.meanValue.Value, short.value = 1, 8
 	if x, y := b.inflightBound(short, 100*sec), b.inflightBound(long, 100*sec); x <= 1.2*y {
 		t.Errorf("bound of the more valuable request %.1f, of the less valuable one %.1f", x, y)
 	}
@@ -122,7 +122,7 @@
 	for _, s := range b.servers {
 		s.slotTime, s.latency, s.inflightCap = float64(sec), float64(sec), 50
 	}
-	b.answerRate, b.latencyRatio = fade.Count{N: 1, At: 60 * sec}, 1 // almost no requests came in the old deployment
+	b.answerRate, b.latencyRatio = fade.Counter{Value: 1, At: 60 * sec}, 1 // almost no requests came in the old deployment
 	open := addRequest(b, 1, "once", "k")
 	b.servers[3].listed = false // off the list
 	next := b.cfg
@@ -140,7 +140,7 @@
 			t.Errorf("%s keeps times of the old deployment: %v, %v, cap %v", s.ID, s.slotTime, s.latency, s.inflightCap)
 		}
 	}
-	if b.rateStart != 60*sec || b.answerRate.N != 0 || b.latencyRatio != 0 {
+	if b.rateStart != 60*sec || b.answerRate.Value != 0 || b.latencyRatio != 0 {
 		t.Error("a measurement of the old deployment is left")
 	}
 	for _, d := range drain(b, 60*sec, Dispatch) {
@@ -157,9 +157,9 @@
 		t.Errorf("requested the list %d times after the change back, want once", n)
 	}
 	// New terms that do not change the kind of deployment keep the measurements.
-	b.servers[1].slotTime, b.answerRate.N = 7, 5
+	b.servers[1].slotTime, b.answerRate.Value = 7, 5
 	next.FleetSize = 3
-	if b.Reconfigure(next, 113*sec); b.servers[1].slotTime != 7 || b.answerRate.N != 5 {
+	if b.Reconfigure(next, 113*sec); b.servers[1].slotTime != 7 || b.answerRate.Value != 5 {
 		t.Error("new terms of the same kind of deployment discarded measurements")
 	}
 }
@@ -177,7 +177,7 @@
 	for range 100 {
 		b.UpdateList(ListUpdate, list, sec)
 	}
-	b.answerRate.N, b.answerRate.At = 35*float64(span/sec), 10*sec
+	b.answerRate.Value, b.answerRate.At = 35*float64(span/sec), 10*sec
 	b.UpdateList(ListUpdate, []Server{{ID: list[0].ID, Zone: "z", Share: 1, Since: 10 * sec}}, 10*sec)
 	b.reviewServers(10 * sec)
 	s := b.servers[0]
--- a/balance/outlier/outlier_test.go
+++ b/balance/outlier/outlier_test.go
@@ -12,12 +12,12 @@
 func TestHealthFollowsOutcomes(t *testing.T) {
 	health := 1.0
 	for range 20 {
-		health = Average(health, false)
+		health = NextHealth(health, false)
 	}
-	assert.Equal(t, health, Floor)
+	assert.Equal(t, health, MinHealth)
 	near := func(got, want float64) { t.Helper(); assert.Assert(t, got > want-1e-9 && got < want+1e-9, "%v", got) }
-	near(Average(1, false), 0.7)
-	near(Average(0.7, true), 0.79)
+	near(NextHealth(1, false), 0.7)
+	near(NextHealth(0.7, true), 0.79)
 }
 
 func TestTwoFailuresInARowEject(t *testing.T) {
@@ -26,7 +26,7 @@
 	r.Success()
 	assert.Assert(t, !r.Failure(5*second, 0.5, 0))
 	assert.Assert(t, r.Failure(5*second, 0.5, 0))
-	assert.Assert(t, r.Out(5*second-1) && !r.Out(5*second) && r.Trial(5*second))
+	assert.Assert(t, r.IsEjected(5*second-1) && !r.IsEjected(5*second) && r.IsProbing(5*second))
 }
 
 func TestBackoffGrowsToItsMaximumAndResets(t *testing.T) {
@@ -34,15 +34,15 @@
 	r.Failure(5*second, 0.5, now)
 	for _, want := range []time.Duration{5, 10, 20, 30, 30} {
 		assert.Assert(t, r.Failure(5*second, 0.5, now))
-		assert.Equal(t, r.Until-now, want*second)
-		now = r.Until
+		assert.Equal(t, r.EjectedUntil-now, want*second)
+		now = r.EjectedUntil
 	}
 	for range 12 {
 		r.Success()
 	}
 	r.Failure(5*second, 0.5, now)
 	r.Failure(5*second, 0.5, now)
-	assert.Equal(t, r.Until-now, 5*second)
+	assert.Equal(t, r.EjectedUntil-now, 5*second)
 }
 
 func TestFailuresDuringAnEjectionOnlyChangeHealth(t *testing.T) {
@@ -50,7 +50,7 @@
 	r.Failure(5*second, 0.5, 0)
 	r.Failure(5*second, 0.5, 0)
 	assert.Assert(t, !r.Failure(5*second, 0.5, second), "an attempt that was started before the ejection")
-	assert.Equal(t, r.Until, 5*second)
+	assert.Equal(t, r.EjectedUntil, 5*second)
 }
 
 func TestBackoffIsJittered(t *testing.T) {
--- a/balance/state.go
+++ b/balance/state.go
@@ -34,7 +34,7 @@
 	healthyErrors       int          // errors from servers without a current failure
 	maxDispatches       int          // by the terms it arrived under
 	rankKey             string       // key of its server ranking, if other than Key
-	sources             []*fade.Odds // outcomes of its key and its tenant, if it has them
+	sources             []*fade.Outcomes // outcomes of its key and its tenant, if it has them
 }
 
 // server is what this balancer knows of one listed server; it is dropped when off the list and idle.
@@ -60,7 +60,7 @@
 type placement struct {
 	rules                    *RuleSet   // one rule set of that placement
 	readyWeight, totalWeight float64    // current weight in use; decaying mean, with ejected and silent servers
-	firstDispatches, answers fade.Count // decaying counts
+	firstDispatches, answers fade.Counter // decaying counts
 	slotTime                 float64    // mean time per in-flight slot
 	healthy                  int        // number of servers that are not ejected
 	panicMode                bool       // all servers are ejected: requests are spread over all of them
--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -117,16 +117,16 @@
 		return o, s, fmt.Errorf("settings: %w", err)
 	}
 	s = proxy.Config{Listen: o.Listen, Discovery: o.Discovery, Sockets: o.Limits.Sockets, Pollers: pollers,
-		Memory: int64(o.Limits.Memory * heapPart * (1 << 20)), KnownHosts: o.Known, Terms: terms.Read(v, seed),
+		Memory: int64(o.Limits.Memory * heapPart * (1 << 20)), KnownHosts: o.Known, Terms: terms.Decode(v, seed),
 		DialTimeout: v.Int("Ceilings.DialTimeoutNs"), ConnIdle: v.Int("Ceilings.ConnIdleNs")}
-	s.Terms.ListOnRequest = v.At["Discovery"] != "pushed" // not set: as it always was, the module asks
+	s.Terms.ListOnRequest = v.Raw["Discovery"] != "pushed" // not set: as it always was, the module asks
 	for i := range v.Int("RuleSets.count") {
 		s.LongestTimeout = max(s.LongestTimeout, v.Int(fmt.Sprintf("RuleSets.%d.ClientTimeoutNs", i)))
 	}
 	if v.Err != nil {
 		return o, s, fmt.Errorf("settings: %w", v.Err)
 	}
-	if err := terms.Check(v); err != nil {
+	if err := terms.Validate(v); err != nil {
 		return o, s, fmt.Errorf("settings: %w", err)
 	}
 	if s.DialTimeout <= 0 || s.ConnIdle <= 0 || s.LongestTimeout <= 0 || s.Terms.Tick <= 0 {
@@ -148,7 +148,7 @@
 		(next.Limits.Sockets <= 0 && old.Limits.Sockets > 0) {
 		return errors.New("limits: expected cores, memory_mb and sockets above 0")
 	}
-	return terms.Follows(old.Settings, next.Settings)
+	return terms.CheckNoneMissing(old.Settings, next.Settings)
 }
 
 // open adds what the process finds around it: a listener that it inherits, a folder shared with the process before or
@@ -229,7 +229,7 @@
 	f := &proxy.FleetConfig{Name: x.Name, Listen: x.Listen}
 	addrs, me := x.Peers, x.Me
 	if len(addrs) == 0 {
-		if len(o.Peers) == 0 || o.Peer == "" || v.At["Ceilings.MayTell"] != "" && !v.Bool("Ceilings.MayTell") {
+		if len(o.Peers) == 0 || o.Peer == "" || v.Raw["Ceilings.MayTell"] != "" && !v.Bool("Ceilings.MayTell") {
 			if x.Limits != nil {
 				return nil, errors.New("fleet.limits: no peers are named, or they may not be told anything")
 			}
@@ -247,7 +247,7 @@
 	if me < 0 || me >= len(addrs) {
 		return nil, fmt.Errorf("settings: Me=%d: expected a place among the %d peers", me, len(addrs))
 	}
-	f.Terms = x.Terms(me, len(addrs), v.At["Ceilings.Probes"] == "" || v.Bool("Ceilings.Probes"))
+	f.Terms = x.Terms(me, len(addrs), v.Raw["Ceilings.Probes"] == "" || v.Bool("Ceilings.Probes"))
 	f.Terms.Learn = op.Learning()
 	if l := x.Limits; l != nil {
 		if l.Voters > len(addrs) {
--- a/fleet/duty/duty.go
+++ b/fleet/duty/duty.go
@@ -35,12 +35,12 @@
 	t      Terms
 	me     int
 	duties []duty // by id; set by Set
-	dice   draw.Dice
+	dice   draw.Source
 }
 
 // New begins without duties.
 func New(t Terms, me int, seed uint64) *Roster {
-	return &Roster{t: t, me: me, dice: draw.Dice{Seed: seed}}
+	return &Roster{t: t, me: me, dice: draw.Source{Seed: seed}}
 }
 
 // Set takes what there is to do, ids in order, and the members among whom it is divided.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -113,10 +113,10 @@
 	learn learn
 	post  post
 	todo  []Action // emptied by Next
-	dice  draw.Dice
+	dice  draw.Source
 
-	offered                                                                     [fold.Classes]fade.Count
-	first, further, wanted, probes, refused, late, failed, lacked, served, took fade.Count
+	offered                                                                     [fold.Classes]fade.Counter
+	first, further, wanted, probes, refused, late, failed, lacked, served, took fade.Counter
 	away                                                                        [4096]sent // a new one takes an old one's place
 	servers                                                                     []string   // by id; set by Servers
 	version                                                                     int        // of the members that duties were divided among
@@ -151,7 +151,7 @@
 
 // New begins alone.
 func New(t Terms, now int64) *Fleet {
-	f := &Fleet{t: t, dice: draw.Dice{Seed: t.Seed}, ticked: now, pushAt: now, tokens: bucket{burst, now}}
+	f := &Fleet{t: t, dice: draw.Source{Seed: t.Seed}, ticked: now, pushAt: now, tokens: bucket{burst, now}}
 	period := int64(6 / t.Datagrams * float64(sec)) // a ping and its answer are a third of what may be sent
 	f.swim = swim.New(swim.Terms{Me: t.Me, Of: t.Of, Period: period, AckWait: t.AckWait, Quiet: t.Quiet, Seed: t.Seed ^ 1}, t.Life, now)
 	most, part := math.Inf(1), math.Inf(1)
@@ -205,7 +205,7 @@
 		f.offered[class].Add(now, rateSpan)
 	}
 	if known && past.lacked {
-		f.lacked.Put(-math.Exp(-float64(now-past.at)/float64(rateSpan)), now, rateSpan) // not lost yet
+		f.lacked.AddAmount(-math.Exp(-float64(now-past.at)/float64(rateSpan)), now, rateSpan) // not lost yet
 		past.lacked = false
 	}
 	if f.cut.Lets(class, luck) {
@@ -242,7 +242,7 @@
 		return
 	case balance.Served:
 		f.wary.served(server, now)
-		f.took.Put(float64(took)/float64(sec), now, rateSpan) // without what the req waited here: servers alone say what they bear
+		f.took.AddAmount(float64(took)/float64(sec), now, rateSpan) // without what the req waited here: servers alone say what they bear
 		return
 	case balance.Refused:
 		f.refused.Add(now, rateSpan)
@@ -349,7 +349,7 @@
 	f.deafUntil = now + deafFor
 	f.pushAt, f.cutAt = now, now+deafFor
 	for _, c := range f.rates() {
-		c.N = 0
+		c.Value = 0
 	}
 	if f.round != nil {
 		f.round.Stood(stood)
@@ -374,8 +374,8 @@
 	return s
 }
 
-func (f *Fleet) rates() []*fade.Count {
-	all := []*fade.Count{&f.first, &f.further, &f.wanted, &f.probes, &f.refused, &f.late, &f.failed, &f.lacked, &f.served, &f.took}
+func (f *Fleet) rates() []*fade.Counter {
+	all := []*fade.Counter{&f.first, &f.further, &f.wanted, &f.probes, &f.refused, &f.late, &f.failed, &f.lacked, &f.served, &f.took}
 	for i := range f.offered {
 		all = append(all, &f.offered[i])
 	}
@@ -384,7 +384,7 @@
 
 // measure brings this member's own load up to date.
 func (f *Fleet) measure(now int64) {
-	rate := func(c *fade.Count) float64 { return c.Now(now, rateSpan) * float64(sec) / float64(rateSpan) }
+	rate := func(c *fade.Counter) float64 { return c.Now(now, rateSpan) * float64(sec) / float64(rateSpan) }
 	o := &f.fold.Own
 	*o = fold.Load{First: rate(&f.first), Further: rate(&f.further), Wanted: rate(&f.wanted), Probes: rate(&f.probes),
 		Refused: rate(&f.refused), Late: rate(&f.late), Failed: rate(&f.failed), Lacked: max(0, rate(&f.lacked)), Served: rate(&f.served), Took: rate(&f.took)}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -81,7 +81,7 @@
 
 // load has each member take so many reqs of each rule set every 100 ms and serve no more than a part of those that are let in.
 func (m *mesh) load(low, high int, bears float64) func() {
-	n, carry, dice := 0, 0.0, draw.Dice{Seed: 1}
+	n, carry, dice := 0, 0.0, draw.Source{Seed: 1}
 	took := 200 * ms
 	if float64(10*(low+high)*len(m.members)) > bears {
 		took = 400 * ms // what is crowded is slow
@@ -150,13 +150,13 @@
 			t.Errorf("shed %v for %d ms", shed, wait/ms)
 		}
 	}
-	if f.Count.Retries != 2 || f.offered[f.cut.Class(0, 0)].N != 1 {
-		t.Errorf("%d retries, %v asked, want two and one", f.Count.Retries, f.offered[f.cut.Class(0, 0)].N)
+	if f.Count.Retries != 2 || f.offered[f.cut.Class(0, 0)].Value != 1 {
+		t.Errorf("%d retries, %v asked, want two and one", f.Count.Retries, f.offered[f.cut.Class(0, 0)].Value)
 	}
 	// Lost and come again: not lost yet.
 	f.Lost(0.2, begun)
-	if f.Arrive(0, 0, 0.2, false, begun); f.lacked.N != 0 {
-		t.Errorf("%v lacked", f.lacked.N)
+	if f.Arrive(0, 0, 0.2, false, begun); f.lacked.Value != 0 {
+		t.Errorf("%v lacked", f.lacked.Value)
 	}
 	if f.Arrive(0, 0, 0.3, true, begun); f.Count.Retries != 4 {
 		t.Error("a marked retry counts as demand")
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -154,7 +154,7 @@
 	g.midway = 0
 	for _, p := range g.procs {
 		if p != nil {
-			p.dice, p.Count = draw.Dice{}, Count{} // the same draw each time
+			p.dice, p.Count = draw.Source{}, Count{} // the same draw each time
 		}
 	}
 }
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -92,7 +92,7 @@
 	last   int64 // latest clock handed in
 	sure   int64 // time that has surely passed since the start
 	limits []*limit
-	dice   draw.Dice
+	dice   draw.Source
 	todo   []post // emptied by Next
 	self   []Item // to itself; emptied before each return
 	book   atomic.Pointer[Book]
@@ -117,7 +117,7 @@
 
 // New begins. Nothing is known of an earlier life: what that may have promised is waited for.
 func New(t Terms, now int64) *Member {
-	m := &Member{t: t, last: now, dice: draw.Dice{Seed: t.Seed ^ uint64(t.Me+1)<<40 ^ t.Life}}
+	m := &Member{t: t, last: now, dice: draw.Source{Seed: t.Seed ^ uint64(t.Me+1)<<40 ^ t.Life}}
 	m.Limits(t.Limits, now)
 	return m
 }
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -229,7 +229,7 @@
 		var w *world
 		r := timeline.Play(text+"\n"+row+"\n", 1, func(v *timeline.World) timeline.Cluster {
 			w = newWorld(v, x, 100, sound)
-			w.dice = &draw.Dice{Seed: 5}
+			w.dice = &draw.Source{Seed: 5}
 			return w
 		})
 		equal := 0.0
--- a/fleet/quota/world_test.go
+++ b/fleet/quota/world_test.go
@@ -27,7 +27,7 @@
 	procs       []*proc
 	cut         [][]bool // from, to
 	way, spare  []flying
-	dice        draw.Dice
+	dice        draw.Source
 	loss        float64
 	double      float64
 	delay       int64 // at the most
@@ -93,7 +93,7 @@
 
 // newWorld begins ten seconds before a minute's end.
 func newWorld(q Quota, t Terms, places int, seed uint64) *world {
-	w := &world{tick: 50 * ms, q: q, t: t, began: 1_800_000_050 * second, dice: draw.Dice{Seed: seed},
+	w := &world{tick: 50 * ms, q: q, t: t, began: 1_800_000_050 * second, dice: draw.Source{Seed: seed},
 		delay: 5 * ms, effects: map[int64]int64{},
 		added: map[string]Pair{}}
 	w.t.Places = places
--- a/internal/draw/draw.go
+++ b/internal/draw/draw.go
@@ -16,11 +16,11 @@
 
 func uniform(x uint64) float64 { return (float64(mix(x)>>11) + 0.5) / (1 << 53) }
 
-// Dice is a deterministic source of random numbers. It is not safe for concurrent use.
-type Dice struct{ Seed, n uint64 }
+// Source is a deterministic source of random numbers. It is not safe for concurrent use.
+type Source struct{ Seed, n uint64 }
 
 // Next returns the next random number, between 0 and 1 exclusive.
-func (d *Dice) Next() float64 {
+func (d *Source) Next() float64 {
 	d.n++
 	c := crc32.ChecksumIEEE(strconv.AppendUint(strconv.AppendUint(nil, d.Seed, 36), d.n, 36))
 	return uniform(uint64(c)<<32 ^ d.n)
--- a/internal/draw/pairs.go
+++ b/internal/draw/pairs.go
@@ -16,7 +16,7 @@
 func HashID(id string) IDHash { return IDHash(xxhash.Sum64String(id)) }
 
 // RandomKey returns the hash of a random key.
-func RandomKey(dice *Dice) KeyHash { return KeyHash(mix(uint64(dice.Next() * (1 << 53)))) }
+func RandomKey(dice *Source) KeyHash { return KeyHash(mix(uint64(dice.Next() * (1 << 53)))) }
 
 // With combines the hashes of a key and an ID to a number between 0 and 1 exclusive.
 func (k KeyHash) With(id IDHash) float64 { return uniform(uint64(k) ^ uint64(id)) }
--- a/internal/fade/keys_test.go
+++ b/internal/fade/keys_test.go
@@ -8,7 +8,7 @@
 
 func TestKeys(t *testing.T) {
 	const span = int64(1e10)
-	var k Keys
+	var k KeyCounts
 	// A few events of a key must not count as evidence: hundreds of balancers took a key that they saw twice in twenty
 	// requests for one that needs fifty servers.
 	for i := range 20 {
@@ -16,7 +16,7 @@
 			t.Fatalf("event %d: fraction %.2f, want 0 so far", i, got)
 		}
 	}
-	k = Keys{}
+	k = KeyCounts{}
 	got := 0.0
 	for i := range 10000 {
 		key := fmt.Sprint("key-", i)
@@ -40,16 +40,16 @@
 	for _, x := range []float64{1, 3, 5} {
 		m.Add(x)
 	}
-	if m.V != 3 {
-		t.Errorf("got %v, want the mean of the values", m.V)
+	if m.Value != 3 {
+		t.Errorf("got %v, want the mean of the values", m.Value)
 	}
 	for range 1000 {
 		m.Add(7)
 	}
-	if math.Abs(m.V-7) > 0.01 {
-		t.Errorf("got %v, want it to follow the latest values", m.V)
+	if math.Abs(m.Value-7) > 0.01 {
+		t.Errorf("got %v, want it to follow the latest values", m.Value)
 	}
-	if Toward(1, 3, false) != 3 || math.Abs(Toward(1, 3, true)-1.2) > 1e-9 {
+	if Smooth(1, 3, false) != 3 || math.Abs(Smooth(1, 3, true)-1.2) > 1e-9 {
 		t.Error("an unknown value was not replaced, or a known one was")
 	}
 }
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -71,7 +71,7 @@
 	clients   []*client       // in order of arrival; removed when their connection ends
 	pool      pool
 	list      discovery
-	dice      draw.Dice // for delays that the balancer does not decide
+	dice      draw.Source // for delays that the balancer does not decide
 	drain     drain
 	keys      *keys           // nil: no idempotency keys
 	peers     *peers          // nil: no peers
--- a/rehearse/emu/peers.go
+++ b/rehearse/emu/peers.go
@@ -46,7 +46,7 @@
 // Peers are the members of one run.
 type Peers struct {
 	clock   *Virtual
-	dice    draw.Dice
+	dice    draw.Source
 	members []*membership
 	splits  []*split // emptied as they end
 	rough   []*Rough // emptied as they end; they add up
@@ -56,7 +56,7 @@
 
 // NewPeers starts a member for each of the terms. What the members want other than sending is handed to act.
 func NewPeers(c *Virtual, terms []fleet.Terms, seed uint64, measure bool, act func(member int, a fleet.Action)) *Peers {
-	p := &Peers{clock: c, dice: draw.Dice{Seed: seed ^ 0x9ee5}, act: act, measure: measure}
+	p := &Peers{clock: c, dice: draw.Source{Seed: seed ^ 0x9ee5}, act: act, measure: measure}
 	for i, t := range terms {
 		p.members = append(p.members, &membership{terms: t, gone: true})
 		p.Start(i)
--- a/rehearse/emu/seat.go
+++ b/rehearse/emu/seat.go
@@ -70,7 +70,7 @@
 	clients    Clients
 	result     func(Result)
 	log        hash.Hash // of every decision
-	dice       draw.Dice
+	dice       draw.Source
 	seats      []*seat
 	reqs       uint64
 	Decided    int
--- a/rehearse/lab/load.go
+++ b/rehearse/lab/load.go
@@ -26,7 +26,7 @@
 // generated is an open-loop load: arrivals are a Poisson process that waits for nobody.
 type generated struct {
 	e       *Experiment
-	dice    draw.Dice
+	dice    draw.Source
 	at      float64
 	keys    []float64 // sums of the keys' shares
 	sets    []float64
@@ -44,7 +44,7 @@
 }
 
 // among draws by shares.
-func among(d *draw.Dice, sums []float64) int {
+func among(d *draw.Source, sums []float64) int {
 	if len(sums) == 0 {
 		return -1
 	}
@@ -126,7 +126,7 @@
 	e        *Experiment
 	file     *os.File
 	rows     *trace.Reader
-	dice     draw.Dice
+	dice     draw.Source
 	first    int64
 	begun    bool
 	problems *Problems
--- a/rehearse/simwire/simwire.go
+++ b/rehearse/simwire/simwire.go
@@ -58,10 +58,10 @@
 // splitLine returns the message name and the fields of a line.
 func splitLine(text string) (string, *terms.Values) {
 	name, rest, _ := strings.Cut(text, " ")
-	f := &terms.Values{At: map[string]string{}}
+	f := &terms.Values{Raw: map[string]string{}}
 	for part := range strings.SplitSeq(rest, " ") {
 		if k, v, ok := strings.Cut(part, "="); ok {
-			f.At[k] = v
+			f.Raw[k] = v
 		}
 	}
 	return name, f
@@ -76,7 +76,7 @@
 		if a.inRound {
 			return errors.New("ROUND inside a round: expected FLUSH first")
 		}
-		a.inRound, a.now, a.serial = true, int64(f.ID("TsNs")), f.At["serial"]
+		a.inRound, a.now, a.serial = true, int64(f.ID("TsNs")), f.Raw["serial"]
 		f.ID("serial")
 		return f.Err
 	}
@@ -89,14 +89,14 @@
 	case "LEDGER":
 		return a.readList(f)
 	}
-	who := f.At["Who"]
+	who := f.Raw["Who"]
 	b := a.instances[who]
 	switch name {
 	case "START":
 		if who == "" {
 			return errors.New("START without Who: expected an instance")
 		}
-		b = balance.New(terms.Read(f, f.ID("Prng")), a.now)
+		b = balance.New(terms.Decode(f, f.ID("Prng")), a.now)
 		a.instances[who] = b
 	case "NEW_REQUEST", "WITHDRAWN", "HALT", "ALARM", "FINISHED", "PROBED", "STARTED", "PEER_DATA",
 		"DIRECTORY_UPDATE":
@@ -120,7 +120,7 @@
 	case "DIRECTORY_UPDATE":
 		var ok bool
 		form, ok = map[string]balance.ListForm{"update": balance.ListUpdate, "replace": balance.ListReplace,
-			"restored": balance.ListRestored, "unavailable": balance.ListUnavailable}[f.At["Form"]]
+			"restored": balance.ListRestored, "unavailable": balance.ListUnavailable}[f.Raw["Form"]]
 		if !ok {
 			return nil
 		}
@@ -139,9 +139,9 @@
 		delete(a.instances, who)
 		return nil
 	case "PEER_DATA":
-		if v := f.At["Bytes"]; v != "-" {
+		if v := f.Raw["Bytes"]; v != "-" {
 			if _, err := base64.StdEncoding.DecodeString(v); err != nil {
-				f.Fail("Bytes", "base64")
+				f.SetError("Bytes", "base64")
 			}
 		}
 		return f.Err
@@ -163,14 +163,14 @@
 	a.recoverPanic(who, func() {
 		switch name {
 		case "NEW_REQUEST":
-			b.AddRequest(balance.Arrival{ID: id, RuleSet: f.At["Priority"], Tenant: f.At["Account"],
-				Key: f.At["Entity"], Budget: budget, Work: work}, a.now)
+			b.AddRequest(balance.Arrival{ID: id, RuleSet: f.Raw["Priority"], Tenant: f.Raw["Account"],
+				Key: f.Raw["Entity"], Budget: budget, Work: work}, a.now)
 		case "WITHDRAWN":
 			b.Withdrawn(id)
 		case "STARTED":
 			b.StreamStarted(id)
 		case "FINISHED":
-			b.Finished(id, try, outcome(f.At["Reason"]), final, took, a.now)
+			b.Finished(id, try, outcome(f.Raw["Reason"]), final, took, a.now)
 		case "DIRECTORY_UPDATE":
 			b.UpdateList(form, list, a.now)
 		}
@@ -209,15 +209,15 @@
 			return err
 		}
 		name, h := splitLine(text)
-		if name != "HOST" || h.At["Host"] == "" {
+		if name != "HOST" || h.Raw["Host"] == "" {
 			return fmt.Errorf("%s: expected a HOST line", name)
 		}
 		state, ok := map[string]balance.State{"Running": balance.Running, "Stopping": balance.Draining,
-			"Deleted": balance.Gone}[h.At["State"]]
+			"Deleted": balance.Gone}[h.Raw["State"]]
 		if !ok {
 			state = balance.Draining // unknown state: the server gets no new requests
 		}
-		list = append(list, balance.Server{ID: h.At["Host"], Zone: h.At["RackZone"], Kind: h.At["Shape"],
+		list = append(list, balance.Server{ID: h.Raw["Host"], Zone: h.Raw["RackZone"], Kind: h.Raw["Shape"],
 			Cell:  h.Int("Cell"),
 			State: state, Share: h.Float("Share"), Since: h.Int("SinceNs")})
 		if h.Err != nil {
--- a/router/policy/pick.go
+++ b/router/policy/pick.go
@@ -88,5 +88,5 @@
 // isHealthy reports whether a host may get requests: it is not ejected, has no other trial request after an ejection,
 // and is not silent.
 func (h *hostState) isHealthy(now time.Duration) bool {
-	return !h.Out(now) && !(h.Trial(now) && h.inflight > 0) && !h.isSilent(now)
+	return !h.IsEjected(now) && !(h.IsProbing(now) && h.inflight > 0) && !h.isSilent(now)
 }
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -77,7 +77,7 @@
 // Service chooses among the hosts of one service. It is safe for concurrent use.
 type Service struct {
 	mu      sync.Mutex
-	dice    draw.Dice
+	dice    draw.Source
 	hosts   map[string]*hostState
 	listed  []*hostState // the hosts that are not removed, in no particular order
 	lastID  uint64
@@ -88,7 +88,7 @@
 // NewService returns a service without hosts. onEject is called with each ejection: the host's ID and health, and the
 // end of the ejection.
 func NewService(seed uint64, onEject func(id string, health float64, until time.Duration)) *Service {
-	return &Service{dice: draw.Dice{Seed: seed}, hosts: map[string]*hostState{}, onEject: onEject}
+	return &Service{dice: draw.Source{Seed: seed}, hosts: map[string]*hostState{}, onEject: onEject}
 }
 
 // SetHosts replaces the list of hosts. A host that was once draining stays so, because its ID is never reused.
@@ -201,7 +201,7 @@
 		h.Success()
 	case Failed:
 		if h.Failure(firstBackoff, s.dice.Next(), now) && s.onEject != nil {
-			s.onEject(h.ID, h.Health, h.Until)
+			s.onEject(h.ID, h.Health, h.EjectedUntil)
 		}
 	case Refused:
 		h.lastActivity = now
--- a/router/policy/policy_test.go
+++ b/router/policy/policy_test.go
@@ -59,19 +59,19 @@
 	}
 	h := s.hosts["host-0"]
 	fail(0)
-	assert.Assert(t, !h.Out(0), "one failure does not eject")
+	assert.Assert(t, !h.IsEjected(0), "one failure does not eject")
 	fail(0)
-	first := h.Until
+	first := h.EjectedUntil
 	assert.Assert(t, first >= firstBackoff*8/10 && first <= firstBackoff*12/10, "ejected until %v", first)
 	fail(first)
-	second := h.Until - first
+	second := h.EjectedUntil - first
 	assert.Assert(t, second >= 2*firstBackoff*8/10 && second <= 2*firstBackoff*12/10, "second ejection of %v", second)
 }
 
 func TestOneTrialAfterEjection(t *testing.T) {
 	s := newTestService(2)
 	bad := s.hosts["host-0"]
-	bad.Ejected, bad.Until, bad.Streak = true, time.Second, 2
+	bad.Ejected, bad.EjectedUntil, bad.Streak = true, time.Second, 2
 	now := 2 * time.Second
 	trials := 0
 	for i := range 40 {
@@ -85,7 +85,7 @@
 func TestRequestsSpreadEvenlyIfAllHostsAreEjected(t *testing.T) {
 	s := newTestService(4)
 	for _, h := range s.hosts {
-		h.Ejected, h.Until, h.Health = true, time.Hour, 0.05
+		h.Ejected, h.EjectedUntil, h.Health = true, time.Hour, 0.05
 	}
 	s.hosts["host-1"].Health = 1
 	count := map[string]int{}
