--- a/agent/process.go
+++ b/agent/process.go
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"ivybank/internal/figures"
+	"ivybank/internal/metrics"
 	"ivybank/membership"
 	"ivybank/settings"
 	"ivybank/wire"
@@ -56,7 +56,7 @@
 	}
 	defer p.peers.Close()
 	p.agent = NewAgent(p.settings, p.log, p)
-	metricsServer, err := figures.Serve(p.settings.IP, p.settings.Metrics, p.writeMetrics)
+	metricsServer, err := metrics.Serve(p.settings.IP, p.settings.Metrics, p.writeMetrics)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -13,21 +13,21 @@
 	"time"
 
 	"ivybank/balance/outlier"
-	"ivybank/internal/draw"
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
+	"ivybank/internal/rng"
 )
 
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	minHealth        = outlier.MinHealth               // lower bound of a server's health
-	streakLimit      = outlier.ConsecutiveFailures     // consecutive failures that eject a server, as a rule
+	minHealth        = outlier.MinHealth           // lower bound of a server's health
+	streakLimit      = outlier.ConsecutiveFailures // consecutive failures that eject a server, as a rule
 	maxStreakLimit   = 4                           // upper bound where streaks are common by chance
 	randomStreakOdds = 1e-4                        // a streak counts as chance if it is more probable than this
-	backoffJitter    = outlier.BackoffJitter              // random fraction of an ejection's duration
+	backoffJitter    = outlier.BackoffJitter       // random fraction of an ejection's duration
 	firstBackoff     = int64(outlier.FirstBackoff) // upper bound of a first ejection's duration
 	backoffTargets   = 6                           // and this many shortest response targets: chance streaks come fast there
-	recoveredHealth  = outlier.RecoveredHealth           // health from which a server's backoff starts over
+	recoveredHealth  = outlier.RecoveredHealth     // health from which a server's backoff starts over
 
 	skipFactor      = 1.6      // a server is skipped above this multiple of its share of all in flight,
 	skipSlack       = 2.0      // plus this many dispatches
@@ -69,31 +69,31 @@
 	open                              []*request          // not ended, in order of arrival
 	servers                           []*server           // by ID
 	decisions                         []Decision          // not yet taken by Next
-	rng                               draw.Source
+	rng                               rng.Source
 	askAt, requestAt                  int64 // askAt: when to ask for the list again, 0: subscribed
 	wakeAt, rateStart, shortestTarget int64 // shortestTarget: shortest response target
 	inflight, healthy                 int
-	timeouts                          [5]fade.Counter   // share of timed-out dispatches, by idle step
-	placements                        []*placement    // one for each placement that any terms had; never removed
-	weighedAt, reviewAt               int64           // last and next review of the servers
-	reviewNow                         bool            // servers are to be reviewed at once
-	latencyRatio, slotTime            float64         // mean time, over response target and by in-flight slot
-	meanHealth, avgWeight             float64         // of all servers
-	refusedShare                      float64         // recent fraction of dispatches that were refused
-	answerRate                        fade.Counter      // answers
-	tenantRates                       []fade.Counter    // dispatches by tenant
-	tenantOutcomes                    []fade.Outcomes     // requests and successes by tenant
-	keyOutcomes                       [1024]fade.Outcomes // by hash of the key; colliding keys share an entry
-	allOutcomes                       fade.Outcomes       // the same of all requests
-	meanTarget, meanValue             fade.Mean       // response target and billing value of requests
-	keyCounts                         fade.KeyCounts       // requests by key
-	deciding                          bool            // the last decisions are not all taken yet
+	timeouts                          [5]decay.Counter     // share of timed-out dispatches, by idle step
+	placements                        []*placement         // one for each placement that any terms had; never removed
+	weighedAt, reviewAt               int64                // last and next review of the servers
+	reviewNow                         bool                 // servers are to be reviewed at once
+	latencyRatio, slotTime            float64              // mean time, over response target and by in-flight slot
+	meanHealth, avgWeight             float64              // of all servers
+	refusedShare                      float64              // recent fraction of dispatches that were refused
+	answerRate                        decay.Counter        // answers
+	tenantRates                       []decay.Counter      // dispatches by tenant
+	tenantOutcomes                    []decay.Outcomes     // requests and successes by tenant
+	keyOutcomes                       [1024]decay.Outcomes // by hash of the key; colliding keys share an entry
+	allOutcomes                       decay.Outcomes       // the same of all requests
+	meanTarget, meanValue             decay.Mean           // response target and billing value of requests
+	keyCounts                         decay.KeyCounts      // requests by key
+	deciding                          bool                 // the last decisions are not all taken yet
 	advice                            Advice
 }
 
 // New creates an instance; the host passes the server list next, as Listed(Restored).
 func New(t Config, now int64) *Balancer {
-	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now, rng: draw.Source{Seed: t.Seed}}
+	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now, rng: rng.Source{Seed: t.Seed}}
 	b.Reconfigure(t, now)
 	return b
 }
@@ -102,14 +102,14 @@
 // deployment changes in kind, measured times and rates no longer apply and are reset.
 func (b *Balancer) Reconfigure(t Config, now int64) {
 	old := b.cfg
-	served := make([]fade.Counter, len(t.Tenants))
+	served := make([]decay.Counter, len(t.Tenants))
 	for i, x := range t.Tenants {
 		if had := old.Tenant(x.Name); had >= 0 {
 			served[i] = b.tenantRates[had]
 		}
 	}
 	b.cfg, b.tenantRates, b.shortestTarget, b.reviewNow, b.tenantOutcomes =
-		t, served, firstBackoff, true, make([]fade.Outcomes, len(t.Tenants))
+		t, served, firstBackoff, true, make([]decay.Outcomes, len(t.Tenants))
 	for _, x := range t.RuleSets {
 		b.shortestTarget = min(b.shortestTarget, x.ResponseTarget)
 	}
@@ -117,7 +117,7 @@
 		r.tenant = b.cfg.Tenant(r.Tenant)
 	}
 	if t.LiveWeights != old.LiveWeights || t.FleetSize > 2*old.FleetSize || old.FleetSize > 2*t.FleetSize {
-		b.rateStart, b.answerRate, b.latencyRatio = now, fade.Counter{At: now}, 0
+		b.rateStart, b.answerRate, b.latencyRatio = now, decay.Counter{At: now}, 0
 		for _, s := range b.servers {
 			s.slotTime, s.latency, s.avgWeight, s.inflightCap = 0, 0, s.Share, min(s.inflightCap, newServerCap)
 		}
@@ -141,7 +141,7 @@
 	}
 	// After a lull, for example because clients were told to wait, the measured rate is out of date.
 	if float64(now-b.requestAt) > max(float64(sec), lullGaps*float64(span)/max(1, b.answerRate.Now(now, span))) {
-		b.rateStart, b.answerRate = now, fade.Counter{At: now}
+		b.rateStart, b.answerRate = now, decay.Counter{At: now}
 	}
 	b.requestAt, r.placement = now, b.placementOf(r.rules)
 	r.value = b.requestValue(r, now)
@@ -151,7 +151,7 @@
 		r.arrivedAt, r.giveUpAt = now+int64((1-holdShare)*float64(r.rules.ResponseTarget)), math.MaxInt64
 	}
 	if a.Key != "" {
-		r.sources = append(r.sources, &b.keyOutcomes[int(draw.Hash(a.Key, "")*float64(len(b.keyOutcomes)))])
+		r.sources = append(r.sources, &b.keyOutcomes[int(rng.Hash(a.Key, "")*float64(len(b.keyOutcomes)))])
 	}
 	if r.tenant >= 0 {
 		r.sources = append(r.sources, &b.tenantOutcomes[r.tenant])
@@ -264,7 +264,7 @@
 
 // failingSource returns the source (key before tenant) whose requests fail at every server, and the fraction
 // of them to deny. Failures that affect all sources alike, such as overload, are attributed to none.
-func (b *Balancer) failingSource(r *request, now int64) (*fade.Outcomes, float64) {
+func (b *Balancer) failingSource(r *request, now int64) (*decay.Outcomes, float64) {
 	allTried, allDone := b.allOutcomes.Now(now, span)
 	for _, x := range r.sources {
 		tried, done := x.Now(now, span)
@@ -299,8 +299,8 @@
 	if o == Served || o == TimedOut {
 		b.latencyRatio += 0.1 * (float64(took)/float64(d.request.rules.ResponseTarget) - b.latencyRatio)
 		b.timeouts[d.idleStep].Value = 0.85 * b.timeouts[d.idleStep].Now(now, idleLossSpan)
-		s.slotTime = fade.Smooth(s.slotTime, float64(took)/d.inflightRank, s.latency > 0)
-		d.request.placement.slotTime = fade.Smooth(d.request.placement.slotTime,
+		s.slotTime = decay.Smooth(s.slotTime, float64(took)/d.inflightRank, s.latency > 0)
+		d.request.placement.slotTime = decay.Smooth(d.request.placement.slotTime,
 			float64(took)/d.inflightRank*s.size, d.request.placement.slotTime > 0)
 	}
 	switch o {
@@ -308,7 +308,7 @@
 		s.answeredAt = now
 		b.answerRate.Add(now, span)
 		d.request.placement.answers.Add(now, span)
-		s.latency = fade.Smooth(s.latency, float64(took), s.latency > 0)
+		s.latency = decay.Smooth(s.latency, float64(took), s.latency > 0)
 		s.inflightCap += 0.5
 		s.refutedShare += 0.05 * (float64(min(1, s.streak)) - s.refutedShare)
 		if s.streak = 0; s.health > recoveredHealth {
@@ -685,7 +685,7 @@
 		if slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.server == s }) {
 			w *= 1e-9 // one that was tried already is the last resort
 		}
-		s.score = -w / math.Log(draw.Hash(cmp.Or(r.rankKey, r.Key), s.ID))
+		s.score = -w / math.Log(rng.Hash(cmp.Or(r.rankKey, r.Key), s.ID))
 		if s.rampShare < 1 {
 			// With one popular key, or while others are out, all balancers together would overload it: it is drawn
 			// at random, only for first dispatches, up to its share of what is answered.
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -5,7 +5,7 @@
 	"math"
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // newBalancer returns an instance with n running servers of one zone and cell, named a, b, c...
@@ -289,7 +289,7 @@
 			{8 * minIdleTime, 4, true}, {99 * minIdleTime, 4, true}} {
 			b := newBalancer(1, nil)
 			s, now := b.servers[0], 5*sec+c.idle
-			b.timeouts[3], b.timeouts[4] = fade.Counter{Value: idleLossLimit + 0.01, At: now}, fade.Counter{Value: idleLossLimit + 0.01, At: now}
+			b.timeouts[3], b.timeouts[4] = decay.Counter{Value: idleLossLimit + 0.01, At: now}, decay.Counter{Value: idleLossLimit + 0.01, At: now}
 			s.lastOutcomeAt = 5 * sec
 			b.sendTo(addRequest(b, 1, "once", "k"), s, now)
 			step := c.step
--- a/balance/close_test.go
+++ b/balance/close_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // If there are few balancers for the servers, each sees the servers' state and may have more in flight. A hundred
@@ -27,7 +27,7 @@
 			r := addRequest(b, 1, "again", "k")
 			b.healthy -= c.ejected
 			idle := b.inflightBound(r, 100*sec)
-			b.answerRate = fade.Counter{Value: 100 * float64(span/sec), At: 100 * sec} // requests of 1 s, 100 a second
+			b.answerRate = decay.Counter{Value: 100 * float64(span/sec), At: 100 * sec} // requests of 1 s, 100 a second
 			assertNear(t, "in flight for the rate", b.inflightBound(r, 100*sec)-idle, 100*c.share, 0.5)
 		})
 	}
@@ -39,9 +39,9 @@
 	b := newBalancer(8, func(t *Config) { t.FleetSize = 2 })
 	r := addRequest(b, 1, "again", "k")
 	share := func() float64 {
-		b.answerRate = fade.Counter{}
+		b.answerRate = decay.Counter{}
 		idle := b.inflightBound(r, 100*sec)
-		b.answerRate = fade.Counter{Value: 100 * float64(span/sec), At: 100 * sec}
+		b.answerRate = decay.Counter{Value: 100 * float64(span/sec), At: 100 * sec}
 		return (b.inflightBound(r, 100*sec) - idle) / 100
 	}
 	s, d := b.servers[0], &dispatch{request: r, server: b.servers[0], inflightRank: 1}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // All balancers together must not overload a server that is warming up (rule 4). Each has only one request for it at a
@@ -54,8 +54,8 @@
 					c.setup(b)
 				}
 				b.reviewServers(101 * sec)
-				in.firstDispatches = fade.Counter{Value: 1000, At: 101 * sec}
-				in.answers = fade.Counter{Value: 1000 * (1 - c.failed), At: 101 * sec}
+				in.firstDispatches = decay.Counter{Value: 1000, At: 101 * sec}
+				in.answers = decay.Counter{Value: 1000 * (1 - c.failed), At: 101 * sec}
 				for i := range uint64(requests) {
 					b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: fmt.Sprint("key-", i), Budget: sec}, 101*sec)
 					r := b.requests[i]
--- a/balance/lean_test.go
+++ b/balance/lean_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // Unrestricted requests overloaded the few servers that are the only choice of restricted rule sets.
@@ -22,7 +22,7 @@
 			b := newBalancer(4, func(t *Config) { t.RuleSets[1].Kinds = []string{"small"} })
 			b.servers[0].Kind = "small"
 			free, restricted := b.placementOf(&b.cfg.RuleSets[0]), b.placementOf(&b.cfg.RuleSets[1])
-			free.firstDispatches, restricted.firstDispatches = fade.Counter{Value: c.free}, fade.Counter{Value: c.restricted}
+			free.firstDispatches, restricted.firstDispatches = decay.Counter{Value: c.free}, decay.Counter{Value: c.restricted}
 			free.slotTime, restricted.slotTime = float64(ms), float64(ms)
 			b.reviewServers(0)
 			got := 0.0
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // This file exports and imports the state that an instance has learnt. It must not decide which of it to trust: package
@@ -18,7 +18,7 @@
 	LatencyRatio float64          `json:"Jam"`    // mean time of dispatches over their response target
 	MeanTarget   float64          `json:"Target"` // mean response target of requests; 0: unknown
 	MeanValue    float64          `json:"Worth"`  // mean billing value of requests; 0: unknown
-	Keys         []fade.KeyCount      // request counts of popular keys
+	Keys         []decay.KeyCount // request counts of popular keys
 }
 
 // TenantRate is the dispatch rate of a tenant.
@@ -45,7 +45,7 @@
 
 // Snapshot returns what is known now.
 func (b *Balancer) Snapshot(now int64) Snapshot {
-	perSecond := func(c *fade.Counter) float64 { return c.Now(now, span) * float64(sec) / float64(span) }
+	perSecond := func(c *decay.Counter) float64 { return c.Now(now, span) * float64(sec) / float64(span) }
 	m := Snapshot{Rate: perSecond(&b.answerRate), LatencyRatio: b.latencyRatio, MeanTarget: b.meanTarget.Value, MeanValue: b.meanValue.Value, Keys: b.keyCounts.Entries(now, keySpan)}
 	for i, t := range b.cfg.Tenants {
 		m.Tenants = append(m.Tenants, TenantRate{t.Name, perSecond(&b.tenantRates[i])})
@@ -89,12 +89,12 @@
 		}
 	}
 	if m.Rate > b.answerRate.Now(now, span)*float64(sec)/float64(span) {
-		b.answerRate = fade.Counter{Value: m.Rate * float64(span) / float64(sec), At: now}
+		b.answerRate = decay.Counter{Value: m.Rate * float64(span) / float64(sec), At: now}
 		b.rateStart = min(b.rateStart, now-10*span) // the imported rate covers the whole span
 	}
 	for _, x := range m.Tenants {
 		if i := b.cfg.Tenant(x.Name); i >= 0 {
-			b.tenantRates[i] = fade.Counter{Value: max(b.tenantRates[i].Now(now, span), x.Rate*float64(span)/float64(sec)), At: now}
+			b.tenantRates[i] = decay.Counter{Value: max(b.tenantRates[i].Now(now, span), x.Rate*float64(span)/float64(sec)), At: now}
 		}
 	}
 	b.latencyRatio = max(b.latencyRatio, m.LatencyRatio)
--- a/balance/more_test.go
+++ b/balance/more_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // Faults that appeared in three further deployments. Each of these tests failed before package balance was changed.
@@ -110,7 +110,7 @@
 		for i := range uint64(60) {
 			b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: "k", Budget: sec}, 0)
 			b.computeWeights(0)
-			b.keyCounts = fade.KeyCounts{} // so that the key is not split
+			b.keyCounts = decay.KeyCounts{} // so that the key is not split
 			got[b.pickServer(b.requests[i], 0).ID] = true
 		}
 		if (len(got) == 1) != warm {
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // Faults that appeared in deployments of another kind. Each of these tests failed before package balance was changed.
@@ -122,7 +122,7 @@
 	for _, s := range b.servers {
 		s.slotTime, s.latency, s.inflightCap = float64(sec), float64(sec), 50
 	}
-	b.answerRate, b.latencyRatio = fade.Counter{Value: 1, At: 60 * sec}, 1 // almost no requests came in the old deployment
+	b.answerRate, b.latencyRatio = decay.Counter{Value: 1, At: 60 * sec}, 1 // almost no requests came in the old deployment
 	open := addRequest(b, 1, "once", "k")
 	b.servers[3].listed = false // off the list
 	next := b.cfg
--- a/balance/outlier/outlier.go
+++ b/balance/outlier/outlier.go
@@ -6,23 +6,23 @@
 
 // Parameters of outlier detection, see docs/design.md.
 const (
-	Alpha           = 0.3  // weight of the newest outcome in a host's health
+	Alpha               = 0.3  // weight of the newest outcome in a host's health
 	MinHealth           = 0.05 // lower bound of the health
 	ConsecutiveFailures = 2    // consecutive failures that eject a host
-	BackoffJitter          = 0.2  // random fraction of a backoff, either way
-	FirstBackoff    = 5 * time.Second
-	MaxBackoff  = 30 * time.Second
-	RecoveredHealth       = 0.9 // health above which the backoff starts over
-	maxDoublings    = 10
+	BackoffJitter       = 0.2  // random fraction of a backoff, either way
+	FirstBackoff        = 5 * time.Second
+	MaxBackoff          = 30 * time.Second
+	RecoveredHealth     = 0.9 // health above which the backoff starts over
+	maxDoublings        = 10
 )
 
 // Record is one host's health as one proxy sees it.
 type Record struct {
-	Health    float64
-	Streak    int // consecutive failures
-	Ejections int // since the host last recovered
-	Ejected   bool
-	EjectedUntil     time.Duration // end of the ejection
+	Health       float64
+	Streak       int // consecutive failures
+	Ejections    int // since the host last recovered
+	Ejected      bool
+	EjectedUntil time.Duration // end of the ejection
 }
 
 // NextHealth returns the health after one more outcome.
--- a/balance/source_test.go
+++ b/balance/source_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // play adds a request every 10 ms, with the key that the function key returns, and answers each dispatch at once with
@@ -85,7 +85,7 @@
 	})
 	t.Run("failures that affect all sources alike are attributed to none", func(t *testing.T) {
 		b := start()
-		random := draw.Source{Seed: 3}
+		random := rng.Source{Seed: 3}
 		_, shed := play(b, 0, 500, good, failing(func(string, string) bool { return random.Next() < 0.5 }))
 		all := 0
 		for _, x := range shed {
--- a/balance/standing_test.go
+++ b/balance/standing_test.go
@@ -10,7 +10,7 @@
 	"slices"
 	"testing"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const step = 5 * ms // of the simulated clock
@@ -19,7 +19,7 @@
 type simulation struct {
 	all    []*Balancer
 	wakes  []int64 // by instance
-	rng    draw.Source
+	rng    rng.Source
 	now    int64
 	last   uint64           // number of the latest request
 	due    []answer         // by time
@@ -40,7 +40,7 @@
 }
 
 func newSimulation(instances, servers int, change func(*Config)) *simulation {
-	c := &simulation{rng: draw.Source{Seed: 3}, work: 100 * ms, busy: map[string]int64{}, sent: map[string][]int64{},
+	c := &simulation{rng: rng.Source{Seed: 3}, work: 100 * ms, busy: map[string]int64{}, sent: map[string][]int64{},
 		open: map[uint64]string{}, asked: map[string]int{}, served: map[string]int{},
 		wakes: make([]int64, instances)}
 	list := make([]Server, servers)
--- a/balance/state.go
+++ b/balance/state.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // The types of this file record what an instance knows; they make no decisions.
@@ -31,10 +31,10 @@
 	dispatches          []*dispatch
 	tenant, pending     int // index of the tenant, -1 if unknown; number of pending dispatches
 	ended, streaming    bool
-	healthyErrors       int          // errors from servers without a current failure
-	maxDispatches       int          // by the terms it arrived under
-	rankKey             string       // key of its server ranking, if other than Key
-	sources             []*fade.Outcomes // outcomes of its key and its tenant, if it has them
+	healthyErrors       int               // errors from servers without a current failure
+	maxDispatches       int               // by the terms it arrived under
+	rankKey             string            // key of its server ranking, if other than Key
+	sources             []*decay.Outcomes // outcomes of its key and its tenant, if it has them
 }
 
 // server is what this balancer knows of one listed server; it is dropped when off the list and idle.
@@ -58,12 +58,12 @@
 // placement sums up the servers that are open to the requests of one set of zones and kinds. Without restricted
 // rule sets there is only one placement.
 type placement struct {
-	rules                    *RuleSet   // one rule set of that placement
-	readyWeight, totalWeight float64    // current weight in use; decaying mean, with ejected and silent servers
-	firstDispatches, answers fade.Counter // decaying counts
-	slotTime                 float64    // mean time per in-flight slot
-	healthy                  int        // number of servers that are not ejected
-	panicMode                bool       // all servers are ejected: requests are spread over all of them
+	rules                    *RuleSet      // one rule set of that placement
+	readyWeight, totalWeight float64       // current weight in use; decaying mean, with ejected and silent servers
+	firstDispatches, answers decay.Counter // decaying counts
+	slotTime                 float64       // mean time per in-flight slot
+	healthy                  int           // number of servers that are not ejected
+	panicMode                bool          // all servers are ejected: requests are spread over all of them
 }
 
 // placementOf returns the placement of a rule set; restricted ones come first in the list.
--- a/control/coordination/machine.go
+++ b/control/coordination/machine.go
@@ -6,13 +6,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ivybank/internal/form"
+	"ivybank/internal/strictcbor"
 	"ivybank/wire"
 )
 
 // encoder writes commands and snapshots in the one way there is, so that those of all replicas are alike byte for byte;
 // decoder reads them. A command with text that is no UTF-8 is left to Check, and spoils none beside it.
-var encoder, decoder = form.Modes(cbor.DecOptions{MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid})
+var encoder, decoder = strictcbor.Modes(cbor.DecOptions{MaxNestedLevels: 8, UTF8: cbor.UTF8DecodeInvalid})
 
 // StateMachine is the replicated state of one part, as package replica leads it on. It implements replica.StateMachine.
 type StateMachine struct {
--- a/control/process.go
+++ b/control/process.go
@@ -15,7 +15,7 @@
 	"ivybank/control/lease"
 	"ivybank/control/replica"
 	"ivybank/control/store"
-	"ivybank/internal/figures"
+	"ivybank/internal/metrics"
 	"ivybank/membership"
 	"ivybank/settings"
 	"ivybank/wire"
@@ -92,7 +92,7 @@
 	defer cancel()
 	p.ctx = ctx
 	p.node = NewNode(p.from, p)
-	served, err := figures.Serve(p.settings.IP, p.settings.Metrics, p.node.writeFigures)
+	served, err := metrics.Serve(p.settings.IP, p.settings.Metrics, p.node.writeFigures)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
--- a/fleet/duty/duty.go
+++ b/fleet/duty/duty.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strconv"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // Ranks is how many members stand ready for a duty.
@@ -35,12 +35,12 @@
 	t      Terms
 	me     int
 	duties []duty // by id; set by Set
-	dice   draw.Source
+	dice   rng.Source
 }
 
 // New begins without duties.
 func New(t Terms, me int, seed uint64) *Roster {
-	return &Roster{t: t, me: me, dice: draw.Source{Seed: seed}}
+	return &Roster{t: t, me: me, dice: rng.Source{Seed: seed}}
 }
 
 // Set takes what there is to do, ids in order, and the members among whom it is divided.
@@ -68,7 +68,7 @@
 	var best [Ranks]scored
 	n := 0
 	for _, m := range living {
-		x := scored{m, draw.Hash(id, strconv.Itoa(m))}
+		x := scored{m, rng.Hash(id, strconv.Itoa(m))}
 		for i := range best {
 			if i >= n || x.score > best[i].score {
 				best[i], x = x, best[i]
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -21,8 +21,8 @@
 	"ivybank/fleet/recall"
 	"ivybank/fleet/shed"
 	"ivybank/fleet/swim"
-	"ivybank/internal/draw"
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
+	"ivybank/internal/rng"
 )
 
 const (
@@ -113,10 +113,10 @@
 	learn learn
 	post  post
 	todo  []Action // emptied by Next
-	dice  draw.Source
+	dice  rng.Source
 
-	offered                                                                     [fold.Classes]fade.Counter
-	first, further, wanted, probes, refused, late, failed, lacked, served, took fade.Counter
+	offered                                                                     [fold.Classes]decay.Counter
+	first, further, wanted, probes, refused, late, failed, lacked, served, took decay.Counter
 	away                                                                        [4096]sent // a new one takes an old one's place
 	servers                                                                     []string   // by id; set by Servers
 	version                                                                     int        // of the members that duties were divided among
@@ -151,7 +151,7 @@
 
 // New begins alone.
 func New(t Terms, now int64) *Fleet {
-	f := &Fleet{t: t, dice: draw.Source{Seed: t.Seed}, ticked: now, pushAt: now, tokens: bucket{burst, now}}
+	f := &Fleet{t: t, dice: rng.Source{Seed: t.Seed}, ticked: now, pushAt: now, tokens: bucket{burst, now}}
 	period := int64(6 / t.Datagrams * float64(sec)) // a ping and its answer are a third of what may be sent
 	f.swim = swim.New(swim.Terms{Me: t.Me, Of: t.Of, Period: period, AckWait: t.AckWait, Quiet: t.Quiet, Seed: t.Seed ^ 1}, t.Life, now)
 	most, part := math.Inf(1), math.Inf(1)
@@ -374,8 +374,8 @@
 	return s
 }
 
-func (f *Fleet) rates() []*fade.Counter {
-	all := []*fade.Counter{&f.first, &f.further, &f.wanted, &f.probes, &f.refused, &f.late, &f.failed, &f.lacked, &f.served, &f.took}
+func (f *Fleet) rates() []*decay.Counter {
+	all := []*decay.Counter{&f.first, &f.further, &f.wanted, &f.probes, &f.refused, &f.late, &f.failed, &f.lacked, &f.served, &f.took}
 	for i := range f.offered {
 		all = append(all, &f.offered[i])
 	}
@@ -384,7 +384,7 @@
 
 // measure brings this member's own load up to date.
 func (f *Fleet) measure(now int64) {
-	rate := func(c *fade.Counter) float64 { return c.Now(now, rateSpan) * float64(sec) / float64(rateSpan) }
+	rate := func(c *decay.Counter) float64 { return c.Now(now, rateSpan) * float64(sec) / float64(rateSpan) }
 	o := &f.fold.Own
 	*o = fold.Load{First: rate(&f.first), Further: rate(&f.further), Wanted: rate(&f.wanted), Probes: rate(&f.probes),
 		Refused: rate(&f.refused), Late: rate(&f.late), Failed: rate(&f.failed), Lacked: max(0, rate(&f.lacked)), Served: rate(&f.served), Took: rate(&f.took)}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"ivybank/fleet/fold"
 	"ivybank/fleet/peer"
 	"ivybank/fleet/swim"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const begun = int64(1e15)
@@ -81,7 +81,7 @@
 
 // load has each member take so many reqs of each rule set every 100 ms and serve no more than a part of those that are let in.
 func (m *mesh) load(low, high int, bears float64) func() {
-	n, carry, dice := 0, 0.0, draw.Source{Seed: 1}
+	n, carry, dice := 0, 0.0, rng.Source{Seed: 1}
 	took := 200 * ms
 	if float64(10*(low+high)*len(m.members)) > bears {
 		took = 400 * ms // what is crowded is slow
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"testing"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // The graph of a fleet of three with one strict limit: in steps of a fifth of a second, in any of which one
@@ -154,7 +154,7 @@
 	g.midway = 0
 	for _, p := range g.procs {
 		if p != nil {
-			p.dice, p.Count = draw.Source{}, Count{} // the same draw each time
+			p.dice, p.Count = rng.Source{}, Count{} // the same draw each time
 		}
 	}
 }
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"sync/atomic"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const (
@@ -92,7 +92,7 @@
 	last   int64 // latest clock handed in
 	sure   int64 // time that has surely passed since the start
 	limits []*limit
-	dice   draw.Source
+	dice   rng.Source
 	todo   []post // emptied by Next
 	self   []Item // to itself; emptied before each return
 	book   atomic.Pointer[Book]
@@ -117,7 +117,7 @@
 
 // New begins. Nothing is known of an earlier life: what that may have promised is waited for.
 func New(t Terms, now int64) *Member {
-	m := &Member{t: t, last: now, dice: draw.Source{Seed: t.Seed ^ uint64(t.Me+1)<<40 ^ t.Life}}
+	m := &Member{t: t, last: now, dice: rng.Source{Seed: t.Seed ^ uint64(t.Me+1)<<40 ^ t.Life}}
 	m.Limits(t.Limits, now)
 	return m
 }
@@ -152,9 +152,9 @@
 func ranks(name string, voters int) []int64 {
 	all := make([]int64, voters)
 	for i := range all {
-		mine := draw.Hash(strconv.Itoa(i), name)
+		mine := rng.Hash(strconv.Itoa(i), name)
 		for j := range voters {
-			if x := draw.Hash(strconv.Itoa(j), name); x < mine || x == mine && j < i {
+			if x := rng.Hash(strconv.Itoa(j), name); x < mine || x == mine && j < i {
 				all[i]++
 			}
 		}
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/timeline"
 )
 
@@ -229,7 +229,7 @@
 		var w *world
 		r := timeline.Play(text+"\n"+row+"\n", 1, func(v *timeline.World) timeline.Cluster {
 			w = newWorld(v, x, 100, sound)
-			w.dice = &draw.Source{Seed: 5}
+			w.dice = &rng.Source{Seed: 5}
 			return w
 		})
 		equal := 0.0
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/timeline"
 )
 
@@ -95,8 +95,8 @@
 	runs  [][]run // Flight, by place: reqs at servers, emptied as they end
 
 	runFor   int64
-	dice     *draw.Source // nil: reqs come evenly; else by chance
-	level    float64    // of a bucket with the limit's rate and size: below 0 the stand-ins saw too much
+	dice     *rng.Source // nil: reqs come evenly; else by chance
+	level    float64     // of a bucket with the limit's rate and size: below 0 the stand-ins saw too much
 	seen     int64
 	lowered  int64 // until then leases of a higher limit may be out
 	was      int
--- a/fleet/lease/wire.go
+++ b/fleet/lease/wire.go
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ivybank/internal/form"
+	"ivybank/internal/strictcbor"
 )
 
 const (
@@ -57,7 +57,7 @@
 // ErrForm is told of what is no datagram of this fleet.
 var ErrForm = errors.New("not a datagram of leases")
 
-var encoder, decoder = form.Modes(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
+var encoder, decoder = strictcbor.Modes(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
 
 // Encode gives a datagram's bytes, ErrForm where they would be too many.
 func Encode(fleet uint32, d *Datagram) ([]byte, error) {
--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -9,7 +9,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ivybank/internal/form"
+	"ivybank/internal/strictcbor"
 )
 
 // Most is the longest datagram, in bytes, that the platform carries between proxies.
@@ -136,7 +136,7 @@
 	ErrForm    = errors.New("not of the form")
 )
 
-var encoder, decoder = form.Modes(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 64, MaxMapPairs: 32})
+var encoder, decoder = strictcbor.Modes(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 64, MaxMapPairs: 32})
 
 // Fleet is a fleet's name as it stands on the wire.
 func Fleet(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) }
--- a/fleet/quorum/quorum.go
+++ b/fleet/quorum/quorum.go
@@ -18,7 +18,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const (
@@ -86,7 +86,7 @@
 	raw     *raft.RawNode // nil until it has
 	store   *raft.MemoryStorage
 	conf    raftpb.ConfState
-	dice    draw.Source
+	dice    rng.Source
 	lost    bool   // others had begun without it, or have its place under another number
 	seen    uint64 // voters that were heard to have nothing written down as well, as bits
 	all     uint64 // of them, who has seen all
@@ -102,7 +102,7 @@
 
 // New begins with what was written down.
 func New(t Terms, k Kept) (*Node, error) {
-	n := &Node{t: t, dice: draw.Source{Seed: t.Seed ^ uint64(t.Me+1)<<40}, joins: map[int]uint64{}}
+	n := &Node{t: t, dice: rng.Source{Seed: t.Seed ^ uint64(t.Me+1)<<40}, joins: map[int]uint64{}}
 	n.rest()
 	switch {
 	case k.ID != 0:
--- a/fleet/quota/book_test.go
+++ b/fleet/quota/book_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ivybank/internal/form"
+	"ivybank/internal/strictcbor"
 )
 
 // held gives a book whose tenant holds so much of one quota until a time.
@@ -124,7 +124,7 @@
 		w.step(0)
 		w.ask(1, 1, Req{}, second, 0)
 	}
-	enc, dec := form.Modes(cbor.DecOptions{})
+	enc, dec := strictcbor.Modes(cbor.DecOptions{})
 	b, err := enc.Marshal(w.procs[1].voter)
 	if err != nil {
 		t.Fatal(err)
--- a/fleet/quota/holder.go
+++ b/fleet/quota/holder.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // Cell is what a process holds of one window. Reqs and the holder's task count in it at once; none waits for
@@ -73,7 +73,7 @@
 	life     uint64
 	owner    int
 	clocks   *Clocks
-	dice     draw.Source
+	dice     rng.Source
 	term     uint64
 	total    Pair // heard of this term and window
 	returned Pair // of this term and window
@@ -109,7 +109,7 @@
 func NewHolder(q Quota, t Terms, place int, life, seed uint64, clocks *Clocks) *Holder {
 	return &Holder{slot: &Slot{id: q.ID, unit: q.Unit}, t: t, place: place, life: life, owner: -1,
 		clocks: clocks,
-		dice:   draw.Source{Seed: seed}, cell: &Cell{}, later: new([64]int64)}
+		dice:   rng.Source{Seed: seed}, cell: &Cell{}, later: new([64]int64)}
 }
 
 // Owner tells whose place the owner's is; -1 where it is not known.
--- a/fleet/quota/world_test.go
+++ b/fleet/quota/world_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // world is a fleet in virtual time: the cores as they are, a net that loses, doubles and delays, clients, and
@@ -27,7 +27,7 @@
 	procs       []*proc
 	cut         [][]bool // from, to
 	way, spare  []flying
-	dice        draw.Source
+	dice        rng.Source
 	loss        float64
 	double      float64
 	delay       int64 // at the most
@@ -93,7 +93,7 @@
 
 // newWorld begins ten seconds before a minute's end.
 func newWorld(q Quota, t Terms, places int, seed uint64) *world {
-	w := &world{tick: 50 * ms, q: q, t: t, began: 1_800_000_050 * second, dice: draw.Source{Seed: seed},
+	w := &world{tick: 50 * ms, q: q, t: t, began: 1_800_000_050 * second, dice: rng.Source{Seed: seed},
 		delay: 5 * ms, effects: map[int64]int64{},
 		added: map[string]Pair{}}
 	w.t.Places = places
--- a/fleet/shed/cut.go
+++ b/fleet/shed/cut.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"ivybank/fleet/fold"
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 const (
@@ -65,7 +65,7 @@
 	stepAt int64
 	seen   fold.Load // demand as it is averaged
 	seenAt int64
-	moved  fade.Counter
+	moved  decay.Counter
 	rise   float64 // of the next step
 	short  int64   // since when what is let in is not served; 0: it is
 	under  int64   // since when little is offered; 0: it is not
--- a/fleet/snap/snap.go
+++ b/fleet/snap/snap.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"ivybank/fleet/recall"
-	"ivybank/internal/form"
+	"ivybank/internal/strictcbor"
 )
 
 const (
@@ -36,7 +36,7 @@
 	ErrForm    = errors.New("its content is not of the form")
 )
 
-var encoder, decoder = form.Modes(cbor.DecOptions{})
+var encoder, decoder = strictcbor.Modes(cbor.DecOptions{})
 
 // Path is the file in a folder.
 func Path(folder string) string { return filepath.Join(folder, name) }
--- a/fleet/swim/swim.go
+++ b/fleet/swim/swim.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"ivybank/fleet/peer"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const (
@@ -106,7 +106,7 @@
 	changes []Change
 	fresh   []int // members whose news has not gone out often enough; emptied as it does
 	doubted []int // suspects; emptied as they are cleared or dead
-	dice    draw.Source
+	dice    rng.Source
 	seq     uint32
 	count   uint64
 	pingAt  int64
@@ -122,7 +122,7 @@
 
 // New begins a life. Who is configured is presumed to be there, and found missing by the same pings as any.
 func New(t Terms, life uint64, now int64) *Swim {
-	s := &Swim{t: t, life: life, members: make([]member, t.Of), dice: draw.Source{Seed: t.Seed}, ticked: now}
+	s := &Swim{t: t, life: life, members: make([]member, t.Of), dice: rng.Source{Seed: t.Seed}, ticked: now}
 	s.pingAt = now + int64(s.dice.Next()*float64(t.Period))
 	for i := range s.members {
 		s.members[i].Heard = longAgo
--- a/fleet/wary.go
+++ b/fleet/wary.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"ivybank/fleet/peer"
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 const (
@@ -37,7 +37,7 @@
 type met struct {
 	id              string
 	hash            uint32
-	sent, lost      fade.Counter
+	sent, lost      decay.Counter
 	good            int64    // a dispatch of this member was served there
 	reports, probes []report // of each member at most one; emptied as they age
 }
@@ -239,6 +239,6 @@
 func (w *wary) forget() {
 	for i := range w.servers {
 		m := &w.servers[i]
-		m.reports, m.probes, m.sent, m.lost = nil, nil, fade.Counter{}, fade.Counter{}
+		m.reports, m.probes, m.sent, m.lost = nil, nil, decay.Counter{}, decay.Counter{}
 	}
 }
--- a/internal/fade/fade.go
+++ b/internal/decay/decay.go
@@ -1,13 +1,13 @@
-// Package fade implements exponentially decaying counters and averages.
-package fade
+// Package decay implements exponentially decaying counters and averages.
+package decay
 
 import "math"
 
 // Counter is a counter with exponential decay: what was added one span ago counts 1/e, about a third. It is brought up to
 // date when it is read.
 type Counter struct {
-	Value  float64
-	At int64 // time at which N holds, in the unit of the spans
+	Value float64
+	At    int64 // time at which N holds, in the unit of the spans
 }
 
 // Now returns the count at a time.
--- a/internal/fade/keys.go
+++ b/internal/decay/keys.go
@@ -1,9 +1,9 @@
-package fade
+package decay
 
 import (
 	"math"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // KeyCounts counts events by key in a hash table of fixed size; keys with the same table index are counted together.
@@ -15,7 +15,7 @@
 // Add counts one event of a key. It returns a lower estimate of the key's fraction of all events: two standard
 // deviations below its count.
 func (k *KeyCounts) Add(key string, now, span int64) float64 {
-	c := &k.counts[int(draw.Hash(key, "")*float64(len(k.counts)))]
+	c := &k.counts[int(rng.Hash(key, "")*float64(len(k.counts)))]
 	c.Add(now, span)
 	k.all.Add(now, span)
 	return max(0, c.Value-2*math.Sqrt(c.Value)) / k.all.Value
@@ -24,7 +24,7 @@
 // KeyCount is one entry of the table, as it is stored and passed on.
 type KeyCount struct {
 	_     struct{} `cbor:",toarray"`
-	Index int      // table index
+	Index int      `json:"Place"` // table index
 	N     float64
 }
 
--- a/internal/fade/keys_test.go
+++ b/internal/decay/keys_test.go
@@ -1,4 +1,4 @@
-package fade
+package decay
 
 import (
 	"fmt"
--- a/internal/figures/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package figures serves the metrics of a process over HTTP, in the Prometheus text format.
-package figures
+// Package metrics serves the metrics of a process over HTTP, in the Prometheus text format.
+package metrics
 
 import (
 	"context"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"context"
--- a/internal/draw/pairs.go
+++ b/internal/rng/pairs.go
@@ -1,4 +1,4 @@
-package draw
+package rng
 
 import "github.com/cespare/xxhash/v2"
 
--- a/internal/draw/draw.go
+++ b/internal/rng/rng.go
@@ -1,6 +1,6 @@
-// Package draw provides random numbers and hashes that depend on their inputs alone: CRC-32 with its bits mixed, as CRC
+// Package rng provides random numbers and hashes that depend on their inputs alone: CRC-32 with its bits mixed, as CRC
 // by itself is linear.
-package draw
+package rng
 
 import (
 	"hash/crc32"
--- a/internal/form/form.go
+++ b/internal/strictcbor/strictcbor.go
@@ -1,6 +1,6 @@
-// Package form provides the CBOR encoding that all formats of the project share: a deterministic encoder, and a strict
+// Package strictcbor provides the CBOR encoding that all formats of the project share: a deterministic encoder, and a strict
 // decoder that rejects duplicate map keys, indefinite lengths and tags. It must not depend on any particular format.
-package form
+package strictcbor
 
 import "github.com/fxamacker/cbor/v2"
 
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -20,7 +20,7 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/holds"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/proxy/sibling"
 )
 
@@ -71,7 +71,7 @@
 	clients   []*client       // in order of arrival; removed when their connection ends
 	pool      pool
 	list      discovery
-	dice      draw.Source // for delays that the balancer does not decide
+	dice      rng.Source // for delays that the balancer does not decide
 	drain     drain
 	keys      *keys           // nil: no idempotency keys
 	peers     *peers          // nil: no peers
--- a/rehearse/emu/emu_test.go
+++ b/rehearse/emu/emu_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"ivybank/balance"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 func rehearsed(t *testing.T, n int, change func(*Nature)) (*Virtual, *Fleet) {
@@ -39,7 +39,7 @@
 			c, f := rehearsed(t, 1, nil)
 			s := f.Servers[0]
 			s.Cores = x.cores
-			dice := draw.Source{Seed: 5}
+			dice := rng.Source{Seed: 5}
 			const mean, asks = 1e7, 200000
 			var waited, worked float64
 			at := float64(c.Now())
--- a/rehearse/emu/fleet.go
+++ b/rehearse/emu/fleet.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"ivybank/balance"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // Fault is one line of the timetable. Faults may overlap; one that ends undoes what it did alone.
@@ -77,7 +77,7 @@
 	Log     func(format string, a ...any)
 	Others  func(Fault) (undo func()) // does what befalls proxies; nil where nothing can
 
-	dice     draw.Source
+	dice     rng.Source
 	version  int64
 	states   map[string]balance.State // as discovery has them
 	wrong    map[string]int           // servers that it lists as ready all the same
@@ -216,7 +216,7 @@
 }
 
 // Drawn draws so many of n by chance.
-func Drawn(d *draw.Source, n, count int) (all []int) {
+func Drawn(d *rng.Source, n, count int) (all []int) {
 	left := make([]int, n)
 	for i := range left {
 		left[i] = i
--- a/rehearse/emu/peers.go
+++ b/rehearse/emu/peers.go
@@ -9,7 +9,7 @@
 	"ivybank/fleet"
 	"ivybank/fleet/peer"
 	"ivybank/fleet/swim"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // Rough is what befalls datagrams; parts of them. All wait so long, and by chance up to Spread more.
@@ -46,7 +46,7 @@
 // Peers are the members of one run.
 type Peers struct {
 	clock   *Virtual
-	dice    draw.Source
+	dice    rng.Source
 	members []*membership
 	splits  []*split // emptied as they end
 	rough   []*Rough // emptied as they end; they add up
@@ -56,7 +56,7 @@
 
 // NewPeers starts a member for each of the terms. What the members want other than sending is handed to act.
 func NewPeers(c *Virtual, terms []fleet.Terms, seed uint64, measure bool, act func(member int, a fleet.Action)) *Peers {
-	p := &Peers{clock: c, dice: draw.Source{Seed: seed ^ 0x9ee5}, act: act, measure: measure}
+	p := &Peers{clock: c, dice: rng.Source{Seed: seed ^ 0x9ee5}, act: act, measure: measure}
 	for i, t := range terms {
 		p.members = append(p.members, &membership{terms: t, gone: true})
 		p.Start(i)
--- a/rehearse/emu/seat.go
+++ b/rehearse/emu/seat.go
@@ -13,7 +13,7 @@
 	"ivybank/balance"
 	"ivybank/fleet"
 	"ivybank/fleet/recall"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // Policy is what decides: the module, or what it is compared with.
@@ -70,7 +70,7 @@
 	clients    Clients
 	result     func(Result)
 	log        hash.Hash // of every decision
-	dice       draw.Source
+	dice       rng.Source
 	seats      []*seat
 	reqs       uint64
 	Decided    int
@@ -205,7 +205,7 @@
 	st.fleet.Judge.Taken(r.name, now+st.clients.Timeout)
 	arrival := balance.Arrival{ID: r.id, RuleSet: a.RuleSet, Tenant: a.Tenant, Key: a.Key, Budget: st.clients.Timeout, Work: a.Work}
 	if st.peers != nil {
-		r.luck = draw.Hash(fmt.Sprint(a.At, a.Key), a.RuleSet) // an ask and its retries have it in common
+		r.luck = rng.Hash(fmt.Sprint(a.At, a.Key), a.RuleSet) // an ask and its retries have it in common
 		arrival.Shed, arrival.RetryAfter = st.peers.Fleet(st.id).Arrive(st.sets[a.RuleSet], st.tenants[a.Tenant], r.luck, false, now)
 		r.shed = arrival.Shed
 	}
--- a/rehearse/emu/server.go
+++ b/rehearse/emu/server.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"ivybank/balance"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // Nature is what all servers of a fleet have in common.
@@ -70,7 +70,7 @@
 	Machine
 	nature  *Nature
 	clock   Clock
-	dice    *draw.Source
+	dice    *rng.Source
 	judge   *Judge
 	since   int64 // its latest start; 0: long past
 	drains  bool
@@ -90,7 +90,7 @@
 type offer struct{ at, work int64 }
 
 // NewServer makes a warm server.
-func NewServer(m Machine, n *Nature, c Clock, d *draw.Source, j *Judge) *Server {
+func NewServer(m Machine, n *Nature, c Clock, d *rng.Source, j *Judge) *Server {
 	return &Server{Machine: m, nature: n, clock: c, dice: d, judge: j, cache: map[string]int64{}, started: c.Now()}
 }
 
--- a/rehearse/lab/baseline.go
+++ b/rehearse/lab/baseline.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"ivybank/balance"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/emu"
 )
 
@@ -57,7 +57,7 @@
 // plain is a policy that knows the list and its own dispatches, nothing else.
 type plain struct {
 	t       balance.Config
-	dice    draw.Source
+	dice    rng.Source
 	pick    func(c []balance.Server, r *plainReq) int
 	servers []balance.Server     // by id
 	reqs    map[uint64]*plainReq // emptied when a req has ended and nothing of it is out
--- a/rehearse/lab/gentrace.go
+++ b/rehearse/lab/gentrace.go
@@ -10,7 +10,7 @@
 	"math"
 	"slices"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // MadeLayouts are those that a trace can be made in.
@@ -25,7 +25,7 @@
 		return fmt.Errorf("rows %d, rate %g: expected numbers above 0", rows, rate)
 	}
 	w := bufio.NewWriter(to)
-	dice := draw.Source{Seed: seed}
+	dice := rng.Source{Seed: seed}
 	if layout == "azure-2021-invocations" {
 		fmt.Fprintln(w, "app,func,end_timestamp,duration")
 	}
--- a/rehearse/lab/links.go
+++ b/rehearse/lab/links.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/emu"
 )
 
@@ -21,7 +21,7 @@
 	listen []*net.UDPAddr   // where each proxy hears
 	conns  [][]*net.UDPConn // [i][j]: what i knows j by
 	mu     sync.Mutex
-	dice   draw.Source
+	dice   rng.Source
 	cut    [][]int     // by faults, from i to j
 	rough  []emu.Rough // all in force add up
 	sent   []PeerCount
@@ -31,7 +31,7 @@
 type PeerCount struct{ Datagrams, Bytes, Lost, Arrived int }
 
 func newLinks(ctx context.Context, wait *sync.WaitGroup, at string, n int, seed uint64) (*links, error) {
-	l := &links{n: n, dice: draw.Source{Seed: seed ^ 0x5eed}, sent: make([]PeerCount, n)}
+	l := &links{n: n, dice: rng.Source{Seed: seed ^ 0x5eed}, sent: make([]PeerCount, n)}
 	for i := range n {
 		c, err := net.ListenPacket("udp4", at)
 		if err != nil {
--- a/rehearse/lab/load.go
+++ b/rehearse/lab/load.go
@@ -12,7 +12,7 @@
 	"slices"
 	"sort"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/emu"
 	"ivybank/rehearse/trace"
 )
@@ -26,7 +26,7 @@
 // generated is an open-loop load: arrivals are a Poisson process that waits for nobody.
 type generated struct {
 	e       *Experiment
-	dice    draw.Source
+	dice    rng.Source
 	at      float64
 	keys    []float64 // sums of the keys' shares
 	sets    []float64
@@ -44,7 +44,7 @@
 }
 
 // among draws by shares.
-func among(d *draw.Source, sums []float64) int {
+func among(d *rng.Source, sums []float64) int {
 	if len(sums) == 0 {
 		return -1
 	}
@@ -126,7 +126,7 @@
 	e        *Experiment
 	file     *os.File
 	rows     *trace.Reader
-	dice     draw.Source
+	dice     rng.Source
 	first    int64
 	begun    bool
 	problems *Problems
@@ -197,7 +197,7 @@
 			a.RuleSet = t.e.RuleSets[0].Name
 		}
 		if n := len(t.e.Load.Tenants); n > 0 {
-			a.Tenant = t.e.Load.Tenants[int(draw.Hash(row.Tenant, "tenant")*float64(n))].Name
+			a.Tenant = t.e.Load.Tenants[int(rng.Hash(row.Tenant, "tenant")*float64(n))].Name
 		}
 		return a, int(balancer * float64(t.e.Fleet.Balancers)), nil
 	}
--- a/rehearse/lab/sockets.go
+++ b/rehearse/lab/sockets.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"ivybank/balance"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/emu"
 )
 
@@ -47,7 +47,7 @@
 	met           met
 	asked         map[string]int64 // emptied with the run: when clients began to send each try, by its id; within the clock's lock
 	drops         []chan bool      // by proxy: watches to end
-	dice          draw.Source
+	dice          rng.Source
 }
 
 // fails is which links of a proxy are cut, by how many faults; within the clock's lock.
--- a/rehearse/lab/timetable.go
+++ b/rehearse/lab/timetable.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/emu"
 )
 
@@ -123,7 +123,7 @@
 
 // starve stops a proxy for a part of each piece of time.
 func (r *rig) starve(p *process, part float64, over chan bool) {
-	dice := draw.Source{Seed: 1}
+	dice := rng.Source{Seed: 1}
 	for {
 		stop := time.Duration(float64(starvePiece) * part)
 		p.pause(true)
--- a/rehearse/timeline/world.go
+++ b/rehearse/timeline/world.go
@@ -7,7 +7,7 @@
 import (
 	"slices"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const (
@@ -27,7 +27,7 @@
 	cuts    map[[2]int]bool
 	chance  map[string]float64 // loss, double, garble, late
 	delay   int64              // the longest, in calm
-	dice    draw.Source
+	dice    rng.Source
 }
 
 type node struct {
@@ -48,7 +48,7 @@
 
 func newWorld(names []string, seed uint64) *World {
 	return &World{Names: names, nodes: make([]node, len(names)), cuts: map[[2]int]bool{},
-		chance: map[string]float64{}, delay: 2 * ms, dice: draw.Source{Seed: seed}}
+		chance: map[string]float64{}, delay: 2 * ms, dice: rng.Source{Seed: seed}}
 }
 
 // Clock is a node's own.
--- a/router/metrics_test.go
+++ b/router/metrics_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"ivybank/internal/figures"
+	"ivybank/internal/metrics"
 )
 
 // Each request that the router ends itself is counted by reason, and each attempt by outcome.
@@ -28,7 +28,7 @@
 		assert.Assert(t, strings.Contains(text.String(), line+"\n"), "%s is not in\n%s", line, text.String())
 	}
 	response := httptest.NewRecorder()
-	figures.Handler("/figures", r.metrics.write).ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/figures", nil))
+	metrics.Handler("/figures", r.metrics.write).ServeHTTP(response, httptest.NewRequest(http.MethodGet, "/figures", nil))
 	assert.Assert(t, strings.HasPrefix(response.Header().Get("Content-Type"), "text/plain; version=0.0.4"))
 	assert.Equal(t, response.Body.Len(), text.Len())
 }
--- a/router/policy/pick.go
+++ b/router/policy/pick.go
@@ -5,15 +5,15 @@
 	"slices"
 	"time"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 // keyHash returns the hash of a prompt key for the choice of a host, a random one if there is no key.
-func (s *Service) keyHash(key string) draw.KeyHash {
+func (s *Service) keyHash(key string) rng.KeyHash {
 	if key == "" {
-		return draw.RandomKey(&s.dice)
+		return rng.RandomKey(&s.dice)
 	}
-	return draw.HashKey(key)
+	return rng.HashKey(key)
 }
 
 // pick chooses a host by weighted rendezvous hashing among the healthy hosts that are not crowded, among all healthy
@@ -58,7 +58,7 @@
 }
 
 // pickEvenly chooses among all ready hosts, whatever their health.
-func (s *Service) pickEvenly(key draw.KeyHash, tried []string) *hostState {
+func (s *Service) pickEvenly(key rng.KeyHash, tried []string) *hostState {
 	var best rendezvous
 	for _, h := range s.listed {
 		if !h.Draining && !slices.Contains(tried, h.ID) {
--- a/router/policy/policy.go
+++ b/router/policy/policy.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"ivybank/balance/outlier"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const (
@@ -45,7 +45,7 @@
 type hostState struct {
 	Host
 	outlier.Record
-	hash         draw.IDHash // of the host's ID
+	hash         rng.IDHash // of the host's ID
 	inflight     int
 	outstanding  map[uint64]*Attempt // outstanding attempts by ID
 	lastActivity time.Duration       // time at which bytes last arrived from the host
@@ -77,7 +77,7 @@
 // Service chooses among the hosts of one service. It is safe for concurrent use.
 type Service struct {
 	mu      sync.Mutex
-	dice    draw.Source
+	dice    rng.Source
 	hosts   map[string]*hostState
 	listed  []*hostState // the hosts that are not removed, in no particular order
 	lastID  uint64
@@ -88,7 +88,7 @@
 // NewService returns a service without hosts. onEject is called with each ejection: the host's ID and health, and the
 // end of the ejection.
 func NewService(seed uint64, onEject func(id string, health float64, until time.Duration)) *Service {
-	return &Service{dice: draw.Source{Seed: seed}, hosts: map[string]*hostState{}, onEject: onEject}
+	return &Service{dice: rng.Source{Seed: seed}, hosts: map[string]*hostState{}, onEject: onEject}
 }
 
 // SetHosts replaces the list of hosts. A host that was once draining stays so, because its ID is never reused.
@@ -102,7 +102,7 @@
 	for _, host := range listed {
 		h := s.hosts[host.ID]
 		if h == nil {
-			h = &hostState{hash: draw.HashID(host.ID), Record: outlier.Record{Health: mean}, outstanding: map[uint64]*Attempt{}}
+			h = &hostState{hash: rng.HashID(host.ID), Record: outlier.Record{Health: mean}, outstanding: map[uint64]*Attempt{}}
 			s.hosts[host.ID] = h
 		}
 		host.Draining = host.Draining || h.Draining
--- a/router/server.go
+++ b/router/server.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"ivybank/internal/figures"
+	"ivybank/internal/metrics"
 )
 
 const (
@@ -38,7 +38,7 @@
 	go r.pool.Sweep(backgroundCtx)
 	go r.limiter.Report(backgroundCtx, r.log)
 	go r.reportEventIntervals(backgroundCtx)
-	metricsServer, err := figures.Serve(r.settings.IP, r.settings.Metrics, r.metrics.write)
+	metricsServer, err := metrics.Serve(r.settings.IP, r.settings.Metrics, r.metrics.write)
 	if err != nil {
 		return fmt.Errorf("router: %w", err)
 	}
--- a/terms/terms.go
+++ b/terms/terms.go
@@ -20,7 +20,7 @@
 
 // Values holds named values as text. Err is the first error of reading one.
 type Values struct {
-	Raw  map[string]string
+	Raw map[string]string
 	Err error
 }
 
