--- a/rehearse/lab/baseline.go
+++ b/rehearse/lab/baseline.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"ivybank/balance"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/rehearse/emu"
 )
 
@@ -57,7 +57,7 @@
 // plain is a policy that knows the list and its own dispatches, nothing else.
 type plain struct {
 	t       balance.Config
-	dice    draw.Dice
+	dice    rng.Source
 	pick    func(c []balance.Server, r *plainReq) int
 	servers []balance.Server     // by id
 	reqs    map[uint64]*plainReq // emptied when a req has ended and nothing of it is out
@@ -94,7 +94,7 @@
 	return best
 }
 
-func (p *plain) Req(a balance.Arrival, now int64) {
+func (p *plain) AddRequest(a balance.Arrival, now int64) {
 	r := &plainReq{Arrival: a, giveUp: now + a.Budget}
 	if x := p.t.RuleSet(a.RuleSet); x != nil {
 		r.rules = *x
@@ -134,7 +134,7 @@
 	}
 }
 
-func (p *plain) Listed(form balance.ListForm, entries []balance.Server, now int64) {
+func (p *plain) UpdateList(form balance.ListForm, entries []balance.Server, now int64) {
 	if form == balance.ListUnavailable {
 		p.askAt = now + 5e8
 		return
@@ -201,7 +201,7 @@
 }
 
 func (p *plain) harmless(r *plainReq) bool {
-	return r.rules.Harmless() || !slices.ContainsFunc(r.sends, func(s plainSend) bool { return s.maybe || s.out })
+	return r.rules.CanDenyAfterRun() || !slices.ContainsFunc(r.sends, func(s plainSend) bool { return s.maybe || s.out })
 }
 
 // dispatch takes a server of those that the rules leave.
@@ -214,7 +214,7 @@
 			return true
 		}
 		return slices.ContainsFunc(r.sends, func(x plainSend) bool {
-			return x.maybe && !r.rules.Again(x.srv, s, x.at, now)
+			return x.maybe && !r.rules.CanRepeat(x.srv, s, x.at, now)
 		})
 	})
 	if len(left) == 0 {
