--- a/balance/balance.go
+++ b/balance/balance.go
@@ -26,7 +26,7 @@
 	randomStreakOdds = 1e-4                        // a streak counts as chance if it is more probable than this
 	backoffJitter    = outlier.BackoffJitter       // random fraction of an ejection's duration
 	firstBackoff     = int64(outlier.FirstBackoff) // upper bound of a first ejection's duration
-	backoffTargets   = 6                           // and this many shortest response targets: chance streaks come fast there
+	backoffTargets   = 6                           // in shortest response targets: streaks come faster there
 	recoveredHealth  = outlier.RecoveredHealth     // health from which a server's backoff starts over
 
 	skipFactor      = 1.6      // a server is skipped above this multiple of its share of all in flight,
@@ -74,10 +74,10 @@
 	wakeAt, rateStart, shortestTarget int64 // shortestTarget: shortest response target
 	inflight, healthy                 int
 	timeouts                          [5]decay.Counter     // share of timed-out dispatches, by idle step
-	placements                        []*placement         // one for each placement that any terms had; never removed
+	placements                        []*placement         // of all settings so far; never removed
 	weighedAt, reviewAt               int64                // last and next review of the servers
 	reviewNow                         bool                 // servers are to be reviewed at once
-	latencyRatio, slotTime            float64              // mean time, over response target and by in-flight slot
+	latencyRatio, slotTime            float64              // mean time by response target, and by slot
 	meanHealth, avgWeight             float64              // of all servers
 	refusedShare                      float64              // recent fraction of dispatches that were refused
 	answerRate                        decay.Counter        // answers
@@ -91,40 +91,41 @@
 	advice                            Advice
 }
 
-// New creates an instance; the host passes the server list next, as Listed(Restored).
-func New(t Config, now int64) *Balancer {
-	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now, rng: rng.Source{Seed: t.Seed}}
-	b.Reconfigure(t, now)
+// New creates an instance; the host passes the server list next, as ListRestored.
+func New(cfg Config, now int64) *Balancer {
+	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now,
+		rng: rng.Source{Seed: cfg.Seed}}
+	b.Reconfigure(cfg, now)
 	return b
 }
 
-// Reconfigure applies new terms. Server state stays, and open requests keep the rules they arrived under. If the
-// deployment changes in kind, measured times and rates no longer apply and are reset.
-func (b *Balancer) Reconfigure(t Config, now int64) {
+// Reconfigure applies new settings. Server state stays, and open requests keep the rules they arrived under.
+// If the deployment changes in kind, measured times and rates no longer apply and are reset.
+func (b *Balancer) Reconfigure(cfg Config, now int64) {
 	old := b.cfg
-	served := make([]decay.Counter, len(t.Tenants))
-	for i, x := range t.Tenants {
-		if had := old.Tenant(x.Name); had >= 0 {
-			served[i] = b.tenantRates[had]
+	rates := make([]decay.Counter, len(cfg.Tenants))
+	for i, tenant := range cfg.Tenants {
+		if index := old.Tenant(tenant.Name); index >= 0 {
+			rates[i] = b.tenantRates[index]
 		}
 	}
 	b.cfg, b.tenantRates, b.shortestTarget, b.reviewNow, b.tenantOutcomes =
-		t, served, firstBackoff, true, make([]decay.Outcomes, len(t.Tenants))
-	for _, x := range t.RuleSets {
+		cfg, rates, firstBackoff, true, make([]decay.Outcomes, len(cfg.Tenants))
+	for _, x := range cfg.RuleSets {
 		b.shortestTarget = min(b.shortestTarget, x.ResponseTarget)
 	}
 	for _, r := range b.open {
 		r.tenant = b.cfg.Tenant(r.Tenant)
 	}
-	if t.LiveWeights != old.LiveWeights || t.FleetSize > 2*old.FleetSize || old.FleetSize > 2*t.FleetSize {
+	if cfg.LiveWeights != old.LiveWeights || cfg.FleetSize > 2*old.FleetSize || old.FleetSize > 2*cfg.FleetSize {
 		b.rateStart, b.answerRate, b.latencyRatio = now, decay.Counter{At: now}, 0
 		for _, s := range b.servers {
 			s.slotTime, s.latency, s.avgWeight, s.inflightCap = 0, 0, s.Share, min(s.inflightCap, newServerCap)
 		}
 	}
-	if t.ListOnRequest && !old.ListOnRequest {
-		b.askAt = now + 1 + int64(b.rng.Next()*maxAskDelay(t))
-	} else if !t.ListOnRequest {
+	if cfg.ListOnRequest && !old.ListOnRequest {
+		b.askAt = now + 1 + int64(b.rng.Next()*maxAskDelay(cfg))
+	} else if !cfg.ListOnRequest {
 		b.askAt = 0
 	}
 }
@@ -147,7 +148,7 @@
 	r.value = b.requestValue(r, now)
 	b.meanTarget.Add(float64(r.rules.ResponseTarget))
 	b.meanValue.Add(r.value)
-	if b.startClock(r, now); a.BodyPending { // time starts with Whole: it may wait for its whole target
+	if b.startClock(r, now); a.BodyPending { // time starts with BodyComplete: it may wait for its target
 		r.arrivedAt, r.giveUpAt = now+int64((1-holdShare)*float64(r.rules.ResponseTarget)), math.MaxInt64
 	}
 	if a.Key != "" {
@@ -156,8 +157,8 @@
 	if r.tenant >= 0 {
 		r.sources = append(r.sources, &b.tenantOutcomes[r.tenant])
 	}
-	if x, part := b.failingSource(r, now); b.rng.Next() < part {
-		x.Add(false, now, span)
+	if source, part := b.failingSource(r, now); b.rng.Next() < part {
+		source.Add(false, now, span)
 		r.Shed = true
 	}
 	if a.Key == "" || !b.cfg.WarmKeys {
@@ -179,7 +180,7 @@
 	r.giveUpAt -= 2 * b.cfg.Tick
 }
 
-// BodyComplete reports that a pending request body is complete. The request's and its dispatches' time start here.
+// BodyComplete reports that a pending request body is complete. The time of the request starts here.
 func (b *Balancer) BodyComplete(id uint64, now int64) {
 	if r := b.requests[id]; r != nil && r.BodyPending {
 		r.BodyPending = false
@@ -266,11 +267,11 @@
 // of them to deny. Failures that affect all sources alike, such as overload, are attributed to none.
 func (b *Balancer) failingSource(r *request, now int64) (*decay.Outcomes, float64) {
 	allTried, allDone := b.allOutcomes.Now(now, span)
-	for _, x := range r.sources {
-		tried, done := x.Now(now, span)
+	for _, source := range r.sources {
+		tried, done := source.Now(now, span)
 		share := (done + freeTries) / (tried + freeTries) // assumed for others too if there are none
 		if part := 1 - tryFactor*share*(allTried-tried+freeTries)/(allDone-done+freeTries*share); part > 0 {
-			return x, part
+			return source, part
 		}
 	}
 	return nil, 0
@@ -361,8 +362,8 @@
 func byID(s *server, id string) int { return cmp.Compare(s.ID, id) }
 
 // maxAskDelay spreads calls for the list, but well within AskWithin, after which the list counts as known.
-func maxAskDelay(t Config) float64 {
-	return min(0.5*float64(sec)+askDelay*float64(t.FleetSize), float64(t.AskWithin)/2)
+func maxAskDelay(cfg Config) float64 {
+	return min(0.5*float64(sec)+askDelay*float64(cfg.FleetSize), float64(cfg.AskWithin)/2)
 }
 
 // UpdateList applies a server list. If it was unavailable, it is requested again after a random delay.
@@ -418,7 +419,6 @@
 	return d, b.deciding
 }
 
-// decide turns the current state into decisions.
 func (b *Balancer) decide(now int64) {
 	next := int64(math.MaxInt64)
 	if b.askAt > 0 {
@@ -568,7 +568,6 @@
 	b.weighedAt = now
 }
 
-// weightFor returns the server's weight for requests of a placement.
 func (s *server) weightFor(p *placement) float64 {
 	if p.rules.restricted() {
 		return s.weight
@@ -628,25 +627,25 @@
 }
 
 // CanDenyAfterRun reports whether a request may be denied even if it may have run.
-func (x *RuleSet) CanDenyAfterRun() bool {
-	return x.Effect == Replayable || x.Effect == Deduplicated && x.Group == GroupAll
+func (rs *RuleSet) CanDenyAfterRun() bool {
+	return rs.Effect == Replayable || rs.Effect == Deduplicated && rs.Group == GroupAll
 }
 
 func (b *Balancer) canDeny(r *request) bool {
-	return r.rules.CanDenyAfterRun() || !slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
+	return r.rules.CanDenyAfterRun() ||
+		!slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
 }
 
 // canSend reports whether the rules allow a further dispatch to some server.
 func (b *Balancer) canSend(r *request) bool {
 	return len(r.dispatches) < r.maxDispatches && r.healthyErrors < maxServerErrors &&
-		(r.pending == 0 || b.cfg.AllowParallel) &&
-		(r.rules.Effect != NonReplayable || b.canDeny(r))
+		(r.pending == 0 || b.cfg.AllowParallel) && (r.rules.Effect != NonReplayable || b.canDeny(r))
 }
 
-// CanRepeat reports whether a request that may have run at one server may go to another without a second effect.
-func (x *RuleSet) CanRepeat(first, next Server, sent, now int64) bool {
-	same := x.Group == GroupAll || first.Zone == next.Zone && (x.Group == GroupZone || first.Cell == next.Cell)
-	return x.Effect == Replayable || x.Effect == Deduplicated && same && now < sent+x.Window
+// CanRepeat reports whether a request that may have run at one server may go to another: no effect twice.
+func (rs *RuleSet) CanRepeat(first, next Server, sent, now int64) bool {
+	same := rs.Group == GroupAll || first.Zone == next.Zone && (rs.Group == GroupZone || first.Cell == next.Cell)
+	return rs.Effect == Replayable || rs.Effect == Deduplicated && same && now < sent+rs.Window
 }
 
 // allowed reports whether the request may go to this server: inside its placement, without a second effect.
@@ -655,7 +654,8 @@
 		return false
 	}
 	for _, d := range r.dispatches {
-		if d.pending && d.server == s || d.maybeRan && !r.rules.CanRepeat(d.server.Server, s.Server, d.sentAt, now) {
+		if d.pending && d.server == s ||
+			d.maybeRan && !r.rules.CanRepeat(d.server.Server, s.Server, d.sentAt, now) {
 			return false
 		}
 	}
@@ -771,7 +771,7 @@
 }
 
 // dispatchDeadline is when a dispatch ends by itself. A server whose clock is ahead refuses or aborts what
-// seems overdue to it: if clocks may differ it is told the client's deadline, and a cancel ends the dispatch.
+// seems overdue to it: if clocks may differ it gets the client's deadline, and a cancel ends the dispatch.
 func (b *Balancer) dispatchDeadline(r *request) int64 {
 	if b.cfg.BudgetError > 0 && b.cfg.CanCancel {
 		return r.clientDeadline
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -221,7 +221,8 @@
 			b := newBalancer(1, nil)
 			s := b.servers[0]
 			s.streak = 1
-			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms}, o, ms, 2*ms)
+			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms},
+				o, ms, 2*ms)
 			if s.streak != want {
 				t.Errorf("got %d, want %d", s.streak, want)
 			}
@@ -231,7 +232,8 @@
 		b := newBalancer(1, nil)
 		s := b.servers[0]
 		s.answeredAt = 2 * ms
-		b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms}, TimedOut, sec, sec)
+		b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms},
+			TimedOut, sec, sec)
 		if s.streak != 0 || s.health != 0.7 {
 			t.Errorf("streak %d, health %.2f", s.streak, s.health)
 		}
@@ -241,7 +243,8 @@
 			b := newBalancer(1, nil)
 			s := b.servers[0]
 			s.latency, s.answeredAt = float64(lat), 0
-			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms}, TimedOut, sec, sec)
+			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms},
+				TimedOut, sec, sec)
 			if s.streak != want || s.latency != float64(lat) {
 				t.Errorf("mean latency %d ms: streak %d, want %d", lat/ms, s.streak, want)
 			}
@@ -285,11 +288,12 @@
 			idle   int64
 			step   int
 			closed bool
-		}{{0, 0, false}, {minIdleTime, 0, false}, {minIdleTime + 1, 1, false}, {2 * minIdleTime, 2, false}, {4 * minIdleTime, 3, true},
-			{8 * minIdleTime, 4, true}, {99 * minIdleTime, 4, true}} {
+		}{{0, 0, false}, {minIdleTime, 0, false}, {minIdleTime + 1, 1, false}, {2 * minIdleTime, 2, false},
+			{4 * minIdleTime, 3, true}, {8 * minIdleTime, 4, true}, {99 * minIdleTime, 4, true}} {
 			b := newBalancer(1, nil)
 			s, now := b.servers[0], 5*sec+c.idle
-			b.timeouts[3], b.timeouts[4] = decay.Counter{Value: idleLossLimit + 0.01, At: now}, decay.Counter{Value: idleLossLimit + 0.01, At: now}
+			b.timeouts[3], b.timeouts[4] = decay.Counter{Value: idleLossLimit + 0.01, At: now},
+				decay.Counter{Value: idleLossLimit + 0.01, At: now}
 			s.lastOutcomeAt = 5 * sec
 			b.sendTo(addRequest(b, 1, "once", "k"), s, now)
 			step := c.step
@@ -312,7 +316,8 @@
 		b.timeouts[3].Value = 0.5
 		now := 3*sec + idleLossSpan
 		s.lastOutcomeAt = now - sec
-		if b.sendTo(addRequest(b, 2, "once", "k"), s, now); b.decisions[len(b.decisions)-1].Kind == CloseConnections || s.inflight[0].idleStep != 3 {
+		if b.sendTo(addRequest(b, 2, "once", "k"), s, now); b.decisions[len(b.decisions)-1].Kind == CloseConnections ||
+			s.inflight[0].idleStep != 3 {
 			t.Error("connections are closed for a loss that has decayed")
 		}
 	})
@@ -429,8 +434,8 @@
 		b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", State: Draining}}, 0)
 		b.computeWeights(0)
 		for i := range 100 {
-			if s := b.pickServer(&request{maxDispatches: 3, rules: &b.cfg.RuleSets[0], placement: b.placementOf(&b.cfg.RuleSets[0]),
-				Arrival: Arrival{Key: fmt.Sprint(i)}}, 0); s.ID == "a" {
+			if s := b.pickServer(&request{maxDispatches: 3, rules: &b.cfg.RuleSets[0],
+				placement: b.placementOf(&b.cfg.RuleSets[0]), Arrival: Arrival{Key: fmt.Sprint(i)}}, 0); s.ID == "a" {
 				t.Fatal("a draining server was picked")
 			}
 		}
@@ -516,7 +521,7 @@
 	}
 }
 
-// New terms must not apply to requests that are open, and must not discard the state of servers.
+// New settings must not apply to requests that are open, and must not discard the state of servers.
 func TestRetune(t *testing.T) {
 	b := newBalancer(2, func(t *Config) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
 	b.servers[0].health, b.servers[1].streak = 0.4, 1
@@ -528,7 +533,8 @@
 	next.RuleSets = []RuleSet{{Name: "once", Effect: Replayable, ResponseTarget: sec / 5, BillingValue: 1}}
 	b.Reconfigure(next, 0)
 	if old.rules.Effect != NonReplayable || old.rules.ResponseTarget != sec || old.maxDispatches != 3 || old.tenant != 0 {
-		t.Errorf("got %+v, at most %d dispatches, tenant %d for the open request, want its old rules and its tenant's new index", old.rules, old.maxDispatches, old.tenant)
+		t.Errorf("got %+v, at most %d dispatches, tenant %d for the open request, want its old rules and tenant's new index",
+			old.rules, old.maxDispatches, old.tenant)
 	}
 	if now := addRequest(b, 2, "once", "k"); now.rules.Effect != Replayable || now.maxDispatches != 1 {
 		t.Errorf("got %+v, at most %d dispatches for a new request, want the new rules", now.rules, now.maxDispatches)
@@ -563,14 +569,16 @@
 	b.StreamStarted(1)
 	b.AnswerStarted(1, 0, sec/10, 10*sec+sec/10)
 	if b.inflight != 0 || b.servers[0].latency != float64(sec)/10 {
-		t.Fatalf("%d in flight, answer time %v, want the server's latency measured to the begin of the answer", b.inflight, b.servers[0].latency)
+		t.Fatalf("%d in flight, answer time %v, want the server's latency measured to the begin of the answer",
+			b.inflight, b.servers[0].latency)
 	}
 	if got := drain(b, 30*sec, -1); len(got) != 0 {
 		t.Fatalf("got %v after the answer began to stream", got)
 	}
 	b.Finished(1, 0, Served, true, 20*sec, 30*sec)
 	if b.inflight != 0 || len(b.requests) != 0 || b.servers[0].latency != float64(sec)/10 {
-		t.Fatalf("%d in flight, %d requests, answer time %v, want it counted once", b.inflight, len(b.requests), b.servers[0].latency)
+		t.Fatalf("%d in flight, %d requests, answer time %v, want it counted once",
+			b.inflight, len(b.requests), b.servers[0].latency)
 	}
 }
 
@@ -614,7 +622,8 @@
 	}
 	steady, afterLull := bound(sec/100, 0), bound(4*sec, 800)
 	if afterLull < 2*steady || afterLull < 50 {
-		t.Errorf("bound is %.1f half a second after a lull, %.1f without one, want it to follow the rate of that half second", afterLull, steady)
+		t.Errorf("bound is %.1f half a second after a lull, %.1f without one, want it to follow the rate of that half second",
+			afterLull, steady)
 	}
 	b := newBalancer(4, nil)
 	b.rateStart = -100 * sec
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -46,7 +46,8 @@
 // Snapshot returns what is known now.
 func (b *Balancer) Snapshot(now int64) Snapshot {
 	perSecond := func(c *decay.Counter) float64 { return c.Now(now, span) * float64(sec) / float64(span) }
-	m := Snapshot{Rate: perSecond(&b.answerRate), LatencyRatio: b.latencyRatio, MeanTarget: b.meanTarget.Value, MeanValue: b.meanValue.Value, Keys: b.keyCounts.Entries(now, keySpan)}
+	m := Snapshot{Rate: perSecond(&b.answerRate), LatencyRatio: b.latencyRatio, MeanTarget: b.meanTarget.Value,
+		MeanValue: b.meanValue.Value, Keys: b.keyCounts.Entries(now, keySpan)}
 	for i, t := range b.cfg.Tenants {
 		m.Tenants = append(m.Tenants, TenantRate{t.Name, perSecond(&b.tenantRates[i])})
 	}
@@ -60,8 +61,9 @@
 		if !s.listed {
 			continue
 		}
-		l := ServerSnapshot{ID: s.ID, Since: s.Since, Draining: s.State == Draining, Health: s.health, Streak: s.streak, Ejections: s.ejections,
-			SlotTime: s.slotTime, Latency: s.latency, InflightCap: s.inflightCap, RefutedShare: s.refutedShare, LastOutcomeAge: -1}
+		l := ServerSnapshot{ID: s.ID, Since: s.Since, Draining: s.State == Draining, Health: s.health, Streak: s.streak,
+			Ejections: s.ejections, SlotTime: s.slotTime, Latency: s.latency,
+			InflightCap: s.inflightCap, RefutedShare: s.refutedShare, LastOutcomeAge: -1}
 		if s.ejected {
 			l.EjectionLeft = max(1, s.ejectedUntil-now)
 		}
@@ -73,7 +75,8 @@
 	return all
 }
 
-// Restore imports what was known of servers of which this process has seen no outcome itself. It is called after Listed.
+// Restore imports what was known of servers of which this process has seen no outcome itself. It is called after
+// UpdateList.
 func (b *Balancer) Restore(m Snapshot, now int64) {
 	for _, l := range m.Servers {
 		i, had := slices.BinarySearchFunc(b.servers, l.ID, byID)
@@ -94,7 +97,8 @@
 	}
 	for _, x := range m.Tenants {
 		if i := b.cfg.Tenant(x.Name); i >= 0 {
-			b.tenantRates[i] = decay.Counter{Value: max(b.tenantRates[i].Now(now, span), x.Rate*float64(span)/float64(sec)), At: now}
+			b.tenantRates[i] = decay.Counter{
+				Value: max(b.tenantRates[i].Now(now, span), x.Rate*float64(span)/float64(sec)), At: now}
 		}
 	}
 	b.latencyRatio = max(b.latencyRatio, m.LatencyRatio)
--- a/balance/memory_test.go
+++ b/balance/memory_test.go
@@ -54,7 +54,8 @@
 // A server whose ejection was imported gets no requests, and returns like any other ejected server.
 func TestImportedEjection(t *testing.T) {
 	b := newBalancer(2, nil)
-	b.Restore(Snapshot{Servers: []ServerSnapshot{{ID: "a", Health: 0.2, Streak: 2, EjectionLeft: 2 * sec, Ejections: 1, InflightCap: 3}}}, sec)
+	b.Restore(Snapshot{Servers: []ServerSnapshot{{ID: "a", Health: 0.2, Streak: 2, EjectionLeft: 2 * sec,
+		Ejections: 1, InflightCap: 3}}}, sec)
 	for i := range uint64(20) {
 		b.AddRequest(Arrival{ID: i + 1, RuleSet: "again", Key: "k" + string(rune('a'+i)), Budget: 2 * sec}, sec)
 		for _, d := range drain(b, sec, Dispatch) {
--- a/balance/move_test.go
+++ b/balance/move_test.go
@@ -55,7 +55,8 @@
 		for now := int64(0); now < at; now += 10 * ms {
 			b.answerRate.Add(now, span)
 		}
-		assertNear(t, fmt.Sprint("bound after ", at/sec, " s"), b.inflightBound(r, at), minInflight+100*(inflightShare+extraShare), 1)
+		assertNear(t, fmt.Sprint("bound after ", at/sec, " s"), b.inflightBound(r, at),
+			minInflight+100*(inflightShare+extraShare), 1)
 	}
 }
 
@@ -156,11 +157,11 @@
 	if n := len(drain(b, 112*sec, RequestList)); n != 1 {
 		t.Errorf("requested the list %d times after the change back, want once", n)
 	}
-	// New terms that do not change the kind of deployment keep the measurements.
+	// New settings that do not change the kind of deployment keep the measurements.
 	b.servers[1].slotTime, b.answerRate.Value = 7, 5
 	next.FleetSize = 3
 	if b.Reconfigure(next, 113*sec); b.servers[1].slotTime != 7 || b.answerRate.Value != 5 {
-		t.Error("new terms of the same kind of deployment discarded measurements")
+		t.Error("new settings of the same kind of deployment discarded measurements")
 	}
 }
 
@@ -188,7 +189,8 @@
 // the budget, and a suspect server gets less.
 func TestAdvice(t *testing.T) {
 	t.Run("shed", func(t *testing.T) {
-		b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, MaxRetryAfter: sec, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: NonReplayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
+		b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, MaxRetryAfter: sec, Tick: 5 * ms,
+			RuleSets: []RuleSet{{Name: "a", Effect: NonReplayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
 		b.UpdateList(ListReplace, []Server{{ID: "s", Share: 1}}, 0)
 		b.AddRequest(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec, Shed: true, RetryAfter: 700 * ms}, 0)
 		var got []Decision
@@ -203,7 +205,8 @@
 	})
 	t.Run("further", func(t *testing.T) {
 		for further, want := range []int{1, 2} {
-			b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: Replayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
+			b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, Tick: 5 * ms,
+				RuleSets: []RuleSet{{Name: "a", Effect: Replayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
 			b.ApplyAdvice(Advice{RetriesLimited: true, RetriesLeft: further})
 			b.UpdateList(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}, {ID: "v", Share: 1}}, 0)
 			b.AddRequest(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec}, 0)
--- a/balance/outlier/outlier.go
+++ b/balance/outlier/outlier.go
@@ -1,5 +1,5 @@
-// Package outlier tracks one host's health as one proxy sees it: an average of outcomes, a streak of consecutive failures,
-// and an ejection with a growing, jittered backoff. It does no I/O; callers pass in time and random numbers.
+// Package outlier tracks one host's health as one proxy sees it: an average of outcomes, a streak of consecutive
+// failures, and an ejection with a growing, jittered backoff. It does no I/O; callers pass in time and random numbers.
 package outlier
 
 import "time"
--- a/balance/source_test.go
+++ b/balance/source_test.go
@@ -98,7 +98,7 @@
 }
 
 func TestFailuresAtTwoHealthyServersEndARequest(t *testing.T) {
-	// A request that fails everywhere went to all six servers that its terms allow and lowered the health of each
+	// A request that fails everywhere went to all six servers that its settings allow and lowered the health of each
 	// (pnw-core rough-1).
 	b := newBalancer(6, func(t *Config) { t.MaxDispatches = 6 })
 	b.AddRequest(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
--- a/balance/standing_test.go
+++ b/balance/standing_test.go
@@ -131,8 +131,8 @@
 	return float64(c.served[what]) / float64(max(1, c.asked[what]))
 }
 
-// All instances learn at the same moment that a server has started. What they send to it together within the FallTime
-// of the settings must stay below N + 3 x root of N + 3, where N is what the settings allow, even with a key that needs
+// All instances learn at the same moment that a server has started. What they send to it together within OverloadTime
+// must stay below N + 3 x root of N + 3, where N is what the settings allow, even with a key that needs
 // many servers.
 func TestColdServerIsNotOverloaded(t *testing.T) {
 	for _, hot := range []float64{0, 0.06} {
@@ -159,20 +159,20 @@
 				c.wakes[i] = startedAt
 			}
 			c.play(startedAt+10*sec, each)
-			got, terms := c.sent["s-007"], c.all[0].cfg
+			got, cfg := c.sent["s-007"], c.all[0].cfg
 			got = got[slices.IndexFunc(got, func(at int64) bool { return at >= startedAt }):]
 			for i, from := range got {
 				n := 0
 				for _, at := range got[i:] {
-					if at < from+terms.OverloadTime {
+					if at < from+cfg.OverloadTime {
 						n++
 					}
 				}
-				full := float64(terms.OverloadTime) / float64(c.work)
-				warm := terms.StartCapacity + (1-terms.StartCapacity)*float64(from-startedAt)/float64(terms.RampTime)
-				allowed := terms.OverloadFactor * warm * full
+				full := float64(cfg.OverloadTime) / float64(c.work)
+				warm := cfg.StartCapacity + (1-cfg.StartCapacity)*float64(from-startedAt)/float64(cfg.RampTime)
+				allowed := cfg.OverloadFactor * warm * full
 				if most := allowed + 3*math.Sqrt(allowed) + 3; float64(n) > most {
-					t.Fatalf("%d requests in the FallTime after %d ms, %.0f are allowed", n, (from-startedAt)/ms, most)
+					t.Fatalf("%d requests in the OverloadTime after %d ms, %.0f are allowed", n, (from-startedAt)/ms, most)
 				}
 			}
 			if len(got) < 5 {
--- a/balance/state.go
+++ b/balance/state.go
@@ -26,13 +26,13 @@
 	rules               *RuleSet
 	placement           *placement
 	arrivedAt, giveUpAt int64
-	clientDeadline      int64   // end of the client's wait, as far as it is told
+	clientDeadline      int64   // end of the client's wait, as far as known
 	value, random       float64 // random: a random number between 0 and 1
 	dispatches          []*dispatch
 	tenant, pending     int // index of the tenant, -1 if unknown; number of pending dispatches
 	ended, streaming    bool
 	healthyErrors       int               // errors from servers without a current failure
-	maxDispatches       int               // by the terms it arrived under
+	maxDispatches       int               // by the settings it arrived under
 	rankKey             string            // key of its server ranking, if other than Key
 	sources             []*decay.Outcomes // outcomes of its key and its tenant, if it has them
 }
--- a/balance/types.go
+++ b/balance/types.go
@@ -34,12 +34,12 @@
 	Zones, Kinds   []string // the only zones and kinds of machine that may run it; empty: any
 }
 
-func (x *RuleSet) restricted() bool { return len(x.Zones)+len(x.Kinds) > 0 }
+func (rs *RuleSet) restricted() bool { return len(rs.Zones)+len(rs.Kinds) > 0 }
 
 // Allows reports whether a server may run the rule set's requests.
-func (x *RuleSet) Allows(s *Server) bool {
-	return (len(x.Zones) == 0 || slices.Contains(x.Zones, s.Zone)) &&
-		(len(x.Kinds) == 0 || slices.Contains(x.Kinds, s.Kind))
+func (rs *RuleSet) Allows(s *Server) bool {
+	return (len(rs.Zones) == 0 || slices.Contains(rs.Zones, s.Zone)) &&
+		(len(rs.Kinds) == 0 || slices.Contains(rs.Kinds, s.Kind))
 }
 
 // Tenant is one customer and its share of the fleet.
@@ -48,7 +48,7 @@
 	Share float64
 }
 
-// Config are the settings of an instance, as far as the module uses them. Times are in ns.
+// Config holds the settings of an instance, as far as this package uses them. Times are in ns.
 type Config struct {
 	Seed             uint64
 	Zone             string
@@ -80,17 +80,17 @@
 }
 
 // RuleSet returns the rule set of that name, nil if there is none.
-func (t *Config) RuleSet(name string) *RuleSet {
-	i := slices.IndexFunc(t.RuleSets, func(x RuleSet) bool { return x.Name == name })
+func (c *Config) RuleSet(name string) *RuleSet {
+	i := slices.IndexFunc(c.RuleSets, func(x RuleSet) bool { return x.Name == name })
 	if i < 0 {
 		return nil
 	}
-	return &t.RuleSets[i]
+	return &c.RuleSets[i]
 }
 
 // Tenant returns the index of the tenant of that name, -1 if there is none.
-func (t *Config) Tenant(name string) int {
-	return slices.IndexFunc(t.Tenants, func(x Tenant) bool { return x.Name == name })
+func (c *Config) Tenant(name string) int {
+	return slices.IndexFunc(c.Tenants, func(x Tenant) bool { return x.Name == name })
 }
 
 // State is the life cycle state of a listed server.
@@ -149,7 +149,7 @@
 	Key         string
 	Budget      int64 // time left before the client gives up this try
 	Work        int64 // expected work, 0 if unknown
-	BodyPending bool  // its body is still arriving: its time starts with Whole
+	BodyPending bool  // its body is still arriving: its time starts with BodyComplete
 	Shed        bool  // the balancers have agreed to deny requests like it: it is denied at once
 	RetryAfter  int64 // wait advised to the client of a shed request, 0: the default
 }
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -7,7 +7,7 @@
 // date when it is read.
 type Counter struct {
 	Value float64
-	At    int64 // time at which N holds, in the unit of the spans
+	At    int64 // time at which Value holds, in the unit of the spans
 }
 
 // Now returns the count at a time.
--- a/internal/decay/keys.go
+++ b/internal/decay/keys.go
@@ -57,8 +57,8 @@
 	m.Value += (x - m.Value) / m.n
 }
 
-// Smooth is an exponential moving average: it moves a value a tenth of the way to the newest one, or replaces it if it was
-// not known.
+// Smooth is an exponential moving average: it moves a value a tenth of the way to the newest one, or replaces it if
+// it was not known.
 func Smooth(old, newest float64, known bool) float64 {
 	if !known {
 		return newest
--- a/internal/strictcbor/strictcbor.go
+++ b/internal/strictcbor/strictcbor.go
@@ -1,5 +1,6 @@
-// Package strictcbor provides the CBOR encoding that all formats of the project share: a deterministic encoder, and a strict
-// decoder that rejects duplicate map keys, indefinite lengths and tags. It must not depend on any particular format.
+// Package strictcbor provides the CBOR encoding that all formats of the project share: a deterministic encoder, and a
+// strict decoder that rejects duplicate map keys, indefinite lengths and tags. It must not depend on
+// any particular format.
 package strictcbor
 
 import "github.com/fxamacker/cbor/v2"
@@ -10,7 +11,8 @@
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	limits.DupMapKey, limits.IndefLength, limits.TagsMd = cbor.DupMapKeyEnforcedAPF, cbor.IndefLengthForbidden, cbor.TagsForbidden
+	limits.DupMapKey, limits.IndefLength, limits.TagsMd =
+		cbor.DupMapKeyEnforcedAPF, cbor.IndefLengthForbidden, cbor.TagsForbidden
 	decoder, err := limits.DecMode()
 	if err != nil {
 		panic(err)
--- a/terms/terms.go
+++ b/terms/terms.go
@@ -1,4 +1,4 @@
-// Package terms decodes the settings that an instance receives at its start into balance.Terms, for every
+// Package terms decodes the settings that an instance receives at its start into balance.Config, for every
 // host of package balance. The names of those settings appear only here. The package makes no decisions and
 // reads no setting that package balance does not use.
 package terms
@@ -188,8 +188,8 @@
 	return v.Err
 }
 
-// CheckNoneMissing returns an error if new settings lack a name that the old ones have. As rule sets and tenants are added and
-// removed, an item of a list only needs the fields that all items of the old list have in common.
+// CheckNoneMissing returns an error if new settings lack a name that the old ones have. As rule sets and tenants are
+// added and removed, an item of a list only needs the fields that all items of the old list have in common.
 func CheckNoneMissing(old, next []byte) error {
 	before, err := Flatten(old)
 	if err != nil {
@@ -258,8 +258,9 @@
 		WastePrice: v.Float("Prices.Waste"), Tick: v.Int("TickNs"),
 		TailWeight: v.Float("ScoringMix.Tail"), TailMissRate: v.Float("ScoringMix.TailMiss"),
 		OverloadFactor: v.Float("Contract.OverloadFactor"), OverloadTime: v.Int("Contract.FallNs"),
-		WarmKeys: v.Bool("Extra.WarmKeys"), MaxHeldAnswers: int(v.Int("Ceilings.HeldReplies")), BudgetError: v.Int("Contract.BudgetErrorNs"),
-		StartError: v.Int("Contract.StartErrorNs"), GoneIsAdvice: v.Bool("Contract.GoneIsAdvice"),
+		WarmKeys: v.Bool("Extra.WarmKeys"), MaxHeldAnswers: int(v.Int("Ceilings.HeldReplies")),
+		BudgetError: v.Int("Contract.BudgetErrorNs"),
+		StartError:  v.Int("Contract.StartErrorNs"), GoneIsAdvice: v.Bool("Contract.GoneIsAdvice"),
 	}
 	if v.Bool("Ceilings.RetryAfter") {
 		t.MaxRetryAfter = v.Int("Ceilings.MaxRetryAfterNs")
--- a/terms/terms_test.go
+++ b/terms/terms_test.go
@@ -40,7 +40,8 @@
 		v := &Values{Raw: map[string]string{"Contract.BudgetErrorNs": "5", "Contract.StartErrorNs": "6",
 			"Contract.GoneIsAdvice": "true", "Ceilings.HeldReplies": "7", "ScoringMix.Tail": "0.2", "ScoringMix.TailMiss": "0.01",
 			"RuleSets.count": "1", "RuleSets.0.ServedOn": "small,tiny", "RuleSets.0.ZonesOnly": "a"}}
-		want := balance.Config{BudgetError: 5, StartError: 6, GoneIsAdvice: true, MaxHeldAnswers: 7, TailWeight: 0.2, TailMissRate: 0.01,
+		want := balance.Config{BudgetError: 5, StartError: 6, GoneIsAdvice: true, MaxHeldAnswers: 7, TailWeight: 0.2,
+			TailMissRate: 0.01,
 			RuleSets: []balance.RuleSet{{Effect: balance.NonReplayable, Group: balance.GroupCell,
 				Kinds: []string{"small", "tiny"}, Zones: []string{"a"}}}}
 		if got := Decode(v, 0); v.Err != nil || !reflect.DeepEqual(got, want) {
