--- a/cmd/ivybank/ledger.go
+++ b/cmd/ivybank/ledger.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
+	"ivybank/keys/idempotency"
 	"ivybank/keys/ledger"
-	"ivybank/keys/once"
 )
 
 func ledgerCommand() *cobra.Command {
@@ -32,16 +32,16 @@
 }
 
 // meanings are what a repeat of a key would get.
-var meanings = map[once.State]string{
-	once.Open:   "may have been dispatched, no end recorded: a repeat at a proxy that starts now is told that it is unsure (409)",
-	once.Done:   "done: a repeat gets its answer",
-	once.Unsure: "aborted, it may have run: a repeat is told so (409) and not dispatched",
+var meanings = map[idempotency.State]string{
+	idempotency.Open:   "may have been dispatched, no end recorded: a repeat at a proxy that starts now is told that it is unsure (409)",
+	idempotency.Done:   "done: a repeat gets its answer",
+	idempotency.Unsure: "aborted, it may have run: a repeat is told so (409) and not dispatched",
 }
 
 // listLedger prints what the records come to.
 func listLedger(w io.Writer, path string, text []byte, only string) error {
-	var order []once.Key
-	last := map[once.Key]ledger.Record{}
+	var order []idempotency.Key
+	last := map[idempotency.Key]ledger.Record{}
 	rep, _, err := ledger.Read(text, func(r ledger.Record) {
 		if _, had := last[r.Entry.Key]; !had {
 			order = append(order, r.Entry.Key)
@@ -63,10 +63,10 @@
 		switch {
 		case r.Kind == ledger.Free:
 			state, meaning = "free", "provably never ran: a repeat is dispatched"
-		case r.Entry.State == once.Done && !r.Entry.Answer.Kept:
+		case r.Entry.State == idempotency.Done && !r.Entry.Answer.Kept:
 			meaning = "done, its answer was too large to keep: a repeat is told so (409)"
 			fallthrough
-		case r.Entry.State == once.Done:
+		case r.Entry.State == idempotency.Done:
 			answer = fmt.Sprintf("%d, %d bytes", r.Entry.Answer.Status, len(r.Entry.Answer.Body))
 		}
 		counts[state]++
--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -23,7 +23,7 @@
 
 	"ivybank/conf"
 	"ivybank/fleet/holds"
-	"ivybank/keys/once"
+	"ivybank/keys/idempotency"
 	"ivybank/proxy"
 	"ivybank/proxy/admin"
 	"ivybank/proxy/sibling"
@@ -187,7 +187,7 @@
 	if k == nil {
 		return nil
 	}
-	x := &proxy.IdempotencyConfig{Header: k.Header, Terms: once.Terms{Most: k.Entries, Bytes: k.Answers, Largest: k.Largest, Waiters: k.Waiters,
+	x := &proxy.IdempotencyConfig{Header: k.Header, Terms: idempotency.Terms{Most: k.Entries, Bytes: k.Answers, Largest: k.Largest, Waiters: k.Waiters,
 		Longest: k.Longest, RetryIn: int64(k.RetryIn), Retain: map[string]int64{}}}
 	for _, r := range k.RuleSets {
 		x.Terms.Retain[r.Name] = int64(r.Retain)
--- a/keys/once/once.go
+++ b/keys/idempotency/store.go
@@ -1,7 +1,7 @@
-// Package once decides what becomes of a req with an idempotency key: whether it is the first of its key and goes on, joins
+// Package idempotency decides what becomes of a req with an idempotency key: whether it is the first of its key and goes on, joins
 // the one that is open, or gets what became of it. It owns the keys and their states. It must never do I/O, look at a
 // clock, or let a key that may have run go again.
-package once
+package idempotency
 
 import (
 	"container/heap"
--- a/keys/once/once_test.go
+++ b/keys/idempotency/store_test.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"fmt"
--- a/keys/ledger/ledger.go
+++ b/keys/ledger/ledger.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"syscall"
 
-	"ivybank/keys/once"
+	"ivybank/keys/idempotency"
 )
 
 const (
@@ -49,7 +49,7 @@
 // Record is one record.
 type Record struct {
 	Kind  Kind
-	Entry once.Entry
+	Entry idempotency.Entry
 }
 
 // Report is what opening a file found.
@@ -117,11 +117,11 @@
 		bad = bad || err != nil
 		return c
 	}
-	r.Kind, r.Entry.State = Kind(one()), once.State(one())
+	r.Kind, r.Entry.State = Kind(one()), idempotency.State(one())
 	at, err := binary.ReadVarint(in)
-	bad = bad || err != nil || r.Kind != Begin && r.Kind != End && r.Kind != Free || r.Entry.State > once.Unsure
+	bad = bad || err != nil || r.Kind != Begin && r.Kind != End && r.Kind != Free || r.Entry.State > idempotency.Unsure
 	r.Entry.At = at
-	r.Entry.Key = once.Key{Tenant: text(), RuleSet: text(), Name: text()}
+	r.Entry.Key = idempotency.Key{Tenant: text(), RuleSet: text(), Name: text()}
 	if _, err := io.ReadFull(in, r.Entry.Print[:]); err != nil {
 		bad = true
 	}
--- a/keys/ledger/ledger_test.go
+++ b/keys/ledger/ledger_test.go
@@ -12,14 +12,14 @@
 	"syscall"
 	"testing"
 
-	"ivybank/keys/once"
+	"ivybank/keys/idempotency"
 )
 
 func record(i int, kind Kind) Record {
-	r := Record{kind, once.Entry{Key: once.Key{Tenant: "t", RuleSet: "filing", Name: fmt.Sprint("key-", i)}, Print: once.Print{byte(i)}, At: int64(i) * 1e9}}
+	r := Record{kind, idempotency.Entry{Key: idempotency.Key{Tenant: "t", RuleSet: "filing", Name: fmt.Sprint("key-", i)}, Print: idempotency.Print{byte(i)}, At: int64(i) * 1e9}}
 	if kind == End {
-		r.Entry.State = once.Done
-		r.Entry.Answer = once.Answer{Status: 200, Kept: true, Fields: [][2]string{{"Content-Type", "a/b"}}, Body: bytes.Repeat([]byte{byte(i)}, i%50)}
+		r.Entry.State = idempotency.Done
+		r.Entry.Answer = idempotency.Answer{Status: 200, Kept: true, Fields: [][2]string{{"Content-Type", "a/b"}}, Body: bytes.Repeat([]byte{byte(i)}, i%50)}
 		if len(r.Entry.Answer.Body) == 0 {
 			r.Entry.Answer.Body = nil
 		}
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -10,7 +10,7 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/lease"
-	"ivybank/keys/once"
+	"ivybank/keys/idempotency"
 	"ivybank/proxy/http1"
 )
 
@@ -27,12 +27,12 @@
 	dispatches []*dispatch
 	outs       int
 	ended      bool
-	flow       *flow       // the body, when it arrives in pieces
-	relay      *hostConn   // the host connection whose response is being relayed
-	key        *once.Key   // set for a request with an idempotency key, which has no client of its own
-	luck       float64     // hash of what a client's retries have in common, from 0 to 1; 0 without peers
-	shed       bool        // denied by the fleet, through overload control or a limit
-	book       *lease.Book // the limits under which it was admitted; nil if the fleet has none
+	flow       *flow            // the body, when it arrives in pieces
+	relay      *hostConn        // the host connection whose response is being relayed
+	key        *idempotency.Key // set for a request with an idempotency key, which has no client of its own
+	luck       float64          // hash of what a client's retries have in common, from 0 to 1; 0 without peers
+	shed       bool             // denied by the fleet, through overload control or a limit
+	book       *lease.Book      // the limits under which it was admitted; nil if the fleet has none
 }
 
 // admit validates a request and hands it to the balancer. A request that no host could serve is rejected here: a
--- a/proxy/idempotency.go
+++ b/proxy/idempotency.go
@@ -17,8 +17,8 @@
 	"github.com/sirupsen/logrus"
 
 	"ivybank/balance"
+	"ivybank/keys/idempotency"
 	"ivybank/keys/ledger"
-	"ivybank/keys/once"
 	"ivybank/proxy/http1"
 )
 
@@ -37,13 +37,13 @@
 type IdempotencyConfig struct {
 	Header string // the request header that holds the key
 	File   string // the ledger; empty: keys are kept in memory only
-	Terms  once.Terms
+	Terms  idempotency.Terms
 }
 
 // keyState is the event loop's state of idempotency keys; nil if they are off.
 type keys struct {
 	IdempotencyConfig
-	book    *once.Book
+	book    *idempotency.Book
 	ledger  *ledger.Ledger     // nil: in memory only, or not opened yet
 	ready   bool               // the ledger is open, or none is needed
 	waiters map[uint64]*waiter // removed when they are answered or leave
@@ -55,7 +55,7 @@
 // waiter is a client's request that waits for a key's result.
 type waiter struct {
 	number uint64
-	key    once.Key
+	key    idempotency.Key
 	client *client
 	close  bool
 	due    *timer // fires when the client's own timeout is over
@@ -68,7 +68,7 @@
 		return nil
 	}
 	k := &keys{IdempotencyConfig: *p.start.Idempotency, waiters: map[uint64]*waiter{}}
-	k.book = once.New(k.Terms)
+	k.book = idempotency.New(k.Terms)
 	p.keys = k
 	if k.File == "" {
 		k.ready = true
@@ -104,7 +104,7 @@
 			return err
 		}
 	}
-	book := once.New(k.Terms)
+	book := idempotency.New(k.Terms)
 	l, rep, err := ledger.Open(k.File, func(r ledger.Record) {
 		k.newest = max(k.newest, r.Entry.At)
 		if r.Kind == ledger.Free {
@@ -180,7 +180,7 @@
 		all := make([]ledger.Record, 0, len(entries))
 		for _, e := range entries {
 			kind := ledger.End
-			if e.State == once.Open {
+			if e.State == idempotency.Open {
 				kind = ledger.Begin
 			}
 			all = append(all, ledger.Record{Kind: kind, Entry: *e})
@@ -221,13 +221,13 @@
 		return true, nil
 	}
 	now := p.now()
-	key := once.Key{Tenant: call.Tenant, RuleSet: call.RuleSet, Name: call.Fields[i].Value}
+	key := idempotency.Key{Tenant: call.Tenant, RuleSet: call.RuleSet, Name: call.Fields[i].Value}
 	k.last++
 	v := k.book.Arrive(key, fingerprint(call.Call), k.last, now)
 	switch v.Kind {
-	case once.Go:
+	case idempotency.Go:
 		if p.ids[call.ID] {
-			k.book.Ended(key, once.Denied, once.Answer{}, now)
+			k.book.Ended(key, idempotency.Denied, idempotency.Answer{}, now)
 			return true, errOpenID
 		}
 		p.ids[call.ID] = true
@@ -242,29 +242,29 @@
 					logrus.Warnf("the start of a key could not be recorded: %v", err)
 					p.count.KeysRefused++
 					delete(p.ids, call.ID)
-					p.settle(key, once.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: k.Terms.RetryIn})
+					p.settle(key, idempotency.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: k.Terms.RetryIn})
 					return
 				}
 				p.newestKey(now)
 				p.attempt(key, call, p.now())
 			})
 		})
-	case once.Join:
+	case idempotency.Join:
 		p.count.Repeats++
 		p.wait(c, call, key, now)
-	case once.Told:
+	case idempotency.Told:
 		p.count.Repeats++
 		p.answer(c, told(v.Entry), call.Close)
-	case once.Conflict:
+	case idempotency.Conflict:
 		p.count.KeyConflicts++
 		refuse(http.StatusUnprocessableEntity, "not taken; the key stands for another call", 0)
-	case once.Full:
+	case idempotency.Full:
 		p.count.KeysRefused++
 		refuse(http.StatusServiceUnavailable, "not taken; no room for a further key", k.Terms.RetryIn)
-	case once.Lost:
+	case idempotency.Lost:
 		p.count.KeysRefused++
 		refuse(http.StatusServiceUnavailable, "not taken; keys of before were lost, and this may be one of them", k.Terms.RetryIn)
-	case once.TooLong:
+	case idempotency.TooLong:
 		p.count.KeyConflicts++
 		refuse(http.StatusBadRequest, "not taken; the key is too long", 0)
 	}
@@ -272,7 +272,7 @@
 }
 
 // fingerprint returns a hash of what a request asks.
-func fingerprint(c http1.Call) (print once.Print) {
+func fingerprint(c http1.Call) (print idempotency.Print) {
 	h := sha256.New()
 	h.Write([]byte(c.Method + "\x00" + c.Target + "\x00"))
 	h.Write(c.Body)
@@ -281,7 +281,7 @@
 }
 
 // addWaiter keeps a client until its key's attempt has ended, or its own timeout is over.
-func (p *Proxy) wait(c *client, call sentAhead, key once.Key, now int64) {
+func (p *Proxy) wait(c *client, call sentAhead, key idempotency.Key, now int64) {
 	w := &waiter{number: p.keys.last, key: key, client: c, close: call.Close}
 	p.keys.waiters[w.number] = w
 	c.waits = w
@@ -302,20 +302,20 @@
 }
 
 // startAttempt hands a key's first request to the balancer. It belongs to the key, not to its client.
-func (p *Proxy) attempt(key once.Key, call sentAhead, now int64) {
+func (p *Proxy) attempt(key idempotency.Key, call sentAhead, now int64) {
 	left := call.Timeout - wayMargin - (now - call.at)
 	if left <= 0 {
 		delete(p.ids, call.ID)
-		p.settle(key, once.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: p.keys.Terms.RetryIn})
+		p.settle(key, idempotency.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: p.keys.Terms.RetryIn})
 		return
 	}
 	p.enter(&req{call: call.Call, key: &key, taken: call.at}, left, now)
 }
 
 // finishKey ends a key's attempt and answers all that wait for it.
-func (p *Proxy) settle(key once.Key, o once.Outcome, a http1.Answer) {
+func (p *Proxy) settle(key idempotency.Key, o idempotency.Outcome, a http1.Answer) {
 	k := p.keys
-	kept := once.Answer{Status: a.Status, Body: a.Body, Kept: a.Piece == http1.Whole}
+	kept := idempotency.Answer{Status: a.Status, Body: a.Body, Kept: a.Piece == http1.Whole}
 	for _, f := range a.Fields {
 		kept.Fields = append(kept.Fields, [2]string{f.Name, f.Value})
 	}
@@ -325,15 +325,15 @@
 	}
 	if k.ledger != nil {
 		kind := ledger.End
-		if e.State == once.Open {
+		if e.State == idempotency.Open {
 			kind = ledger.Free
 		}
 		k.ledger.Append(ledger.Record{Kind: kind, Entry: *e}, nil)
 	}
 	switch {
-	case o == once.Aborted:
+	case o == idempotency.Aborted:
 		a.Fields = append(slices.Clone(a.Fields), http1.Field{Name: outcomeField, Value: e.State.String()})
-	case o == once.Served && a.Piece != http1.Whole:
+	case o == idempotency.Served && a.Piece != http1.Whole:
 		a = told(e)
 	}
 	for _, n := range waiters {
@@ -347,10 +347,10 @@
 }
 
 // replayResponse returns the response to a repeat of a key that has ended.
-func told(e *once.Entry) http1.Answer {
-	if e.State != once.Done || !e.Answer.Kept {
+func told(e *idempotency.Entry) http1.Answer {
+	if e.State != idempotency.Done || !e.Answer.Kept {
 		what := e.State.String()
-		if e.State == once.Done {
+		if e.State == idempotency.Done {
 			what += "; its answer was too large to keep"
 		}
 		return http1.Answer{Status: http.StatusConflict, Fields: []http1.Field{{Name: outcomeField, Value: what}}}
@@ -364,14 +364,14 @@
 }
 
 // keyOutcome maps a final response to a key's outcome.
-func outcomeOf(a http1.Answer) once.Outcome {
+func outcomeOf(a http1.Answer) idempotency.Outcome {
 	switch a.Status {
 	case http.StatusOK:
-		return once.Served
+		return idempotency.Served
 	case http.StatusServiceUnavailable:
-		return once.Denied
+		return idempotency.Denied
 	}
-	return once.Aborted
+	return idempotency.Aborted
 }
 
 // adoptWaiter gives a streamed response to the client that has waited for longest; the others are answered once it
@@ -393,8 +393,8 @@
 // finishStreamedKey ends a key whose response was relayed in pieces.
 func (p *Proxy) passedKey(r *req, o balance.Outcome) {
 	if o == balance.Served {
-		p.settle(*r.key, once.Served, http1.Answer{Status: http.StatusOK, Piece: http1.First})
+		p.settle(*r.key, idempotency.Served, http1.Answer{Status: http.StatusOK, Piece: http1.First})
 		return
 	}
-	p.settle(*r.key, once.Aborted, http1.Answer{Status: http.StatusBadGateway})
+	p.settle(*r.key, idempotency.Aborted, http1.Answer{Status: http.StatusBadGateway})
 }
--- a/proxy/idempotency_test.go
+++ b/proxy/idempotency_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"ivybank/keys/idempotency"
 	"ivybank/keys/ledger"
-	"ivybank/keys/once"
 )
 
 // A ledger most of which is obsolete is rewritten with the live records only; one that is mostly live is left as it
@@ -15,23 +15,23 @@
 func TestTidyLedger(t *testing.T) {
 	p := testProxy(t)
 	file := filepath.Join(t.TempDir(), "keys.ledger")
-	p.start.Idempotency = &IdempotencyConfig{Header: "K", File: file, Terms: once.Terms{Most: 1 << 20, Bytes: 1 << 30, Largest: 1 << 16, Waiters: 1, Longest: 99,
+	p.start.Idempotency = &IdempotencyConfig{Header: "K", File: file, Terms: idempotency.Terms{Most: 1 << 20, Bytes: 1 << 30, Largest: 1 << 16, Waiters: 1, Longest: 99,
 		Retain: map[string]int64{"once": int64(time.Hour)}}}
 	if err := p.openKeys(); err != nil {
 		t.Fatal(err)
 	}
 	k := p.keys
 	for i := range 3000 {
-		key := once.Key{RuleSet: "once", Name: fmt.Sprint(i)}
-		v := k.book.Arrive(key, once.Print{}, 1, p.now())
+		key := idempotency.Key{RuleSet: "once", Name: fmt.Sprint(i)}
+		v := k.book.Arrive(key, idempotency.Print{}, 1, p.now())
 		k.ledger.Append(ledger.Record{Kind: ledger.Begin, Entry: *v.Entry}, nil)
-		o, a := once.Denied, once.Answer{}
+		o, a := idempotency.Denied, idempotency.Answer{}
 		if i%100 == 0 {
-			o, a = once.Served, once.Answer{Status: 200, Kept: true, Body: []byte("x")}
+			o, a = idempotency.Served, idempotency.Answer{Status: 200, Kept: true, Body: []byte("x")}
 		}
 		e, _ := k.book.Ended(key, o, a, p.now())
 		kind := ledger.Free
-		if o == once.Served {
+		if o == idempotency.Served {
 			kind = ledger.End
 		}
 		e.Answer.Fields = [][2]string{{"X", string(make([]byte, 400))}} // make the obsolete records large, too
@@ -40,7 +40,7 @@
 	settled := func() {
 		t.Helper()
 		done := make(chan error)
-		k.ledger.Append(ledger.Record{Kind: ledger.Free, Entry: once.Entry{Key: once.Key{RuleSet: "once", Name: "0"}}}, func(err error) { done <- err })
+		k.ledger.Append(ledger.Record{Kind: ledger.Free, Entry: idempotency.Entry{Key: idempotency.Key{RuleSet: "once", Name: "0"}}}, func(err error) { done <- err })
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
