--- a/balance/balance.go
+++ b/balance/balance.go
@@ -424,7 +424,7 @@
 	if b.askAt > 0 {
 		if now >= b.askAt {
 			b.emit(Decision{Kind: RequestList})
-			b.askAt = now + max(b.cfg.AskWithin/2, sec) // in case no answer comes
+			b.askAt = now + max(b.cfg.AskWithin/2, sec) // in case there is no answer
 		}
 		next = b.askAt
 	}
@@ -669,7 +669,7 @@
 		return nil
 	}
 	var ranked [maxRanks]*server
-	p, lot := r.placement, math.Mod(r.random*1e6, 1)
+	p, draw := r.placement, math.Mod(r.random*1e6, 1)
 	answered := min(1, (0.1+p.answers.Now(now, span))/(1+p.firstDispatches.Now(now, span)))
 	for _, s := range b.servers {
 		if s.weight == 0 || (s.ejected || s.silent) && !p.panicMode || !r.allowed(s, now) {
@@ -690,7 +690,7 @@
 			// With one popular key, or while others are out, all balancers together would overload it: it is drawn
 			// at random, only for first dispatches, up to its share of what is answered.
 			part := coldFactor * answered * s.weightFor(p) / p.totalWeight
-			if lot -= part; len(r.dispatches) > 0 || lot > 0 || lot <= -part {
+			if draw -= part; len(r.dispatches) > 0 || draw > 0 || draw <= -part {
 				continue
 			}
 			s.score = math.Inf(1)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -12,7 +12,7 @@
 func newBalancer(n int, change func(*Config)) *Balancer {
 	t := Config{Seed: 7, Zone: "z", MaxDispatches: 3, CanCancel: true, Tick: 5 * ms, StartCapacity: 0.2, WarmKeys: true,
 		RampTime: 20 * sec, RuleSets: []RuleSet{
-			{Name: "again", Effect: Replayable, BillingValue: 1, ResponseTarget: sec},
+			{Name: "replayable", Effect: Replayable, BillingValue: 1, ResponseTarget: sec},
 			{Name: "cell", Effect: Deduplicated, Group: GroupCell, Window: sec, BillingValue: 1, ResponseTarget: sec},
 			{Name: "zone", Effect: Deduplicated, Group: GroupZone, Window: sec, BillingValue: 1, ResponseTarget: sec},
 			{Name: "all", Effect: Deduplicated, Group: GroupAll, Window: sec, BillingValue: 1, ResponseTarget: sec},
@@ -70,7 +70,7 @@
 		{"a budget of 4 ms", 2, "once", 4 * ms, nil, 0, Deny},
 		{"unknown rule set counts as non-replayable", 1, "other", 20 * ms, nil, 10 * ms, Abort},
 		{"no answer until the response target", 1, "once", 2 * sec, nil, 990 * ms, Abort},
-		{"replayable may be denied after a dispatch", 1, "again", 2 * sec, nil, 990 * ms, Deny},
+		{"replayable may be denied after a dispatch", 1, "replayable", 2 * sec, nil, 990 * ms, Deny},
 		{"deduplicated by cell may not", 1, "cell", 2 * sec, nil, 990 * ms, Abort},
 		{"deduplicated by all may", 1, "all", 2 * sec, nil, 990 * ms, Deny},
 	} {
@@ -104,7 +104,7 @@
 func TestNoDuplicateEffects(t *testing.T) {
 	neverRan := map[Outcome]bool{Refused: true, NoConnection: true, NotSent: true}
 	for o := Errored; o <= Unknown; o++ {
-		for _, rules := range []string{"again", "cell", "once"} {
+		for _, rules := range []string{"replayable", "cell", "once"} {
 			t.Run(fmt.Sprint(rules, " after outcome ", o), func(t *testing.T) {
 				b := newBalancer(3, nil)
 				b.servers[1].Cell, b.servers[2].Cell = 1, 1
@@ -112,12 +112,12 @@
 				b.sendTo(r, b.servers[0], 0)
 				b.Finished(1, 0, o, false, ms, ms)
 				for i, s := range b.servers {
-					want := rules == "again" || neverRan[o] || rules == "cell" && i == 0
+					want := rules == "replayable" || neverRan[o] || rules == "cell" && i == 0
 					if got := b.canSend(r) && r.allowed(s, ms); got != want {
 						t.Errorf("server %d allowed: %v, want %v", i, got, want)
 					}
 				}
-				if got, want := b.canDeny(r), rules == "again" || neverRan[o]; got != want {
+				if got, want := b.canDeny(r), rules == "replayable" || neverRan[o]; got != want {
 					t.Errorf("deny allowed: %v, want %v", got, want)
 				}
 			})
@@ -146,7 +146,7 @@
 	})
 	t.Run("no parallel dispatches unless configured", func(t *testing.T) {
 		b := newBalancer(2, nil)
-		r := addRequest(b, 1, "again", "k")
+		r := addRequest(b, 1, "replayable", "k")
 		if b.sendTo(r, b.servers[0], 0); b.canSend(r) {
 			t.Error("a second dispatch is allowed")
 		}
@@ -397,7 +397,7 @@
 		b := newBalancer(2, nil)
 		n := map[string]int{}
 		for i := range uint64(1000) {
-			n[b.pickServer(addRequest(b, i, "again", ""), 0).ID]++
+			n[b.pickServer(addRequest(b, i, "replayable", ""), 0).ID]++
 		}
 		if n["a"] < 400 || n["b"] < 400 {
 			t.Errorf("got %v", n)
@@ -445,7 +445,7 @@
 		b.servers[0].ejected, b.servers[0].ejectedUntil = true, sec
 		b.reviewServers(0)
 		b.answerRate.Value, b.answerRate.At = 100*float64(span/sec), 1000*sec
-		r := addRequest(b, 1, "again", "k")
+		r := addRequest(b, 1, "replayable", "k")
 		calm := calmInflight * 8 / 9 // one of nine is ejected
 		for _, c := range []struct {
 			balancers                  int
@@ -468,7 +468,7 @@
 		for _, b.latencyRatio = range []float64{0, 1} {
 			sent := 0
 			for i := range uint64(1000) {
-				if b.pickServer(addRequest(b, i, "again", "k"), 0) != nil {
+				if b.pickServer(addRequest(b, i, "replayable", "k"), 0) != nil {
 					sent++
 				}
 			}
@@ -479,7 +479,7 @@
 	})
 	t.Run("a request goes to no server beyond the first maxRanks", func(t *testing.T) {
 		b := newBalancer(8, nil)
-		r := addRequest(b, 1, "again", "k")
+		r := addRequest(b, 1, "replayable", "k")
 		for range maxRanks {
 			b.pickServer(r, 0).inflightCap = 0
 		}
@@ -584,7 +584,7 @@
 
 // A request whose body is no longer buffered must not be dispatched again, even if a repeat would be safe.
 func TestNoDispatchWithoutBufferedBody(t *testing.T) {
-	for rules, want := range map[string]DecisionKind{"again": Deny, "once": Deny} {
+	for rules, want := range map[string]DecisionKind{"replayable": Deny, "once": Deny} {
 		b := newBalancer(2, nil)
 		b.AddRequest(Arrival{ID: 1, RuleSet: rules, Budget: 2 * sec, BodyPending: true}, 0)
 		drain(b, 0, Dispatch)
--- a/balance/cold_test.go
+++ b/balance/cold_server_test.go
@@ -57,7 +57,7 @@
 				in.firstDispatches = decay.Counter{Value: 1000, At: 101 * sec}
 				in.answers = decay.Counter{Value: 1000 * (1 - c.failed), At: 101 * sec}
 				for i := range uint64(requests) {
-					b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: fmt.Sprint("key-", i), Budget: sec}, 101*sec)
+					b.AddRequest(Arrival{ID: i, RuleSet: "replayable", Key: fmt.Sprint("key-", i), Budget: sec}, 101*sec)
 					r := b.requests[i]
 					for range c.tries {
 						r.dispatches = append(r.dispatches, &dispatch{request: r, server: b.servers[1]})
--- a/balance/source_test.go
+++ b/balance/failing_source_test.go
@@ -101,7 +101,7 @@
 	// A request that fails everywhere went to all six servers that its settings allow and lowered the health of each
 	// (pnw-core rough-1).
 	b := newBalancer(6, func(t *Config) { t.MaxDispatches = 6 })
-	b.AddRequest(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
+	b.AddRequest(Arrival{ID: 1, RuleSet: "replayable", Key: "k", Budget: sec}, 0)
 	for i := range 6 {
 		now := int64(i) * 10 * ms
 		for _, d := range drain(b, now, -1) {
@@ -123,7 +123,7 @@
 	}
 	// A request that failed only at servers with other failures is tried again: their errors say nothing of the request.
 	b = newBalancer(6, func(t *Config) { t.MaxDispatches = 6 })
-	b.AddRequest(Arrival{ID: 1, RuleSet: "again", Key: "k", Budget: sec}, 0)
+	b.AddRequest(Arrival{ID: 1, RuleSet: "replayable", Key: "k", Budget: sec}, 0)
 	for i := range 3 {
 		now := int64(i) * 10 * ms
 		for _, s := range b.servers {
--- a/balance/copies_test.go
+++ b/balance/hedging_test.go
@@ -20,7 +20,7 @@
 				t.AllowParallel, t.FleetSize, t.RuleSets[0].Kinds = true, c.balancers, c.kinds
 			})
 			b.servers[0].Kind, b.servers[1].Kind = "small", "small"
-			r := addRequest(b, 1, "again", "k")
+			r := addRequest(b, 1, "replayable", "k")
 			r.random = 0
 			if drain(b, 0, Dispatch); len(r.dispatches) != 1 {
 				t.Fatalf("sent %d times", len(r.dispatches))
--- a/balance/close_test.go
+++ b/balance/inflight_bound_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(c.servers, func(t *Config) { t.FleetSize = c.balancers })
-			r := addRequest(b, 1, "again", "k")
+			r := addRequest(b, 1, "replayable", "k")
 			b.healthy -= c.ejected
 			idle := b.inflightBound(r, 100*sec)
 			b.answerRate = decay.Counter{Value: 100 * float64(span/sec), At: 100 * sec} // requests of 1 s, 100 a second
@@ -37,7 +37,7 @@
 // the narrow bound must apply, and few refusals must leave the wide one. Answers restore it.
 func TestRefusalsNarrowTheInflightBound(t *testing.T) {
 	b := newBalancer(8, func(t *Config) { t.FleetSize = 2 })
-	r := addRequest(b, 1, "again", "k")
+	r := addRequest(b, 1, "replayable", "k")
 	share := func() float64 {
 		b.answerRate = decay.Counter{}
 		idle := b.inflightBound(r, 100*sec)
--- a/balance/move_test.go
+++ b/balance/load_changes_test.go
@@ -21,7 +21,7 @@
 			if i%4 == 0 {
 				key = "hot"
 			}
-			b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: key, Budget: 2 * sec}, now)
+			b.AddRequest(Arrival{ID: i, RuleSet: "replayable", Key: key, Budget: 2 * sec}, now)
 			r := b.requests[i]
 			b.inflight = 0
 			b.computeWeights(0)
@@ -51,7 +51,7 @@
 	for _, at := range []int64{sec, 4 * sec, 30 * sec} {
 		b := newBalancer(4, nil)
 		b.cfg.FleetSize = 4
-		r := addRequest(b, 1, "again", "k")
+		r := addRequest(b, 1, "replayable", "k")
 		for now := int64(0); now < at; now += 10 * ms {
 			b.answerRate.Add(now, span)
 		}
@@ -66,7 +66,7 @@
 		t.FleetSize = 4
 		t.RuleSets = append(t.RuleSets, RuleSet{Name: "short", ResponseTarget: sec / 10})
 	})
-	long, short := addRequest(b, 1, "again", "k"), addRequest(b, 2, "short", "k")
+	long, short := addRequest(b, 1, "replayable", "k"), addRequest(b, 2, "short", "k")
 	long.value, short.value = 1, 1
 	b.answerRate.Value, b.answerRate.At = 400, 100*sec
 	assertNear(t, "bounds", b.inflightBound(long, 100*sec), b.inflightBound(short, 100*sec), 1e-9)
@@ -84,7 +84,8 @@
 		rules string
 		tail  float64
 		end   int64
-	}{{"again", 0.3, sec}, {"again", 0, 2 * sec}, {"all", 0.3, sec}, {"cell", 0.3, 2 * sec}, {"once", 0.3, 2 * sec}} {
+	}{{"replayable", 0.3, sec}, {"replayable", 0, 2 * sec},
+		{"all", 0.3, sec}, {"cell", 0.3, 2 * sec}, {"once", 0.3, 2 * sec}} {
 		b := newBalancer(2, func(t *Config) {
 			t.TailWeight = c.tail
 			for i := range t.RuleSets {
--- a/balance/more_test.go
+++ b/balance/restrictions_clocks_test.go
@@ -44,7 +44,7 @@
 			}
 			sent := 0
 			for i := range uint64(40) {
-				b.AddRequest(Arrival{ID: i, RuleSet: "again", Budget: sec}, 0)
+				b.AddRequest(Arrival{ID: i, RuleSet: "replayable", Budget: sec}, 0)
 			}
 			for _, d := range drain(b, 0, Dispatch) {
 				if sent++; d.Server != c.want {
@@ -108,7 +108,7 @@
 		b := newBalancer(6, func(t *Config) { t.WarmKeys = warm })
 		got := map[string]bool{}
 		for i := range uint64(60) {
-			b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: "k", Budget: sec}, 0)
+			b.AddRequest(Arrival{ID: i, RuleSet: "replayable", Key: "k", Budget: sec}, 0)
 			b.computeWeights(0)
 			b.keyCounts = decay.KeyCounts{} // so that the key is not split
 			got[b.pickServer(b.requests[i], 0).ID] = true
--- a/balance/memory_test.go
+++ b/balance/snapshot_test.go
@@ -10,7 +10,7 @@
 	for i := range 200 {
 		now += 20 * ms
 		id := uint64(i + 1)
-		source.AddRequest(Arrival{ID: id, RuleSet: "again", Tenant: "x", Key: "k", Budget: 2 * sec}, now)
+		source.AddRequest(Arrival{ID: id, RuleSet: "replayable", Tenant: "x", Key: "k", Budget: 2 * sec}, now)
 		for _, d := range drain(source, now, Dispatch) {
 			o := Served
 			if d.Server == "a" {
@@ -29,7 +29,8 @@
 	later := now + 3*sec
 	other.Restore(m, later)
 	assertNear(t, "rate", other.answerRate.Now(later, span), source.answerRate.Now(now+sec, span), 0.01)
-	assertNear(t, "rate of the tenant", other.tenantRates[0].Now(later, span), source.tenantRates[0].Now(now+sec, span), 0.01)
+	assertNear(t, "rate of the tenant", other.tenantRates[0].Now(later, span),
+		source.tenantRates[0].Now(now+sec, span), 0.01)
 	x := other.servers[0]
 	if !x.ejected || x.health != 0.3 || x.ejectedUntil-later != a.ejectedUntil-now-sec || x.lastOutcomeAt != 0 {
 		t.Errorf("got %+v, want it ejected for the time that was left, and without an outcome of its own", x)
@@ -57,7 +58,7 @@
 	b.Restore(Snapshot{Servers: []ServerSnapshot{{ID: "a", Health: 0.2, Streak: 2, EjectionLeft: 2 * sec,
 		Ejections: 1, InflightCap: 3}}}, sec)
 	for i := range uint64(20) {
-		b.AddRequest(Arrival{ID: i + 1, RuleSet: "again", Key: "k" + string(rune('a'+i)), Budget: 2 * sec}, sec)
+		b.AddRequest(Arrival{ID: i + 1, RuleSet: "replayable", Key: "k" + string(rune('a'+i)), Budget: 2 * sec}, sec)
 		for _, d := range drain(b, sec, Dispatch) {
 			if d.Server == "a" {
 				t.Fatal("dispatched to an ejected server")
--- a/balance/standing_test.go
+++ b/balance/standing_test.go
@@ -50,7 +50,7 @@
 	for i := range instances {
 		t := Config{Seed: uint64(i + 1), Zone: "z", FleetSize: instances, MaxDispatches: 3, CanCancel: true, Tick: step,
 			StartCapacity: 0.2, RampTime: 20 * sec, OverloadFactor: 3, OverloadTime: 3 * sec, WastePrice: 1,
-			RuleSets: []RuleSet{{Name: "dear", Effect: NonReplayable, ResponseTarget: 800 * ms, BillingValue: 1},
+			RuleSets: []RuleSet{{Name: "expensive", Effect: NonReplayable, ResponseTarget: 800 * ms, BillingValue: 1},
 				{Name: "cheap", Effect: Replayable, ResponseTarget: 800 * ms, BillingValue: 0.2}}}
 		if change != nil {
 			change(&t)
@@ -62,8 +62,8 @@
 	return c
 }
 
-// take adds a request at an instance. Its class is the tenant and the rule set.
-func (c *simulation) take(instance int, rules, tenant, key string) {
+// addRequest adds a request at an instance. Its class is the tenant and the rule set.
+func (c *simulation) addRequest(instance int, rules, tenant, key string) {
 	c.last++
 	what := tenant + rules
 	c.open[c.last] = what
@@ -124,8 +124,10 @@
 	c.due = slices.Insert(c.due, i, a)
 }
 
-// comes reports whether a request of a stream of that rate per second arrives in this step.
-func (c *simulation) comes(rate float64) bool { return c.rng.Next() < rate*float64(step)/float64(sec) }
+// arrives reports whether a request of a stream of that rate per second arrives in this step.
+func (c *simulation) arrives(rate float64) bool {
+	return c.rng.Next() < rate*float64(step)/float64(sec)
+}
 
 func (c *simulation) servedShare(what string) float64 {
 	return float64(c.served[what]) / float64(max(1, c.asked[what]))
@@ -143,12 +145,12 @@
 			rate := utilisation * servers * float64(sec) / float64(c.work) / 300
 			each := func() {
 				for i := range c.all {
-					if c.comes(rate) {
+					if c.arrives(rate) {
 						key := fmt.Sprint("key-", int(400*c.rng.Next()))
 						if c.rng.Next() < hot {
 							key = "hot"
 						}
-						c.take(i, "dear", "", key)
+						c.addRequest(i, "expensive", "", key)
 					}
 				}
 			}
@@ -178,7 +180,7 @@
 			if len(got) < 5 {
 				t.Errorf("a cold server gets %d requests in 10 s, want at least 5", len(got))
 			}
-			if x := c.servedShare("dear"); x < 0.8 {
+			if x := c.servedShare("expensive"); x < 0.8 {
 				t.Errorf("%.2f of the requests are served", x)
 			}
 		})
@@ -188,25 +190,25 @@
 // Under twice the load that servers can take, the expensive class, whose requests must not be repeated, gets most of the
 // capacity, and the cheap one still gets some.
 func TestEachClassIsServed(t *testing.T) {
-	for name, each := range map[string]struct{ dear, cheap float64 }{
-		"half each": {10, 10}, "few cheap": {18, 2}, "few dear": {2, 18},
+	for name, each := range map[string]struct{ expensive, cheap float64 }{
+		"half each": {10, 10}, "few cheap": {18, 2}, "few expensive": {2, 18},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newSimulation(10, 10, nil)
 			c.play(30*sec, func() {
 				for i := range c.all {
-					if c.comes(each.dear) {
-						c.take(i, "dear", "", "")
+					if c.arrives(each.expensive) {
+						c.addRequest(i, "expensive", "", "")
 					}
-					if c.comes(each.cheap) {
-						c.take(i, "cheap", "", "")
+					if c.arrives(each.cheap) {
+						c.addRequest(i, "cheap", "", "")
 					}
 				}
 			})
-			dear, cheap := c.servedShare("dear"), c.servedShare("cheap")
-			t.Logf("dear %.2f, cheap %.2f", dear, cheap)
-			if dear < 0.45 || cheap < 0.1 || dear < cheap {
-				t.Errorf("served: dear %.2f, cheap %.2f", dear, cheap)
+			expensive, cheap := c.servedShare("expensive"), c.servedShare("cheap")
+			t.Logf("expensive %.2f, cheap %.2f", expensive, cheap)
+			if expensive < 0.45 || cheap < 0.1 || expensive < cheap {
+				t.Errorf("served: expensive %.2f, cheap %.2f", expensive, cheap)
 			}
 		})
 	}
@@ -218,13 +220,13 @@
 	c.play(30*sec, func() {
 		for i := range c.all {
 			for tenant, rate := range []float64{0.8, 2.5, 20} {
-				if c.comes(rate) {
-					c.take(i, "dear", c.all[0].cfg.Tenants[tenant].Name, "")
+				if c.arrives(rate) {
+					c.addRequest(i, "expensive", c.all[0].cfg.Tenants[tenant].Name, "")
 				}
 			}
 		}
 	})
-	small, mid, flood := c.servedShare("smalldear"), c.servedShare("middear"), c.servedShare("flooddear")
+	small, mid, flood := c.servedShare("smallexpensive"), c.servedShare("midexpensive"), c.servedShare("floodexpensive")
 	t.Logf("small %.2f, mid %.2f, flood %.2f", small, mid, flood)
 	if small < 0.5 || mid < 0.5 || flood > small || flood > mid {
 		t.Errorf("served: small %.2f, mid %.2f, flood %.2f", small, mid, flood)
@@ -241,12 +243,12 @@
 		clear(c.sent)
 		c.play(int64(third+1)*900*sec, func() {
 			for i := range c.all {
-				if c.comes(6) {
-					c.take(i, "dear", "", fmt.Sprint("key-", c.last%5000))
+				if c.arrives(6) {
+					c.addRequest(i, "expensive", "", fmt.Sprint("key-", c.last%5000))
 				}
 			}
 		})
-		if x := c.servedShare("dear"); x < 0.97 {
+		if x := c.servedShare("expensive"); x < 0.97 {
 			t.Errorf("third %d: %.3f served", third+1, x)
 		}
 		b := c.all[0]
--- a/balance/lean_test.go
+++ b/balance/weights_test.go
@@ -41,7 +41,7 @@
 // costly.
 func TestServersAreReviewedWhenDue(t *testing.T) {
 	b := newBalancer(3, nil)
-	r := addRequest(b, 1, "again", "k")
+	r := addRequest(b, 1, "replayable", "k")
 	drain(b, 0, -1)
 	r.dispatches[0].server.latency = 10 * float64(ms)
 	drain(b, ms, -1)
