--- a/cmd/ivybank/lab.go
+++ b/cmd/ivybank/lab.go
@@ -79,8 +79,8 @@
 		o, err := conf.LoadOperator(path)
 		kind := "operator file"
 		if err == nil && o.Fleet != nil && o.Fleet.Limits != nil {
-			for _, l := range o.Fleet.Limits.Each {
-				kind += "\n" + l.Bound(len(o.Fleet.Peers))
+			for _, l := range o.Fleet.Limits.All {
+				kind += "\n" + l.DescribeOvershoot(len(o.Fleet.Peers))
 			}
 		}
 		return kind, nil, err
--- a/cmd/ivybank/ledger.go
+++ b/cmd/ivybank/ledger.go
@@ -63,11 +63,11 @@
 		switch {
 		case r.Kind == ledger.Free:
 			state, meaning = "free", "provably never ran: a repeat is dispatched"
-		case r.Entry.State == idempotency.Done && !r.Entry.Answer.Kept:
+		case r.Entry.State == idempotency.Done && !r.Entry.Response.Stored:
 			meaning = "done, its answer was too large to keep: a repeat is told so (409)"
 			fallthrough
 		case r.Entry.State == idempotency.Done:
-			answer = fmt.Sprintf("%d, %d bytes", r.Entry.Answer.Status, len(r.Entry.Answer.Body))
+			answer = fmt.Sprintf("%d, %d bytes", r.Entry.Response.Status, len(r.Entry.Response.Body))
 		}
 		counts[state]++
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%q\t%s\t%s\n", state, time.Unix(0, r.Entry.At).UTC().Format("2006-01-02T15:04:05.000Z"),
@@ -77,11 +77,11 @@
 		return err
 	}
 	fmt.Fprintf(w, "%d records: %d keys done, %d unsure, %d open, %d free\n", rep.Records, counts["done"], counts["unsure"], counts["open"], counts["free"])
-	if rep.Torn > 0 {
-		fmt.Fprintf(w, "the last %d bytes are no whole record: a write that was cut short, it was never acted on\n", rep.Torn)
+	if rep.TornBytes > 0 {
+		fmt.Fprintf(w, "the last %d bytes are no whole record: a write that was cut short, it was never acted on\n", rep.TornBytes)
 	}
-	if rep.Damaged >= 0 {
-		fmt.Fprintf(w, "DAMAGED at byte %d: a proxy refuses keys that are not listed here until the file is taken away\n", rep.Damaged)
+	if rep.DamagedAt >= 0 {
+		fmt.Fprintf(w, "DAMAGED at byte %d: a proxy refuses keys that are not listed here until the file is taken away\n", rep.DamagedAt)
 	}
 	return nil
 }
--- a/cmd/ivybank/limits_test.go
+++ b/cmd/ivybank/limits_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return path, o.Fleet.Limits.Each[0]
+	return path, o.Fleet.Limits.All[0]
 }
 
 // limitsAt is what a proxy tells of the fleet's limits at its door.
--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -45,12 +45,12 @@
 		Memory  float64 `json:"memory_mb"`
 		Sockets int     `json:"sockets"`
 	} `json:"limits"`
-	Admin    string          `json:"admin_addr"` // absent: no door
-	Peer     string          `json:"peer_listen"`
-	Peers    []string        `json:"peers"`
-	operator *conf.Operator  // nil: none
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	Admin    string               `json:"admin_addr"` // absent: no door
+	Peer     string               `json:"peer_listen"`
+	Peers    []string             `json:"peers"`
+	operator *conf.OperatorConfig // nil: none
+	Known    json.RawMessage      `json:"known"`
+	Settings json.RawMessage      `json:"settings"`
 }
 
 // load reads the configuration from its file.
@@ -72,13 +72,13 @@
 // apply puts in force what the operator file says of the log.
 func (o *orders) apply() {
 	if o.operator != nil {
-		o.operator.Apply()
+		o.operator.ApplyLogging()
 	}
 }
 
 // loadAll reads the configuration and, where there is one, the operator file.
 func loadAll(path, operator string) (orders, proxy.Config, error) {
-	var op *conf.Operator
+	var op *conf.OperatorConfig
 	if operator != "" {
 		var err error
 		if op, err = conf.LoadOperator(operator); err != nil {
@@ -182,13 +182,13 @@
 }
 
 // keysOf is what an operator file sets on idempotency keys.
-func keysOf(o *conf.Operator) *proxy.IdempotencyConfig {
+func keysOf(o *conf.OperatorConfig) *proxy.IdempotencyConfig {
 	k := o.Idempotency
 	if k == nil {
 		return nil
 	}
-	x := &proxy.IdempotencyConfig{Header: k.Header, Terms: idempotency.Terms{Most: k.Entries, Bytes: k.Answers, Largest: k.Largest, Waiters: k.Waiters,
-		Longest: k.Longest, RetryIn: int64(k.RetryIn), Retain: map[string]int64{}}}
+	x := &proxy.IdempotencyConfig{Header: k.Header, Terms: idempotency.Config{MaxKeys: k.MaxKeys, MaxResponseBytes: k.MaxResponseBytes, MaxResponseSize: k.MaxResponseSize, MaxWaiters: k.MaxWaiters,
+		MaxKeyLength: k.MaxKeyLength, RetryAfter: int64(k.RetryAfter), Retain: map[string]int64{}}}
 	for _, r := range k.RuleSets {
 		x.Terms.Retain[r.Name] = int64(r.Retain)
 	}
@@ -199,17 +199,17 @@
 }
 
 // returnOf is what an operator file sets on coming back.
-func returnOf(o *conf.Operator) *proxy.RecoveryConfig {
-	if x := o.Return; x != nil {
-		return &proxy.RecoveryConfig{Folder: x.Folder, Every: int64(x.Every), Trust: int64(x.Trust)}
+func returnOf(o *conf.OperatorConfig) *proxy.RecoveryConfig {
+	if x := o.Recovery; x != nil {
+		return &proxy.RecoveryConfig{Folder: x.Folder, Every: int64(x.SnapshotInterval), Trust: int64(x.MaxObservationAge)}
 	}
 	return nil
 }
 
 // maintenanceOf is what an operator file sets on plans.
-func maintenanceOf(o *conf.Operator) *proxy.MaintenanceConfig {
+func maintenanceOf(o *conf.OperatorConfig) *proxy.MaintenanceConfig {
 	if x := o.Maintenance; x != nil {
-		return &proxy.MaintenanceConfig{Folder: x.Folder, Voters: x.Voters, Service: x.Service, Settle: int64(x.Settle), Grace: int64(x.Grace)}
+		return &proxy.MaintenanceConfig{Folder: x.Folder, Voters: x.Voters, Service: x.MinService, Settle: int64(x.SettleTime), Grace: int64(x.DrainGrace)}
 	}
 	return nil
 }
@@ -217,7 +217,7 @@
 // fleetOf is what an operator file sets on peers, at the addresses that it or the platform's configuration names; nil where neither
 // does, or the settings let proxies not tell one another anything. A limit of the fleet is an error then: nobody
 // would keep it. A req may run for longest ns.
-func fleetOf(op *conf.Operator, o orders, longest int64) (*proxy.FleetConfig, error) {
+func fleetOf(op *conf.OperatorConfig, o orders, longest int64) (*proxy.FleetConfig, error) {
 	if op == nil || op.Fleet == nil {
 		return nil, nil
 	}
@@ -227,7 +227,7 @@
 		return nil, err
 	}
 	f := &proxy.FleetConfig{Name: x.Name, Listen: x.Listen}
-	addrs, me := x.Peers, x.Me
+	addrs, me := x.Peers, x.SelfIndex
 	if len(addrs) == 0 {
 		if len(o.Peers) == 0 || o.Peer == "" || v.Raw["Ceilings.MayTell"] != "" && !v.Bool("Ceilings.MayTell") {
 			if x.Limits != nil {
@@ -247,13 +247,13 @@
 	if me < 0 || me >= len(addrs) {
 		return nil, fmt.Errorf("settings: Me=%d: expected a place among the %d peers", me, len(addrs))
 	}
-	f.Terms = x.Terms(me, len(addrs), v.Raw["Ceilings.Probes"] == "" || v.Bool("Ceilings.Probes"))
-	f.Terms.Learn = op.Learning()
+	f.Terms = x.MemberConfig(me, len(addrs), v.Raw["Ceilings.Probes"] == "" || v.Bool("Ceilings.Probes"))
+	f.Terms.Learn = op.LearnConfig()
 	if l := x.Limits; l != nil {
-		if l.Voters > len(addrs) {
-			return nil, fmt.Errorf("fleet.limits.voters: %d of %d peers", l.Voters, len(addrs))
+		if l.VoterCount > len(addrs) {
+			return nil, fmt.Errorf("fleet.limits.voters: %d of %d peers", l.VoterCount, len(addrs))
 		}
-		f.Limits, f.Voters, f.Drift = l.Terms(longest), l.Voters, l.Drift
+		f.Limits, f.Voters, f.Drift = l.LeaseLimits(longest), l.VoterCount, l.ClockDriftPPM
 		for _, one := range f.Limits {
 			if !one.Fits(len(addrs)) {
 				return nil, fmt.Errorf("fleet.limits: %s: the lease is too short for %d members", one.Name, len(addrs))
--- a/conf/conf.go
+++ b/conf/conf.go
@@ -29,15 +29,15 @@
 	return nil
 }
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
-	File  string
-	Line  int
-	Field string
-	What  string
+// FieldError is one thing that is wrong with a file.
+type FieldError struct {
+	File    string
+	Line    int
+	Field   string
+	Message string
 }
 
-func (f *Fault) Error() string {
+func (f *FieldError) Error() string {
 	at := f.File
 	if f.Line > 0 {
 		at += ":" + strconv.Itoa(f.Line)
@@ -45,7 +45,7 @@
 	if f.Field != "" {
 		at += ": " + f.Field
 	}
-	return at + ": " + f.What
+	return at + ": " + f.Message
 }
 
 // File is a loaded file: it knows on which line each field stands.
@@ -84,12 +84,12 @@
 	case errors.As(err, &strict):
 		first := strict.Errors[0]
 		line, _ := first.Position()
-		return nil, &Fault{path, line, strings.Join(first.Key(), "."), "no such field"}
+		return nil, &FieldError{path, line, strings.Join(first.Key(), "."), "no such field"}
 	case errors.As(err, &bad):
 		line, _ := bad.Position()
-		return nil, &Fault{path, line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: ")}
+		return nil, &FieldError{path, line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: ")}
 	case err != nil:
-		return nil, &Fault{path, 0, "", err.Error()}
+		return nil, &FieldError{path, 0, "", err.Error()}
 	}
 	f.index(text)
 	return f, nil
@@ -131,27 +131,27 @@
 
 // Rule is one thing that a file has to keep beyond the kinds of its fields.
 type Rule = struct {
-	Bad   bool
-	Field string
-	Want  string
+	Violated bool
+	Field    string
+	Expected string
 }
 
-// Keep tells of the first rule that is not kept, in a table of the file or, where that is empty, in all of it.
-func (f *File) Keep(table string, rules []Rule) error {
+// CheckRules tells of the first rule that is not kept, in a table of the file or, where that is empty, in all of it.
+func (f *File) CheckRules(table string, rules []Rule) error {
 	for _, r := range rules {
-		if r.Bad {
-			return f.Fault(table+r.Field, "%s", r.Want)
+		if r.Violated {
+			return f.FieldErrorf(table+r.Field, "%s", r.Expected)
 		}
 	}
 	return nil
 }
 
-// Fault tells of a field; one that is missing is told where its table begins.
-func (f *File) Fault(field, format string, a ...any) error {
+// FieldErrorf tells of a field; one that is missing is told where its table begins.
+func (f *File) FieldErrorf(field, format string, a ...any) error {
 	line := 0
 	for at := field; line == 0 && at != ""; {
 		line = f.lines[at]
 		at = at[:max(0, strings.LastIndexByte(at, '.'))]
 	}
-	return &Fault{f.Path, line, field, fmt.Sprintf(format, a...)}
+	return &FieldError{f.Path, line, field, fmt.Sprintf(format, a...)}
 }
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -33,7 +33,7 @@
 			var into file
 			f, err := Read("f.toml", []byte(c.text), &into)
 			if err == nil {
-				err = f.Fault("item.1.name", "taken")
+				err = f.FieldErrorf("item.1.name", "taken")
 			}
 			if err == nil || c.want != "" && err.Error() != c.want {
 				t.Errorf("got %q, want %q", err, c.want)
@@ -66,7 +66,7 @@
 			t.Errorf("got no error, want %q", want)
 		}
 		old := logrus.GetLevel()
-		o.Apply()
+		o.ApplyLogging()
 		if logrus.GetLevel() != logrus.WarnLevel {
 			t.Error("the level is not in force")
 		}
--- a/conf/fleet_test.go
+++ b/conf/fleet_test.go
@@ -10,7 +10,7 @@
 		"datagrams_per_second = 24.0\nack_wait = \"300ms\"\nquiet = \"2300ms\"\n[fleet.overload]\nfurther = 0.1\nmost_per_member = 100.0\nover_share = 0.2\n" +
 		"[fleet.probes]\nevery = \"1s\"\ntake_over_after = \"3s\"\ntimeout = \"500ms\"\npath = \"/ping\"\n"
 	check := func(text string) error {
-		o := &Operator{}
+		o := &OperatorConfig{}
 		f, err := Read("o.toml", []byte(text), o)
 		if err != nil {
 			return err
@@ -45,7 +45,7 @@
 func TestReturnOfOperator(t *testing.T) {
 	whole := "format = \"ivybank/operator/1\"\n[fleet]\nname = \"a\"\n[return]\nfolder = \"state\"\nevery = \"1s\"\ntrust = \"30s\"\n[return.learn]\nothers = 3\nfor = \"3s\"\n"
 	check := func(text string) error {
-		o := &Operator{}
+		o := &OperatorConfig{}
 		f, err := Read("o.toml", []byte(text), o)
 		if err != nil {
 			return err
--- a/conf/keys_test.go
+++ b/conf/keys_test.go
@@ -9,7 +9,7 @@
 	whole := "format = \"ivybank/operator/1\"\n[idempotency]\nheader = \"Idempotency-Key\"\nentries = 10\nanswer_bytes = 10\nlargest_answer = 10\nwaiters = 1\n" +
 		"longest_key = 10\nretry_in = \"1s\"\n[[idempotency.ruleset]]\nname = \"a\"\nretain = \"1m\"\n"
 	check := func(text string) error {
-		o := &Operator{}
+		o := &OperatorConfig{}
 		f, err := Read("o.toml", []byte(text), o)
 		if err != nil {
 			return err
--- a/conf/limits.go
+++ b/conf/limits.go
@@ -11,9 +11,9 @@
 
 // Limits is what operators set on limits of the whole fleet.
 type Limits struct {
-	Voters int     `toml:"voters"` // the first so many places settle who owns a limit
-	Drift  int64   `toml:"drift"`  // by how many millionths a clock may run too fast or too slow
-	Each   []Limit `toml:"limit"`
+	VoterCount    int     `toml:"voters"` // the first so many places settle who owns a limit
+	ClockDriftPPM int64   `toml:"drift"`  // by how many millionths a clock may run too fast or too slow
+	All           []Limit `toml:"limit"`
 }
 
 // Limit is one of them.
@@ -44,9 +44,9 @@
 	return units, n-float64(units) < 1e-6
 }
 
-// Terms is what the file says to a member; a req may run for so long, in ns.
-func (x *Limits) Terms(longest int64) (all []lease.Limit) {
-	for _, l := range x.Each {
+// LeaseLimits is what the file says to a member; a req may run for so long, in ns.
+func (x *Limits) LeaseLimits(longest int64) (all []lease.Limit) {
+	for _, l := range x.All {
 		t := lease.Limit{Name: l.Name, RuleSet: l.RuleSet, Tenant: l.Tenant, Strict: l.Mode == "strict",
 			Lease: int64(l.Lease)}
 		t.Units, _ = l.of(l.Amount)
@@ -59,10 +59,10 @@
 	return all
 }
 
-// Bound is by how much a fleet of so many members may be over, in words; 0 members: as many as the platform
+// DescribeOvershoot is by how much a fleet of so many members may be over, in words; 0 members: as many as the platform
 // names.
-func (x *Limit) Bound(members int) string {
-	t := (&Limits{Each: []Limit{*x}}).Terms(0)[0]
+func (x *Limit) DescribeOvershoot(members int) string {
+	t := (&Limits{All: []Limit{*x}}).LeaseLimits(0)[0]
 	what, over := "in flight", float64(t.Over(members))*x.unit()
 	if x.Kind == "rate" {
 		what = fmt.Sprintf("a second, %d at once", t.Units)
@@ -75,20 +75,20 @@
 		x.Name, x.Amount, what, over, members)
 }
 
-func (o *Operator) checkLimits(f *File) error {
+func (o *OperatorConfig) checkLimits(f *File) error {
 	if o.Fleet == nil || o.Fleet.Limits == nil {
 		return nil
 	}
 	x := o.Fleet.Limits
 	rules := []Rule{
-		{x.Voters < 1 || x.Voters > 9 || x.Voters%2 == 0, "voters", "expected 1, 3, 5, 7 or 9"},
-		{len(o.Fleet.Peers) > 0 && x.Voters > len(o.Fleet.Peers), "voters",
+		{x.VoterCount < 1 || x.VoterCount > 9 || x.VoterCount%2 == 0, "voters", "expected 1, 3, 5, 7 or 9"},
+		{len(o.Fleet.Peers) > 0 && x.VoterCount > len(o.Fleet.Peers), "voters",
 			"expected no more than there are peers"},
-		{x.Drift < 0 || x.Drift > 10000, "drift", "expected 0 to 10000 millionths"},
-		{len(x.Each) == 0, "limit", "expected one at least"},
+		{x.ClockDriftPPM < 0 || x.ClockDriftPPM > 10000, "drift", "expected 0 to 10000 millionths"},
+		{len(x.All) == 0, "limit", "expected one at least"},
 	}
 	names := map[string]bool{}
-	for i, l := range x.Each {
+	for i, l := range x.All {
 		at := fmt.Sprintf("limit.%d.", i)
 		_, whole := l.of(l.Amount)
 		_, wholeFloor := l.of(l.Floor)
@@ -108,5 +108,5 @@
 		)
 		names[l.Name] = true
 	}
-	return f.Keep("fleet.limits.", rules)
+	return f.CheckRules("fleet.limits.", rules)
 }
--- a/conf/limits_test.go
+++ b/conf/limits_test.go
@@ -30,8 +30,8 @@
 mode = "strict"
 lease = "3s"
 `
-	check := func(text string) (*Operator, error) {
-		o := &Operator{}
+	check := func(text string) (*OperatorConfig, error) {
+		o := &OperatorConfig{}
 		f, err := Read("o.toml", []byte(text), o)
 		if err != nil {
 			return nil, err
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := o.Fleet.Limits.Terms(5e9)
+	all := o.Fleet.Limits.LeaseLimits(5e9)
 	if x := all[0]; x.Units != 10 || x.Floor != 1 || x.Per != 250e6 || x.Strict || x.Over(3) != 2 {
 		t.Errorf("%+v", x)
 	}
@@ -51,7 +51,7 @@
 	}
 	for i, want := range []string{"limit web: 40 a second, 10 at once, over by 8 at most with 3 members",
 		"limit open: 30 in flight, over by 0 at most with 3 members"} {
-		if got := o.Fleet.Limits.Each[i].Bound(3); got != want {
+		if got := o.Fleet.Limits.All[i].DescribeOvershoot(3); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/conf/operator.go
+++ b/conf/operator.go
@@ -14,36 +14,36 @@
 // OperatorFormat is what an operator file says it is.
 const OperatorFormat = "ivybank/operator/1"
 
-// Operator is an operator file.
-type Operator struct {
+// OperatorConfig is an operator file.
+type OperatorConfig struct {
 	Format string `toml:"format"`
 	Log    struct {
 		Level  string `toml:"level"`  // debug, info, warning or error
 		Format string `toml:"format"` // text or json
 	} `toml:"log"`
 	Idempotency *struct {
-		Header   string   `toml:"header"`
-		Folder   string   `toml:"folder"` // empty: memory alone
-		Entries  int      `toml:"entries"`
-		Answers  int64    `toml:"answer_bytes"`   // of all answers that are kept
-		Largest  int      `toml:"largest_answer"` // bytes; of a larger one only the outcome is kept
-		Waiters  int      `toml:"waiters"`        // on one key
-		Longest  int      `toml:"longest_key"`
-		RetryIn  Duration `toml:"retry_in"`
-		RuleSets []struct {
+		Header           string   `toml:"header"`
+		Folder           string   `toml:"folder"` // empty: memory alone
+		MaxKeys          int      `toml:"entries"`
+		MaxResponseBytes int64    `toml:"answer_bytes"`   // of all answers that are kept
+		MaxResponseSize  int      `toml:"largest_answer"` // bytes; of a larger one only the outcome is kept
+		MaxWaiters       int      `toml:"waiters"`        // on one key
+		MaxKeyLength     int      `toml:"longest_key"`
+		RetryAfter       Duration `toml:"retry_in"`
+		RuleSets         []struct {
 			Name   string   `toml:"name"`
 			Retain Duration `toml:"retain"`
 		} `toml:"ruleset"`
 	} `toml:"idempotency"`
-	Fleet  *Fleet  `toml:"fleet"`
-	Return *Return `toml:"return"`
+	Fleet    *FleetConfig    `toml:"fleet"`
+	Recovery *RecoveryConfig `toml:"return"`
 
-	Maintenance *Maintenance `toml:"maintenance"`
+	Maintenance *MaintenanceConfig `toml:"maintenance"`
 }
 
 // LoadOperator reads and checks one.
-func LoadOperator(path string) (*Operator, error) {
-	o := &Operator{}
+func LoadOperator(path string) (*OperatorConfig, error) {
+	o := &OperatorConfig{}
 	f, err := Load(path, o)
 	if err != nil {
 		return nil, err
@@ -51,11 +51,11 @@
 	levels := []string{"", "debug", "info", "warning", "error"}
 	switch {
 	case o.Format != OperatorFormat:
-		return nil, f.Fault("format", "expected %q", OperatorFormat)
+		return nil, f.FieldErrorf("format", "expected %q", OperatorFormat)
 	case !slices.Contains(levels, o.Log.Level):
-		return nil, f.Fault("log.level", "%q: expected one of %v", o.Log.Level, levels[1:])
+		return nil, f.FieldErrorf("log.level", "%q: expected one of %v", o.Log.Level, levels[1:])
 	case !slices.Contains([]string{"", "text", "json"}, o.Log.Format):
-		return nil, f.Fault("log.format", "%q: expected text or json", o.Log.Format)
+		return nil, f.FieldErrorf("log.format", "%q: expected text or json", o.Log.Format)
 	}
 	if err := o.checkKeys(f); err != nil {
 		return nil, err
@@ -75,19 +75,19 @@
 	return o, nil
 }
 
-func (o *Operator) checkKeys(f *File) error {
+func (o *OperatorConfig) checkKeys(f *File) error {
 	k := o.Idempotency
 	if k == nil {
 		return nil
 	}
 	rules := []Rule{
 		{k.Header == "" || strings.ContainsAny(k.Header, " :\t"), "header", "expected the name of a field"},
-		{k.Entries <= 0, "entries", "expected a number above 0"},
-		{k.Answers < 0, "answer_bytes", "expected 0 or more"},
-		{k.Largest < 0 || k.Largest > 1<<16, "largest_answer", "expected 0 to 65536"},
-		{k.Waiters <= 0, "waiters", "expected a number above 0"},
-		{k.Longest <= 0 || k.Longest > 4096, "longest_key", "expected 1 to 4096"},
-		{k.RetryIn <= 0, "retry_in", "expected a time above 0"},
+		{k.MaxKeys <= 0, "entries", "expected a number above 0"},
+		{k.MaxResponseBytes < 0, "answer_bytes", "expected 0 or more"},
+		{k.MaxResponseSize < 0 || k.MaxResponseSize > 1<<16, "largest_answer", "expected 0 to 65536"},
+		{k.MaxWaiters <= 0, "waiters", "expected a number above 0"},
+		{k.MaxKeyLength <= 0 || k.MaxKeyLength > 4096, "longest_key", "expected 1 to 4096"},
+		{k.RetryAfter <= 0, "retry_in", "expected a time above 0"},
 		{len(k.RuleSets) == 0, "ruleset", "expected one at least"},
 	}
 	names := map[string]bool{}
@@ -97,11 +97,11 @@
 			Rule{r.Retain <= 0, p + "retain", "expected a time above 0"})
 		names[r.Name] = true
 	}
-	return f.Keep("idempotency.", rules)
+	return f.CheckRules("idempotency.", rules)
 }
 
-// Apply puts it in force.
-func (o *Operator) Apply() {
+// ApplyLogging puts it in force.
+func (o *OperatorConfig) ApplyLogging() {
 	if level, err := logrus.ParseLevel(o.Log.Level); err == nil && o.Log.Level != "" {
 		logrus.SetLevel(level)
 	}
--- a/fleet/charter/file.go
+++ b/fleet/charter/file.go
@@ -144,8 +144,8 @@
 		return nil, err
 	}
 	at := func(field string) Place {
-		var fault *conf.Fault
-		errors.As(f.Fault(field, ""), &fault)
+		var fault *conf.FieldError
+		errors.As(f.FieldErrorf(field, ""), &fault)
 		return Place{path, fault.Line}
 	}
 	x.At = at("namespace")
@@ -156,11 +156,11 @@
 	}
 	x.Listed = Names{}
 	rules := []conf.Rule{
-		{Bad: x.Format != Format, Field: "format", Want: fmt.Sprintf("expected %q", Format)},
-		{Bad: !sound(x.Namespace), Field: "namespace", Want: fmt.Sprintf("expected a name, %d bytes at the most",
+		{Violated: x.Format != Format, Field: "format", Expected: fmt.Sprintf("expected %q", Format)},
+		{Violated: !sound(x.Namespace), Field: "namespace", Expected: fmt.Sprintf("expected a name, %d bytes at the most",
 			mostName)},
-		{Bad: x.Team == "", Field: "team", Want: "expected who owns it"},
-		{Bad: x.Parent == x.Namespace, Field: "parent", Want: "expected another namespace"},
+		{Violated: x.Team == "", Field: "team", Expected: "expected who owns it"},
+		{Violated: x.Parent == x.Namespace, Field: "parent", Expected: "expected another namespace"},
 	}
 	had := map[string]bool{}
 	own := func(what, name string) bool { // a name that nothing of the same kind has had
@@ -170,49 +170,49 @@
 		return ok
 	}
 	for _, c := range x.Claims {
-		rules = append(rules, conf.Rule{Bad: !own(fields[c.Dim], c.Name), Field: "claims." + fields[c.Dim],
-			Want: fmt.Sprintf("%q: expected names, each once", c.Name)})
+		rules = append(rules, conf.Rule{Violated: !own(fields[c.Dim], c.Name), Field: "claims." + fields[c.Dim],
+			Expected: fmt.Sprintf("%q: expected names, each once", c.Name)})
 	}
 	for i := range x.Windows {
 		w, p := &x.Windows[i], fmt.Sprintf("window.%d.", i)
 		w.At = at(p + "name")
 		var bad string
 		w.week, bad = week(w)
-		rules = append(rules, conf.Rule{Bad: !own("window", w.Name), Field: p + "name",
-			Want: "expected a name of its own"},
-			conf.Rule{Bad: bad != "", Field: p + bad, Want: "expected days as \"mon\", and other times of the day " +
+		rules = append(rules, conf.Rule{Violated: !own("window", w.Name), Field: p + "name",
+			Expected: "expected a name of its own"},
+			conf.Rule{Violated: bad != "", Field: p + bad, Expected: "expected days as \"mon\", and other times of the day " +
 				"as \"22:00\""})
 	}
 	for i := range x.Rules {
 		r, p := &x.Rules[i], fmt.Sprintf("rule.%d.", i)
 		r.At = at(p + "id")
 		field, want := r.check()
-		rules = append(rules, conf.Rule{Bad: !own("rule", r.ID), Field: p + "id",
-			Want: "expected an id of its own"},
+		rules = append(rules, conf.Rule{Violated: !own("rule", r.ID), Field: p + "id",
+			Expected: "expected an id of its own"},
 			offset(p+"since", r.Since), offset(p+"until", r.Until),
-			conf.Rule{Bad: want != "", Field: p + field, Want: want})
+			conf.Rule{Violated: want != "", Field: p + field, Expected: want})
 	}
 	for i := range x.Grants {
 		g, p := &x.Grants[i], fmt.Sprintf("grant.%d.", i)
 		g.At = at(p + "id")
-		rules = append(rules, conf.Rule{Bad: !own("grant", g.ID), Field: p + "id",
-			Want: "expected an id of its own"},
+		rules = append(rules, conf.Rule{Violated: !own("grant", g.ID), Field: p + "id",
+			Expected: "expected an id of its own"},
 			offset(p+"until", g.Until), offset(p+"revoked", g.Revoked),
-			conf.Rule{Bad: !sound(g.To) || g.To == x.Namespace, Field: p + "to", Want: "expected another namespace"})
+			conf.Rule{Violated: !sound(g.To) || g.To == x.Namespace, Field: p + "to", Expected: "expected another namespace"})
 	}
 	for i := range x.Delegates {
 		d, p := &x.Delegates[i], fmt.Sprintf("delegate.%d.", i)
 		d.At = at(p + "to")
-		rules = append(rules, conf.Rule{Bad: !own("delegate", d.To) || d.To == x.Namespace, Field: p + "to",
-			Want: "expected another namespace, once"}, offset(p+"until", d.Until), offset(p+"revoked", d.Revoked))
+		rules = append(rules, conf.Rule{Violated: !own("delegate", d.To) || d.To == x.Namespace, Field: p + "to",
+			Expected: "expected another namespace, once"}, offset(p+"until", d.Until), offset(p+"revoked", d.Revoked))
 	}
-	return x, f.Keep("", rules)
+	return x, f.CheckRules("", rules)
 }
 
 // offset is the fault of a moment without an offset: what it is would hang on where it is read.
 func offset(field string, t time.Time) conf.Rule {
-	return conf.Rule{Bad: t.Location() == time.Local, Field: field,
-		Want: "expected an offset, as 2027-01-01T00:00:00Z"}
+	return conf.Rule{Violated: t.Location() == time.Local, Field: field,
+		Expected: "expected an offset, as 2027-01-01T00:00:00Z"}
 }
 
 func sound(name string) bool { return name != "" && len(name) <= mostName }
--- a/fleet/plan/plan.go
+++ b/fleet/plan/plan.go
@@ -66,22 +66,22 @@
 func (p *Plan) check(f *conf.File) error {
 	_, from := clock(p.From)
 	_, until := clock(p.Until)
-	return f.Keep("", []conf.Rule{
-		{Bad: p.Format != Format, Field: "format", Want: fmt.Sprintf("expected %q", Format)},
-		{Bad: p.ID == "" || len(p.ID) > mostID, Field: "id", Want: fmt.Sprintf("expected an id of its own, %d bytes at the most", mostID)},
-		{Bad: !p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) == 0, Field: "servers", Want: "expected servers, zones, cells or all"},
-		{Bad: p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) > 0, Field: "all", Want: "expected nothing else that names servers beside it"},
-		{Bad: len(p.IDs) > mostTargets, Field: "servers", Want: fmt.Sprintf("expected %d at the most", mostTargets)},
-		{Bad: p.Most < 1, Field: "most_out", Want: "expected one at least"},
-		{Bad: p.MostZone < 0, Field: "most_out_zone", Want: "expected 0 or more"},
-		{Bad: p.MostCell < 0, Field: "most_out_cell", Want: "expected 0 or more"},
-		{Bad: p.Least < 0 || p.Least >= 1, Field: "least_capacity", Want: "expected a part from 0 to below 1"},
-		{Bad: p.LeastZone < 0, Field: "least_zone", Want: "expected 0 or more"},
-		{Bad: !slices.Contains([]string{"given", "zone", "least"}, p.Order), Field: "order", Want: "expected given, zone or least"},
-		{Bad: !slices.Contains([]string{"door", "start", "time"}, p.DoneBy), Field: "done_by", Want: "expected door, start or time"},
-		{Bad: p.DoneBy == "time" && p.Work <= 0, Field: "work", Want: "expected a time above 0"},
-		{Bad: from != nil, Field: "from", Want: "expected a time of the day as \"22:00\""},
-		{Bad: until != nil || (p.From == "") != (p.Until == ""), Field: "until", Want: "expected a time of the day as \"06:00\", with from and only then"},
+	return f.CheckRules("", []conf.Rule{
+		{Violated: p.Format != Format, Field: "format", Expected: fmt.Sprintf("expected %q", Format)},
+		{Violated: p.ID == "" || len(p.ID) > mostID, Field: "id", Expected: fmt.Sprintf("expected an id of its own, %d bytes at the most", mostID)},
+		{Violated: !p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) == 0, Field: "servers", Expected: "expected servers, zones, cells or all"},
+		{Violated: p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) > 0, Field: "all", Expected: "expected nothing else that names servers beside it"},
+		{Violated: len(p.IDs) > mostTargets, Field: "servers", Expected: fmt.Sprintf("expected %d at the most", mostTargets)},
+		{Violated: p.Most < 1, Field: "most_out", Expected: "expected one at least"},
+		{Violated: p.MostZone < 0, Field: "most_out_zone", Expected: "expected 0 or more"},
+		{Violated: p.MostCell < 0, Field: "most_out_cell", Expected: "expected 0 or more"},
+		{Violated: p.Least < 0 || p.Least >= 1, Field: "least_capacity", Expected: "expected a part from 0 to below 1"},
+		{Violated: p.LeastZone < 0, Field: "least_zone", Expected: "expected 0 or more"},
+		{Violated: !slices.Contains([]string{"given", "zone", "least"}, p.Order), Field: "order", Expected: "expected given, zone or least"},
+		{Violated: !slices.Contains([]string{"door", "start", "time"}, p.DoneBy), Field: "done_by", Expected: "expected door, start or time"},
+		{Violated: p.DoneBy == "time" && p.Work <= 0, Field: "work", Expected: "expected a time above 0"},
+		{Violated: from != nil, Field: "from", Expected: "expected a time of the day as \"22:00\""},
+		{Violated: until != nil || (p.From == "") != (p.Until == ""), Field: "until", Expected: "expected a time of the day as \"06:00\", with from and only then"},
 	})
 }
 
--- a/keys/idempotency/store.go
+++ b/keys/idempotency/store.go
@@ -14,8 +14,8 @@
 // Key names one attempt of a client's, whatever it is sent with.
 type Key struct{ Tenant, RuleSet, Name string }
 
-// Print is what a call asks: the hash of its method, target and body.
-type Print [16]byte
+// Fingerprint is what a call asks: the hash of its method, target and body.
+type Fingerprint [16]byte
 
 // State is where a key stands.
 type State int
@@ -29,12 +29,12 @@
 
 func (s State) String() string { return [...]string{"open", "done", "unsure"}[s] }
 
-// Answer is what became of a key that is done, as it goes to its client.
-type Answer struct {
+// Response is what became of a key that is done, as it goes to its client.
+type Response struct {
 	Status int
 	Fields [][2]string
 	Body   []byte
-	Kept   bool // false: it was too large, and only that it was done is known
+	Stored bool // false: it was too large, and only that it was done is known
 }
 
 // Outcome is how an attempt ended.
@@ -47,51 +47,51 @@
 	Aborted         // may have run
 )
 
-// Terms are what operators set.
-type Terms struct {
-	Most    int              // keys held
-	Bytes   int64            // of kept answers
-	Largest int              // bytes of an answer that is kept whole
-	Waiters int              // on one key
-	Longest int              // bytes of a key's name
-	Retain  map[string]int64 // by rule set: for how long after its end a key is kept; others have no keys
-	RetryIn int64            // advised where the store is full
+// Config are what operators set.
+type Config struct {
+	MaxKeys          int              // keys held
+	MaxResponseBytes int64            // of kept answers
+	MaxResponseSize  int              // bytes of an answer that is kept whole
+	MaxWaiters       int              // on one key
+	MaxKeyLength     int              // bytes of a key's name
+	Retain           map[string]int64 // by rule set: for how long after its end a key is kept; others have no keys
+	RetryAfter       int64            // advised where the store is full
 }
 
 // Entry is what is known of a key.
 type Entry struct {
-	Key    Key
-	Print  Print
-	State  State
-	At     int64 // of its beginning, then of its end
-	Answer Answer
-	wait   []uint64 // in order of arrival; emptied by the end, or as they leave
-	due    int      // place among those that end; -1: open
+	Key         Key
+	Fingerprint Fingerprint
+	State       State
+	At          int64 // of its beginning, then of its end
+	Response    Response
+	wait        []uint64 // in order of arrival; emptied by the end, or as they leave
+	due         int      // place among those that end; -1: open
 }
 
-// Kind is what a req with a key is to do.
-type Kind int
+// Action is what a req with a key is to do.
+type Action int
 
 // The kinds of verdict.
 const (
-	Go       Kind = iota // it is the first: its beginning is recorded, then it goes on
-	Join                 // it waits for the one that is open
-	Told                 // the entry says what became of the first
-	Conflict             // the key stands for something else
-	Full                 // there is no room: try again later
-	TooLong              // the key's name is
-	Lost                 // keys of before were lost, and it may be one of them
+	Proceed      Action = iota // it is the first: its beginning is recorded, then it goes on
+	Join                       // it waits for the one that is open
+	Settled                    // the entry says what became of the first
+	Conflict                   // the key stands for something else
+	Full                       // there is no room: try again later
+	KeyTooLong                 // the key's name is
+	PossiblyLost               // keys of before were lost, and it may be one of them
 )
 
-// Verdict is what a req is to do.
-type Verdict struct {
-	Kind  Kind
-	Entry *Entry
+// Decision is what a req is to do.
+type Decision struct {
+	Action Action
+	Entry  *Entry
 }
 
-// Book holds the keys.
-type Book struct {
-	t       Terms
+// Store holds the keys.
+type Store struct {
+	t       Config
 	entries map[Key]*Entry // emptied as keys are free or past their time; Most at the most
 	due     dues           // those that have ended, the first to be forgotten first
 	answers int64          // bytes of kept answers
@@ -100,59 +100,59 @@
 }
 
 // New makes a book without keys.
-func New(t Terms) *Book { return &Book{t: t, entries: map[Key]*Entry{}} }
+func New(t Config) *Store { return &Store{t: t, entries: map[Key]*Entry{}} }
 
 // Covers says whether a rule set has keys.
-func (b *Book) Covers(ruleSet string) bool {
+func (b *Store) Covers(ruleSet string) bool {
 	_, ok := b.t.Retain[ruleSet]
 	return ok
 }
 
-// Seal refuses all keys that are not known: one of them may be among what was lost.
-func (b *Book) Seal() { b.sealed = true }
+// RefuseUnknown refuses all keys that are not known: one of them may be among what was lost.
+func (b *Store) RefuseUnknown() { b.sealed = true }
 
-// Lose refuses keys that are not known for as long as one that has just begun is kept: newer ones than all that are known have been lost.
-func (b *Book) Lose(now int64) { b.lost = max(1, now) }
+// RefuseUnknownWhileRetained refuses keys that are not known for as long as one that has just begun is kept: newer ones than all that are known have been lost.
+func (b *Store) RefuseUnknownWhileRetained(now int64) { b.lost = max(1, now) }
 
 // Len is how many keys are held.
-func (b *Book) Len() int { return len(b.entries) }
+func (b *Store) Len() int { return len(b.entries) }
 
-// Arrive says what a req with a key is to do. Waiter is its own number, for when it joins.
-func (b *Book) Arrive(k Key, p Print, waiter uint64, now int64) Verdict {
+// Admit says what a req with a key is to do. Waiter is its own number, for when it joins.
+func (b *Store) Admit(k Key, p Fingerprint, waiter uint64, now int64) Decision {
 	b.forget(now)
 	e := b.entries[k]
 	switch {
-	case len(k.Name) > b.t.Longest:
-		return Verdict{Kind: TooLong}
-	case e != nil && e.Print != p:
-		return Verdict{Conflict, e}
+	case len(k.Name) > b.t.MaxKeyLength:
+		return Decision{Action: KeyTooLong}
+	case e != nil && e.Fingerprint != p:
+		return Decision{Conflict, e}
 	case e != nil && e.State != Open:
-		return Verdict{Told, e}
-	case e != nil && len(e.wait) >= b.t.Waiters:
-		return Verdict{Kind: Full}
+		return Decision{Settled, e}
+	case e != nil && len(e.wait) >= b.t.MaxWaiters:
+		return Decision{Action: Full}
 	case e != nil:
 		e.wait = append(e.wait, waiter)
-		return Verdict{Join, e}
+		return Decision{Join, e}
 	case b.lost > 0 && now < b.lost+b.t.Retain[k.RuleSet]:
-		return Verdict{Kind: Lost}
-	case b.sealed || len(b.entries) >= b.t.Most:
-		return Verdict{Kind: Full}
+		return Decision{Action: PossiblyLost}
+	case b.sealed || len(b.entries) >= b.t.MaxKeys:
+		return Decision{Action: Full}
 	}
-	e = &Entry{Key: k, Print: p, At: now, wait: []uint64{waiter}, due: -1}
+	e = &Entry{Key: k, Fingerprint: p, At: now, wait: []uint64{waiter}, due: -1}
 	b.entries[k] = e
-	return Verdict{Go, e}
+	return Decision{Proceed, e}
 }
 
-// Left takes a waiter off its key. The attempt lives on.
-func (b *Book) Left(k Key, waiter uint64) {
+// RemoveWaiter takes a waiter off its key. The attempt lives on.
+func (b *Store) RemoveWaiter(k Key, waiter uint64) {
 	if e := b.entries[k]; e != nil {
 		e.wait = slices.DeleteFunc(e.wait, func(x uint64) bool { return x == waiter })
 	}
 }
 
-// Ended takes the outcome of a key's attempt and gives those that wait for it, in order of arrival. The entry says what to
+// Finish takes the outcome of a key's attempt and gives those that wait for it, in order of arrival. The entry says what to
 // record; it is free where its state is still Open.
-func (b *Book) Ended(k Key, o Outcome, a Answer, now int64) (e *Entry, waiters []uint64) {
+func (b *Store) Finish(k Key, o Outcome, a Response, now int64) (e *Entry, waiters []uint64) {
 	e = b.entries[k]
 	if e == nil || e.State != Open {
 		return nil, nil
@@ -164,18 +164,18 @@
 	}
 	e.State, e.At = Unsure, now
 	if o == Served {
-		e.State, e.Answer = Done, a
-		if e.Answer.Kept = a.Kept && len(a.Body) <= b.t.Largest && b.answers+int64(len(a.Body)) <= b.t.Bytes; !e.Answer.Kept {
-			e.Answer = Answer{Status: a.Status}
+		e.State, e.Response = Done, a
+		if e.Response.Stored = a.Stored && len(a.Body) <= b.t.MaxResponseSize && b.answers+int64(len(a.Body)) <= b.t.MaxResponseBytes; !e.Response.Stored {
+			e.Response = Response{Status: a.Status}
 		}
-		b.answers += int64(len(e.Answer.Body))
+		b.answers += int64(len(e.Response.Body))
 	}
 	heap.Push(&b.due, due{e.At + b.t.Retain[k.RuleSet], e})
 	return e, waiters
 }
 
 // Restore takes an entry from a record. One that was open when its process ended may have run.
-func (b *Book) Restore(e Entry, now int64) {
+func (b *Store) Restore(e Entry, now int64) {
 	if !b.Covers(e.Key.RuleSet) {
 		return // operators have taken the rule set's keys away
 	}
@@ -187,37 +187,37 @@
 	}
 	e.wait, e.due = nil, -1
 	b.entries[e.Key] = &e
-	b.answers += int64(len(e.Answer.Body))
+	b.answers += int64(len(e.Response.Body))
 	heap.Push(&b.due, due{e.At + b.t.Retain[e.Key.RuleSet], &e})
 }
 
-// Free takes a key off: it provably never ran.
-func (b *Book) Free(k Key) {
+// Remove takes a key off: it provably never ran.
+func (b *Store) Remove(k Key) {
 	if e := b.entries[k]; e != nil {
 		b.drop(e)
 	}
 }
 
-func (b *Book) drop(e *Entry) {
+func (b *Store) drop(e *Entry) {
 	delete(b.entries, e.Key)
-	b.answers -= int64(len(e.Answer.Body))
+	b.answers -= int64(len(e.Response.Body))
 	if e.due >= 0 {
 		heap.Remove(&b.due, e.due)
 	}
 }
 
 // forget lets go of what is past its time.
-func (b *Book) forget(now int64) {
+func (b *Store) forget(now int64) {
 	for len(b.due) > 0 && b.due[0].at <= now {
 		b.drop(b.due[0].e)
 	}
 }
 
-// Live is about what all keys hold, without looking at each.
-func (b *Book) Live() int64 { return int64(len(b.entries))*perKey + b.answers }
+// EstimatedBytes is about what all keys hold, without looking at each.
+func (b *Store) EstimatedBytes() int64 { return int64(len(b.entries))*perKey + b.answers }
 
 // Entries are all keys, in no order, for a record written anew.
-func (b *Book) Entries(now int64) []*Entry {
+func (b *Store) Entries(now int64) []*Entry {
 	b.forget(now)
 	all := make([]*Entry, 0, len(b.entries))
 	for _, e := range b.entries {
--- a/keys/idempotency/store_test.go
+++ b/keys/idempotency/store_test.go
@@ -11,53 +11,56 @@
 
 const sec = int64(1e9)
 
-var terms = Terms{Most: 40, Bytes: 1000, Largest: 100, Waiters: 3, Longest: 10, Retain: map[string]int64{"a": 10 * sec, "b": 20 * sec}}
+var terms = Config{MaxKeys: 40, MaxResponseBytes: 1000, MaxResponseSize: 100, MaxWaiters: 3, MaxKeyLength: 10, Retain: map[string]int64{"a": 10 * sec, "b": 20 * sec}}
 
 func TestVerdicts(t *testing.T) {
 	k := Key{"t", "a", "k"}
 	for name, c := range map[string]struct {
-		before func(b *Book)
+		before func(b *Store)
 		key    Key
-		print  Print
+		print  Fingerprint
 		at     int64
-		want   Kind
+		want   Action
 		state  State
 	}{
-		"first":                {func(*Book) {}, k, Print{1}, 0, Go, Open},
-		"joins":                {func(b *Book) { b.Arrive(k, Print{1}, 1, 0) }, k, Print{1}, 1, Join, Open},
-		"something else":       {func(b *Book) { b.Arrive(k, Print{1}, 1, 0) }, k, Print{2}, 1, Conflict, Open},
-		"another tenant's":     {func(b *Book) { b.Arrive(k, Print{1}, 1, 0) }, Key{"u", "a", "k"}, Print{2}, 1, Go, Open},
-		"another rule set's":   {func(b *Book) { b.Arrive(k, Print{1}, 1, 0) }, Key{"t", "b", "k"}, Print{2}, 1, Go, Open},
-		"done":                 {func(b *Book) { b.Arrive(k, Print{1}, 1, 0); b.Ended(k, Served, Answer{Status: 200, Kept: true}, 1) }, k, Print{1}, 2, Told, Done},
-		"unsure":               {func(b *Book) { b.Arrive(k, Print{1}, 1, 0); b.Ended(k, Aborted, Answer{}, 1) }, k, Print{1}, 2, Told, Unsure},
-		"done, something else": {func(b *Book) { b.Arrive(k, Print{1}, 1, 0); b.Ended(k, Served, Answer{}, 1) }, k, Print{2}, 2, Conflict, Done},
-		"free":                 {func(b *Book) { b.Arrive(k, Print{1}, 1, 0); b.Ended(k, Denied, Answer{}, 1) }, k, Print{2}, 2, Go, Open},
-		"past its time":        {func(b *Book) { b.Arrive(k, Print{1}, 1, 0); b.Ended(k, Aborted, Answer{}, 1) }, k, Print{2}, 1 + 10*sec, Go, Open},
-		"just within its time": {func(b *Book) { b.Arrive(k, Print{1}, 1, 0); b.Ended(k, Aborted, Answer{}, 1) }, k, Print{1}, 10 * sec, Told, Unsure},
-		"open for ever":        {func(b *Book) { b.Arrive(k, Print{1}, 1, 0) }, k, Print{1}, 1000 * sec, Join, Open},
-		"too many wait": {func(b *Book) {
+		"first":              {func(*Store) {}, k, Fingerprint{1}, 0, Proceed, Open},
+		"joins":              {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{1}, 1, Join, Open},
+		"something else":     {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{2}, 1, Conflict, Open},
+		"another tenant's":   {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, Key{"u", "a", "k"}, Fingerprint{2}, 1, Proceed, Open},
+		"another rule set's": {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, Key{"t", "b", "k"}, Fingerprint{2}, 1, Proceed, Open},
+		"done": {func(b *Store) {
+			b.Admit(k, Fingerprint{1}, 1, 0)
+			b.Finish(k, Served, Response{Status: 200, Stored: true}, 1)
+		}, k, Fingerprint{1}, 2, Settled, Done},
+		"unsure":               {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{1}, 2, Settled, Unsure},
+		"done, something else": {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Served, Response{}, 1) }, k, Fingerprint{2}, 2, Conflict, Done},
+		"free":                 {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Denied, Response{}, 1) }, k, Fingerprint{2}, 2, Proceed, Open},
+		"past its time":        {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{2}, 1 + 10*sec, Proceed, Open},
+		"just within its time": {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{1}, 10 * sec, Settled, Unsure},
+		"open for ever":        {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{1}, 1000 * sec, Join, Open},
+		"too many wait": {func(b *Store) {
 			for i := range 3 {
-				b.Arrive(k, Print{1}, uint64(i), 0)
+				b.Admit(k, Fingerprint{1}, uint64(i), 0)
 			}
-		}, k, Print{1}, 1, Full, Open},
-		"room once one has left": {func(b *Book) {
+		}, k, Fingerprint{1}, 1, Full, Open},
+		"room once one has left": {func(b *Store) {
 			for i := range 3 {
-				b.Arrive(k, Print{1}, uint64(i), 0)
+				b.Admit(k, Fingerprint{1}, uint64(i), 0)
 			}
-			b.Left(k, 1)
-		}, k, Print{1}, 1, Join, Open},
-		"too long":       {func(*Book) {}, Key{"t", "a", strings.Repeat("k", 11)}, Print{1}, 0, TooLong, Open},
-		"lost":           {func(b *Book) { b.Lose(5) }, k, Print{1}, 0, Lost, Open},
-		"sealed":         {func(b *Book) { b.Seal() }, k, Print{1}, 0, Full, Open},
-		"sealed, known":  {func(b *Book) { b.Restore(Entry{Key: k, Print: Print{1}}, 0); b.Seal() }, k, Print{1}, 0, Told, Unsure},
-		"from after now": {func(b *Book) { b.Restore(Entry{Key: k, Print: Print{1}, State: Done, At: 500 * sec}, 0) }, k, Print{1}, 9 * sec, Told, Done},
-		"taken away":     {func(b *Book) { b.Restore(Entry{Key: Key{"t", "z", "k"}}, 0) }, Key{"t", "z", "k"}, Print{1}, 0, Go, Open},
+			b.RemoveWaiter(k, 1)
+		}, k, Fingerprint{1}, 1, Join, Open},
+		"too long":       {func(*Store) {}, Key{"t", "a", strings.Repeat("k", 11)}, Fingerprint{1}, 0, KeyTooLong, Open},
+		"lost":           {func(b *Store) { b.RefuseUnknownWhileRetained(5) }, k, Fingerprint{1}, 0, PossiblyLost, Open},
+		"sealed":         {func(b *Store) { b.RefuseUnknown() }, k, Fingerprint{1}, 0, Full, Open},
+		"sealed, known":  {func(b *Store) { b.Restore(Entry{Key: k, Fingerprint: Fingerprint{1}}, 0); b.RefuseUnknown() }, k, Fingerprint{1}, 0, Settled, Unsure},
+		"from after now": {func(b *Store) { b.Restore(Entry{Key: k, Fingerprint: Fingerprint{1}, State: Done, At: 500 * sec}, 0) }, k, Fingerprint{1}, 9 * sec, Settled, Done},
+		"taken away":     {func(b *Store) { b.Restore(Entry{Key: Key{"t", "z", "k"}}, 0) }, Key{"t", "z", "k"}, Fingerprint{1}, 0, Proceed, Open},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := New(terms)
 			c.before(b)
-			got := b.Arrive(c.key, c.print, 99, c.at)
-			if got.Kind != c.want || got.Entry != nil && got.Entry.State != c.state {
+			got := b.Admit(c.key, c.print, 99, c.at)
+			if got.Action != c.want || got.Entry != nil && got.Entry.State != c.state {
 				t.Errorf("got %+v, want %d, %s", got, c.want, c.state)
 			}
 		})
@@ -69,19 +72,19 @@
 	b := New(terms)
 	for i := range 100 {
 		k := Key{"t", "a", fmt.Sprint(i)}
-		v := b.Arrive(k, Print{1}, 1, int64(i))
-		if want := map[bool]Kind{true: Go, false: Full}[i < terms.Most]; v.Kind != want {
-			t.Fatalf("key %d: got %d, want %d", i, v.Kind, want)
+		v := b.Admit(k, Fingerprint{1}, 1, int64(i))
+		if want := map[bool]Action{true: Proceed, false: Full}[i < terms.MaxKeys]; v.Action != want {
+			t.Fatalf("key %d: got %d, want %d", i, v.Action, want)
 		}
 		if i%2 == 0 {
-			b.Ended(k, Aborted, Answer{}, int64(i))
+			b.Finish(k, Aborted, Response{}, int64(i))
 		}
 	}
-	if v := b.Arrive(Key{"t", "a", "0"}, Print{1}, 1, 100); v.Kind != Told || v.Entry.State != Unsure {
+	if v := b.Admit(Key{"t", "a", "0"}, Fingerprint{1}, 1, 100); v.Action != Settled || v.Entry.State != Unsure {
 		t.Errorf("got %+v for the first key, want it kept", v)
 	}
-	b.Ended(Key{"t", "a", "1"}, Denied, Answer{}, 101)
-	if v := b.Arrive(Key{"t", "a", "99"}, Print{1}, 1, 102); v.Kind != Go {
+	b.Finish(Key{"t", "a", "1"}, Denied, Response{}, 101)
+	if v := b.Admit(Key{"t", "a", "99"}, Fingerprint{1}, 1, 102); v.Action != Proceed {
 		t.Errorf("got %+v once one is free", v)
 	}
 }
@@ -91,17 +94,17 @@
 	kept := 0
 	for i := range 20 {
 		k := Key{"t", "a", fmt.Sprint(i)}
-		b.Arrive(k, Print{1}, 1, 0)
+		b.Admit(k, Fingerprint{1}, 1, 0)
 		size := 80
 		if i == 0 {
 			size = 101
 		}
-		e, _ := b.Ended(k, Served, Answer{Status: 200, Kept: true, Body: make([]byte, size)}, 1)
-		if e.Answer.Kept {
+		e, _ := b.Finish(k, Served, Response{Status: 200, Stored: true, Body: make([]byte, size)}, 1)
+		if e.Response.Stored {
 			kept++
 		}
-		if e.Answer.Status != 200 || e.Answer.Kept == (len(e.Answer.Body) == 0) {
-			t.Errorf("got %+v", e.Answer)
+		if e.Response.Status != 200 || e.Response.Stored == (len(e.Response.Body) == 0) {
+			t.Errorf("got %+v", e.Response)
 		}
 	}
 	if kept != 12 { // of 80 bytes within 1000, the first too large by itself
@@ -118,7 +121,7 @@
 }
 
 type modelKey struct {
-	print   Print
+	print   Fingerprint
 	state   State
 	ended   int64
 	waiters []uint64
@@ -145,14 +148,14 @@
 			e := m.keys[k]
 			switch r.IntN(4) {
 			case 0, 1:
-				p := Print{byte(r.IntN(8) / 7)}
-				want := Go
+				p := Fingerprint{byte(r.IntN(8) / 7)}
+				want := Proceed
 				switch {
 				case e != nil && e.print != p:
 					want = Conflict
 				case e != nil && e.state != Open:
-					want = Told
-				case e != nil && len(e.waiters) >= terms.Waiters, e == nil && len(m.keys) >= terms.Most:
+					want = Settled
+				case e != nil && len(e.waiters) >= terms.MaxWaiters, e == nil && len(m.keys) >= terms.MaxKeys:
 					want = Full
 				case e != nil:
 					want = Join
@@ -160,12 +163,12 @@
 				default:
 					m.keys[k] = &modelKey{print: p, waiters: []uint64{uint64(step)}}
 				}
-				if got := b.Arrive(k, p, uint64(step), now); got.Kind != want {
-					t.Fatalf("seed %d, step %d: got %d, want %d", seed, step, got.Kind, want)
+				if got := b.Admit(k, p, uint64(step), now); got.Action != want {
+					t.Fatalf("seed %d, step %d: got %d, want %d", seed, step, got.Action, want)
 				}
 			case 2:
 				o := Outcome(r.IntN(3))
-				_, got := b.Ended(k, o, Answer{Kept: true}, now)
+				_, got := b.Finish(k, o, Response{Stored: true}, now)
 				var want []uint64
 				if e != nil && e.state == Open {
 					want, e.waiters = e.waiters, nil
@@ -182,7 +185,7 @@
 			case 3:
 				if e != nil && len(e.waiters) > 0 {
 					i := r.IntN(len(e.waiters))
-					b.Left(k, e.waiters[i])
+					b.RemoveWaiter(k, e.waiters[i])
 					e.waiters = slices.Delete(e.waiters, i, i+1)
 				}
 			}
@@ -202,11 +205,11 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book := New(Terms{Most: n, Bytes: 1 << 30, Largest: 1 << 16, Waiters: 1, Longest: 99, Retain: map[string]int64{"filing": 1 << 60}})
+				book := New(Config{MaxKeys: n, MaxResponseBytes: 1 << 30, MaxResponseSize: 1 << 16, MaxWaiters: 1, MaxKeyLength: 99, Retain: map[string]int64{"filing": 1 << 60}})
 				for i := range n {
 					k := Key{"public-halls", "filing", fmt.Sprintf("7f3a9c21-e0b4-d655-%012d", i)}
-					book.Arrive(k, Print{1}, 1, 0)
-					book.Ended(k, Served, Answer{Status: 200, Kept: true, Body: make([]byte, size)}, 1)
+					book.Admit(k, Fingerprint{1}, 1, 0)
+					book.Finish(k, Served, Response{Status: 200, Stored: true, Body: make([]byte, size)}, 1)
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/keys/ledger/ledger.go
+++ b/keys/ledger/ledger.go
@@ -28,10 +28,10 @@
 
 // What can be wrong with a file.
 var (
-	ErrNewer  = errors.New("written by a newer version")
-	ErrOther  = errors.New("not a ledger")
-	ErrLocked = errors.New("in use by another process")
-	ErrFailed = errors.New("the disk has failed to keep what it was given")
+	ErrNewerVersion = errors.New("written by a newer version")
+	ErrNotLedger    = errors.New("not a ledger")
+	ErrLocked       = errors.New("in use by another process")
+	ErrFailed       = errors.New("the disk has failed to keep what it was given")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -54,9 +54,9 @@
 
 // Report is what opening a file found.
 type Report struct {
-	Records int
-	Torn    int64 // bytes of a last record that was not whole, cut off
-	Damaged int64 // where a record within cannot be read; -1: all can
+	Records   int
+	TornBytes int64 // bytes of a last record that was not whole, cut off
+	DamagedAt int64 // where a record within cannot be read; -1: all can
 }
 
 // appendRecord writes a record.
@@ -74,19 +74,19 @@
 	text(e.Key.Tenant)
 	text(e.Key.RuleSet)
 	text(e.Key.Name)
-	b = append(b, e.Print[:]...)
+	b = append(b, e.Fingerprint[:]...)
 	kept := byte(0)
-	if e.Answer.Kept {
+	if e.Response.Stored {
 		kept = 1
 	}
 	b = append(b, kept)
-	b = binary.AppendUvarint(b, uint64(e.Answer.Status))
-	b = binary.AppendUvarint(b, uint64(len(e.Answer.Fields)))
-	for _, f := range e.Answer.Fields {
+	b = binary.AppendUvarint(b, uint64(e.Response.Status))
+	b = binary.AppendUvarint(b, uint64(len(e.Response.Fields)))
+	for _, f := range e.Response.Fields {
 		text(f[0])
 		text(f[1])
 	}
-	text(string(e.Answer.Body))
+	text(string(e.Response.Body))
 	payload := b[start+overhead:]
 	binary.LittleEndian.PutUint32(b[start+len(mark):], uint32(len(payload)))
 	binary.LittleEndian.PutUint32(b[start+len(mark)+4:], crc32.Checksum(payload, castagnoli))
@@ -122,16 +122,16 @@
 	bad = bad || err != nil || r.Kind != Begin && r.Kind != End && r.Kind != Free || r.Entry.State > idempotency.Unsure
 	r.Entry.At = at
 	r.Entry.Key = idempotency.Key{Tenant: text(), RuleSet: text(), Name: text()}
-	if _, err := io.ReadFull(in, r.Entry.Print[:]); err != nil {
+	if _, err := io.ReadFull(in, r.Entry.Fingerprint[:]); err != nil {
 		bad = true
 	}
-	r.Entry.Answer.Kept = one() == 1
-	r.Entry.Answer.Status = int(number())
+	r.Entry.Response.Stored = one() == 1
+	r.Entry.Response.Status = int(number())
 	for n := number(); n > 0 && !bad; n-- {
-		r.Entry.Answer.Fields = append(r.Entry.Answer.Fields, [2]string{text(), text()})
+		r.Entry.Response.Fields = append(r.Entry.Response.Fields, [2]string{text(), text()})
 	}
 	if body := text(); body != "" {
-		r.Entry.Answer.Body = []byte(body)
+		r.Entry.Response.Body = []byte(body)
 	}
 	return r, !bad && in.Len() == 0
 }
@@ -155,17 +155,17 @@
 
 // Read goes through a ledger's text. What is whole before the end of good is all that is whole from the start on.
 func Read(text []byte, each func(Record)) (rep Report, good int, err error) {
-	rep.Damaged = -1
+	rep.DamagedAt = -1
 	switch {
 	case len(text) < len(header) && bytes.HasPrefix([]byte(header), text):
-		rep.Torn = int64(len(text)) // ended before its first record
+		rep.TornBytes = int64(len(text)) // ended before its first record
 		return rep, 0, nil
 	case len(text) < len(header) || string(text[:len(header)-1]) != header[:len(header)-1]:
-		return rep, 0, ErrOther
+		return rep, 0, ErrNotLedger
 	case text[len(header)-1] > header[len(header)-1]:
-		return rep, 0, ErrNewer
+		return rep, 0, ErrNewerVersion
 	case text[len(header)-1] != header[len(header)-1]:
-		return rep, 0, ErrOther
+		return rep, 0, ErrNotLedger
 	}
 	o := len(header)
 	for o < len(text) {
@@ -189,11 +189,11 @@
 			}
 		}
 		if next >= len(text) {
-			rep.Torn = int64(len(text) - o)
+			rep.TornBytes = int64(len(text) - o)
 			return rep, o, nil
 		}
-		if rep.Damaged < 0 {
-			rep.Damaged = int64(o)
+		if rep.DamagedAt < 0 {
+			rep.DamagedAt = int64(o)
 		}
 		o = next
 	}
@@ -282,7 +282,7 @@
 	if err == nil {
 		rep, good, err = Read(text, each)
 	}
-	if err == nil && rep.Torn > 0 {
+	if err == nil && rep.TornBytes > 0 {
 		err = f.Truncate(int64(good))
 	}
 	if err == nil {
@@ -321,8 +321,8 @@
 // Append adds a record; done is told, on the writer, once it is durable or why it is not.
 func (l *Ledger) Append(r Record, done func(error)) { l.put(op{record: r, done: done}) }
 
-// Anew has the file hold these records and what is appended from here on, nothing else.
-func (l *Ledger) Anew(all []Record, done func(error)) { l.put(op{all: all, anew: true, done: done}) }
+// Rewrite has the file hold these records and what is appended from here on, nothing else.
+func (l *Ledger) Rewrite(all []Record, done func(error)) { l.put(op{all: all, anew: true, done: done}) }
 
 // Size is how large the file is.
 func (l *Ledger) Size() int64 { return l.size.Load() }
--- a/keys/ledger/ledger_test.go
+++ b/keys/ledger/ledger_test.go
@@ -16,12 +16,12 @@
 )
 
 func record(i int, kind Kind) Record {
-	r := Record{kind, idempotency.Entry{Key: idempotency.Key{Tenant: "t", RuleSet: "filing", Name: fmt.Sprint("key-", i)}, Print: idempotency.Print{byte(i)}, At: int64(i) * 1e9}}
+	r := Record{kind, idempotency.Entry{Key: idempotency.Key{Tenant: "t", RuleSet: "filing", Name: fmt.Sprint("key-", i)}, Fingerprint: idempotency.Fingerprint{byte(i)}, At: int64(i) * 1e9}}
 	if kind == End {
 		r.Entry.State = idempotency.Done
-		r.Entry.Answer = idempotency.Answer{Status: 200, Kept: true, Fields: [][2]string{{"Content-Type", "a/b"}}, Body: bytes.Repeat([]byte{byte(i)}, i%50)}
-		if len(r.Entry.Answer.Body) == 0 {
-			r.Entry.Answer.Body = nil
+		r.Entry.Response = idempotency.Response{Status: 200, Stored: true, Fields: [][2]string{{"Content-Type", "a/b"}}, Body: bytes.Repeat([]byte{byte(i)}, i%50)}
+		if len(r.Entry.Response.Body) == 0 {
+			r.Entry.Response.Body = nil
 		}
 	}
 	return r
@@ -53,7 +53,7 @@
 func TestLedger(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	l, got, rep := opened(t, path)
-	if len(got) != 0 || rep.Damaged != -1 {
+	if len(got) != 0 || rep.DamagedAt != -1 {
 		t.Fatalf("got %v, %+v", got, rep)
 	}
 	var want []Record
@@ -76,7 +76,7 @@
 	}
 	old := l.Size()
 	done := make(chan error, 2)
-	l.Anew(want[:10], func(err error) { done <- err })
+	l.Rewrite(want[:10], func(err error) { done <- err })
 	l.Append(want[20], func(err error) { done <- err })
 	if err := errors.Join(<-done, <-done); err != nil || l.Size() >= old {
 		t.Fatalf("got %v, %d bytes of %d", err, l.Size(), old)
@@ -109,7 +109,7 @@
 			whole++
 		}
 		l, got, rep := opened(t, path)
-		if len(got) != whole || rep.Damaged != -1 {
+		if len(got) != whole || rep.DamagedAt != -1 {
 			t.Fatalf("cut at %d: got %d records, %+v, want %d", cut, len(got), rep, whole)
 		}
 		if err := durable(l, record(99, Begin)); err != nil {
@@ -118,7 +118,7 @@
 		l.Close()
 		l, got, rep = opened(t, path)
 		l.Close()
-		if len(got) != whole+1 || rep.Torn != 0 || got[whole].Entry.Key.Name != "key-99" {
+		if len(got) != whole+1 || rep.TornBytes != 0 || got[whole].Entry.Key.Name != "key-99" {
 			t.Fatalf("cut at %d: got %d records, %+v after a further one", cut, len(got), rep)
 		}
 	}
@@ -140,7 +140,7 @@
 		spoilt[o] ^= 1 << r.IntN(8)
 		var got []Record
 		rep, _, err := Read(spoilt, func(r Record) { got = append(got, r) })
-		if err != nil || rep.Damaged < 0 || len(got) != 19 {
+		if err != nil || rep.DamagedAt < 0 || len(got) != 19 {
 			t.Fatalf("bit at %d: got %d records, %+v, %v, want one missing and told", o, len(got), rep, err)
 		}
 		at := 0
@@ -160,7 +160,7 @@
 		text string
 		want error
 	}{
-		"newer": {"IVYLEDG2more", ErrNewer}, "older": {"IVYLEDG0more", ErrOther}, "something else": {"hello, world", ErrOther}, "short": {"hel", ErrOther},
+		"newer": {"IVYLEDG2more", ErrNewerVersion}, "older": {"IVYLEDG0more", ErrNotLedger}, "something else": {"hello, world", ErrNotLedger}, "short": {"hel", ErrNotLedger},
 	} {
 		path := filepath.Join(t.TempDir(), "ledger")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
@@ -230,14 +230,14 @@
 		if err := durable(l, record(2, Begin)); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("got %v", err)
 		}
-		if n, rep := read(path); n != 1 || rep.Torn != 0 {
+		if n, rep := read(path); n != 1 || rep.TornBytes != 0 {
 			t.Errorf("got %d records, %+v, want the file as it was", n, rep)
 		}
 		s.room = 1 << 20
 		if err := durable(l, record(3, Begin)); err != nil || l.Failed() {
 			t.Errorf("got %v, failed %v with room again", err, l.Failed())
 		}
-		if n, rep := read(path); n != 2 || rep.Torn != 0 {
+		if n, rep := read(path); n != 2 || rep.TornBytes != 0 {
 			t.Errorf("got %d records, %+v", n, rep)
 		}
 	})
@@ -261,7 +261,7 @@
 			t.Errorf("got %v from the next one, want it refused", err)
 		}
 		done := make(chan error)
-		l.Anew(nil, func(err error) { done <- err })
+		l.Rewrite(nil, func(err error) { done <- err })
 		if err := <-done; !errors.Is(err, ErrFailed) {
 			t.Errorf("got %v, want nothing written anew either", err)
 		}
@@ -275,7 +275,7 @@
 			return &sick{File: f.(*os.File), room: 5}, err
 		}
 		done := make(chan error)
-		l.Anew([]Record{record(2, Begin)}, func(err error) { done <- err })
+		l.Rewrite([]Record{record(2, Begin)}, func(err error) { done <- err })
 		if err := <-done; !errors.Is(err, syscall.ENOSPC) || l.Failed() {
 			t.Errorf("got %v, failed %v", err, l.Failed())
 		}
--- a/proxy/idempotency.go
+++ b/proxy/idempotency.go
@@ -37,13 +37,13 @@
 type IdempotencyConfig struct {
 	Header string // the request header that holds the key
 	File   string // the ledger; empty: keys are kept in memory only
-	Terms  idempotency.Terms
+	Terms  idempotency.Config
 }
 
 // keyState is the event loop's state of idempotency keys; nil if they are off.
 type keys struct {
 	IdempotencyConfig
-	book    *idempotency.Book
+	book    *idempotency.Store
 	ledger  *ledger.Ledger     // nil: in memory only, or not opened yet
 	ready   bool               // the ledger is open, or none is needed
 	waiters map[uint64]*waiter // removed when they are answered or leave
@@ -108,7 +108,7 @@
 	l, rep, err := ledger.Open(k.File, func(r ledger.Record) {
 		k.newest = max(k.newest, r.Entry.At)
 		if r.Kind == ledger.Free {
-			book.Free(r.Entry.Key)
+			book.Remove(r.Entry.Key)
 			return
 		}
 		book.Restore(r.Entry, now)
@@ -116,12 +116,12 @@
 	if err != nil {
 		return err
 	}
-	if rep.Damaged >= 0 {
-		book.Seal()
-		logrus.Errorf("%s: the record at byte %d cannot be read: unknown keys are refused until the file is removed", k.File, rep.Damaged)
+	if rep.DamagedAt >= 0 {
+		book.RefuseUnknown()
+		logrus.Errorf("%s: the record at byte %d cannot be read: unknown keys are refused until the file is removed", k.File, rep.DamagedAt)
 	}
 	k.book, k.ledger, k.ready = book, l, true
-	logrus.Infof("idempotency keys: loaded %d keys from %d records, truncated %d bytes at the end", book.Len(), rep.Records, rep.Torn)
+	logrus.Infof("idempotency keys: loaded %d keys from %d records, truncated %d bytes at the end", book.Len(), rep.Records, rep.TornBytes)
 	p.after(now, tidyApart, p.tidyLedger)
 	p.lostKeys(now)
 	if f := p.start.Fleet; f != nil && f.Terms.Learn != nil {
@@ -144,7 +144,7 @@
 	}
 	if newest/1e6 > k.newest/1e6 && !k.lost { // in milliseconds, as peers report it
 		k.lost = true
-		k.book.Lose(now)
+		k.book.RefuseUnknownWhileRetained(now)
 		logrus.Errorf("%s: a known key is %d ms newer than the newest in the file: unknown keys are refused for the retention time", k.File, (newest-k.newest)/1e6)
 	}
 }
@@ -175,7 +175,7 @@
 // compactLedger has the ledger rewritten once most of it is obsolete.
 func (p *Proxy) tidyLedger(now int64) {
 	k := p.keys
-	if size := k.ledger.Size(); size > leastLedger && size > 2*k.book.Live() {
+	if size := k.ledger.Size(); size > leastLedger && size > 2*k.book.EstimatedBytes() {
 		entries := k.book.Entries(now)
 		all := make([]ledger.Record, 0, len(entries))
 		for _, e := range entries {
@@ -185,7 +185,7 @@
 			}
 			all = append(all, ledger.Record{Kind: kind, Entry: *e})
 		}
-		k.ledger.Anew(all, func(err error) {
+		k.ledger.Rewrite(all, func(err error) {
 			if err != nil {
 				logrus.Warnf("the ledger could not be compacted: %v", err)
 			}
@@ -223,11 +223,11 @@
 	now := p.now()
 	key := idempotency.Key{Tenant: call.Tenant, RuleSet: call.RuleSet, Name: call.Fields[i].Value}
 	k.last++
-	v := k.book.Arrive(key, fingerprint(call.Call), k.last, now)
-	switch v.Kind {
-	case idempotency.Go:
+	v := k.book.Admit(key, fingerprint(call.Call), k.last, now)
+	switch v.Action {
+	case idempotency.Proceed:
 		if p.ids[call.ID] {
-			k.book.Ended(key, idempotency.Denied, idempotency.Answer{}, now)
+			k.book.Finish(key, idempotency.Denied, idempotency.Response{}, now)
 			return true, errOpenID
 		}
 		p.ids[call.ID] = true
@@ -242,7 +242,7 @@
 					logrus.Warnf("the start of a key could not be recorded: %v", err)
 					p.count.KeysRefused++
 					delete(p.ids, call.ID)
-					p.settle(key, idempotency.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: k.Terms.RetryIn})
+					p.settle(key, idempotency.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: k.Terms.RetryAfter})
 					return
 				}
 				p.newestKey(now)
@@ -252,7 +252,7 @@
 	case idempotency.Join:
 		p.count.Repeats++
 		p.wait(c, call, key, now)
-	case idempotency.Told:
+	case idempotency.Settled:
 		p.count.Repeats++
 		p.answer(c, told(v.Entry), call.Close)
 	case idempotency.Conflict:
@@ -260,11 +260,11 @@
 		refuse(http.StatusUnprocessableEntity, "not taken; the key stands for another call", 0)
 	case idempotency.Full:
 		p.count.KeysRefused++
-		refuse(http.StatusServiceUnavailable, "not taken; no room for a further key", k.Terms.RetryIn)
-	case idempotency.Lost:
+		refuse(http.StatusServiceUnavailable, "not taken; no room for a further key", k.Terms.RetryAfter)
+	case idempotency.PossiblyLost:
 		p.count.KeysRefused++
-		refuse(http.StatusServiceUnavailable, "not taken; keys of before were lost, and this may be one of them", k.Terms.RetryIn)
-	case idempotency.TooLong:
+		refuse(http.StatusServiceUnavailable, "not taken; keys of before were lost, and this may be one of them", k.Terms.RetryAfter)
+	case idempotency.KeyTooLong:
 		p.count.KeyConflicts++
 		refuse(http.StatusBadRequest, "not taken; the key is too long", 0)
 	}
@@ -272,7 +272,7 @@
 }
 
 // fingerprint returns a hash of what a request asks.
-func fingerprint(c http1.Call) (print idempotency.Print) {
+func fingerprint(c http1.Call) (print idempotency.Fingerprint) {
 	h := sha256.New()
 	h.Write([]byte(c.Method + "\x00" + c.Target + "\x00"))
 	h.Write(c.Body)
@@ -287,7 +287,7 @@
 	c.waits = w
 	w.due = p.after(now, max(1, call.at+call.Timeout-2*wayMargin-now), func(int64) {
 		p.leave(w)
-		p.answer(c, http1.Answer{Status: http.StatusConflict, RetryAfter: p.keys.Terms.RetryIn,
+		p.answer(c, http1.Answer{Status: http.StatusConflict, RetryAfter: p.keys.Terms.RetryAfter,
 			Fields: []http1.Field{{Name: outcomeField, Value: "open"}}}, w.close)
 		p.turn(c)
 	})
@@ -298,7 +298,7 @@
 	p.stop(w.due)
 	w.client.waits = nil
 	delete(p.keys.waiters, w.number)
-	p.keys.book.Left(w.key, w.number)
+	p.keys.book.RemoveWaiter(w.key, w.number)
 }
 
 // startAttempt hands a key's first request to the balancer. It belongs to the key, not to its client.
@@ -306,7 +306,7 @@
 	left := call.Timeout - wayMargin - (now - call.at)
 	if left <= 0 {
 		delete(p.ids, call.ID)
-		p.settle(key, idempotency.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: p.keys.Terms.RetryIn})
+		p.settle(key, idempotency.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: p.keys.Terms.RetryAfter})
 		return
 	}
 	p.enter(&req{call: call.Call, key: &key, taken: call.at}, left, now)
@@ -315,11 +315,11 @@
 // finishKey ends a key's attempt and answers all that wait for it.
 func (p *Proxy) settle(key idempotency.Key, o idempotency.Outcome, a http1.Answer) {
 	k := p.keys
-	kept := idempotency.Answer{Status: a.Status, Body: a.Body, Kept: a.Piece == http1.Whole}
+	kept := idempotency.Response{Status: a.Status, Body: a.Body, Stored: a.Piece == http1.Whole}
 	for _, f := range a.Fields {
 		kept.Fields = append(kept.Fields, [2]string{f.Name, f.Value})
 	}
-	e, waiters := k.book.Ended(key, o, kept, p.now())
+	e, waiters := k.book.Finish(key, o, kept, p.now())
 	if e == nil {
 		return
 	}
@@ -348,15 +348,15 @@
 
 // replayResponse returns the response to a repeat of a key that has ended.
 func told(e *idempotency.Entry) http1.Answer {
-	if e.State != idempotency.Done || !e.Answer.Kept {
+	if e.State != idempotency.Done || !e.Response.Stored {
 		what := e.State.String()
 		if e.State == idempotency.Done {
 			what += "; its answer was too large to keep"
 		}
 		return http1.Answer{Status: http.StatusConflict, Fields: []http1.Field{{Name: outcomeField, Value: what}}}
 	}
-	a := http1.Answer{Status: e.Answer.Status, Body: e.Answer.Body}
-	for _, f := range e.Answer.Fields {
+	a := http1.Answer{Status: e.Response.Status, Body: e.Response.Body}
+	for _, f := range e.Response.Fields {
 		a.Fields = append(a.Fields, http1.Field{Name: f[0], Value: f[1]})
 	}
 	a.Fields = append(a.Fields, http1.Field{Name: replayField, Value: "true"})
--- a/proxy/idempotency_test.go
+++ b/proxy/idempotency_test.go
@@ -15,7 +15,7 @@
 func TestTidyLedger(t *testing.T) {
 	p := testProxy(t)
 	file := filepath.Join(t.TempDir(), "keys.ledger")
-	p.start.Idempotency = &IdempotencyConfig{Header: "K", File: file, Terms: idempotency.Terms{Most: 1 << 20, Bytes: 1 << 30, Largest: 1 << 16, Waiters: 1, Longest: 99,
+	p.start.Idempotency = &IdempotencyConfig{Header: "K", File: file, Terms: idempotency.Config{MaxKeys: 1 << 20, MaxResponseBytes: 1 << 30, MaxResponseSize: 1 << 16, MaxWaiters: 1, MaxKeyLength: 99,
 		Retain: map[string]int64{"once": int64(time.Hour)}}}
 	if err := p.openKeys(); err != nil {
 		t.Fatal(err)
@@ -23,18 +23,18 @@
 	k := p.keys
 	for i := range 3000 {
 		key := idempotency.Key{RuleSet: "once", Name: fmt.Sprint(i)}
-		v := k.book.Arrive(key, idempotency.Print{}, 1, p.now())
+		v := k.book.Admit(key, idempotency.Fingerprint{}, 1, p.now())
 		k.ledger.Append(ledger.Record{Kind: ledger.Begin, Entry: *v.Entry}, nil)
-		o, a := idempotency.Denied, idempotency.Answer{}
+		o, a := idempotency.Denied, idempotency.Response{}
 		if i%100 == 0 {
-			o, a = idempotency.Served, idempotency.Answer{Status: 200, Kept: true, Body: []byte("x")}
+			o, a = idempotency.Served, idempotency.Response{Status: 200, Stored: true, Body: []byte("x")}
 		}
-		e, _ := k.book.Ended(key, o, a, p.now())
+		e, _ := k.book.Finish(key, o, a, p.now())
 		kind := ledger.Free
 		if o == idempotency.Served {
 			kind = ledger.End
 		}
-		e.Answer.Fields = [][2]string{{"X", string(make([]byte, 400))}} // make the obsolete records large, too
+		e.Response.Fields = [][2]string{{"X", string(make([]byte, 400))}} // make the obsolete records large, too
 		k.ledger.Append(ledger.Record{Kind: kind, Entry: *e}, nil)
 	}
 	settled := func() {
--- a/rehearse/lab/experiment.go
+++ b/rehearse/lab/experiment.go
@@ -248,7 +248,7 @@
 			rules = append(rules, conf.Rule{!names[set], "trace.rulesets." + kind, fmt.Sprintf("no rule set %q", set)})
 		}
 	}
-	return f.Keep("", rules)
+	return f.CheckRules("", rules)
 }
 
 // Once narrows an experiment to one run of one policy in virtual time.
--- a/rehearse/lab/limits.go
+++ b/rehearse/lab/limits.go
@@ -92,7 +92,7 @@
 	if o.Fleet == nil || o.Fleet.Limits == nil {
 		return nil, fmt.Errorf("%s: limits: the file has no [fleet.limits]", r.e.Limits)
 	}
-	for _, l := range o.Fleet.Limits.Each {
+	for _, l := range o.Fleet.Limits.All {
 		if l.Kind != "rate" {
 			continue
 		}
--- a/rehearse/lab/run.go
+++ b/rehearse/lab/run.go
@@ -301,8 +301,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if r := o.Return; r != nil && r.Folder != "" {
-		s.Keep(emu.Keeps{Every: int64(r.Every), Trust: int64(r.Trust)})
+	if r := o.Recovery; r != nil && r.Folder != "" {
+		s.Keep(emu.Keeps{Every: int64(r.SnapshotInterval), Trust: int64(r.MaxObservationAge)})
 	}
 	if o.Fleet == nil {
 		return nil, nil
@@ -311,8 +311,8 @@
 		return nil, fmt.Errorf("%s: fleet.limits: played in mode processes alone", v.Operator)
 	}
 	return s.Meet(seed, func(me, of int) fleet.Terms {
-		t := o.Fleet.Terms(me, of, true)
-		t.Learn = o.Learning()
+		t := o.Fleet.MemberConfig(me, of, true)
+		t.Learn = o.LearnConfig()
 		return t
 	}), nil
 }
