--- a/control/environment.go
+++ b/control/environment.go
@@ -28,7 +28,7 @@
 	OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle
 	// ReadHosts starts a read of the platform's host list; Node.HostsRead is called with the result.
 	ReadHosts()
-	// KnownControls returns the addresses of the control processes that were learned from peers.
+	// KnownControlIPs returns the addresses of the control processes that were learned from peers.
 	KnownControls() []string
 	// UnreadableDatagrams counts the datagrams from peers that could not be decoded.
 	SpoiltDatagrams() int64
--- a/control/process.go
+++ b/control/process.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// KnownControls returns the addresses of the control processes that were learned from peers.
+// KnownControlIPs returns the addresses of the control processes that were learned from peers.
 func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
 
 // UnreadableDatagrams counts the datagrams that could not be decoded.
--- a/control/shards.go
+++ b/control/shards.go
@@ -42,10 +42,10 @@
 	since  time.Duration // when this node acquired the shard
 	lostAt time.Duration // when this node noticed that it had lost the shard
 	began  bool          // the limits have got their start amounts
-	whole  *wire.Message // the whole table as it was last encoded
+	whole  *wire.Message // the full table as it was last encoded
 }
 
-// message returns a message with a change. The whole table, which each new subscriber gets, is encoded once per offset.
+// message returns a message with a change. The full table, which each new subscriber gets, is encoded once per offset.
 func (s *shard) message(change *wire.Hosts) *wire.Message {
 	if !change.Full {
 		return &wire.Message{Hosts: change}
