--- a/control/metrics_test.go
+++ b/control/metrics_test.go
@@ -60,7 +60,7 @@
 	assert.Assert(t, !lines["ivybank_control_role_changes_total 0"], "%v", lines)
 }
 
-// Requests to unknown paths, calls answered 503 and calls left without an answer were once not counted at all.
+// Requests to unknown paths, answered 404, calls answered 503 and calls without an answer were once not counted at all.
 func TestCallsWithoutServiceAreCounted(t *testing.T) {
 	n := &Node{counts: newNodeCounts(), env: stillEnvironment{}}
 	n.countUnknown(http.NewServeMux()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/Locks.Begin/l", nil))
