--- a/balance/balance.go
+++ b/balance/balance.go
@@ -63,7 +63,8 @@
 	askDelay        = 5e6      // ns, per balancer, over which calls for the server list are spread
 )
 
-type Balancer struct { // the dispatch state of one proxy instance
+// Balancer is the dispatch state of one proxy instance. It is not safe for concurrent use.
+type Balancer struct {
 	cfg                               Config
 	requests                          map[uint64]*request // until ended with no dispatch pending
 	open                              []*request          // not ended, in order of arrival
@@ -349,10 +350,10 @@
 }
 
 func (b *Balancer) eject(s *server, now int64) {
-	back := int64(outlier.Backoff(time.Duration(min(firstBackoff, backoffTargets*b.shortestTarget)),
+	backoff := int64(outlier.Backoff(time.Duration(min(firstBackoff, backoffTargets*b.shortestTarget)),
 		s.ejections, b.rng.Next()))
-	s.ejected, s.ejectedUntil, s.ejections = true, now+back, s.ejections+1
-	b.logf("ejected %s for %d ms: streak %d, health %.2f", s.ID, back/ms, s.streak, s.health)
+	s.ejected, s.ejectedUntil, s.ejections = true, now+backoff, s.ejections+1
+	b.logf("ejected %s for %d ms: streak %d, health %.2f", s.ID, backoff/ms, s.streak, s.health)
 }
 
 func (b *Balancer) emit(d Decision) { b.decisions = append(b.decisions, d) }
@@ -385,8 +386,8 @@
 
 // applyEntry applies one entry. A new server or process starts at the mean health, without any history.
 func (b *Balancer) applyEntry(e Server, now int64) {
-	i, had := slices.BinarySearchFunc(b.servers, e.ID, byID)
-	if !had {
+	i, found := slices.BinarySearchFunc(b.servers, e.ID, byID)
+	if !found {
 		b.servers = slices.Insert(b.servers, i, &server{Server: Server{Since: -1}})
 	}
 	s := b.servers[i]
@@ -514,7 +515,6 @@
 	return next
 }
 
-// computeWeights computes the weight of each server and the total of each placement.
 func (b *Balancer) computeWeights(now int64) {
 	all, work := 0.0, 0.0
 	for _, s := range b.servers {
@@ -717,23 +717,23 @@
 	if r.placement.panicMode {
 		healthy = len(b.servers) // all can be picked
 	}
-	apiece := minInflight / float64(max(1, b.cfg.FleetSize)) // each server may always have this in flight
+	perServer := minInflight / float64(max(1, b.cfg.FleetSize)) // each server may always have this in flight
 	share := inflightShare
 	if b.cfg.TailWeight == 0 { // if the tail counts, a deny costs less than a late answer
-		share += max(0, min(extraShare, apiece*float64(len(b.servers))-1,
+		share += max(0, min(extraShare, perServer*float64(len(b.servers))-1,
 			1-2*b.refusedShare, 2*(slowRatio-b.latencyRatio)))
 	}
-	least := apiece * float64(healthy)
-	if least < 1 {
+	minimum := perServer * float64(healthy)
+	if minimum < 1 {
 		// One dispatch for each of hundreds is several per server: while answers are late, fewer go, at random.
 		calm := max(1, calmInflight*float64(b.healthy)/float64(len(b.servers)))
-		least += (calm-least)*max(0, 1-math.Pow(b.latencyRatio/slowRatio, 6)) - r.random
+		minimum += (calm-minimum)*max(0, 1-math.Pow(b.latencyRatio/slowRatio, 6)) - r.random
 	}
-	full := least + b.answerRate.Now(now, span)*share*b.meanTarget.Value/history
+	bound := minimum + b.answerRate.Now(now, span)*share*b.meanTarget.Value/history
 	if r.value > 0 && b.meanValue.Value > 0 { // when capacity is short, less valuable requests wait
-		full *= math.Pow(min(16, max(1.0/16, r.value/b.meanValue.Value)), valueExponent)
+		bound *= math.Pow(min(16, max(1.0/16, r.value/b.meanValue.Value)), valueExponent)
 	}
-	return full
+	return bound
 }
 
 // hasRoom reports whether a server may take one more: by rate times time, and by its share of all in flight.
@@ -741,16 +741,16 @@
 	limit := min(s.inflightCap, skipFactor*s.weightFor(r.placement)/r.placement.readyWeight*
 		float64(b.inflight+1)+skipSlack)
 	// During ejections the other servers may be loaded more, unless many balancers would do so at once.
-	more := max(1, min(fewBalancers/float64(max(2, b.cfg.FleetSize)),
+	boost := max(1, min(fewBalancers/float64(max(2, b.cfg.FleetSize)),
 		float64(len(b.servers))/float64(max(1, b.healthy))))
-	limit = min(limit, max(1, more*serverShare*float64(r.rules.ResponseTarget)/s.slotTime)) // time 0: no limit
+	limit = min(limit, max(1, boost*serverShare*float64(r.rules.ResponseTarget)/s.slotTime)) // time 0: no limit
 	return now >= s.fullUntil && float64(len(s.inflight)) < limit
 }
 
 func (b *Balancer) sendTo(r *request, s *server, now int64) {
 	d := &dispatch{request: r, server: s, sentAt: now, pending: true, maybeRan: true}
-	if rest := now - s.lastOutcomeAt; s.lastOutcomeAt > 0 && rest > minIdleTime && len(s.inflight) == 0 {
-		d.idleStep = min(len(b.timeouts)-1, bits.Len64(uint64(rest/minIdleTime)))
+	if idle := now - s.lastOutcomeAt; s.lastOutcomeAt > 0 && idle > minIdleTime && len(s.inflight) == 0 {
+		d.idleStep = min(len(b.timeouts)-1, bits.Len64(uint64(idle/minIdleTime)))
 	}
 	if b.timeouts[d.idleStep].Now(now, idleLossSpan) > idleLossLimit+b.timeouts[0].Now(now, idleLossSpan) {
 		// The network may drop what comes over idle connections: they are closed while such loss is seen.
--- a/rehearse/simwire/simwire.go
+++ b/rehearse/simwire/simwire.go
@@ -24,7 +24,7 @@
 	inRound   bool
 	serial    string
 	instances map[string]*balance.Balancer // by name, from START to HALT
-	touched   []string                     // instances with an event in this round
+	active    []string                     // instances with an event in this round
 	lists     [16][]balance.Server         // by number; nil until received
 }
 
@@ -89,31 +89,31 @@
 	case "LEDGER":
 		return a.readList(f)
 	}
-	who := f.Raw["Who"]
-	b := a.instances[who]
+	instance := f.Raw["Who"]
+	b := a.instances[instance]
 	switch name {
 	case "START":
-		if who == "" {
+		if instance == "" {
 			return errors.New("START without Who: expected an instance")
 		}
 		b = balance.New(terms.Decode(f, f.ID("Prng")), a.now)
-		a.instances[who] = b
+		a.instances[instance] = b
 	case "NEW_REQUEST", "WITHDRAWN", "HALT", "ALARM", "FINISHED", "PROBED", "STARTED", "PEER_DATA",
 		"DIRECTORY_UPDATE":
 		if b == nil {
-			return fmt.Errorf("%s for %q: expected an instance that was started", name, who)
+			return fmt.Errorf("%s for %q: expected an instance that was started", name, instance)
 		}
 	default:
 		return nil // unknown messages are ignored
 	}
-	if !slices.Contains(a.touched, who) {
-		a.touched = append(a.touched, who)
+	if !slices.Contains(a.active, instance) {
+		a.active = append(a.active, instance)
 	}
-	return a.dispatchEvent(name, who, b, f)
+	return a.dispatchEvent(name, instance, b, f)
 }
 
 // dispatchEvent passes one event to its instance.
-func (a *adapter) dispatchEvent(name, who string, b *balance.Balancer, f *terms.Values) error {
+func (a *adapter) dispatchEvent(name, instance string, b *balance.Balancer, f *terms.Values) error {
 	form, list := balance.ListUnavailable, []balance.Server(nil)
 	var id uint64
 	switch name {
@@ -136,7 +136,7 @@
 			list = a.lists[n]
 		}
 	case "HALT":
-		delete(a.instances, who)
+		delete(a.instances, instance)
 		return nil
 	case "PEER_DATA":
 		if v := f.Raw["Bytes"]; v != "-" {
@@ -160,7 +160,7 @@
 	if f.Err != nil {
 		return f.Err
 	}
-	a.recoverPanic(who, func() {
+	a.recoverPanic(instance, func() {
 		switch name {
 		case "NEW_REQUEST":
 			b.AddRequest(balance.Arrival{ID: id, RuleSet: f.Raw["Priority"], Tenant: f.Raw["Account"],
@@ -179,11 +179,11 @@
 }
 
 // recoverPanic runs decide and turns a panic of the balancer into an EXCEPTION message for that instance.
-func (a *adapter) recoverPanic(who string, decide func()) {
+func (a *adapter) recoverPanic(instance string, decide func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := strings.ReplaceAll(fmt.Sprint(p), "\n", " ")
-			fmt.Fprintf(a.out, "EXCEPTION Who=%s Msg=%s\n", who, text)
+			fmt.Fprintf(a.out, "EXCEPTION Who=%s Msg=%s\n", instance, text)
 		}
 	}()
 	decide()
@@ -252,40 +252,40 @@
 
 // flush writes the decisions of all instances that had an event in this round, and ends the reply.
 func (a *adapter) flush() error {
-	for _, who := range a.touched {
-		b := a.instances[who]
+	for _, instance := range a.active {
+		b := a.instances[instance]
 		if b == nil {
 			continue
 		}
-		a.recoverPanic(who, func() {
+		a.recoverPanic(instance, func() {
 			for d, ok := b.Next(a.now); ok; d, ok = b.Next(a.now) {
-				a.write(who, d)
+				a.write(instance, d)
 			}
 		})
 	}
-	a.touched = a.touched[:0]
+	a.active = a.active[:0]
 	a.inRound = false
 	fmt.Fprintf(a.out, "ACK serial=%s\n", a.serial)
 	return a.out.Flush()
 }
 
-func (a *adapter) write(who string, d balance.Decision) {
+func (a *adapter) write(instance string, d balance.Decision) {
 	switch d.Kind {
 	case balance.Dispatch:
-		fmt.Fprintf(a.out, "CALL_OUT Who=%s Call=%d Host=%s TryUntilNs=%d\n", who, d.Request, d.Server, d.Time)
+		fmt.Fprintf(a.out, "CALL_OUT Who=%s Call=%d Host=%s TryUntilNs=%d\n", instance, d.Request, d.Server, d.Time)
 	case balance.Deny:
-		fmt.Fprintf(a.out, "SAY_NO Who=%s Call=%d BackoffNs=%d\n", who, d.Request, d.Time)
+		fmt.Fprintf(a.out, "SAY_NO Who=%s Call=%d BackoffNs=%d\n", instance, d.Request, d.Time)
 	case balance.Abort:
-		fmt.Fprintf(a.out, "LOSE Who=%s Call=%d\n", who, d.Request)
+		fmt.Fprintf(a.out, "LOSE Who=%s Call=%d\n", instance, d.Request)
 	case balance.Cancel:
-		fmt.Fprintf(a.out, "STOP_ATTEMPT Who=%s Call=%d Try=%d\n", who, d.Request, d.Attempt)
+		fmt.Fprintf(a.out, "STOP_ATTEMPT Who=%s Call=%d Try=%d\n", instance, d.Request, d.Attempt)
 	case balance.RequestList:
-		fmt.Fprintf(a.out, "LISTEN Who=%s On=1\n", who)
+		fmt.Fprintf(a.out, "LISTEN Who=%s On=1\n", instance)
 	case balance.CloseConnections:
-		fmt.Fprintf(a.out, "HANG_UP Who=%s Host=%s\n", who, d.Server)
+		fmt.Fprintf(a.out, "HANG_UP Who=%s Host=%s\n", instance, d.Server)
 	case balance.Wake:
-		fmt.Fprintf(a.out, "NOTIFY_ME Who=%s DelayNs=%d Mark=0\n", who, d.Time)
+		fmt.Fprintf(a.out, "NOTIFY_ME Who=%s DelayNs=%d Mark=0\n", instance, d.Time)
 	case balance.Log:
-		fmt.Fprintf(a.out, "TRACE Who=%s Msg=%s\n", who, d.Text)
+		fmt.Fprintf(a.out, "TRACE Who=%s Msg=%s\n", instance, d.Text)
 	}
 }
