--- a/control/coordination/bounds.go
+++ b/control/coordination/bounds.go
@@ -15,12 +15,12 @@
 // Bounds of the state of one part. A call that would go beyond them is answered Full, with nothing done. A state at
 // all bounds still fits into one frame between processes.
 const (
-	MaxLocks   = 8192    // locks that are held
-	MaxNumbers = 4096    // names of numbers
-	MaxGroups  = 4096    // groups of keys
-	MaxKeys    = 16384   // keys in all groups
-	MaxRecords = 32768   // puts and rejections that are remembered
-	MaxBytes   = 6 << 20 // bytes of names and values in keys and records
+	MaxLocks     = 8192    // locks that are held
+	MaxNumbers   = 4096    // names of numbers
+	MaxGroups    = 4096    // groups of keys
+	MaxKeys      = 16384   // keys in all groups
+	MaxRecords   = 32768   // puts and rejections that are remembered
+	MaxTextBytes = 6 << 20 // bytes of names and values in keys and records
 )
 
 // Bounds of one answer to a watch, which has at least one event. The watcher gets the rest by asking again.
--- a/control/coordination/bounds_test.go
+++ b/control/coordination/bounds_test.go
@@ -55,31 +55,31 @@
 		assert.ErrorIs(t, err, refused.err, "%+v", refused.command)
 		assert.ErrorIs(t, err, ErrInvalid)
 		s := New(testHistory)
-		before := encode(s.image())
-		assert.DeepEqual(t, one(s, refused.command, 0), outcome(wire.Invalid))
-		sameBytes(t, encode(s.image()), before)
+		before := encode(s.snapshot())
+		assert.DeepEqual(t, applyOne(s, refused.command, 0), outcome(wire.Invalid))
+		assertSameBytes(t, encode(s.snapshot()), before)
 	}
 	assert.Assert(t, !errors.Is(errors.New("other"), ErrInvalid))
 }
 
-// sameBytes is a comparison for snapshots, which can be large.
-func sameBytes(t assert.TestingT, got, want []byte) {
+// assertSameBytes is a comparison for snapshots, which can be large.
+func assertSameBytes(t assert.TestingT, got, want []byte) {
 	assert.Assert(t, bytes.Equal(got, want), "%d and %d bytes", len(got), len(want))
 }
 
-// full applies commands until one is answered Full, and tells how many were done. That one has changed nothing.
-func full(t *testing.T, s *State, command func(i int) wire.Command) int {
+// applyUntilFull applies commands until one is answered Full, and tells how many were done. That one has changed nothing.
+func applyUntilFull(t *testing.T, s *State, command func(i int) wire.Command) int {
 	t.Helper()
 	for i := range MaxRecords + 1 {
 		c := command(i)
-		answer := one(s, c, 0)
+		answer := applyOne(s, c, 0)
 		if answer.Outcome != wire.Full {
 			assert.Assert(t, answer.Outcome == wire.Done || answer.Outcome == wire.Mismatched, "%v", answer)
 			continue
 		}
-		before := encode(s.image())
-		assert.DeepEqual(t, one(s, c, 0), outcome(wire.Full))
-		sameBytes(t, encode(s.image()), before)
+		before := encode(s.snapshot())
+		assert.DeepEqual(t, applyOne(s, c, 0), outcome(wire.Full))
+		assertSameBytes(t, encode(s.snapshot()), before)
 		return i
 	}
 	t.Fatal("no bound")
@@ -90,78 +90,78 @@
 
 func TestBoundOfLocks(t *testing.T) {
 	s := New(testHistory)
-	assert.Equal(t, full(t, s, func(i int) wire.Command { return begin(fmt.Sprint(i), "a") }), MaxLocks)
-	assert.Equal(t, one(s, begin("0", "a"), 1).Outcome, wire.Done)
-	assert.Equal(t, one(s, begin("0", "b"), 1).Outcome, wire.HeldByOther)
-	assert.Equal(t, one(s, begin("new", "a"), testHold).Outcome, wire.Done)
+	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return begin(fmt.Sprint(i), "a") }), MaxLocks)
+	assert.Equal(t, applyOne(s, begin("0", "a"), 1).Outcome, wire.Done)
+	assert.Equal(t, applyOne(s, begin("0", "b"), 1).Outcome, wire.HeldByOther)
+	assert.Equal(t, applyOne(s, begin("new", "a"), testHold).Outcome, wire.Done)
 }
 
 func TestBoundOfNumbers(t *testing.T) {
 	s := New(testHistory)
-	assert.Equal(t, full(t, s, func(i int) wire.Command { return number(fmt.Sprint(i)) }), MaxNumbers)
-	assert.Equal(t, one(s, number("0"), 0).Number, uint64(2))
+	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return number(fmt.Sprint(i)) }), MaxNumbers)
+	assert.Equal(t, applyOne(s, number("0"), 0).Number, uint64(2))
 }
 
 func TestBoundOfGroups(t *testing.T) {
 	s := New(testHistory)
-	assert.Equal(t, full(t, s, func(i int) wire.Command { return put(fmt.Sprint(i, "."), "v") }), MaxGroups)
-	assert.DeepEqual(t, one(s, put("0.a", "v"), 0), revised(2))
+	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return put(fmt.Sprint(i, "."), "v") }), MaxGroups)
+	assert.DeepEqual(t, applyOne(s, put("0.a", "v"), 0), revised(2))
 }
 
 func TestBoundOfKeys(t *testing.T) {
 	s := New(testHistory)
-	assert.Equal(t, full(t, s, func(i int) wire.Command { return put(fmt.Sprint("g.", i), "v") }), MaxKeys)
-	assert.DeepEqual(t, one(s, put("g.0", "w"), 0), revised(MaxKeys+1))
+	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return put(fmt.Sprint("g.", i), "v") }), MaxKeys)
+	assert.DeepEqual(t, applyOne(s, put("g.0", "w"), 0), revised(MaxKeys+1))
 }
 
 func TestBoundOfRecords(t *testing.T) {
 	s := New(testHistory)
-	assert.Equal(t, full(t, s, func(i int) wire.Command { return putOver("g.a", fmt.Sprint(i), uint64(i%2)) }), MaxRecords)
-	assert.DeepEqual(t, one(s, put("g.a", "0"), 0), revised(1))
-	assert.DeepEqual(t, one(s, putOver("g.a", "2", 7), 0), mismatched(s.Revision("g.")))
-	assert.Equal(t, one(s, put("g.a", "new"), testHistory+1).Outcome, wire.Done)
+	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return putOver("g.a", fmt.Sprint(i), uint64(i%2)) }), MaxRecords)
+	assert.DeepEqual(t, applyOne(s, put("g.a", "0"), 0), revised(1))
+	assert.DeepEqual(t, applyOne(s, putOver("g.a", "2", 7), 0), mismatched(s.Revision("g.")))
+	assert.Equal(t, applyOne(s, put("g.a", "new"), testHistory+1).Outcome, wire.Done)
 }
 
 func TestBoundOfBytes(t *testing.T) {
 	s := New(testHistory)
 	value := strings.Repeat("v", MaxValueBytes-10)
-	done := full(t, s, func(i int) wire.Command { return put("g.a", fmt.Sprintf("%010d%s", i, value)) })
-	assert.Assert(t, done > MaxBytes/(MaxValueBytes+100)-2 && done < MaxBytes/MaxValueBytes, "%d", done)
-	assert.Equal(t, one(s, put("g.a", "new"), testHistory+1).Outcome, wire.Done)
+	done := applyUntilFull(t, s, func(i int) wire.Command { return put("g.a", fmt.Sprintf("%010d%s", i, value)) })
+	assert.Assert(t, done > MaxTextBytes/(MaxValueBytes+100)-2 && done < MaxTextBytes/MaxValueBytes, "%d", done)
+	assert.Equal(t, applyOne(s, put("g.a", "new"), testHistory+1).Outcome, wire.Done)
 }
 
 func TestBoundOfBytesCountsPresentValues(t *testing.T) {
 	s := New(testHistory)
 	value := strings.Repeat("v", MaxValueBytes)
-	done := full(t, s, func(i int) wire.Command { return put(fmt.Sprintf("g.%06d", i), value) })
-	assert.Equal(t, done, MaxBytes/(2*(MaxValueBytes+len("g.000000"))))
-	assert.DeepEqual(t, one(s, get("g.000000"), 10*testHistory).Value, value)
+	done := applyUntilFull(t, s, func(i int) wire.Command { return put(fmt.Sprintf("g.%06d", i), value) })
+	assert.Equal(t, done, MaxTextBytes/(2*(MaxValueBytes+len("g.000000"))))
+	assert.DeepEqual(t, applyOne(s, get("g.000000"), 10*testHistory).Value, value)
 }
 
 // TestFullStateFitsAFrame fills all there is: locks, numbers, keys and records, with the longest names and all bytes.
 func TestFullStateFitsAFrame(t *testing.T) {
 	m := NewStateMachine(testHistory)
 	holder := strings.Repeat("h", MaxHolderBytes)
-	full(t, m.State, func(i int) wire.Command { return begin(longName(i), holder) })
-	full(t, m.State, func(i int) wire.Command { return number(longName(i)) })
-	full(t, m.State, func(i int) wire.Command { return put(longName(i), "v") })
-	full(t, m.State, func(i int) wire.Command { return putOver("g.", fmt.Sprint(i), 7) })
+	applyUntilFull(t, m.State, func(i int) wire.Command { return begin(longName(i), holder) })
+	applyUntilFull(t, m.State, func(i int) wire.Command { return number(longName(i)) })
+	applyUntilFull(t, m.State, func(i int) wire.Command { return put(longName(i), "v") })
+	applyUntilFull(t, m.State, func(i int) wire.Command { return putOver("g.", fmt.Sprint(i), 7) })
 	body := m.Snapshot()
 	assert.Assert(t, len(body) < wire.MaxFrame*7/8, "%d bytes", len(body))
 	restored := NewStateMachine(testHistory)
 	assert.NilError(t, restored.Restore(body))
-	sameBytes(t, restored.Snapshot(), body)
+	assertSameBytes(t, restored.Snapshot(), body)
 }
 
 func TestBoundOfEvents(t *testing.T) {
 	s := New(testHistory)
 	for i := range MaxEvents + 2 {
-		one(s, put("g.a", fmt.Sprint(i)), 0)
+		applyOne(s, put("g.a", fmt.Sprint(i)), 0)
 	}
-	answer := one(s, watch("g.", 1), 0)
+	answer := applyOne(s, watch("g.", 1), 0)
 	assert.Equal(t, len(answer.Events), MaxEvents)
 	assert.Equal(t, answer.Revision, uint64(MaxEvents+1))
-	answer = one(s, watch("g.", answer.Revision), 0)
+	answer = applyOne(s, watch("g.", answer.Revision), 0)
 	assert.Equal(t, len(answer.Events), 1)
 	assert.Equal(t, answer.Revision, uint64(MaxEvents+2))
 }
@@ -170,9 +170,9 @@
 	s := New(testHistory)
 	value := strings.Repeat("v", MaxValueBytes-10)
 	for i := range 100 {
-		one(s, put("g.a", fmt.Sprintf("%010d%s", i, value)), 0)
+		applyOne(s, put("g.a", fmt.Sprintf("%010d%s", i, value)), 0)
 	}
-	answer := one(s, watch("g.", 1), 0)
+	answer := applyOne(s, watch("g.", 1), 0)
 	assert.Equal(t, len(answer.Events), MaxEventBytes/(MaxValueBytes+len("g.a")))
 	assert.Equal(t, answer.Revision, answer.Events[len(answer.Events)-1].Revision)
 }
--- a/control/coordination/check.go
+++ b/control/coordination/check.go
@@ -11,41 +11,41 @@
 // ErrInvalid is matched by all that Check finds wrong with a command.
 var ErrInvalid = errors.New("coordination: invalid command")
 
-// invalid is what is wrong with a command.
-type invalid string
+// validationError is what is wrong with a command.
+type validationError string
 
-func (e invalid) Error() string { return "coordination: " + string(e) }
+func (e validationError) Error() string { return "coordination: " + string(e) }
 
-func (e invalid) Is(target error) bool { return target == ErrInvalid }
+func (e validationError) Is(target error) bool { return target == ErrInvalid }
 
 // What can be wrong with a command.
 const (
-	errKind   invalid = "unknown kind of command"
-	errName   invalid = "name is empty, too long or no UTF-8"
-	errHolder invalid = "holder is empty, too long or no UTF-8"
-	errHold   invalid = "hold_ms is out of bounds"
-	errFence  invalid = "fence is missing"
-	errValue  invalid = "value is too long or no UTF-8"
-	errGroup  invalid = "a watch names a group, up to its first dot"
-	errWait   invalid = "wait_ms is out of bounds"
+	errKind   validationError = "unknown kind of command"
+	errName   validationError = "name is empty, too long or no UTF-8"
+	errHolder validationError = "holder is empty, too long or no UTF-8"
+	errHold   validationError = "hold_ms is out of bounds"
+	errFence  validationError = "fence is missing"
+	errValue  validationError = "value is too long or no UTF-8"
+	errGroup  validationError = "a watch names a group, up to its first dot"
+	errWait   validationError = "wait_ms is out of bounds"
 )
 
 // Validate tells whether a command's fields are there and within their bounds. It depends on the command alone.
 func Validate(c *wire.Command) error {
-	if !validText(c.Name, MaxNameBytes) {
+	if !isValidName(c.Name, MaxNameBytes) {
 		return errName
 	}
 	switch c.Kind {
 	case wire.BeginLock:
-		return firstError(checkHolder(c), checkHold(c))
+		return firstError(validateHolder(c), validateHold(c))
 	case wire.HeartbeatLock:
-		return firstError(checkHolder(c), checkFence(c), checkHold(c))
+		return firstError(validateHolder(c), validateFence(c), validateHold(c))
 	case wire.FinishLock:
-		return firstError(checkHolder(c), checkFence(c))
+		return firstError(validateHolder(c), validateFence(c))
 	case wire.ReplaceKey:
-		return checkValue(c)
+		return validateValue(c)
 	case wire.WatchGroup:
-		return checkWatch(c)
+		return validateWatch(c)
 	case wire.NextNumber, wire.GetKey:
 		return nil
 	default:
@@ -53,35 +53,35 @@
 	}
 }
 
-func checkHolder(c *wire.Command) error {
-	if !validText(c.Holder, MaxHolderBytes) {
+func validateHolder(c *wire.Command) error {
+	if !isValidName(c.Holder, MaxHolderBytes) {
 		return errHolder
 	}
 	return nil
 }
 
-func checkHold(c *wire.Command) error {
+func validateHold(c *wire.Command) error {
 	if c.HoldMS < MinHold.Milliseconds() || c.HoldMS > MaxHold.Milliseconds() {
 		return errHold
 	}
 	return nil
 }
 
-func checkFence(c *wire.Command) error {
+func validateFence(c *wire.Command) error {
 	if c.Fence == 0 {
 		return errFence
 	}
 	return nil
 }
 
-func checkValue(c *wire.Command) error {
-	if !validValue(c.Value) {
+func validateValue(c *wire.Command) error {
+	if !isValidValue(c.Value) {
 		return errValue
 	}
 	return nil
 }
 
-func checkWatch(c *wire.Command) error {
+func validateWatch(c *wire.Command) error {
 	if GroupOf(c.Name) != c.Name {
 		return errGroup
 	}
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// validText tells whether a name can be kept and told. CBOR and JSON carry UTF-8 only.
-func validText(text string, maxBytes int) bool {
+// isValidName tells whether a name can be kept and told. CBOR and JSON carry UTF-8 only.
+func isValidName(text string, maxBytes int) bool {
 	return text != "" && len(text) <= maxBytes && utf8.ValidString(text)
 }
 
@@ -105,5 +105,5 @@
 	return nil
 }
 
-// holdOf gives for how long a command asks to hold its lock.
-func holdOf(c *wire.Command) time.Duration { return time.Duration(c.HoldMS) * time.Millisecond }
+// holdDuration gives for how long a command asks to hold its lock.
+func holdDuration(c *wire.Command) time.Duration { return time.Duration(c.HoldMS) * time.Millisecond }
--- a/control/coordination/deadlines.go
+++ b/control/coordination/deadlines.go
@@ -2,34 +2,34 @@
 
 import "container/heap"
 
-// deadlines has the locks that are held, the one that expires first at the front.
-type deadlines []*lock
+// expiryHeap has the locks that are held, the one that expires first at the front.
+type expiryHeap []*lock
 
-func (d *deadlines) add(l *lock)    { heap.Push(d, l) }
-func (d *deadlines) remove(l *lock) { heap.Remove(d, l.index) }
-func (d *deadlines) moved(l *lock)  { heap.Fix(d, l.index) }
+func (d *expiryHeap) add(l *lock)    { heap.Push(d, l) }
+func (d *expiryHeap) remove(l *lock) { heap.Remove(d, l.heapIndex) }
+func (d *expiryHeap) update(l *lock) { heap.Fix(d, l.heapIndex) }
 
 // Len implements heap.Interface.
-func (d deadlines) Len() int { return len(d) }
+func (d expiryHeap) Len() int { return len(d) }
 
 // Less implements heap.Interface.
-func (d deadlines) Less(i, j int) bool { return d[i].expires < d[j].expires }
+func (d expiryHeap) Less(i, j int) bool { return d[i].expires < d[j].expires }
 
 // Swap implements heap.Interface.
-func (d deadlines) Swap(i, j int) {
+func (d expiryHeap) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].index, d[j].index = i, j
+	d[i].heapIndex, d[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (d *deadlines) Push(x any) {
+func (d *expiryHeap) Push(x any) {
 	l := x.(*lock)
-	l.index = len(*d)
+	l.heapIndex = len(*d)
 	*d = append(*d, l)
 }
 
 // Pop implements heap.Interface.
-func (d *deadlines) Pop() any {
+func (d *expiryHeap) Pop() any {
 	last := len(*d) - 1
 	l := (*d)[last]
 	(*d)[last] = nil
--- a/control/coordination/keys.go
+++ b/control/coordination/keys.go
@@ -8,13 +8,13 @@
 
 // keyTable has the keys and their groups. Neither is ever deleted.
 type keyTable struct {
-	byName map[string]cell
+	byName map[string]keyState
 	groups map[string]*group
 	bytes  int // of all names and values
 }
 
-// cell is the present value of a key.
-type cell struct {
+// keyState is the present value of a key.
+type keyState struct {
 	value    string
 	revision uint64
 }
@@ -26,7 +26,7 @@
 }
 
 func newKeyTable() keyTable {
-	return keyTable{byName: map[string]cell{}, groups: map[string]*group{}}
+	return keyTable{byName: map[string]keyState{}, groups: map[string]*group{}}
 }
 
 // GroupOf gives the group of a key: its name up to and including the first dot, the whole name where it has none.
@@ -39,67 +39,67 @@
 
 // getKey reads a key.
 func (s *State) getKey(key string) wire.Answer {
-	present, known := s.keys.byName[key]
-	if !known {
+	current, ok := s.keys.byName[key]
+	if !ok {
 		return wire.Answer{Outcome: wire.NotFound}
 	}
-	return wire.Answer{Outcome: wire.Done, Value: present.value, Revision: present.revision}
+	return wire.Answer{Outcome: wire.Done, Value: current.value, Revision: current.revision}
 }
 
 // replaceKey puts a value. Values are unique, so one that comes with the same key again is the same put again: it gets what
 // the first one got, whatever has been put since.
 func (s *State) replaceKey(c *wire.Command) wire.Answer {
-	present := s.keys.byName[c.Name]
-	if revision := s.revisionOfPut(c, present); revision > 0 {
+	current := s.keys.byName[c.Name]
+	if revision := s.revisionOfPut(c, current); revision > 0 {
 		return wire.Answer{Outcome: wire.Done, Revision: revision}
 	}
 	if s.records.wasRejected(c.Name, c.Value) {
-		return wire.Answer{Outcome: wire.Mismatched, Revision: present.revision}
+		return wire.Answer{Outcome: wire.Mismatched, Revision: current.revision}
 	}
-	if c.IfRevision != nil && *c.IfRevision != present.revision {
-		return s.reject(c, present)
+	if c.IfRevision != nil && *c.IfRevision != current.revision {
+		return s.reject(c, current)
 	}
-	return s.put(c, present)
+	return s.put(c, current)
 }
 
 // revisionOfPut gives the revision that the same put got before, 0 where none is known.
-func (s *State) revisionOfPut(c *wire.Command, present cell) uint64 {
-	if present.revision > 0 && present.value == c.Value {
-		return present.revision
+func (s *State) revisionOfPut(c *wire.Command, current keyState) uint64 {
+	if current.revision > 0 && current.value == c.Value {
+		return current.revision
 	}
 	return s.records.revisionOf(c.Name, c.Value)
 }
 
 // put gives a key a new value and the next revision of its group.
-func (s *State) put(c *wire.Command, present cell) wire.Answer {
-	if !s.hasRoomForPut(c, present) {
+func (s *State) put(c *wire.Command, current keyState) wire.Answer {
+	if !s.hasRoomForPut(c, current) {
 		return wire.Answer{Outcome: wire.Full}
 	}
-	g := s.keys.groupOf(c.Name)
+	g := s.keys.ensureGroup(c.Name)
 	g.revision++
 	change := wire.Change{Key: c.Name, Value: c.Value, Revision: g.revision}
 	g.puts = append(g.puts, change)
 	s.keys.set(change)
-	s.records.add(record{at: s.newest, change: change})
+	s.records.add(record{at: s.groupTime, change: change})
 	return wire.Answer{Outcome: wire.Done, Revision: g.revision}
 }
 
 // reject refuses a put, and remembers that, so that it is refused when it comes again. Even after it is forgotten, a put over
 // a revision that the key has left behind finds another one there: revisions only rise, and keys are never deleted.
-func (s *State) reject(c *wire.Command, present cell) wire.Answer {
+func (s *State) reject(c *wire.Command, current keyState) wire.Answer {
 	if !s.hasRoomForRecord(c) {
 		return wire.Answer{Outcome: wire.Full}
 	}
-	s.records.add(record{at: s.newest, change: wire.Change{Key: c.Name, Value: c.Value}})
-	return wire.Answer{Outcome: wire.Mismatched, Revision: present.revision}
+	s.records.add(record{at: s.groupTime, change: wire.Change{Key: c.Name, Value: c.Value}})
+	return wire.Answer{Outcome: wire.Mismatched, Revision: current.revision}
 }
 
 // hasRoomForPut tells whether a put leaves the state within its bounds.
-func (s *State) hasRoomForPut(c *wire.Command, present cell) bool {
+func (s *State) hasRoomForPut(c *wire.Command, current keyState) bool {
 	if !s.hasRoomForRecord(c) {
 		return false
 	}
-	if present.revision > 0 {
+	if current.revision > 0 {
 		return true
 	}
 	if len(s.keys.byName) >= MaxKeys {
@@ -114,11 +114,11 @@
 	if len(s.records.queue) >= MaxRecords {
 		return false
 	}
-	return s.keys.bytes+s.records.bytes+2*textBytes(c.Name, c.Value) <= MaxBytes
+	return s.keys.bytes+s.records.bytes+2*textBytes(c.Name, c.Value) <= MaxTextBytes
 }
 
-// groupOf gives the group of a key, and makes it where there is none.
-func (t *keyTable) groupOf(key string) *group {
+// ensureGroup gives the group of a key, and makes it where there is none.
+func (t *keyTable) ensureGroup(key string) *group {
 	name := GroupOf(key)
 	g := t.groups[name]
 	if g == nil {
@@ -130,15 +130,15 @@
 
 // set gives a key its present value.
 func (t *keyTable) set(change wire.Change) {
-	if before, known := t.byName[change.Key]; known {
-		t.bytes -= textBytes(change.Key, before.value)
+	if previous, ok := t.byName[change.Key]; ok {
+		t.bytes -= textBytes(change.Key, previous.value)
 	}
-	t.byName[change.Key] = cell{value: change.Value, revision: change.Revision}
+	t.byName[change.Key] = keyState{value: change.Value, revision: change.Revision}
 	t.bytes += textBytes(change.Key, change.Value)
 }
 
 // textBytes is what a key and a value count against MaxBytes.
 func textBytes(key, value string) int { return len(key) + len(value) }
 
-// forgotten is the highest revision whose put is no longer remembered.
-func (g *group) forgotten() uint64 { return g.revision - uint64(len(g.puts)) }
+// compactedRevision is the highest revision whose put is no longer remembered.
+func (g *group) compactedRevision() uint64 { return g.revision - uint64(len(g.puts)) }
--- a/control/coordination/lock_search_test.go
+++ b/control/coordination/lock_search_test.go
@@ -299,7 +299,7 @@
 	state := w.state()
 	answer := s.apply(state, call.command(c), time.Duration(key.at)*tick)
 	result := arrival{
-		lock: lockOf(state), lastFence: int8(state.locks.fence), outcome: answer.Outcome, fence: int8(answer.Fence),
+		lock: lockOf(state), lastFence: int8(state.locks.lastFence), outcome: answer.Outcome, fence: int8(answer.Fence),
 	}
 	s.arrivals[key] = result
 	return result
@@ -336,7 +336,7 @@
 // state gives the state that a world has.
 func (w *world) state() *State {
 	s := New(testHistory)
-	s.locks.fence = uint64(w.lastFence)
+	s.locks.lastFence = uint64(w.lastFence)
 	if held := w.lock; held.holder > 0 {
 		s.locks.add(&lock{
 			name: "l", holder: fmt.Sprint(held.holder), firstFence: uint64(held.firstFence), fence: uint64(held.fence),
@@ -417,7 +417,7 @@
 	for _, calls := range [][searchCallers]int8{{3, 1}, {2, 2}} {
 		t.Run(fmt.Sprint(calls), func(t *testing.T) {
 			t.Parallel()
-			s := newSearch(boundsOf(calls), one)
+			s := newSearch(boundsOf(calls), applyOne)
 			err := s.visit(start())
 			assert.NilError(t, err, "%s", s)
 			t.Logf("%d worlds", len(s.seen))
@@ -455,10 +455,10 @@
 	s.Apply(nil, at)
 	held := s.locks.byName[c.Name]
 	if c.Kind != wire.BeginLock || held == nil || held.holder != c.Holder {
-		return one(s, c, at)
+		return applyOne(s, c, at)
 	}
 	fence := held.fence
-	one(s, c, at)
+	applyOne(s, c, at)
 	held.fence = fence
 	return granted(fence)
 }
@@ -467,13 +467,13 @@
 	if held := s.locks.byName[c.Name]; held != nil && c.Kind == wire.HeartbeatLock {
 		held.firstFence = 1
 	}
-	return one(s, c, at)
+	return applyOne(s, c, at)
 }
 
 func heartbeatShortens(s *State, c wire.Command, at time.Duration) wire.Answer {
-	answer := one(s, c, at)
+	answer := applyOne(s, c, at)
 	if c.Kind == wire.HeartbeatLock && answer.Outcome == wire.Done {
-		s.locks.byName[c.Name].expires = at + holdOf(&c)
+		s.locks.byName[c.Name].expires = at + holdDuration(&c)
 	}
 	return answer
 }
@@ -482,18 +482,18 @@
 	if held := s.locks.byName[c.Name]; held != nil && c.Kind == wire.FinishLock {
 		c.Fence = held.fence
 	}
-	return one(s, c, at)
+	return applyOne(s, c, at)
 }
 
 func freeTooEarly(s *State, c wire.Command, at time.Duration) wire.Answer {
 	s.locks.expire(at + tick)
-	return one(s, c, at)
+	return applyOne(s, c, at)
 }
 
 func fencesBeginAnew(s *State, c wire.Command, at time.Duration) wire.Answer {
 	s.Apply(nil, at)
 	if len(s.locks.byName) == 0 {
-		s.locks.fence = 0
+		s.locks.lastFence = 0
 	}
-	return one(s, c, at)
+	return applyOne(s, c, at)
 }
--- a/control/coordination/locks.go
+++ b/control/coordination/locks.go
@@ -15,7 +15,7 @@
 	firstFence uint64
 	fence      uint64
 	expires    time.Duration // of the group's time, at which the lock is free
-	index      int           // in deadlines
+	heapIndex  int           // in deadlines
 }
 
 // lockTable has the locks that are held, and the counter of all fences. The fences of all locks rise together, so that those
@@ -26,17 +26,17 @@
 // no longer the newest one: its Heartbeat still counts within the same uninterrupted hold, and its Finish leaves the lock to
 // expire.
 type lockTable struct {
-	fence     uint64 // the newest that was handed out
+	lastFence uint64 // the newest that was handed out
 	byName    map[string]*lock
-	deadlines deadlines
+	byExpiry  expiryHeap
 }
 
 func newLockTable() lockTable { return lockTable{byName: map[string]*lock{}} }
 
 // expire frees the locks whose time is over. Those that are left are held at that time.
 func (t *lockTable) expire(at time.Duration) {
-	for len(t.deadlines) > 0 && t.deadlines[0].expires <= at {
-		t.free(t.deadlines[0])
+	for len(t.byExpiry) > 0 && t.byExpiry[0].expires <= at {
+		t.release(t.byExpiry[0])
 	}
 }
 
@@ -47,22 +47,22 @@
 	case held == nil && len(t.byName) >= MaxLocks:
 		return wire.Answer{Outcome: wire.Full}
 	case held == nil:
-		held = t.take(c, at)
+		held = t.acquire(c, at)
 	case held.holder != c.Holder:
 		return wire.Answer{Outcome: wire.HeldByOther}
 	default:
 		held.fence = t.nextFence()
-		t.extend(held, at+holdOf(c))
+		t.extend(held, at+holdDuration(c))
 	}
 	return wire.Answer{Outcome: wire.Done, Fence: held.fence}
 }
 
-// take gives a free lock to a holder.
-func (t *lockTable) take(c *wire.Command, at time.Duration) *lock {
+// acquire gives a free lock to a holder.
+func (t *lockTable) acquire(c *wire.Command, at time.Duration) *lock {
 	fence := t.nextFence()
-	taken := &lock{name: c.Name, holder: c.Holder, firstFence: fence, fence: fence, expires: at + holdOf(c)}
-	t.add(taken)
-	return taken
+	acquired := &lock{name: c.Name, holder: c.Holder, firstFence: fence, fence: fence, expires: at + holdDuration(c)}
+	t.add(acquired)
+	return acquired
 }
 
 // heartbeat holds a lock for longer, never shorter. It counts with any fence of the present uninterrupted hold.
@@ -71,7 +71,7 @@
 	if held == nil || held.holder != c.Holder || c.Fence < held.firstFence || c.Fence > held.fence {
 		return wire.Answer{Outcome: wire.LockLost}
 	}
-	t.extend(held, at+holdOf(c))
+	t.extend(held, at+holdDuration(c))
 	return wire.Answer{Outcome: wire.Done}
 }
 
@@ -79,7 +79,7 @@
 func (t *lockTable) finish(c *wire.Command) wire.Answer {
 	held := t.byName[c.Name]
 	if held != nil && held.holder == c.Holder && held.fence == c.Fence {
-		t.free(held)
+		t.release(held)
 	}
 	return wire.Answer{Outcome: wire.Done}
 }
@@ -92,23 +92,23 @@
 }
 
 func (t *lockTable) nextFence() uint64 {
-	t.fence++
-	return t.fence
+	t.lastFence++
+	return t.lastFence
 }
 
 func (t *lockTable) add(l *lock) {
 	t.byName[l.name] = l
-	t.deadlines.add(l)
+	t.byExpiry.add(l)
 }
 
-func (t *lockTable) free(l *lock) {
+func (t *lockTable) release(l *lock) {
 	delete(t.byName, l.name)
-	t.deadlines.remove(l)
+	t.byExpiry.remove(l)
 }
 
 func (t *lockTable) extend(l *lock, expires time.Duration) {
 	if expires > l.expires {
 		l.expires = expires
-		t.deadlines.moved(l)
+		t.byExpiry.update(l)
 	}
 }
--- a/control/coordination/machine.go
+++ b/control/coordination/machine.go
@@ -64,7 +64,7 @@
 }
 
 // Snapshot implements replica.StateMachine.
-func (m *StateMachine) Snapshot() []byte { return encode(m.image()) }
+func (m *StateMachine) Snapshot() []byte { return encode(m.snapshot()) }
 
 // SnapshotAfter implements replica.StateMachine. It changes neither the state nor the answers.
 func (m *StateMachine) SnapshotAfter(commands []byte, at time.Duration) []byte {
--- a/control/coordination/machine_test.go
+++ b/control/coordination/machine_test.go
@@ -29,7 +29,7 @@
 	m := someMachine()
 	m.Apply(nil, testHold+time.Second)
 	assert.Equal(t, len(m.Answers), 0)
-	assert.DeepEqual(t, one(m.State, begin("l", "b"), 0), granted(3))
+	assert.DeepEqual(t, applyOne(m.State, begin("l", "b"), 0), granted(3))
 }
 
 func TestMalformedCommandsChangeNothing(t *testing.T) {
@@ -42,8 +42,8 @@
 		before := m.Snapshot()
 		m.Apply(body, time.Hour)
 		assert.Equal(t, len(m.Answers), 0, "%x", body)
-		sameBytes(t, m.Snapshot(), before)
-		sameBytes(t, m.SnapshotAfter(body, time.Hour), before)
+		assertSameBytes(t, m.Snapshot(), before)
+		assertSameBytes(t, m.SnapshotAfter(body, time.Hour), before)
 	}
 }
 
@@ -66,7 +66,7 @@
 
 func TestEventsOutliveTheHistory(t *testing.T) {
 	m := someMachine()
-	answer := one(m.State, watch("g.", 1), 0)
+	answer := applyOne(m.State, watch("g.", 1), 0)
 	m.Apply(nil, 10*testHistory)
 	assert.DeepEqual(t, answer.Events[0], wire.Change{Key: "g.b", Value: "2", Revision: 2})
 }
@@ -77,51 +77,51 @@
 		state := m.State
 		assert.NilError(t, m.Restore(body))
 		assert.Assert(t, m.State == state)
-		sameBytes(t, m.Snapshot(), NewStateMachine(testHistory).Snapshot())
+		assertSameBytes(t, m.Snapshot(), NewStateMachine(testHistory).Snapshot())
 		assert.Equal(t, len(m.Answers), 0)
 	}
 }
 
 func TestRestoreRefusesMalformedStates(t *testing.T) {
-	for name, spoil := range map[string]func(*image){
-		"negative time":              func(i *image) { i.Newest = -1 },
-		"lock twice":                 func(i *image) { i.Locks[1].Name = "l" },
-		"lock without a name":        func(i *image) { i.Locks[0].Name = "" },
-		"lock without a holder":      func(i *image) { i.Locks[0].Holder = "" },
-		"lock that is over":          func(i *image) { i.Locks[0].Expires = i.Newest },
-		"lock without a first fence": func(i *image) { i.Locks[0].FirstFence = 0 },
-		"lock whose fences fall":     func(i *image) { i.Locks[0].FirstFence = 2 },
-		"lock above all fences":      func(i *image) { i.Fence = 1 },
-		"numbers out of order":       func(i *image) { i.Numbers = append(i.Numbers, numberImage{Name: "m"}) },
-		"groups out of order":        func(i *image) { i.Groups[0].Name = "i." },
-		"keys out of order":          func(i *image) { i.Keys[0].Key = "i.a" },
-		"key without a revision":     func(i *image) { i.Keys[0].Revision = 0 },
-		"key above its group":        func(i *image) { i.Keys[0].Revision = 9 },
-		"key without a group":        func(i *image) { i.Keys[2].Key = "z.a" },
-		"key without UTF-8":          func(i *image) { i.Keys[0].Value = "\xff" },
-		"record to come":             func(i *image) { i.Records[4].At = i.Newest + 1 },
-		"records out of order":       func(i *image) { i.Records[1].At = 0 },
-		"record without a key":       func(i *image) { i.Records[3].Key = "" },
-		"record without UTF-8":       func(i *image) { i.Records[0].Value = "\xff" },
-		"record twice":               func(i *image) { i.Records[3].Value = "1" },
-		"record left out":            func(i *image) { i.Records = append(i.Records[:1], i.Records[2:]...) },
-		"newest record left out":     func(i *image) { i.Records = i.Records[:4] },
-		"record without a group":     func(i *image) { i.Records[2].Key = "z.a" },
-		"too many groups":            func(i *image) { i.Groups = make([]groupImage, MaxGroups+1) },
+	for name, spoil := range map[string]func(*snapshot){
+		"negative time":              func(i *snapshot) { i.GroupTime = -1 },
+		"lock twice":                 func(i *snapshot) { i.Locks[1].Name = "l" },
+		"lock without a name":        func(i *snapshot) { i.Locks[0].Name = "" },
+		"lock without a holder":      func(i *snapshot) { i.Locks[0].Holder = "" },
+		"lock that is over":          func(i *snapshot) { i.Locks[0].Expires = i.GroupTime },
+		"lock without a first fence": func(i *snapshot) { i.Locks[0].FirstFence = 0 },
+		"lock whose fences fall":     func(i *snapshot) { i.Locks[0].FirstFence = 2 },
+		"lock above all fences":      func(i *snapshot) { i.Fence = 1 },
+		"numbers out of order":       func(i *snapshot) { i.Numbers = append(i.Numbers, snapshotNumber{Name: "m"}) },
+		"groups out of order":        func(i *snapshot) { i.Groups[0].Name = "i." },
+		"keys out of order":          func(i *snapshot) { i.Keys[0].Key = "i.a" },
+		"key without a revision":     func(i *snapshot) { i.Keys[0].Revision = 0 },
+		"key above its group":        func(i *snapshot) { i.Keys[0].Revision = 9 },
+		"key without a group":        func(i *snapshot) { i.Keys[2].Key = "z.a" },
+		"key without UTF-8":          func(i *snapshot) { i.Keys[0].Value = "\xff" },
+		"record to come":             func(i *snapshot) { i.Records[4].At = i.GroupTime + 1 },
+		"records out of order":       func(i *snapshot) { i.Records[1].At = 0 },
+		"record without a key":       func(i *snapshot) { i.Records[3].Key = "" },
+		"record without UTF-8":       func(i *snapshot) { i.Records[0].Value = "\xff" },
+		"record twice":               func(i *snapshot) { i.Records[3].Value = "1" },
+		"record left out":            func(i *snapshot) { i.Records = append(i.Records[:1], i.Records[2:]...) },
+		"newest record left out":     func(i *snapshot) { i.Records = i.Records[:4] },
+		"record without a group":     func(i *snapshot) { i.Records[2].Key = "z.a" },
+		"too many groups":            func(i *snapshot) { i.Groups = make([]snapshotGroup, MaxGroups+1) },
 	} {
 		m := someMachine()
 		before := m.Snapshot()
-		spoilt := m.image()
+		spoilt := m.snapshot()
 		spoil(spoilt)
-		assert.ErrorIs(t, m.Restore(encode(spoilt)), ErrSnapshot, name)
-		sameBytes(t, m.Snapshot(), before)
+		assert.ErrorIs(t, m.Restore(encode(spoilt)), ErrMalformedSnapshot, name)
+		assertSameBytes(t, m.Snapshot(), before)
 	}
 	m := someMachine()
 	body := m.Snapshot()
 	for size := 1; size < len(body); size++ {
-		assert.ErrorIs(t, m.Restore(body[:size]), ErrSnapshot)
+		assert.ErrorIs(t, m.Restore(body[:size]), ErrMalformedSnapshot)
 	}
-	sameBytes(t, m.Snapshot(), body)
+	assertSameBytes(t, m.Snapshot(), body)
 }
 
 func TestPartsOfAGroupAreOne(t *testing.T) {
@@ -168,7 +168,7 @@
 		m.Apply(commands, time.Hour)
 		again.Apply(commands, time.Hour)
 		assert.DeepEqual(t, m.Answers, again.Answers)
-		sameBytes(t, m.Snapshot(), again.Snapshot())
+		assertSameBytes(t, m.Snapshot(), again.Snapshot())
 	})
 }
 
@@ -185,7 +185,7 @@
 
 func BenchmarkApply(b *testing.B) {
 	m := busyMachine()
-	at := m.newest
+	at := m.groupTime
 	for i := 0; b.Loop(); i++ {
 		at += time.Millisecond
 		m.Apply(Encode([]wire.Command{
@@ -206,7 +206,7 @@
 	m := busyMachine()
 	commands := Encode([]wire.Command{number("n")})
 	for b.Loop() {
-		m.SnapshotAfter(commands, m.newest)
+		m.SnapshotAfter(commands, m.groupTime)
 	}
 }
 
--- a/control/coordination/model_test.go
+++ b/control/coordination/model_test.go
@@ -75,7 +75,7 @@
 	}
 	m.fences++
 	hold.fences = append(hold.fences, m.fences)
-	hold.until = max(hold.until, m.now+holdOf(&c))
+	hold.until = max(hold.until, m.now+holdDuration(&c))
 	return wire.Answer{Outcome: wire.Done, Fence: m.fences}
 }
 
@@ -87,7 +87,7 @@
 	if c.Fence < hold.fences[0] || c.Fence > hold.fences[len(hold.fences)-1] {
 		return wire.Answer{Outcome: wire.LockLost}
 	}
-	hold.until = max(hold.until, m.now+holdOf(&c))
+	hold.until = max(hold.until, m.now+holdDuration(&c))
 	return wire.Answer{Outcome: wire.Done}
 }
 
--- a/control/coordination/part.go
+++ b/control/coordination/part.go
@@ -9,12 +9,12 @@
 // PartOf gives the part, from 0, that a command belongs to: all keys of a group, and its watches, to one. There is at least
 // one part.
 func PartOf(c *wire.Command, parts int) int {
-	return int(xxhash.Sum64String(unitOf(c)) % uint64(parts))
+	return int(xxhash.Sum64String(partitionKey(c)) % uint64(parts))
 }
 
-// unitOf names what isn't divided among parts: a lock, a number or a group of keys. Those with the same name can be in
+// partitionKey names what isn't divided among parts: a lock, a number or a group of keys. Those with the same name can be in
 // different parts.
-func unitOf(c *wire.Command) string {
+func partitionKey(c *wire.Command) string {
 	switch c.Kind {
 	case wire.ReplaceKey, wire.GetKey, wire.WatchGroup:
 		return "keys/" + GroupOf(c.Name)
--- a/control/coordination/rapid_test.go
+++ b/control/coordination/rapid_test.go
@@ -91,13 +91,13 @@
 	tr.model.now = tr.now
 	before := tr.first.Snapshot()
 	after := tr.first.SnapshotAfter(Encode(commands), at)
-	sameBytes(t, tr.first.Snapshot(), before)
+	assertSameBytes(t, tr.first.Snapshot(), before)
 	tr.first.Apply(Encode(commands), at)
 	tr.second.Apply(Encode(commands), at)
 	assert.DeepEqual(t, tr.first.Answers, want)
 	assert.DeepEqual(t, tr.second.Answers, want)
-	sameBytes(t, tr.first.Snapshot(), after)
-	sameBytes(t, tr.second.Snapshot(), after)
+	assertSameBytes(t, tr.first.Snapshot(), after)
+	assertSameBytes(t, tr.second.Snapshot(), after)
 }
 
 // restore has the second replica begin anew from a snapshot.
@@ -105,7 +105,7 @@
 	snapshot := tr.first.Snapshot()
 	tr.second = NewStateMachine(modelHistory)
 	assert.NilError(t, tr.second.Restore(snapshot))
-	sameBytes(t, tr.second.Snapshot(), snapshot)
+	assertSameBytes(t, tr.second.Snapshot(), snapshot)
 	assert.Equal(t, tr.second.keys.bytes, tr.first.keys.bytes)
 	assert.Equal(t, tr.second.records.bytes, tr.first.records.bytes)
 }
@@ -116,7 +116,7 @@
 	later := rapid.SampledFrom([]time.Duration{0, time.Second, 5 * time.Second}).Draw(t, "later")
 	before := tr.first.Snapshot()
 	answer, ready := tr.first.TryAnswer(&c, tr.now+later)
-	sameBytes(t, tr.first.Snapshot(), before)
+	assertSameBytes(t, tr.first.Snapshot(), before)
 	switch c.Kind {
 	case wire.GetKey:
 		assert.Assert(t, ready)
--- a/control/coordination/rules_test.go
+++ b/control/coordination/rules_test.go
@@ -47,8 +47,8 @@
 	return wire.Command{Kind: wire.WatchGroup, Name: group, After: after, WaitMS: 2000}
 }
 
-// one applies one command.
-func one(s *State, c wire.Command, at time.Duration) wire.Answer {
+// applyOne applies applyOne command.
+func applyOne(s *State, c wire.Command, at time.Duration) wire.Answer {
 	return s.Apply([]wire.Command{c}, at)[0]
 }
 
@@ -64,112 +64,112 @@
 
 func TestOneHolder(t *testing.T) {
 	s := New(testHistory)
-	assert.DeepEqual(t, one(s, begin("l", "a"), 0), granted(1))
-	assert.DeepEqual(t, one(s, begin("l", "b"), testHold-1), outcome(wire.HeldByOther))
-	assert.DeepEqual(t, one(s, begin("l", "b"), testHold), granted(2))
-	assert.DeepEqual(t, one(s, begin("other", "a"), testHold), granted(3))
-	assert.DeepEqual(t, one(s, heartbeat("l", "a", 1), testHold), outcome(wire.LockLost))
-	assert.DeepEqual(t, one(s, finish("l", "a", 1), testHold), done())
-	assert.DeepEqual(t, one(s, begin("l", "a"), testHold), outcome(wire.HeldByOther))
+	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 0), granted(1))
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), testHold-1), outcome(wire.HeldByOther))
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), testHold), granted(2))
+	assert.DeepEqual(t, applyOne(s, begin("other", "a"), testHold), granted(3))
+	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 1), testHold), outcome(wire.LockLost))
+	assert.DeepEqual(t, applyOne(s, finish("l", "a", 1), testHold), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "a"), testHold), outcome(wire.HeldByOther))
 }
 
 func TestOneLateFinishFreesNothing(t *testing.T) {
 	s := New(testHistory)
-	assert.DeepEqual(t, one(s, begin("l", "a"), 0), granted(1))
-	assert.DeepEqual(t, one(s, begin("l", "a"), 1), granted(2))
-	assert.DeepEqual(t, one(s, finish("l", "a", 1), 2), done())
-	assert.DeepEqual(t, one(s, begin("l", "b"), 2), outcome(wire.HeldByOther))
-	assert.DeepEqual(t, one(s, finish("l", "a", 3), 2), done())
-	assert.DeepEqual(t, one(s, begin("l", "b"), 2), outcome(wire.HeldByOther))
-	assert.DeepEqual(t, one(s, finish("l", "b", 2), 2), done())
-	assert.DeepEqual(t, one(s, begin("l", "b"), 2), outcome(wire.HeldByOther))
-	assert.DeepEqual(t, one(s, finish("l", "a", 2), 2), done())
-	assert.DeepEqual(t, one(s, begin("l", "b"), 2), granted(3))
+	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 0), granted(1))
+	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 1), granted(2))
+	assert.DeepEqual(t, applyOne(s, finish("l", "a", 1), 2), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2), outcome(wire.HeldByOther))
+	assert.DeepEqual(t, applyOne(s, finish("l", "a", 3), 2), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2), outcome(wire.HeldByOther))
+	assert.DeepEqual(t, applyOne(s, finish("l", "b", 2), 2), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2), outcome(wire.HeldByOther))
+	assert.DeepEqual(t, applyOne(s, finish("l", "a", 2), 2), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2), granted(3))
 }
 
 func TestOneHeartbeatOfTheSameHoldOnly(t *testing.T) {
 	s := New(testHistory)
-	one(s, begin("l", "a"), 0)
-	assert.DeepEqual(t, one(s, begin("l", "a"), 1), granted(2))
-	assert.DeepEqual(t, one(s, heartbeat("l", "a", 1), 2), done())
-	assert.DeepEqual(t, one(s, heartbeat("l", "a", 3), 2), outcome(wire.LockLost))
-	assert.DeepEqual(t, one(s, finish("l", "a", 2), 3), done())
-	assert.DeepEqual(t, one(s, begin("l", "b"), 3), granted(3))
-	assert.DeepEqual(t, one(s, finish("l", "b", 3), 3), done())
-	assert.DeepEqual(t, one(s, begin("l", "a"), 3), granted(4))
-	assert.DeepEqual(t, one(s, heartbeat("l", "a", 2), 4), outcome(wire.LockLost))
-	assert.DeepEqual(t, one(s, heartbeat("l", "a", 4), 4), done())
+	applyOne(s, begin("l", "a"), 0)
+	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 1), granted(2))
+	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 1), 2), done())
+	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 3), 2), outcome(wire.LockLost))
+	assert.DeepEqual(t, applyOne(s, finish("l", "a", 2), 3), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 3), granted(3))
+	assert.DeepEqual(t, applyOne(s, finish("l", "b", 3), 3), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 3), granted(4))
+	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 2), 4), outcome(wire.LockLost))
+	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 4), 4), done())
 }
 
 func TestOneHeartbeatNeverShortens(t *testing.T) {
 	s := New(testHistory)
 	long := begin("l", "a")
 	long.HoldMS = 2 * testHold.Milliseconds()
-	one(s, long, 0)
-	assert.DeepEqual(t, one(s, heartbeat("l", "a", 1), 1), done())
-	assert.DeepEqual(t, one(s, begin("l", "a"), 1), granted(2))
-	assert.DeepEqual(t, one(s, begin("l", "b"), 2*testHold-1), outcome(wire.HeldByOther))
-	assert.DeepEqual(t, one(s, heartbeat("l", "a", 2), 2*testHold), outcome(wire.LockLost))
-	assert.DeepEqual(t, one(s, begin("l", "b"), 2*testHold), granted(3))
+	applyOne(s, long, 0)
+	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 1), 1), done())
+	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 1), granted(2))
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2*testHold-1), outcome(wire.HeldByOther))
+	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 2), 2*testHold), outcome(wire.LockLost))
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2*testHold), granted(3))
 }
 
 func TestOneHeldForLongerKeepsNoOtherFromExpiring(t *testing.T) {
 	s := New(testHistory)
-	one(s, begin("l", "a"), 0)
-	one(s, begin("m", "a"), 1)
-	one(s, heartbeat("l", "a", 1), 2)
-	assert.DeepEqual(t, one(s, begin("m", "b"), testHold+1), granted(3))
-	assert.DeepEqual(t, one(s, begin("l", "b"), testHold+1), outcome(wire.HeldByOther))
-	assert.DeepEqual(t, one(s, begin("l", "b"), testHold+2), granted(4))
+	applyOne(s, begin("l", "a"), 0)
+	applyOne(s, begin("m", "a"), 1)
+	applyOne(s, heartbeat("l", "a", 1), 2)
+	assert.DeepEqual(t, applyOne(s, begin("m", "b"), testHold+1), granted(3))
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), testHold+1), outcome(wire.HeldByOther))
+	assert.DeepEqual(t, applyOne(s, begin("l", "b"), testHold+2), granted(4))
 }
 
 func TestOneTimeNeverFalls(t *testing.T) {
 	s := New(testHistory)
-	one(s, begin("l", "a"), testHold)
-	assert.DeepEqual(t, one(s, begin("m", "a"), 0), granted(2))
-	assert.DeepEqual(t, one(s, begin("m", "b"), 2*testHold-1), outcome(wire.HeldByOther))
+	applyOne(s, begin("l", "a"), testHold)
+	assert.DeepEqual(t, applyOne(s, begin("m", "a"), 0), granted(2))
+	assert.DeepEqual(t, applyOne(s, begin("m", "b"), 2*testHold-1), outcome(wire.HeldByOther))
 }
 
 func TestFreeLocksAreForgotten(t *testing.T) {
 	s := New(testHistory)
 	for i := range 100 {
-		one(s, begin(fmt.Sprint(i), "a"), time.Duration(i))
+		applyOne(s, begin(fmt.Sprint(i), "a"), time.Duration(i))
 	}
 	assert.Equal(t, len(s.locks.byName), 100)
 	s.Apply(nil, testHold+49)
 	assert.Equal(t, len(s.locks.byName), 50)
 	s.Apply(nil, testHold+99)
-	assert.Equal(t, len(s.locks.byName)+len(s.locks.deadlines), 0)
+	assert.Equal(t, len(s.locks.byName)+len(s.locks.byExpiry), 0)
 }
 
 func TestOrderOfNumbers(t *testing.T) {
 	s := New(testHistory)
 	for i := range uint64(3) {
-		assert.DeepEqual(t, one(s, number("n"), 0), wire.Answer{Outcome: wire.Done, Number: i + 1})
+		assert.DeepEqual(t, applyOne(s, number("n"), 0), wire.Answer{Outcome: wire.Done, Number: i + 1})
 	}
-	assert.DeepEqual(t, one(s, number("m"), 0), wire.Answer{Outcome: wire.Done, Number: 1})
+	assert.DeepEqual(t, applyOne(s, number("m"), 0), wire.Answer{Outcome: wire.Done, Number: 1})
 }
 
 func TestOrderOfRevisions(t *testing.T) {
 	s := New(testHistory)
-	assert.DeepEqual(t, one(s, put("g.a", "1"), 0), revised(1))
-	assert.DeepEqual(t, one(s, putOver("g.b", "2", 0), 0), revised(2))
-	assert.DeepEqual(t, one(s, putOver("g.b", "3", 2), 0), revised(3))
-	assert.DeepEqual(t, one(s, put("h.a", "4"), 0), revised(1))
-	assert.DeepEqual(t, one(s, put("g", "5"), 0), revised(1))
-	assert.DeepEqual(t, one(s, putOver("g.b", "6", 2), 0), mismatched(3))
-	assert.DeepEqual(t, one(s, putOver("g.a", "7", 0), 0), mismatched(1))
-	assert.DeepEqual(t, one(s, putOver("g.c", "8", 1), 0), mismatched(0))
+	assert.DeepEqual(t, applyOne(s, put("g.a", "1"), 0), revised(1))
+	assert.DeepEqual(t, applyOne(s, putOver("g.b", "2", 0), 0), revised(2))
+	assert.DeepEqual(t, applyOne(s, putOver("g.b", "3", 2), 0), revised(3))
+	assert.DeepEqual(t, applyOne(s, put("h.a", "4"), 0), revised(1))
+	assert.DeepEqual(t, applyOne(s, put("g", "5"), 0), revised(1))
+	assert.DeepEqual(t, applyOne(s, putOver("g.b", "6", 2), 0), mismatched(3))
+	assert.DeepEqual(t, applyOne(s, putOver("g.a", "7", 0), 0), mismatched(1))
+	assert.DeepEqual(t, applyOne(s, putOver("g.c", "8", 1), 0), mismatched(0))
 	assert.Equal(t, s.Revision("g."), uint64(3))
 	assert.Equal(t, s.Revision("nobody."), uint64(0))
 }
 
 func TestOrderOfEvents(t *testing.T) {
 	s := New(testHistory)
-	one(s, put("g.a", "1"), 0)
-	one(s, put("g.b", "2"), 0)
-	one(s, put("h.a", "3"), 0)
-	one(s, put("g.a", "4"), 0)
+	applyOne(s, put("g.a", "1"), 0)
+	applyOne(s, put("g.b", "2"), 0)
+	applyOne(s, put("h.a", "3"), 0)
+	applyOne(s, put("g.a", "4"), 0)
 	answer, ready := s.TryAnswer(ptr(watch("g.", 1)), 0)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, wire.Answer{Outcome: wire.Done, Revision: 3, Events: []wire.Change{
@@ -188,9 +188,9 @@
 
 func TestStaleReadsAreNone(t *testing.T) {
 	s := New(testHistory)
-	assert.DeepEqual(t, one(s, get("g.a"), 0), outcome(wire.NotFound))
-	one(s, put("g.a", "1"), 0)
-	one(s, put("g.b", "2"), 0)
+	assert.DeepEqual(t, applyOne(s, get("g.a"), 0), outcome(wire.NotFound))
+	applyOne(s, put("g.a", "1"), 0)
+	applyOne(s, put("g.b", "2"), 0)
 	answer, ready := s.TryAnswer(ptr(get("g.b")), 0)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, wire.Answer{Outcome: wire.Done, Value: "2", Revision: 2})
@@ -198,40 +198,40 @@
 
 func TestMixedPutAgainKeepsItsRevision(t *testing.T) {
 	s := New(testHistory)
-	one(s, put("g.a", "1"), 0)
-	one(s, putOver("g.a", "2", 1), 0)
-	one(s, put("g.a", "3"), 0)
-	assert.DeepEqual(t, one(s, put("g.a", "1"), testHistory), revised(1))
-	assert.DeepEqual(t, one(s, putOver("g.a", "2", 1), testHistory), revised(2))
-	assert.DeepEqual(t, one(s, putOver("g.a", "2", 3), testHistory), revised(2))
-	assert.DeepEqual(t, one(s, put("g.a", "3"), 10*testHistory), revised(3))
-	assert.DeepEqual(t, one(s, get("g.a"), 0), wire.Answer{Outcome: wire.Done, Value: "3", Revision: 3})
+	applyOne(s, put("g.a", "1"), 0)
+	applyOne(s, putOver("g.a", "2", 1), 0)
+	applyOne(s, put("g.a", "3"), 0)
+	assert.DeepEqual(t, applyOne(s, put("g.a", "1"), testHistory), revised(1))
+	assert.DeepEqual(t, applyOne(s, putOver("g.a", "2", 1), testHistory), revised(2))
+	assert.DeepEqual(t, applyOne(s, putOver("g.a", "2", 3), testHistory), revised(2))
+	assert.DeepEqual(t, applyOne(s, put("g.a", "3"), 10*testHistory), revised(3))
+	assert.DeepEqual(t, applyOne(s, get("g.a"), 0), wire.Answer{Outcome: wire.Done, Value: "3", Revision: 3})
 	assert.Equal(t, s.Revision("g."), uint64(3))
 }
 
 func TestRefusedPutNeverSucceeds(t *testing.T) {
 	s := New(testHistory)
-	one(s, put("g.a", "1"), 0)
-	assert.DeepEqual(t, one(s, putOver("g.a", "x", 2), 0), mismatched(1))
-	one(s, put("g.a", "2"), 0)
-	assert.DeepEqual(t, one(s, putOver("g.a", "x", 2), testHistory), mismatched(2))
-	assert.DeepEqual(t, one(s, put("g.a", "x"), testHistory), mismatched(2))
-	assert.DeepEqual(t, one(s, get("g.a"), testHistory), wire.Answer{Outcome: wire.Done, Value: "2", Revision: 2})
+	applyOne(s, put("g.a", "1"), 0)
+	assert.DeepEqual(t, applyOne(s, putOver("g.a", "x", 2), 0), mismatched(1))
+	applyOne(s, put("g.a", "2"), 0)
+	assert.DeepEqual(t, applyOne(s, putOver("g.a", "x", 2), testHistory), mismatched(2))
+	assert.DeepEqual(t, applyOne(s, put("g.a", "x"), testHistory), mismatched(2))
+	assert.DeepEqual(t, applyOne(s, get("g.a"), testHistory), wire.Answer{Outcome: wire.Done, Value: "2", Revision: 2})
 }
 
 func TestLostHistoryIsTold(t *testing.T) {
 	s := New(testHistory)
 	for i := range 4 {
-		one(s, put("g.a", fmt.Sprint(i)), time.Duration(i)*time.Second)
+		applyOne(s, put("g.a", fmt.Sprint(i)), time.Duration(i)*time.Second)
 	}
 	s.Apply(nil, testHistory+2*time.Second)
-	assert.DeepEqual(t, one(s, watch("g.", 1), 0), outcome(wire.Compacted))
-	assert.DeepEqual(t, one(s, watch("g.", 0), 0), revised(4))
-	assert.Equal(t, len(one(s, watch("g.", 2), 0).Events), 2)
+	assert.DeepEqual(t, applyOne(s, watch("g.", 1), 0), outcome(wire.Compacted))
+	assert.DeepEqual(t, applyOne(s, watch("g.", 0), 0), revised(4))
+	assert.Equal(t, len(applyOne(s, watch("g.", 2), 0).Events), 2)
 	s.Apply(nil, 10*testHistory)
-	assert.DeepEqual(t, one(s, watch("g.", 3), 0), outcome(wire.Compacted))
-	assert.DeepEqual(t, one(s, watch("g.", 4), 0), revised(4))
-	assert.Equal(t, len(s.records.queue)+len(s.records.byText)+s.records.bytes, 0)
+	assert.DeepEqual(t, applyOne(s, watch("g.", 3), 0), outcome(wire.Compacted))
+	assert.DeepEqual(t, applyOne(s, watch("g.", 4), 0), revised(4))
+	assert.Equal(t, len(s.records.queue)+len(s.records.byKeyValue)+s.records.bytes, 0)
 }
 
 func TestLostNothingByARestore(t *testing.T) {
@@ -241,7 +241,7 @@
 	}), 5)
 	restored := NewStateMachine(testHistory)
 	assert.NilError(t, restored.Restore(m.Snapshot()))
-	sameBytes(t, restored.Snapshot(), m.Snapshot())
+	assertSameBytes(t, restored.Snapshot(), m.Snapshot())
 	again := []wire.Command{
 		heartbeat("l", "a", 1), begin("l", "b"), number("n"), put("g.a", "1"), watch("g.", 1), putOver("g.a", "x", 2),
 	}
@@ -256,7 +256,7 @@
 
 func TestAnswerFromMemory(t *testing.T) {
 	s := New(testHistory)
-	one(s, begin("l", "a"), 0)
+	applyOne(s, begin("l", "a"), 0)
 	answer, ready := s.TryAnswer(ptr(begin("l", "b")), testHold-1)
 	assert.Assert(t, ready)
 	assert.DeepEqual(t, answer, outcome(wire.HeldByOther))
--- a/control/coordination/snapshot_check.go
+++ b/control/coordination/snapshot_check.go
@@ -5,59 +5,59 @@
 	"unicode/utf8"
 )
 
-// malformed is what is wrong with an image.
-type malformed string
+// malformedError is what is wrong with an image.
+type malformedError string
 
-func (e malformed) Error() string { return string(e) }
+func (e malformedError) Error() string { return string(e) }
 
 // What can be wrong with an image.
 const (
-	errBounds  malformed = "a list or a text is beyond its bounds"
-	errOrder   malformed = "a list is out of order"
-	errLock    malformed = "a lock can't be held so"
-	errKey     malformed = "a key has a revision that its group never gave"
-	errRecords malformed = "the puts of a group are not the last ones of its count"
-	errTwice   malformed = "a put is remembered twice"
+	errBounds    malformedError = "a list or a text is beyond its bounds"
+	errOrder     malformedError = "a list is out of order"
+	errLock      malformedError = "a lock can't be held so"
+	errKey       malformedError = "a key has a revision that its group never gave"
+	errRecords   malformedError = "the puts of a group are not the last ones of its count"
+	errDuplicate malformedError = "a put is remembered twice"
 )
 
-// check tells whether an image is that of a state which commands can lead to, as far as the code relies on it.
-func (i *image) check() error {
-	if i.Newest < 0 || !i.withinBounds() {
+// validate tells whether an image is that of a state which commands can lead to, as far as the code relies on it.
+func (i *snapshot) validate() error {
+	if i.GroupTime < 0 || !i.withinBounds() {
 		return errBounds
 	}
 	if !i.inOrder() {
 		return errOrder
 	}
 	revisions := i.revisions()
-	return firstError(i.checkLocks(), i.checkKeys(revisions), i.checkRecords(revisions))
+	return firstError(i.validateLocks(), i.validateKeys(revisions), i.validateRecords(revisions))
 }
 
-func (i *image) withinBounds() bool {
+func (i *snapshot) withinBounds() bool {
 	return len(i.Locks) <= MaxLocks && len(i.Numbers) <= MaxNumbers && len(i.Groups) <= MaxGroups &&
 		len(i.Keys) <= MaxKeys && len(i.Records) <= MaxRecords
 }
 
 // inOrder tells whether no list names anything twice, and the records are in order of time.
-func (i *image) inOrder() bool {
-	return rising(i.Locks, nameOfLock) && rising(i.Numbers, nameOfNumber) && rising(i.Groups, nameOfGroup) &&
-		rising(i.Keys, nameOfKey) && i.recordsInOrder()
+func (i *snapshot) inOrder() bool {
+	return strictlyAscending(i.Locks, nameOfLock) && strictlyAscending(i.Numbers, nameOfNumber) && strictlyAscending(i.Groups, nameOfGroup) &&
+		strictlyAscending(i.Keys, nameOfKey) && i.recordsInOrder()
 }
 
-// rising tells whether each name of a list is valid and above the one before.
-func rising[T any](list []T, name func(T) string) bool {
-	before := ""
+// strictlyAscending tells whether each name of a list is valid and above the one before.
+func strictlyAscending[T any](list []T, name func(T) string) bool {
+	previous := ""
 	for _, element := range list {
-		if !validText(name(element), MaxNameBytes) || name(element) <= before {
+		if !isValidName(name(element), MaxNameBytes) || name(element) <= previous {
 			return false
 		}
-		before = name(element)
+		previous = name(element)
 	}
 	return true
 }
 
-func (i *image) recordsInOrder() bool {
+func (i *snapshot) recordsInOrder() bool {
 	for n, r := range i.Records {
-		if r.At < 0 || r.At > i.Newest {
+		if r.At < 0 || r.At > i.GroupTime {
 			return false
 		}
 		if n > 0 && r.At < i.Records[n-1].At {
@@ -68,7 +68,7 @@
 }
 
 // revisions gives the newest revision of each group.
-func (i *image) revisions() map[string]uint64 {
+func (i *snapshot) revisions() map[string]uint64 {
 	revisions := make(map[string]uint64, len(i.Groups))
 	for _, g := range i.Groups {
 		revisions[g.Name] = g.Revision
@@ -76,19 +76,19 @@
 	return revisions
 }
 
-func (i *image) checkLocks() error {
+func (i *snapshot) validateLocks() error {
 	for _, l := range i.Locks {
-		fences := 0 < l.FirstFence && l.FirstFence <= l.Fence && l.Fence <= i.Fence
-		if !fences || l.Expires <= i.Newest || !validText(l.Holder, MaxHolderBytes) {
+		validFences := 0 < l.FirstFence && l.FirstFence <= l.Fence && l.Fence <= i.Fence
+		if !validFences || l.Expires <= i.GroupTime || !isValidName(l.Holder, MaxHolderBytes) {
 			return fmt.Errorf("%w: %q", errLock, l.Name)
 		}
 	}
 	return nil
 }
 
-func (i *image) checkKeys(revisions map[string]uint64) error {
+func (i *snapshot) validateKeys(revisions map[string]uint64) error {
 	for _, key := range i.Keys {
-		if !validValue(key.Value) {
+		if !isValidValue(key.Value) {
 			return errBounds
 		}
 		if key.Revision == 0 || key.Revision > revisions[GroupOf(key.Key)] {
@@ -98,18 +98,18 @@
 	return nil
 }
 
-// checkRecords walks back from the newest record: the puts of each group count down from its newest revision.
-func (i *image) checkRecords(revisions map[string]uint64) error {
-	seen := make(map[keyed]bool, len(i.Records))
+// validateRecords walks back from the newest record: the puts of each group count down from its newest revision.
+func (i *snapshot) validateRecords(revisions map[string]uint64) error {
+	seen := make(map[keyValue]bool, len(i.Records))
 	for n := len(i.Records) - 1; n >= 0; n-- {
 		r := i.Records[n]
-		if !validText(r.Key, MaxNameBytes) || !validValue(r.Value) {
+		if !isValidName(r.Key, MaxNameBytes) || !isValidValue(r.Value) {
 			return errBounds
 		}
-		if seen[keyed{r.Key, r.Value}] {
-			return fmt.Errorf("%w: %q", errTwice, r.Key)
+		if seen[keyValue{r.Key, r.Value}] {
+			return fmt.Errorf("%w: %q", errDuplicate, r.Key)
 		}
-		seen[keyed{r.Key, r.Value}] = true
+		seen[keyValue{r.Key, r.Value}] = true
 		if r.Revision == 0 {
 			continue
 		}
@@ -121,5 +121,5 @@
 	return nil
 }
 
-// validValue tells whether a value can be kept and told.
-func validValue(value string) bool { return len(value) <= MaxValueBytes && utf8.ValidString(value) }
+// isValidValue tells whether a value can be kept and told.
+func isValidValue(value string) bool { return len(value) <= MaxValueBytes && utf8.ValidString(value) }
--- a/control/coordination/state.go
+++ b/control/coordination/state.go
@@ -14,12 +14,12 @@
 
 // State is that of one part. It is not safe for concurrent use.
 type State struct {
-	history time.Duration
-	newest  time.Duration // of the group's time, as far as it was handed in
-	locks   lockTable
-	numbers map[string]uint64 // by name, the last one that was handed out
-	keys    keyTable
-	records recordLog
+	history   time.Duration
+	groupTime time.Duration // of the group's time, as far as it was handed in
+	locks     lockTable
+	numbers   map[string]uint64 // by name, the last one that was handed out
+	keys      keyTable
+	records   recordLog
 }
 
 // New makes an empty state that keeps the history of puts for a span of the group's time.
@@ -46,9 +46,9 @@
 
 // advance moves the time on: expired locks are free, and what is older than the history is forgotten.
 func (s *State) advance(at time.Duration) {
-	s.newest = max(s.newest, at)
-	s.locks.expire(s.newest)
-	s.forget(s.newest - s.history)
+	s.groupTime = max(s.groupTime, at)
+	s.locks.expire(s.groupTime)
+	s.compact(s.groupTime - s.history)
 }
 
 // apply carries one command out at the newest time.
@@ -58,9 +58,9 @@
 	}
 	switch c.Kind {
 	case wire.BeginLock:
-		return s.locks.begin(c, s.newest)
+		return s.locks.begin(c, s.groupTime)
 	case wire.HeartbeatLock:
-		return s.locks.heartbeat(c, s.newest)
+		return s.locks.heartbeat(c, s.groupTime)
 	case wire.FinishLock:
 		return s.locks.finish(c)
 	case wire.NextNumber:
@@ -88,7 +88,7 @@
 	case wire.WatchGroup:
 		return s.watchGroup(c)
 	case wire.BeginLock:
-		if s.locks.heldByOther(c, max(at, s.newest)) {
+		if s.locks.heldByOther(c, max(at, s.groupTime)) {
 			return wire.Answer{Outcome: wire.HeldByOther}, true
 		}
 	}
--- a/control/coordination/watch.go
+++ b/control/coordination/watch.go
@@ -16,17 +16,17 @@
 	switch {
 	case c.After == 0:
 		return wire.Answer{Outcome: wire.Done, Revision: g.revision}, true
-	case c.After < g.forgotten():
+	case c.After < g.compactedRevision():
 		return wire.Answer{Outcome: wire.Compacted}, true
 	case c.After >= g.revision:
 		return wire.Answer{Outcome: wire.Done, Revision: g.revision}, false
 	}
-	events := slices.Clone(firstEvents(g.puts[c.After-g.forgotten():]))
+	events := slices.Clone(limitEvents(g.puts[c.After-g.compactedRevision():]))
 	return wire.Answer{Outcome: wire.Done, Revision: events[len(events)-1].Revision, Events: events}, true
 }
 
-// firstEvents gives as many puts, at least one, as go into one answer.
-func firstEvents(puts []wire.Change) []wire.Change {
+// limitEvents gives as many puts, at least one, as go into one answer.
+func limitEvents(puts []wire.Change) []wire.Change {
 	bytes := 0
 	for i, change := range puts {
 		bytes += textBytes(change.Key, change.Value)
