--- a/balance/balance.go
+++ b/balance/balance.go
@@ -13,21 +13,21 @@
 	"time"
 
 	"ivybank/balance/outlier"
-	"ivybank/internal/draw"
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
+	"ivybank/internal/rng"
 )
 
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	minHealth        = outlier.Floor               // lower bound of a server's health
-	streakLimit      = outlier.ConsecutiveFail     // consecutive failures that eject a server, as a rule
+	minHealth        = outlier.MinHealth           // lower bound of a server's health
+	streakLimit      = outlier.ConsecutiveFailures // consecutive failures that eject a server, as a rule
 	maxStreakLimit   = 4                           // upper bound where streaks are common by chance
 	randomStreakOdds = 1e-4                        // a streak counts as chance if it is more probable than this
-	backoffJitter    = outlier.Jitter              // random fraction of an ejection's duration
+	backoffJitter    = outlier.BackoffJitter       // random fraction of an ejection's duration
 	firstBackoff     = int64(outlier.FirstBackoff) // upper bound of a first ejection's duration
-	backoffTargets   = 6                           // and this many shortest response targets: chance streaks come fast there
-	recoveredHealth  = outlier.Recovered           // health from which a server's backoff starts over
+	backoffTargets   = 6                           // in shortest response targets: streaks come faster there
+	recoveredHealth  = outlier.RecoveredHealth     // health from which a server's backoff starts over
 
 	skipFactor      = 1.6      // a server is skipped above this multiple of its share of all in flight,
 	skipSlack       = 2.0      // plus this many dispatches
@@ -63,77 +63,79 @@
 	askDelay        = 5e6      // ns, per balancer, over which calls for the server list are spread
 )
 
-type Balancer struct { // the dispatch state of one proxy instance
+// Balancer is the dispatch state of one proxy instance. It is not safe for concurrent use.
+type Balancer struct {
 	cfg                               Config
 	requests                          map[uint64]*request // until ended with no dispatch pending
 	open                              []*request          // not ended, in order of arrival
 	servers                           []*server           // by ID
 	decisions                         []Decision          // not yet taken by Next
-	rng                               draw.Dice
+	rng                               rng.Source
 	askAt, requestAt                  int64 // askAt: when to ask for the list again, 0: subscribed
 	wakeAt, rateStart, shortestTarget int64 // shortestTarget: shortest response target
 	inflight, healthy                 int
-	timeouts                          [5]fade.Count   // share of timed-out dispatches, by idle step
-	placements                        []*placement    // one for each placement that any terms had; never removed
-	weighedAt, reviewAt               int64           // last and next review of the servers
-	reviewNow                         bool            // servers are to be reviewed at once
-	latencyRatio, slotTime            float64         // mean time, over response target and by in-flight slot
-	meanHealth, avgWeight             float64         // of all servers
-	refusedShare                      float64         // recent fraction of dispatches that were refused
-	answerRate                        fade.Count      // answers
-	tenantRates                       []fade.Count    // dispatches by tenant
-	tenantOutcomes                    []fade.Odds     // requests and successes by tenant
-	keyOutcomes                       [1024]fade.Odds // by hash of the key; colliding keys share an entry
-	allOutcomes                       fade.Odds       // the same of all requests
-	meanTarget, meanValue             fade.Mean       // response target and billing value of requests
-	keyCounts                         fade.Keys       // requests by key
-	deciding                          bool            // the last decisions are not all taken yet
+	timeouts                          [5]decay.Counter     // share of timed-out dispatches, by idle step
+	placements                        []*placement         // of all settings so far; never removed
+	weighedAt, reviewAt               int64                // last and next review of the servers
+	reviewNow                         bool                 // servers are to be reviewed at once
+	latencyRatio, slotTime            float64              // mean time by response target, and by slot
+	meanHealth, avgWeight             float64              // of all servers
+	refusedShare                      float64              // recent fraction of dispatches that were refused
+	answerRate                        decay.Counter        // answers
+	tenantRates                       []decay.Counter      // dispatches by tenant
+	tenantOutcomes                    []decay.Outcomes     // requests and successes by tenant
+	keyOutcomes                       [1024]decay.Outcomes // by hash of the key; colliding keys share an entry
+	allOutcomes                       decay.Outcomes       // the same of all requests
+	meanTarget, meanValue             decay.Mean           // response target and billing value of requests
+	keyCounts                         decay.KeyCounts      // requests by key
+	deciding                          bool                 // the last decisions are not all taken yet
 	advice                            Advice
 }
 
-// New creates an instance; the host passes the server list next, as Listed(Restored).
-func New(t Config, now int64) *Balancer {
-	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now, rng: draw.Dice{Seed: t.Seed}}
-	b.Retune(t, now)
+// New creates an instance; the host passes the server list next, as ListRestored.
+func New(cfg Config, now int64) *Balancer {
+	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now,
+		rng: rng.Source{Seed: cfg.Seed}}
+	b.Reconfigure(cfg, now)
 	return b
 }
 
-// Retune applies new terms. Server state stays, and open requests keep the rules they arrived under. If the
-// deployment changes in kind, measured times and rates no longer apply and are reset.
-func (b *Balancer) Retune(t Config, now int64) {
+// Reconfigure applies new settings. Server state stays, and open requests keep the rules they arrived under.
+// If the deployment changes in kind, measured times and rates no longer apply and are reset.
+func (b *Balancer) Reconfigure(cfg Config, now int64) {
 	old := b.cfg
-	served := make([]fade.Count, len(t.Tenants))
-	for i, x := range t.Tenants {
-		if had := old.Tenant(x.Name); had >= 0 {
-			served[i] = b.tenantRates[had]
+	rates := make([]decay.Counter, len(cfg.Tenants))
+	for i, tenant := range cfg.Tenants {
+		if index := old.Tenant(tenant.Name); index >= 0 {
+			rates[i] = b.tenantRates[index]
 		}
 	}
 	b.cfg, b.tenantRates, b.shortestTarget, b.reviewNow, b.tenantOutcomes =
-		t, served, firstBackoff, true, make([]fade.Odds, len(t.Tenants))
-	for _, x := range t.RuleSets {
+		cfg, rates, firstBackoff, true, make([]decay.Outcomes, len(cfg.Tenants))
+	for _, x := range cfg.RuleSets {
 		b.shortestTarget = min(b.shortestTarget, x.ResponseTarget)
 	}
 	for _, r := range b.open {
 		r.tenant = b.cfg.Tenant(r.Tenant)
 	}
-	if t.LiveWeights != old.LiveWeights || t.FleetSize > 2*old.FleetSize || old.FleetSize > 2*t.FleetSize {
-		b.rateStart, b.answerRate, b.latencyRatio = now, fade.Count{At: now}, 0
+	if cfg.LiveWeights != old.LiveWeights || cfg.FleetSize > 2*old.FleetSize || old.FleetSize > 2*cfg.FleetSize {
+		b.rateStart, b.answerRate, b.latencyRatio = now, decay.Counter{At: now}, 0
 		for _, s := range b.servers {
 			s.slotTime, s.latency, s.avgWeight, s.inflightCap = 0, 0, s.Share, min(s.inflightCap, newServerCap)
 		}
 	}
-	if t.ListOnRequest && !old.ListOnRequest {
-		b.askAt = now + 1 + int64(b.rng.Next()*maxAskDelay(t))
-	} else if !t.ListOnRequest {
+	if cfg.ListOnRequest && !old.ListOnRequest {
+		b.askAt = now + 1 + int64(b.rng.Next()*maxAskDelay(cfg))
+	} else if !cfg.ListOnRequest {
 		b.askAt = 0
 	}
 }
 
-// Advised applies the combined advice of the other balancers.
-func (b *Balancer) Advised(a Advice) { b.advice, b.reviewNow = a, true }
+// ApplyAdvice applies the combined advice of the other balancers.
+func (b *Balancer) ApplyAdvice(a Advice) { b.advice, b.reviewNow = a, true }
 
-// Req accepts a new request.
-func (b *Balancer) Req(a Arrival, now int64) {
+// AddRequest accepts a new request.
+func (b *Balancer) AddRequest(a Arrival, now int64) {
 	r := &request{Arrival: a, rules: b.cfg.RuleSet(a.RuleSet), tenant: b.cfg.Tenant(a.Tenant),
 		random: b.rng.Next(), maxDispatches: b.cfg.MaxDispatches}
 	if r.rules == nil { // unknown: the strictest rules
@@ -141,23 +143,23 @@
 	}
 	// After a lull, for example because clients were told to wait, the measured rate is out of date.
 	if float64(now-b.requestAt) > max(float64(sec), lullGaps*float64(span)/max(1, b.answerRate.Now(now, span))) {
-		b.rateStart, b.answerRate = now, fade.Count{At: now}
+		b.rateStart, b.answerRate = now, decay.Counter{At: now}
 	}
 	b.requestAt, r.placement = now, b.placementOf(r.rules)
 	r.value = b.requestValue(r, now)
 	b.meanTarget.Add(float64(r.rules.ResponseTarget))
 	b.meanValue.Add(r.value)
-	if b.startClock(r, now); a.BodyPending { // time starts with Whole: it may wait for its whole target
+	if b.startClock(r, now); a.BodyPending { // time starts with BodyComplete: it may wait for its target
 		r.arrivedAt, r.giveUpAt = now+int64((1-holdShare)*float64(r.rules.ResponseTarget)), math.MaxInt64
 	}
 	if a.Key != "" {
-		r.sources = append(r.sources, &b.keyOutcomes[int(draw.Hash(a.Key, "")*float64(len(b.keyOutcomes)))])
+		r.sources = append(r.sources, &b.keyOutcomes[int(rng.Hash(a.Key, "")*float64(len(b.keyOutcomes)))])
 	}
 	if r.tenant >= 0 {
 		r.sources = append(r.sources, &b.tenantOutcomes[r.tenant])
 	}
-	if x, part := b.failingSource(r, now); b.rng.Next() < part {
-		x.Add(false, now, span)
+	if source, part := b.failingSource(r, now); b.rng.Next() < part {
+		source.Add(false, now, span)
 		r.Shed = true
 	}
 	if a.Key == "" || !b.cfg.WarmKeys {
@@ -173,14 +175,14 @@
 func (b *Balancer) startClock(r *request, now int64) {
 	r.arrivedAt, r.clientDeadline = now, now+max(r.Budget, b.cfg.BudgetError) // the client waits until then
 	r.giveUpAt = r.clientDeadline
-	if r.rules.OverdueValue <= 0 || b.cfg.TailWeight > 0 && r.rules.Harmless() {
+	if r.rules.OverdueValue <= 0 || b.cfg.TailWeight > 0 && r.rules.CanDenyAfterRun() {
 		r.giveUpAt = min(r.giveUpAt, now+r.rules.ResponseTarget)
 	}
 	r.giveUpAt -= 2 * b.cfg.Tick
 }
 
-// Whole reports that a pending request body is complete. The request's and its dispatches' time start here.
-func (b *Balancer) Whole(id uint64, now int64) {
+// BodyComplete reports that a pending request body is complete. The time of the request starts here.
+func (b *Balancer) BodyComplete(id uint64, now int64) {
 	if r := b.requests[id]; r != nil && r.BodyPending {
 		r.BodyPending = false
 		b.startClock(r, now)
@@ -194,15 +196,15 @@
 	}
 }
 
-// Spent reports that a request's body is no longer buffered: the request cannot be dispatched again.
-func (b *Balancer) Spent(id uint64) {
+// BodyDropped reports that a request's body is no longer buffered: the request cannot be dispatched again.
+func (b *Balancer) BodyDropped(id uint64) {
 	if r := b.requests[id]; r != nil {
 		r.maxDispatches = 0
 	}
 }
 
-// Passed reports that an answer has begun to stream: the server has done its work.
-func (b *Balancer) Passed(id uint64, attempt int, took, now int64) {
+// AnswerStarted reports that an answer has begun to stream: the server has done its work.
+func (b *Balancer) AnswerStarted(id uint64, attempt int, took, now int64) {
 	if r := b.requests[id]; r != nil && attempt < len(r.dispatches) && r.dispatches[attempt].pending {
 		b.removeInflight(r.dispatches[attempt])
 		r.dispatches[attempt].answering = true
@@ -231,8 +233,8 @@
 	}
 }
 
-// Started reports that an answer streams to the client; the balancer no longer ends the dispatch.
-func (b *Balancer) Started(id uint64) {
+// StreamStarted reports that an answer streams to the client; the balancer no longer ends the dispatch.
+func (b *Balancer) StreamStarted(id uint64) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
@@ -264,13 +266,13 @@
 
 // failingSource returns the source (key before tenant) whose requests fail at every server, and the fraction
 // of them to deny. Failures that affect all sources alike, such as overload, are attributed to none.
-func (b *Balancer) failingSource(r *request, now int64) (*fade.Odds, float64) {
+func (b *Balancer) failingSource(r *request, now int64) (*decay.Outcomes, float64) {
 	allTried, allDone := b.allOutcomes.Now(now, span)
-	for _, x := range r.sources {
-		tried, done := x.Now(now, span)
+	for _, source := range r.sources {
+		tried, done := source.Now(now, span)
 		share := (done + freeTries) / (tried + freeTries) // assumed for others too if there are none
 		if part := 1 - tryFactor*share*(allTried-tried+freeTries)/(allDone-done+freeTries*share); part > 0 {
-			return x, part
+			return source, part
 		}
 	}
 	return nil, 0
@@ -298,9 +300,9 @@
 	}
 	if o == Served || o == TimedOut {
 		b.latencyRatio += 0.1 * (float64(took)/float64(d.request.rules.ResponseTarget) - b.latencyRatio)
-		b.timeouts[d.idleStep].N = 0.85 * b.timeouts[d.idleStep].Now(now, idleLossSpan)
-		s.slotTime = fade.Toward(s.slotTime, float64(took)/d.inflightRank, s.latency > 0)
-		d.request.placement.slotTime = fade.Toward(d.request.placement.slotTime,
+		b.timeouts[d.idleStep].Value = 0.85 * b.timeouts[d.idleStep].Now(now, idleLossSpan)
+		s.slotTime = decay.Smooth(s.slotTime, float64(took)/d.inflightRank, s.latency > 0)
+		d.request.placement.slotTime = decay.Smooth(d.request.placement.slotTime,
 			float64(took)/d.inflightRank*s.size, d.request.placement.slotTime > 0)
 	}
 	switch o {
@@ -308,7 +310,7 @@
 		s.answeredAt = now
 		b.answerRate.Add(now, span)
 		d.request.placement.answers.Add(now, span)
-		s.latency = fade.Toward(s.latency, float64(took), s.latency > 0)
+		s.latency = decay.Smooth(s.latency, float64(took), s.latency > 0)
 		s.inflightCap += 0.5
 		s.refutedShare += 0.05 * (float64(min(1, s.streak)) - s.refutedShare)
 		if s.streak = 0; s.health > recoveredHealth {
@@ -319,7 +321,7 @@
 		s.updateHealth(false)
 		s.streak++ // reviewServers ejects after enough of them
 	case TimedOut:
-		b.timeouts[d.idleStep].N += 0.15
+		b.timeouts[d.idleStep].Value += 0.15
 		// A server that answers others meanwhile, or is slow anyway, is overloaded, not dead: it is not ejected.
 		if s.updateHealth(false); s.answeredAt <= d.sentAt && float64(took) >= silenceFactor*s.latency {
 			s.streak++
@@ -332,7 +334,7 @@
 }
 
 func (s *server) updateHealth(ok bool) {
-	s.health = outlier.Average(s.health, ok)
+	s.health = outlier.NextHealth(s.health, ok)
 }
 
 // ejectionStreak is how many consecutive failures eject. If nearly all servers fail alike, for example as
@@ -348,10 +350,10 @@
 }
 
 func (b *Balancer) eject(s *server, now int64) {
-	back := int64(outlier.Backoff(time.Duration(min(firstBackoff, backoffTargets*b.shortestTarget)),
+	backoff := int64(outlier.Backoff(time.Duration(min(firstBackoff, backoffTargets*b.shortestTarget)),
 		s.ejections, b.rng.Next()))
-	s.ejected, s.ejectedUntil, s.ejections = true, now+back, s.ejections+1
-	b.logf("ejected %s for %d ms: streak %d, health %.2f", s.ID, back/ms, s.streak, s.health)
+	s.ejected, s.ejectedUntil, s.ejections = true, now+backoff, s.ejections+1
+	b.logf("ejected %s for %d ms: streak %d, health %.2f", s.ID, backoff/ms, s.streak, s.health)
 }
 
 func (b *Balancer) emit(d Decision) { b.decisions = append(b.decisions, d) }
@@ -361,12 +363,12 @@
 func byID(s *server, id string) int { return cmp.Compare(s.ID, id) }
 
 // maxAskDelay spreads calls for the list, but well within AskWithin, after which the list counts as known.
-func maxAskDelay(t Config) float64 {
-	return min(0.5*float64(sec)+askDelay*float64(t.FleetSize), float64(t.AskWithin)/2)
+func maxAskDelay(cfg Config) float64 {
+	return min(0.5*float64(sec)+askDelay*float64(cfg.FleetSize), float64(cfg.AskWithin)/2)
 }
 
-// Listed applies a server list. If it was unavailable, it is requested again after a random delay.
-func (b *Balancer) Listed(form ListForm, entries []Server, now int64) {
+// UpdateList applies a server list. If it was unavailable, it is requested again after a random delay.
+func (b *Balancer) UpdateList(form ListForm, entries []Server, now int64) {
 	if form == ListUnavailable {
 		b.askAt = now + int64((0.5+b.rng.Next())*maxAskDelay(b.cfg))
 		return
@@ -384,8 +386,8 @@
 
 // applyEntry applies one entry. A new server or process starts at the mean health, without any history.
 func (b *Balancer) applyEntry(e Server, now int64) {
-	i, had := slices.BinarySearchFunc(b.servers, e.ID, byID)
-	if !had {
+	i, found := slices.BinarySearchFunc(b.servers, e.ID, byID)
+	if !found {
 		b.servers = slices.Insert(b.servers, i, &server{Server: Server{Since: -1}})
 	}
 	s := b.servers[i]
@@ -418,13 +420,12 @@
 	return d, b.deciding
 }
 
-// decide turns the current state into decisions.
 func (b *Balancer) decide(now int64) {
 	next := int64(math.MaxInt64)
 	if b.askAt > 0 {
 		if now >= b.askAt {
 			b.emit(Decision{Kind: RequestList})
-			b.askAt = now + max(b.cfg.AskWithin/2, sec) // in case no answer comes
+			b.askAt = now + max(b.cfg.AskWithin/2, sec) // in case there is no answer
 		}
 		next = b.askAt
 	}
@@ -514,7 +515,6 @@
 	return next
 }
 
-// computeWeights computes the weight of each server and the total of each placement.
 func (b *Balancer) computeWeights(now int64) {
 	all, work := 0.0, 0.0
 	for _, s := range b.servers {
@@ -539,7 +539,7 @@
 	}
 	for _, p := range b.placements {
 		// What restricted requests take of their servers at full load is left to them by the unrestricted ones.
-		load, sum := p.firstDispatches.N*p.slotTime/max(1, work)*all/max(1e-9, p.totalWeight), 0.0
+		load, sum := p.firstDispatches.Value*p.slotTime/max(1, work)*all/max(1e-9, p.totalWeight), 0.0
 		p.healthy, p.readyWeight = 0, 0
 		for _, s := range b.servers {
 			if s.weight == 0 || !p.rules.Allows(&s.Server) {
@@ -568,7 +568,6 @@
 	b.weighedAt = now
 }
 
-// weightFor returns the server's weight for requests of a placement.
 func (s *server) weightFor(p *placement) float64 {
 	if p.rules.restricted() {
 		return s.weight
@@ -627,26 +626,26 @@
 	b.forget(r)
 }
 
-// Harmless reports whether a request may be denied even if it may have run.
-func (x *RuleSet) Harmless() bool {
-	return x.Effect == Replayable || x.Effect == Deduplicated && x.Group == GroupAll
+// CanDenyAfterRun reports whether a request may be denied even if it may have run.
+func (rs *RuleSet) CanDenyAfterRun() bool {
+	return rs.Effect == Replayable || rs.Effect == Deduplicated && rs.Group == GroupAll
 }
 
 func (b *Balancer) canDeny(r *request) bool {
-	return r.rules.Harmless() || !slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
+	return r.rules.CanDenyAfterRun() ||
+		!slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
 }
 
 // canSend reports whether the rules allow a further dispatch to some server.
 func (b *Balancer) canSend(r *request) bool {
 	return len(r.dispatches) < r.maxDispatches && r.healthyErrors < maxServerErrors &&
-		(r.pending == 0 || b.cfg.AllowParallel) &&
-		(r.rules.Effect != NonReplayable || b.canDeny(r))
+		(r.pending == 0 || b.cfg.AllowParallel) && (r.rules.Effect != NonReplayable || b.canDeny(r))
 }
 
-// Again reports whether a request that may have run at one server may go to another without a second effect.
-func (x *RuleSet) Again(first, next Server, sent, now int64) bool {
-	same := x.Group == GroupAll || first.Zone == next.Zone && (x.Group == GroupZone || first.Cell == next.Cell)
-	return x.Effect == Replayable || x.Effect == Deduplicated && same && now < sent+x.Window
+// CanRepeat reports whether a request that may have run at one server may go to another: no effect twice.
+func (rs *RuleSet) CanRepeat(first, next Server, sent, now int64) bool {
+	same := rs.Group == GroupAll || first.Zone == next.Zone && (rs.Group == GroupZone || first.Cell == next.Cell)
+	return rs.Effect == Replayable || rs.Effect == Deduplicated && same && now < sent+rs.Window
 }
 
 // allowed reports whether the request may go to this server: inside its placement, without a second effect.
@@ -655,7 +654,8 @@
 		return false
 	}
 	for _, d := range r.dispatches {
-		if d.pending && d.server == s || d.maybeRan && !r.rules.Again(d.server.Server, s.Server, d.sentAt, now) {
+		if d.pending && d.server == s ||
+			d.maybeRan && !r.rules.CanRepeat(d.server.Server, s.Server, d.sentAt, now) {
 			return false
 		}
 	}
@@ -669,7 +669,7 @@
 		return nil
 	}
 	var ranked [maxRanks]*server
-	p, lot := r.placement, math.Mod(r.random*1e6, 1)
+	p, draw := r.placement, math.Mod(r.random*1e6, 1)
 	answered := min(1, (0.1+p.answers.Now(now, span))/(1+p.firstDispatches.Now(now, span)))
 	for _, s := range b.servers {
 		if s.weight == 0 || (s.ejected || s.silent) && !p.panicMode || !r.allowed(s, now) {
@@ -685,12 +685,12 @@
 		if slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.server == s }) {
 			w *= 1e-9 // one that was tried already is the last resort
 		}
-		s.score = -w / math.Log(draw.Hash(cmp.Or(r.rankKey, r.Key), s.ID))
+		s.score = -w / math.Log(rng.Hash(cmp.Or(r.rankKey, r.Key), s.ID))
 		if s.rampShare < 1 {
 			// With one popular key, or while others are out, all balancers together would overload it: it is drawn
 			// at random, only for first dispatches, up to its share of what is answered.
 			part := coldFactor * answered * s.weightFor(p) / p.totalWeight
-			if lot -= part; len(r.dispatches) > 0 || lot > 0 || lot <= -part {
+			if draw -= part; len(r.dispatches) > 0 || draw > 0 || draw <= -part {
 				continue
 			}
 			s.score = math.Inf(1)
@@ -717,23 +717,23 @@
 	if r.placement.panicMode {
 		healthy = len(b.servers) // all can be picked
 	}
-	apiece := minInflight / float64(max(1, b.cfg.FleetSize)) // each server may always have this in flight
+	perServer := minInflight / float64(max(1, b.cfg.FleetSize)) // each server may always have this in flight
 	share := inflightShare
 	if b.cfg.TailWeight == 0 { // if the tail counts, a deny costs less than a late answer
-		share += max(0, min(extraShare, apiece*float64(len(b.servers))-1,
+		share += max(0, min(extraShare, perServer*float64(len(b.servers))-1,
 			1-2*b.refusedShare, 2*(slowRatio-b.latencyRatio)))
 	}
-	least := apiece * float64(healthy)
-	if least < 1 {
+	minimum := perServer * float64(healthy)
+	if minimum < 1 {
 		// One dispatch for each of hundreds is several per server: while answers are late, fewer go, at random.
 		calm := max(1, calmInflight*float64(b.healthy)/float64(len(b.servers)))
-		least += (calm-least)*max(0, 1-math.Pow(b.latencyRatio/slowRatio, 6)) - r.random
+		minimum += (calm-minimum)*max(0, 1-math.Pow(b.latencyRatio/slowRatio, 6)) - r.random
 	}
-	full := least + b.answerRate.Now(now, span)*share*b.meanTarget.V/history
-	if r.value > 0 && b.meanValue.V > 0 { // when capacity is short, less valuable requests wait
-		full *= math.Pow(min(16, max(1.0/16, r.value/b.meanValue.V)), valueExponent)
+	bound := minimum + b.answerRate.Now(now, span)*share*b.meanTarget.Value/history
+	if r.value > 0 && b.meanValue.Value > 0 { // when capacity is short, less valuable requests wait
+		bound *= math.Pow(min(16, max(1.0/16, r.value/b.meanValue.Value)), valueExponent)
 	}
-	return full
+	return bound
 }
 
 // hasRoom reports whether a server may take one more: by rate times time, and by its share of all in flight.
@@ -741,16 +741,16 @@
 	limit := min(s.inflightCap, skipFactor*s.weightFor(r.placement)/r.placement.readyWeight*
 		float64(b.inflight+1)+skipSlack)
 	// During ejections the other servers may be loaded more, unless many balancers would do so at once.
-	more := max(1, min(fewBalancers/float64(max(2, b.cfg.FleetSize)),
+	boost := max(1, min(fewBalancers/float64(max(2, b.cfg.FleetSize)),
 		float64(len(b.servers))/float64(max(1, b.healthy))))
-	limit = min(limit, max(1, more*serverShare*float64(r.rules.ResponseTarget)/s.slotTime)) // time 0: no limit
+	limit = min(limit, max(1, boost*serverShare*float64(r.rules.ResponseTarget)/s.slotTime)) // time 0: no limit
 	return now >= s.fullUntil && float64(len(s.inflight)) < limit
 }
 
 func (b *Balancer) sendTo(r *request, s *server, now int64) {
 	d := &dispatch{request: r, server: s, sentAt: now, pending: true, maybeRan: true}
-	if rest := now - s.lastOutcomeAt; s.lastOutcomeAt > 0 && rest > minIdleTime && len(s.inflight) == 0 {
-		d.idleStep = min(len(b.timeouts)-1, bits.Len64(uint64(rest/minIdleTime)))
+	if idle := now - s.lastOutcomeAt; s.lastOutcomeAt > 0 && idle > minIdleTime && len(s.inflight) == 0 {
+		d.idleStep = min(len(b.timeouts)-1, bits.Len64(uint64(idle/minIdleTime)))
 	}
 	if b.timeouts[d.idleStep].Now(now, idleLossSpan) > idleLossLimit+b.timeouts[0].Now(now, idleLossSpan) {
 		// The network may drop what comes over idle connections: they are closed while such loss is seen.
@@ -771,7 +771,7 @@
 }
 
 // dispatchDeadline is when a dispatch ends by itself. A server whose clock is ahead refuses or aborts what
-// seems overdue to it: if clocks may differ it is told the client's deadline, and a cancel ends the dispatch.
+// seems overdue to it: if clocks may differ it gets the client's deadline, and a cancel ends the dispatch.
 func (b *Balancer) dispatchDeadline(r *request) int64 {
 	if b.cfg.BudgetError > 0 && b.cfg.CanCancel {
 		return r.clientDeadline
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -5,14 +5,14 @@
 	"math"
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // newBalancer returns an instance with n running servers of one zone and cell, named a, b, c...
 func newBalancer(n int, change func(*Config)) *Balancer {
 	t := Config{Seed: 7, Zone: "z", MaxDispatches: 3, CanCancel: true, Tick: 5 * ms, StartCapacity: 0.2, WarmKeys: true,
 		RampTime: 20 * sec, RuleSets: []RuleSet{
-			{Name: "again", Effect: Replayable, BillingValue: 1, ResponseTarget: sec},
+			{Name: "replayable", Effect: Replayable, BillingValue: 1, ResponseTarget: sec},
 			{Name: "cell", Effect: Deduplicated, Group: GroupCell, Window: sec, BillingValue: 1, ResponseTarget: sec},
 			{Name: "zone", Effect: Deduplicated, Group: GroupZone, Window: sec, BillingValue: 1, ResponseTarget: sec},
 			{Name: "all", Effect: Deduplicated, Group: GroupAll, Window: sec, BillingValue: 1, ResponseTarget: sec},
@@ -25,14 +25,14 @@
 	for i := range list {
 		list[i] = Server{ID: string(rune('a' + i)), Zone: "z", Share: 1}
 	}
-	b.Listed(ListRestored, list, 0)
+	b.UpdateList(ListRestored, list, 0)
 	b.reviewServers(0)
 	return b
 }
 
 // addRequest adds a request and returns the balancer's record of it.
 func addRequest(b *Balancer, id uint64, rules, key string) *request {
-	b.Req(Arrival{ID: id, RuleSet: rules, Key: key, Budget: 2 * sec}, 0)
+	b.AddRequest(Arrival{ID: id, RuleSet: rules, Key: key, Budget: 2 * sec}, 0)
 	return b.requests[id]
 }
 
@@ -65,12 +65,12 @@
 	}{
 		{"no server", 0, "once", 2 * sec, nil, 200 * ms, Deny},
 		{"all draining", 2, "once", 2 * sec, func(b *Balancer) {
-			b.Listed(ListUpdate, []Server{{ID: "a", State: Draining}, {ID: "b", State: Gone}}, 0)
+			b.UpdateList(ListUpdate, []Server{{ID: "a", State: Draining}, {ID: "b", State: Gone}}, 0)
 		}, 200 * ms, Deny},
 		{"a budget of 4 ms", 2, "once", 4 * ms, nil, 0, Deny},
 		{"unknown rule set counts as non-replayable", 1, "other", 20 * ms, nil, 10 * ms, Abort},
 		{"no answer until the response target", 1, "once", 2 * sec, nil, 990 * ms, Abort},
-		{"replayable may be denied after a dispatch", 1, "again", 2 * sec, nil, 990 * ms, Deny},
+		{"replayable may be denied after a dispatch", 1, "replayable", 2 * sec, nil, 990 * ms, Deny},
 		{"deduplicated by cell may not", 1, "cell", 2 * sec, nil, 990 * ms, Abort},
 		{"deduplicated by all may", 1, "all", 2 * sec, nil, 990 * ms, Deny},
 	} {
@@ -79,7 +79,7 @@
 			if c.setup != nil {
 				c.setup(b)
 			}
-			b.Req(Arrival{ID: 1, RuleSet: c.rules, Budget: c.budget}, 0)
+			b.AddRequest(Arrival{ID: 1, RuleSet: c.rules, Budget: c.budget}, 0)
 			got := drain(b, 0, -1)
 			got = append(got, drain(b, c.at, -1)...)
 			n := 0
@@ -104,7 +104,7 @@
 func TestNoDuplicateEffects(t *testing.T) {
 	neverRan := map[Outcome]bool{Refused: true, NoConnection: true, NotSent: true}
 	for o := Errored; o <= Unknown; o++ {
-		for _, rules := range []string{"again", "cell", "once"} {
+		for _, rules := range []string{"replayable", "cell", "once"} {
 			t.Run(fmt.Sprint(rules, " after outcome ", o), func(t *testing.T) {
 				b := newBalancer(3, nil)
 				b.servers[1].Cell, b.servers[2].Cell = 1, 1
@@ -112,12 +112,12 @@
 				b.sendTo(r, b.servers[0], 0)
 				b.Finished(1, 0, o, false, ms, ms)
 				for i, s := range b.servers {
-					want := rules == "again" || neverRan[o] || rules == "cell" && i == 0
+					want := rules == "replayable" || neverRan[o] || rules == "cell" && i == 0
 					if got := b.canSend(r) && r.allowed(s, ms); got != want {
 						t.Errorf("server %d allowed: %v, want %v", i, got, want)
 					}
 				}
-				if got, want := b.canDeny(r), rules == "again" || neverRan[o]; got != want {
+				if got, want := b.canDeny(r), rules == "replayable" || neverRan[o]; got != want {
 					t.Errorf("deny allowed: %v, want %v", got, want)
 				}
 			})
@@ -146,7 +146,7 @@
 	})
 	t.Run("no parallel dispatches unless configured", func(t *testing.T) {
 		b := newBalancer(2, nil)
-		r := addRequest(b, 1, "again", "k")
+		r := addRequest(b, 1, "replayable", "k")
 		if b.sendTo(r, b.servers[0], 0); b.canSend(r) {
 			t.Error("a second dispatch is allowed")
 		}
@@ -221,7 +221,8 @@
 			b := newBalancer(1, nil)
 			s := b.servers[0]
 			s.streak = 1
-			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms}, o, ms, 2*ms)
+			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms},
+				o, ms, 2*ms)
 			if s.streak != want {
 				t.Errorf("got %d, want %d", s.streak, want)
 			}
@@ -231,7 +232,8 @@
 		b := newBalancer(1, nil)
 		s := b.servers[0]
 		s.answeredAt = 2 * ms
-		b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms}, TimedOut, sec, sec)
+		b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms},
+			TimedOut, sec, sec)
 		if s.streak != 0 || s.health != 0.7 {
 			t.Errorf("streak %d, health %.2f", s.streak, s.health)
 		}
@@ -241,7 +243,8 @@
 			b := newBalancer(1, nil)
 			s := b.servers[0]
 			s.latency, s.answeredAt = float64(lat), 0
-			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms}, TimedOut, sec, sec)
+			b.recordOutcome(s, &dispatch{request: addRequest(b, 1, "once", "k"), server: s, inflightRank: 1, sentAt: ms},
+				TimedOut, sec, sec)
 			if s.streak != want || s.latency != float64(lat) {
 				t.Errorf("mean latency %d ms: streak %d, want %d", lat/ms, s.streak, want)
 			}
@@ -251,9 +254,9 @@
 		b := newBalancer(2, nil)
 		b.servers[0].health, b.servers[0].ejected = 0.4, true
 		b.reviewServers(0)
-		b.Listed(ListUpdate, []Server{{ID: "c"}}, sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "c"}}, sec)
 		assertNear(t, "new server", b.servers[2].health, 0.7, 1e-12)
-		b.Listed(ListUpdate, []Server{{ID: "a", Since: sec}}, 2*sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Since: sec}}, 2*sec)
 		s := b.servers[0]
 		assertNear(t, "restarted", s.health, 0.7, 1e-12)
 		if s.ejected || s.inflightCap != newServerCap {
@@ -263,7 +266,7 @@
 	t.Run("with only a streaming answer open nothing is due", func(t *testing.T) {
 		b := newBalancer(1, nil)
 		b.sendTo(addRequest(b, 1, "once", "k"), b.servers[0], 0)
-		b.Started(1)
+		b.StreamStarted(1)
 		if got := drain(b, sec, Wake); len(got) != 0 {
 			t.Errorf("got %v", got)
 		}
@@ -273,7 +276,7 @@
 		s := b.servers[0]
 		s.latency = float64(100 * ms)
 		b.sendTo(addRequest(b, 1, "once", "k"), s, 0)
-		b.Started(1)
+		b.StreamStarted(1)
 		if b.reviewServers(9 * sec); s.silent {
 			t.Error("the server counts as silent")
 		}
@@ -285,11 +288,12 @@
 			idle   int64
 			step   int
 			closed bool
-		}{{0, 0, false}, {minIdleTime, 0, false}, {minIdleTime + 1, 1, false}, {2 * minIdleTime, 2, false}, {4 * minIdleTime, 3, true},
-			{8 * minIdleTime, 4, true}, {99 * minIdleTime, 4, true}} {
+		}{{0, 0, false}, {minIdleTime, 0, false}, {minIdleTime + 1, 1, false}, {2 * minIdleTime, 2, false},
+			{4 * minIdleTime, 3, true}, {8 * minIdleTime, 4, true}, {99 * minIdleTime, 4, true}} {
 			b := newBalancer(1, nil)
 			s, now := b.servers[0], 5*sec+c.idle
-			b.timeouts[3], b.timeouts[4] = fade.Count{N: idleLossLimit + 0.01, At: now}, fade.Count{N: idleLossLimit + 0.01, At: now}
+			b.timeouts[3], b.timeouts[4] = decay.Counter{Value: idleLossLimit + 0.01, At: now},
+				decay.Counter{Value: idleLossLimit + 0.01, At: now}
 			s.lastOutcomeAt = 5 * sec
 			b.sendTo(addRequest(b, 1, "once", "k"), s, now)
 			step := c.step
@@ -307,12 +311,13 @@
 		s.lastOutcomeAt = sec
 		b.sendTo(addRequest(b, 1, "once", "k"), s, 2*sec)
 		b.Finished(1, 0, TimedOut, false, sec, 3*sec)
-		assertNear(t, "loss", b.timeouts[3].N, 0.15, 1e-12)
-		assertNear(t, "loss over busy connections", b.timeouts[0].N, 0, 1e-12)
-		b.timeouts[3].N = 0.5
+		assertNear(t, "loss", b.timeouts[3].Value, 0.15, 1e-12)
+		assertNear(t, "loss over busy connections", b.timeouts[0].Value, 0, 1e-12)
+		b.timeouts[3].Value = 0.5
 		now := 3*sec + idleLossSpan
 		s.lastOutcomeAt = now - sec
-		if b.sendTo(addRequest(b, 2, "once", "k"), s, now); b.decisions[len(b.decisions)-1].Kind == CloseConnections || s.inflight[0].idleStep != 3 {
+		if b.sendTo(addRequest(b, 2, "once", "k"), s, now); b.decisions[len(b.decisions)-1].Kind == CloseConnections ||
+			s.inflight[0].idleStep != 3 {
 			t.Error("connections are closed for a loss that has decayed")
 		}
 	})
@@ -370,7 +375,7 @@
 	})
 	t.Run("few keys move when a server leaves, and keys are not correlated", func(t *testing.T) {
 		b, c := newBalancer(5, nil), newBalancer(5, nil)
-		c.Listed(ListUpdate, []Server{{ID: "e", State: Gone}}, 0)
+		c.UpdateList(ListUpdate, []Server{{ID: "e", State: Gone}}, 0)
 		c.placementOf(&c.cfg.RuleSets[0])
 		same := 0.0
 		last := ""
@@ -392,7 +397,7 @@
 		b := newBalancer(2, nil)
 		n := map[string]int{}
 		for i := range uint64(1000) {
-			n[b.pickServer(addRequest(b, i, "again", ""), 0).ID]++
+			n[b.pickServer(addRequest(b, i, "replayable", ""), 0).ID]++
 		}
 		if n["a"] < 400 || n["b"] < 400 {
 			t.Errorf("got %v", n)
@@ -426,11 +431,11 @@
 	})
 	t.Run("no new requests to a draining server", func(t *testing.T) {
 		b := newBalancer(2, nil)
-		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", State: Draining}}, 0)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", State: Draining}}, 0)
 		b.computeWeights(0)
 		for i := range 100 {
-			if s := b.pickServer(&request{maxDispatches: 3, rules: &b.cfg.RuleSets[0], placement: b.placementOf(&b.cfg.RuleSets[0]),
-				Arrival: Arrival{Key: fmt.Sprint(i)}}, 0); s.ID == "a" {
+			if s := b.pickServer(&request{maxDispatches: 3, rules: &b.cfg.RuleSets[0],
+				placement: b.placementOf(&b.cfg.RuleSets[0]), Arrival: Arrival{Key: fmt.Sprint(i)}}, 0); s.ID == "a" {
 				t.Fatal("a draining server was picked")
 			}
 		}
@@ -439,8 +444,8 @@
 		b := newBalancer(9, nil)
 		b.servers[0].ejected, b.servers[0].ejectedUntil = true, sec
 		b.reviewServers(0)
-		b.answerRate.N, b.answerRate.At = 100*float64(span/sec), 1000*sec
-		r := addRequest(b, 1, "again", "k")
+		b.answerRate.Value, b.answerRate.At = 100*float64(span/sec), 1000*sec
+		r := addRequest(b, 1, "replayable", "k")
 		calm := calmInflight * 8 / 9 // one of nine is ejected
 		for _, c := range []struct {
 			balancers                  int
@@ -463,7 +468,7 @@
 		for _, b.latencyRatio = range []float64{0, 1} {
 			sent := 0
 			for i := range uint64(1000) {
-				if b.pickServer(addRequest(b, i, "again", "k"), 0) != nil {
+				if b.pickServer(addRequest(b, i, "replayable", "k"), 0) != nil {
 					sent++
 				}
 			}
@@ -474,7 +479,7 @@
 	})
 	t.Run("a request goes to no server beyond the first maxRanks", func(t *testing.T) {
 		b := newBalancer(8, nil)
-		r := addRequest(b, 1, "again", "k")
+		r := addRequest(b, 1, "replayable", "k")
 		for range maxRanks {
 			b.pickServer(r, 0).inflightCap = 0
 		}
@@ -484,7 +489,7 @@
 	})
 	t.Run("a tenant above its share ranks lower", func(t *testing.T) {
 		b := newBalancer(1, func(t *Config) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
-		b.answerRate.N, b.tenantRates[0].N, b.tenantRates[1].N = 10, 8, 2
+		b.answerRate.Value, b.tenantRates[0].Value, b.tenantRates[1].Value = 10, 8, 2
 		x, y := &request{maxDispatches: 3, rules: &b.cfg.RuleSets[0]}, &request{rules: &b.cfg.RuleSets[0], tenant: 1}
 		if b.requestValue(x, 0) >= b.requestValue(y, 0) {
 			t.Errorf("got %.2f for x, %.2f for y", b.requestValue(x, 0), b.requestValue(y, 0))
@@ -498,12 +503,12 @@
 	if len(drain(b, sec, RequestList)) != 1 {
 		t.Fatal("the list is not requested at the start")
 	}
-	b.Listed(ListReplace, []Server{{ID: "a"}}, 2*sec)
+	b.UpdateList(ListReplace, []Server{{ID: "a"}}, 2*sec)
 	if len(drain(b, 60*sec, RequestList)) != 0 {
 		t.Error("a subscribed instance requested the list again")
 	}
 	for range 5 {
-		b.Listed(ListUnavailable, nil, 60*sec)
+		b.UpdateList(ListUnavailable, nil, 60*sec)
 		if wait := b.askAt - 60*sec; wait <= 0 || wait > 5*sec {
 			t.Errorf("requested again after %d ms", wait/ms)
 		}
@@ -516,7 +521,7 @@
 	}
 }
 
-// New terms must not apply to requests that are open, and must not discard the state of servers.
+// New settings must not apply to requests that are open, and must not discard the state of servers.
 func TestRetune(t *testing.T) {
 	b := newBalancer(2, func(t *Config) { t.Tenants = []Tenant{{"x", 0.5}, {"y", 0.5}} })
 	b.servers[0].health, b.servers[1].streak = 0.4, 1
@@ -526,9 +531,10 @@
 	next := b.cfg
 	next.MaxDispatches, next.Tenants = 1, []Tenant{{"y", 1}}
 	next.RuleSets = []RuleSet{{Name: "once", Effect: Replayable, ResponseTarget: sec / 5, BillingValue: 1}}
-	b.Retune(next, 0)
+	b.Reconfigure(next, 0)
 	if old.rules.Effect != NonReplayable || old.rules.ResponseTarget != sec || old.maxDispatches != 3 || old.tenant != 0 {
-		t.Errorf("got %+v, at most %d dispatches, tenant %d for the open request, want its old rules and its tenant's new index", old.rules, old.maxDispatches, old.tenant)
+		t.Errorf("got %+v, at most %d dispatches, tenant %d for the open request, want its old rules and tenant's new index",
+			old.rules, old.maxDispatches, old.tenant)
 	}
 	if now := addRequest(b, 2, "once", "k"); now.rules.Effect != Replayable || now.maxDispatches != 1 {
 		t.Errorf("got %+v, at most %d dispatches for a new request, want the new rules", now.rules, now.maxDispatches)
@@ -548,39 +554,41 @@
 // A request is in flight, and its time runs, only from the end of its body to the begin of its answer.
 func TestStreamedRequest(t *testing.T) {
 	b := newBalancer(1, nil)
-	b.Req(Arrival{ID: 1, RuleSet: "once", Budget: 2 * sec, BodyPending: true}, 0)
+	b.AddRequest(Arrival{ID: 1, RuleSet: "once", Budget: 2 * sec, BodyPending: true}, 0)
 	if got := drain(b, 0, Dispatch); len(got) != 1 || b.inflight != 0 || len(b.servers[0].inflight) != 0 {
 		t.Fatalf("got %v, %d in flight, want one dispatch that does not count as in flight", got, b.inflight)
 	}
 	if got := drain(b, 10*sec, -1); len(got) != 0 || b.servers[0].silent {
 		t.Fatalf("got %v while the body arrives", got)
 	}
-	b.Whole(1, 10*sec)
-	b.Whole(1, 11*sec) // must not count twice
+	b.BodyComplete(1, 10*sec)
+	b.BodyComplete(1, 11*sec) // must not count twice
 	if got := drain(b, 10*sec, SetDeadline); len(got) != 1 || got[0].Time != 11*sec-2*b.cfg.Tick || b.inflight != 1 {
 		t.Fatalf("got %v, %d in flight, want the time to start with the end of the body", got, b.inflight)
 	}
-	b.Started(1)
-	b.Passed(1, 0, sec/10, 10*sec+sec/10)
+	b.StreamStarted(1)
+	b.AnswerStarted(1, 0, sec/10, 10*sec+sec/10)
 	if b.inflight != 0 || b.servers[0].latency != float64(sec)/10 {
-		t.Fatalf("%d in flight, answer time %v, want the server's latency measured to the begin of the answer", b.inflight, b.servers[0].latency)
+		t.Fatalf("%d in flight, answer time %v, want the server's latency measured to the begin of the answer",
+			b.inflight, b.servers[0].latency)
 	}
 	if got := drain(b, 30*sec, -1); len(got) != 0 {
 		t.Fatalf("got %v after the answer began to stream", got)
 	}
 	b.Finished(1, 0, Served, true, 20*sec, 30*sec)
 	if b.inflight != 0 || len(b.requests) != 0 || b.servers[0].latency != float64(sec)/10 {
-		t.Fatalf("%d in flight, %d requests, answer time %v, want it counted once", b.inflight, len(b.requests), b.servers[0].latency)
+		t.Fatalf("%d in flight, %d requests, answer time %v, want it counted once",
+			b.inflight, len(b.requests), b.servers[0].latency)
 	}
 }
 
 // A request whose body is no longer buffered must not be dispatched again, even if a repeat would be safe.
 func TestNoDispatchWithoutBufferedBody(t *testing.T) {
-	for rules, want := range map[string]DecisionKind{"again": Deny, "once": Deny} {
+	for rules, want := range map[string]DecisionKind{"replayable": Deny, "once": Deny} {
 		b := newBalancer(2, nil)
-		b.Req(Arrival{ID: 1, RuleSet: rules, Budget: 2 * sec, BodyPending: true}, 0)
+		b.AddRequest(Arrival{ID: 1, RuleSet: rules, Budget: 2 * sec, BodyPending: true}, 0)
 		drain(b, 0, Dispatch)
-		b.Spent(1)
+		b.BodyDropped(1)
 		b.Finished(1, 0, NoConnection, false, 1, 1)
 		if got := drain(b, 1, -1); len(got) != 1 || got[0].Kind != want {
 			t.Errorf("%s: got %v, want it denied", rules, got)
@@ -592,7 +600,7 @@
 func TestNewServerCapIsDividedAmongProcesses(t *testing.T) {
 	for beside, want := range []float64{newServerCap, newServerCap / 2} {
 		b := newBalancer(2, func(t *Config) { t.SiblingProcesses = beside })
-		b.Listed(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: sec}}, sec)
+		b.UpdateList(ListUpdate, []Server{{ID: "a", Zone: "z", Share: 1, Since: sec}}, sec)
 		assertNear(t, "cap", b.servers[0].inflightCap, want, 0)
 	}
 }
@@ -606,7 +614,7 @@
 		for range answers {
 			b.answerRate.Add(0, span)
 		}
-		b.Req(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, gap)
+		b.AddRequest(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, gap)
 		for at := gap; at < gap+sec/2; at += sec / 200 { // 200 answers a second
 			b.answerRate.Add(at, span)
 		}
@@ -614,13 +622,14 @@
 	}
 	steady, afterLull := bound(sec/100, 0), bound(4*sec, 800)
 	if afterLull < 2*steady || afterLull < 50 {
-		t.Errorf("bound is %.1f half a second after a lull, %.1f without one, want it to follow the rate of that half second", afterLull, steady)
+		t.Errorf("bound is %.1f half a second after a lull, %.1f without one, want it to follow the rate of that half second",
+			afterLull, steady)
 	}
 	b := newBalancer(4, nil)
 	b.rateStart = -100 * sec
 	addRequest(b, 1, "once", "k")
 	b.answerRate.Add(0, span)
-	if b.Req(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, 3*sec); b.rateStart != -100*sec {
+	if b.AddRequest(Arrival{ID: 2, RuleSet: "once", Budget: 2 * sec}, 3*sec); b.rateStart != -100*sec {
 		t.Error("a usual gap was taken for a lull")
 	}
 }
--- a/balance/close_test.go
+++ b/balance/inflight_bound_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // If there are few balancers for the servers, each sees the servers' state and may have more in flight. A hundred
@@ -24,10 +24,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(c.servers, func(t *Config) { t.FleetSize = c.balancers })
-			r := addRequest(b, 1, "again", "k")
+			r := addRequest(b, 1, "replayable", "k")
 			b.healthy -= c.ejected
 			idle := b.inflightBound(r, 100*sec)
-			b.answerRate = fade.Count{N: 100 * float64(span/sec), At: 100 * sec} // requests of 1 s, 100 a second
+			b.answerRate = decay.Counter{Value: 100 * float64(span/sec), At: 100 * sec} // requests of 1 s, 100 a second
 			assertNear(t, "in flight for the rate", b.inflightBound(r, 100*sec)-idle, 100*c.share, 0.5)
 		})
 	}
@@ -37,11 +37,11 @@
 // the narrow bound must apply, and few refusals must leave the wide one. Answers restore it.
 func TestRefusalsNarrowTheInflightBound(t *testing.T) {
 	b := newBalancer(8, func(t *Config) { t.FleetSize = 2 })
-	r := addRequest(b, 1, "again", "k")
+	r := addRequest(b, 1, "replayable", "k")
 	share := func() float64 {
-		b.answerRate = fade.Count{}
+		b.answerRate = decay.Counter{}
 		idle := b.inflightBound(r, 100*sec)
-		b.answerRate = fade.Count{N: 100 * float64(span/sec), At: 100 * sec}
+		b.answerRate = decay.Counter{Value: 100 * float64(span/sec), At: 100 * sec}
 		return (b.inflightBound(r, 100*sec) - idle) / 100
 	}
 	s, d := b.servers[0], &dispatch{request: r, server: b.servers[0], inflightRank: 1}
--- a/balance/standing_test.go
+++ b/balance/standing_test.go
@@ -10,7 +10,7 @@
 	"slices"
 	"testing"
 
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 )
 
 const step = 5 * ms // of the simulated clock
@@ -19,7 +19,7 @@
 type simulation struct {
 	all    []*Balancer
 	wakes  []int64 // by instance
-	rng    draw.Dice
+	rng    rng.Source
 	now    int64
 	last   uint64           // number of the latest request
 	due    []answer         // by time
@@ -40,7 +40,7 @@
 }
 
 func newSimulation(instances, servers int, change func(*Config)) *simulation {
-	c := &simulation{rng: draw.Dice{Seed: 3}, work: 100 * ms, busy: map[string]int64{}, sent: map[string][]int64{},
+	c := &simulation{rng: rng.Source{Seed: 3}, work: 100 * ms, busy: map[string]int64{}, sent: map[string][]int64{},
 		open: map[uint64]string{}, asked: map[string]int{}, served: map[string]int{},
 		wakes: make([]int64, instances)}
 	list := make([]Server, servers)
@@ -50,25 +50,25 @@
 	for i := range instances {
 		t := Config{Seed: uint64(i + 1), Zone: "z", FleetSize: instances, MaxDispatches: 3, CanCancel: true, Tick: step,
 			StartCapacity: 0.2, RampTime: 20 * sec, OverloadFactor: 3, OverloadTime: 3 * sec, WastePrice: 1,
-			RuleSets: []RuleSet{{Name: "dear", Effect: NonReplayable, ResponseTarget: 800 * ms, BillingValue: 1},
+			RuleSets: []RuleSet{{Name: "expensive", Effect: NonReplayable, ResponseTarget: 800 * ms, BillingValue: 1},
 				{Name: "cheap", Effect: Replayable, ResponseTarget: 800 * ms, BillingValue: 0.2}}}
 		if change != nil {
 			change(&t)
 		}
 		b := New(t, 0)
-		b.Listed(ListReplace, list, 0)
+		b.UpdateList(ListReplace, list, 0)
 		c.all = append(c.all, b)
 	}
 	return c
 }
 
-// take adds a request at an instance. Its class is the tenant and the rule set.
-func (c *simulation) take(instance int, rules, tenant, key string) {
+// addRequest adds a request at an instance. Its class is the tenant and the rule set.
+func (c *simulation) addRequest(instance int, rules, tenant, key string) {
 	c.last++
 	what := tenant + rules
 	c.open[c.last] = what
 	c.asked[what]++
-	c.all[instance].Req(Arrival{ID: c.last, RuleSet: rules, Tenant: tenant, Key: key, Budget: 3 * sec}, c.now)
+	c.all[instance].AddRequest(Arrival{ID: c.last, RuleSet: rules, Tenant: tenant, Key: key, Budget: 3 * sec}, c.now)
 	c.wakes[instance] = c.now
 }
 
@@ -124,15 +124,17 @@
 	c.due = slices.Insert(c.due, i, a)
 }
 
-// comes reports whether a request of a stream of that rate per second arrives in this step.
-func (c *simulation) comes(rate float64) bool { return c.rng.Next() < rate*float64(step)/float64(sec) }
+// arrives reports whether a request of a stream of that rate per second arrives in this step.
+func (c *simulation) arrives(rate float64) bool {
+	return c.rng.Next() < rate*float64(step)/float64(sec)
+}
 
 func (c *simulation) servedShare(what string) float64 {
 	return float64(c.served[what]) / float64(max(1, c.asked[what]))
 }
 
-// All instances learn at the same moment that a server has started. What they send to it together within the FallTime
-// of the settings must stay below N + 3 x root of N + 3, where N is what the settings allow, even with a key that needs
+// All instances learn at the same moment that a server has started. What they send to it together within OverloadTime
+// must stay below N + 3 x root of N + 3, where N is what the settings allow, even with a key that needs
 // many servers.
 func TestColdServerIsNotOverloaded(t *testing.T) {
 	for _, hot := range []float64{0, 0.06} {
@@ -143,42 +145,42 @@
 			rate := utilisation * servers * float64(sec) / float64(c.work) / 300
 			each := func() {
 				for i := range c.all {
-					if c.comes(rate) {
+					if c.arrives(rate) {
 						key := fmt.Sprint("key-", int(400*c.rng.Next()))
 						if c.rng.Next() < hot {
 							key = "hot"
 						}
-						c.take(i, "dear", "", key)
+						c.addRequest(i, "expensive", "", key)
 					}
 				}
 			}
 			c.play(5*sec, each)
 			startedAt := c.now
 			for i, b := range c.all {
-				b.Listed(ListUpdate, []Server{{ID: "s-007", Zone: "z", Share: 1, Since: startedAt}}, startedAt)
+				b.UpdateList(ListUpdate, []Server{{ID: "s-007", Zone: "z", Share: 1, Since: startedAt}}, startedAt)
 				c.wakes[i] = startedAt
 			}
 			c.play(startedAt+10*sec, each)
-			got, terms := c.sent["s-007"], c.all[0].cfg
+			got, cfg := c.sent["s-007"], c.all[0].cfg
 			got = got[slices.IndexFunc(got, func(at int64) bool { return at >= startedAt }):]
 			for i, from := range got {
 				n := 0
 				for _, at := range got[i:] {
-					if at < from+terms.OverloadTime {
+					if at < from+cfg.OverloadTime {
 						n++
 					}
 				}
-				full := float64(terms.OverloadTime) / float64(c.work)
-				warm := terms.StartCapacity + (1-terms.StartCapacity)*float64(from-startedAt)/float64(terms.RampTime)
-				allowed := terms.OverloadFactor * warm * full
+				full := float64(cfg.OverloadTime) / float64(c.work)
+				warm := cfg.StartCapacity + (1-cfg.StartCapacity)*float64(from-startedAt)/float64(cfg.RampTime)
+				allowed := cfg.OverloadFactor * warm * full
 				if most := allowed + 3*math.Sqrt(allowed) + 3; float64(n) > most {
-					t.Fatalf("%d requests in the FallTime after %d ms, %.0f are allowed", n, (from-startedAt)/ms, most)
+					t.Fatalf("%d requests in the OverloadTime after %d ms, %.0f are allowed", n, (from-startedAt)/ms, most)
 				}
 			}
 			if len(got) < 5 {
 				t.Errorf("a cold server gets %d requests in 10 s, want at least 5", len(got))
 			}
-			if x := c.servedShare("dear"); x < 0.8 {
+			if x := c.servedShare("expensive"); x < 0.8 {
 				t.Errorf("%.2f of the requests are served", x)
 			}
 		})
@@ -188,25 +190,25 @@
 // Under twice the load that servers can take, the expensive class, whose requests must not be repeated, gets most of the
 // capacity, and the cheap one still gets some.
 func TestEachClassIsServed(t *testing.T) {
-	for name, each := range map[string]struct{ dear, cheap float64 }{
-		"half each": {10, 10}, "few cheap": {18, 2}, "few dear": {2, 18},
+	for name, each := range map[string]struct{ expensive, cheap float64 }{
+		"half each": {10, 10}, "few cheap": {18, 2}, "few expensive": {2, 18},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newSimulation(10, 10, nil)
 			c.play(30*sec, func() {
 				for i := range c.all {
-					if c.comes(each.dear) {
-						c.take(i, "dear", "", "")
+					if c.arrives(each.expensive) {
+						c.addRequest(i, "expensive", "", "")
 					}
-					if c.comes(each.cheap) {
-						c.take(i, "cheap", "", "")
+					if c.arrives(each.cheap) {
+						c.addRequest(i, "cheap", "", "")
 					}
 				}
 			})
-			dear, cheap := c.servedShare("dear"), c.servedShare("cheap")
-			t.Logf("dear %.2f, cheap %.2f", dear, cheap)
-			if dear < 0.45 || cheap < 0.1 || dear < cheap {
-				t.Errorf("served: dear %.2f, cheap %.2f", dear, cheap)
+			expensive, cheap := c.servedShare("expensive"), c.servedShare("cheap")
+			t.Logf("expensive %.2f, cheap %.2f", expensive, cheap)
+			if expensive < 0.45 || cheap < 0.1 || expensive < cheap {
+				t.Errorf("served: expensive %.2f, cheap %.2f", expensive, cheap)
 			}
 		})
 	}
@@ -218,13 +220,13 @@
 	c.play(30*sec, func() {
 		for i := range c.all {
 			for tenant, rate := range []float64{0.8, 2.5, 20} {
-				if c.comes(rate) {
-					c.take(i, "dear", c.all[0].cfg.Tenants[tenant].Name, "")
+				if c.arrives(rate) {
+					c.addRequest(i, "expensive", c.all[0].cfg.Tenants[tenant].Name, "")
 				}
 			}
 		}
 	})
-	small, mid, flood := c.servedShare("smalldear"), c.servedShare("middear"), c.servedShare("flooddear")
+	small, mid, flood := c.servedShare("smallexpensive"), c.servedShare("midexpensive"), c.servedShare("floodexpensive")
 	t.Logf("small %.2f, mid %.2f, flood %.2f", small, mid, flood)
 	if small < 0.5 || mid < 0.5 || flood > small || flood > mid {
 		t.Errorf("served: small %.2f, mid %.2f, flood %.2f", small, mid, flood)
@@ -241,16 +243,16 @@
 		clear(c.sent)
 		c.play(int64(third+1)*900*sec, func() {
 			for i := range c.all {
-				if c.comes(6) {
-					c.take(i, "dear", "", fmt.Sprint("key-", c.last%5000))
+				if c.arrives(6) {
+					c.addRequest(i, "expensive", "", fmt.Sprint("key-", c.last%5000))
 				}
 			}
 		})
-		if x := c.servedShare("dear"); x < 0.97 {
+		if x := c.servedShare("expensive"); x < 0.97 {
 			t.Errorf("third %d: %.3f served", third+1, x)
 		}
 		b := c.all[0]
-		kept = append(kept, len(b.requests)+len(b.open)+len(b.decisions)+cap(b.servers)+len(b.Memory(c.now).Keys))
+		kept = append(kept, len(b.requests)+len(b.open)+len(b.decisions)+cap(b.servers)+len(b.Snapshot(c.now).Keys))
 	}
 	t.Log(kept)
 	if kept[2] > 2*kept[0]+20 {
@@ -266,12 +268,12 @@
 		for seed := range uint64(100) {
 			b := New(Config{Seed: seed, ListOnRequest: true, AskWithin: within, FleetSize: 300, Tick: step}, 0)
 			first := b.askAt
-			b.Listed(ListReplace, nil, first)
+			b.UpdateList(ListReplace, nil, first)
 			if b.askAt != 0 {
 				t.Fatal("requests the list although it is subscribed")
 			}
 			for now := 10 * sec; now < 40*sec; now = b.askAt { // discovery is down
-				b.Listed(ListUnavailable, nil, now)
+				b.UpdateList(ListUnavailable, nil, now)
 				if wait := b.askAt - now; wait <= 0 || wait >= within {
 					t.Fatalf("requests the list %d ms after a failure, %d allowed", wait/ms, within/ms)
 				}
--- a/balance/lean_test.go
+++ b/balance/weights_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"ivybank/internal/fade"
+	"ivybank/internal/decay"
 )
 
 // Unrestricted requests overloaded the few servers that are the only choice of restricted rule sets.
@@ -22,7 +22,7 @@
 			b := newBalancer(4, func(t *Config) { t.RuleSets[1].Kinds = []string{"small"} })
 			b.servers[0].Kind = "small"
 			free, restricted := b.placementOf(&b.cfg.RuleSets[0]), b.placementOf(&b.cfg.RuleSets[1])
-			free.firstDispatches, restricted.firstDispatches = fade.Count{N: c.free}, fade.Count{N: c.restricted}
+			free.firstDispatches, restricted.firstDispatches = decay.Counter{Value: c.free}, decay.Counter{Value: c.restricted}
 			free.slotTime, restricted.slotTime = float64(ms), float64(ms)
 			b.reviewServers(0)
 			got := 0.0
@@ -41,7 +41,7 @@
 // costly.
 func TestServersAreReviewedWhenDue(t *testing.T) {
 	b := newBalancer(3, nil)
-	r := addRequest(b, 1, "again", "k")
+	r := addRequest(b, 1, "replayable", "k")
 	drain(b, 0, -1)
 	r.dispatches[0].server.latency = 10 * float64(ms)
 	drain(b, ms, -1)
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -20,7 +20,7 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/holds"
-	"ivybank/internal/draw"
+	"ivybank/internal/rng"
 	"ivybank/proxy/sibling"
 )
 
@@ -71,14 +71,14 @@
 	clients   []*client       // in order of arrival; removed when their connection ends
 	pool      pool
 	list      discovery
-	dice      draw.Dice // for delays that the balancer does not decide
+	dice      rng.Source // for delays that the balancer does not decide
 	drain     drain
 	keys      *keys           // nil: no idempotency keys
 	peers     *peers          // nil: no peers
 	comeback  *comeback       // nil: not configured
 	works     *works          // nil: no maintenance plans
 	limits    *limits         // nil: no fleet-wide limits
-	deaf      bool            // peers are configured, but their address is in use
+	deaf      bool            // the address for peers is in use
 	terms     *balance.Config // replaced as a whole, never modified
 	sockets   int             // descriptors that this process may hold now
 	held      holds.Table     // hosts that operators took out of use
