--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -347,7 +347,7 @@
 	eventually(t, "peers are heard", func() bool { return p.operate(t, "GET", "/fleet") == 200 })
 	put(file("a", "[fleet.overload]\nfurther = 7.0\n"))
 	eventually(t, "the bad file is told of", func() bool { return p.out.count("new configuration ignored") == 1 })
-	if p.out.count("fleet.overload.further: expected a part from 0 to 1") != 1 || p.operate(t, "GET", "/fleet") != 200 {
+	if p.out.count("fleet.overload.further: expected a fraction from 0 to 1") != 1 || p.operate(t, "GET", "/fleet") != 200 {
 		t.Errorf("not told, or not as before: %s", p.out)
 	}
 	put("format = \"ivybank/operator/1\"\n")
--- a/cmd/ivybank/limits_test.go
+++ b/cmd/ivybank/limits_test.go
@@ -63,7 +63,7 @@
 func TestLimitCheck(t *testing.T) {
 	path, _ := limitOf(t, limiting+strings.NewReplacer("MODE", "bounded", "FLOOR", "4.0").Replace(oneLimit))
 	out, err := exec.Command(binary, "check", path).CombinedOutput()
-	want := "limit filings: 24 a second, 6 at once, over by 4 at most for each member but one"
+	want := "limit filings: 24 a second, 6 at once, exceeded by at most 4 for each member but one"
 	if err != nil || !strings.Contains(string(out), want) {
 		t.Errorf("%v: %s", err, out)
 	}
--- a/conf/conf.go
+++ b/conf/conf.go
@@ -1,6 +1,6 @@
-// Package conf loads the files that operators and experimenters write: TOML, checked against a schema when loaded, each
-// fault with its file, line and field. It owns how faults are told. It must never fill in what a file left out, nor take
-// a file in part.
+// Package conf loads the TOML files that operators and experimenters write. A file is checked against a struct and
+// further rules when it is loaded; each error names its file, line and field. The package must not fill in values
+// that a file omits, nor accept a file in part.
 package conf
 
 import (
@@ -16,20 +16,20 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Duration is a time such as "1.5s" or "80ms".
+// Duration is a non-negative duration in nanoseconds, written as "1.5s" or "80ms".
 type Duration int64
 
-// UnmarshalText reads one.
+// UnmarshalText parses a duration. It fails for a negative one.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil || v < 0 {
-		return fmt.Errorf("%q is no time: expected one such as \"1.5s\" or \"80ms\"", text)
+		return fmt.Errorf("%q is not a duration: expected one such as \"1.5s\" or \"80ms\"", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// FieldError is one thing that is wrong with a file.
+// FieldError is one error in a file. Line is 0 and Field is empty if they are not known.
 type FieldError struct {
 	File    string
 	Line    int
@@ -48,13 +48,13 @@
 	return at + ": " + f.Message
 }
 
-// File is a loaded file: it knows on which line each field stands.
+// File is a loaded file with the line number of each field.
 type File struct {
 	Path  string
 	lines map[string]int
 }
 
-// Format says which kind of file a text is by its field format; empty where it has none.
+// Format returns the value of a file's field "format", which tells its kind; empty if it has none.
 func Format(text []byte) string {
 	var head struct {
 		Format string `toml:"format"`
@@ -63,7 +63,8 @@
 	return head.Format
 }
 
-// Load reads a file into a struct. Fields that the struct lacks, and values of another kind, are faults.
+// Load reads a file and decodes it into a struct. Fields that the struct lacks and values of a wrong type are
+// reported as a *FieldError.
 func Load(path string, into any) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -72,35 +73,35 @@
 	return Read(path, text, into)
 }
 
-// Read is Load for a text.
+// Read is Load for text that is already in memory; path is used in errors only.
 func Read(path string, text []byte, into any) (*File, error) {
 	f := &File{path, map[string]int{}}
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	err := d.Decode(into)
-	var strict *toml.StrictMissingError
-	var bad *toml.DecodeError
+	var unknown *toml.StrictMissingError
+	var invalid *toml.DecodeError
 	switch {
-	case errors.As(err, &strict):
-		first := strict.Errors[0]
+	case errors.As(err, &unknown):
+		first := unknown.Errors[0]
 		line, _ := first.Position()
 		return nil, &FieldError{path, line, strings.Join(first.Key(), "."), "no such field"}
-	case errors.As(err, &bad):
-		line, _ := bad.Position()
-		return nil, &FieldError{path, line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: ")}
+	case errors.As(err, &invalid):
+		line, _ := invalid.Position()
+		return nil, &FieldError{path, line, strings.Join(invalid.Key(), "."), strings.TrimPrefix(invalid.Error(), "toml: ")}
 	case err != nil:
 		return nil, &FieldError{path, 0, "", err.Error()}
 	}
-	f.index(text)
+	f.indexLines(text)
 	return f, nil
 }
 
-// index notes where each field stands; items of a list count from 0.
-func (f *File) index(text []byte) {
+// indexLines records the line of each field. Items of an array of tables are numbered from 0.
+func (f *File) indexLines(text []byte) {
 	var p unstable.Parser
 	p.Reset(text)
 	table, items := "", map[string]int{}
-	at, lines := 0, 1 // counted on from the key before
+	at, lines := 0, 1 // lines is the line number at offset at; it is advanced from one key to the next
 	for p.NextExpression() {
 		e := p.Expression()
 		var name []string
@@ -129,14 +130,15 @@
 	}
 }
 
-// Rule is one thing that a file has to keep beyond the kinds of its fields.
+// Rule is a constraint on one field beyond its type.
 type Rule = struct {
 	Violated bool
 	Field    string
-	Expected string
+	Expected string // the error message
 }
 
-// CheckRules tells of the first rule that is not kept, in a table of the file or, where that is empty, in all of it.
+// CheckRules returns an error for the first rule that is violated. Table is prepended to the rules' fields; it is
+// empty for fields of the whole file.
 func (f *File) CheckRules(table string, rules []Rule) error {
 	for _, r := range rules {
 		if r.Violated {
@@ -146,7 +148,8 @@
 	return nil
 }
 
-// FieldErrorf tells of a field; one that is missing is told where its table begins.
+// FieldErrorf returns a *FieldError for a field. If the field is missing from the file, the error has the line of
+// the table that should contain it.
 func (f *File) FieldErrorf(field, format string, a ...any) error {
 	line := 0
 	for at := field; line == 0 && at != ""; {
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -21,13 +21,13 @@
 		} `toml:"deep"`
 	}
 	for name, c := range map[string]struct{ text, want string }{
-		"unknown field":    {"count = 1\n\n[deep]\ny = 2\n", "f.toml:4: deep.y: no such field"},
-		"unknown table":    {"[other]\n", "f.toml:1: other: no such field"},
-		"other kind":       {"count = 1\n[deep]\nx = \"a\"\n", "f.toml:3: deep.x: cannot decode TOML string into struct field struct { X float64 \"toml:\\\"x\\\"\" }.X of type float64"},
-		"bad time":         {"[[item]]\nfor = \"soon\"\n", "f.toml:2: item.for: \"soon\" is no time: expected one such as \"1.5s\" or \"80ms\""},
-		"no TOML":          {"count = 1\ncount\n", ""},
-		"in the second of": {"[[item]]\nname = \"a\"\n[[item]]\nname = \"b\"\n", "f.toml:4: item.1.name: taken"},
-		"missing":          {"[[item]]\nname = \"a\"\n[[item]]\nfor = \"1s\"\n", "f.toml:3: item.1.name: taken"},
+		"unknown field": {"count = 1\n\n[deep]\ny = 2\n", "f.toml:4: deep.y: no such field"},
+		"unknown table": {"[other]\n", "f.toml:1: other: no such field"},
+		"wrong type":    {"count = 1\n[deep]\nx = \"a\"\n", "f.toml:3: deep.x: cannot decode TOML string into struct field struct { X float64 \"toml:\\\"x\\\"\" }.X of type float64"},
+		"bad duration":  {"[[item]]\nfor = \"soon\"\n", "f.toml:2: item.for: \"soon\" is not a duration: expected one such as \"1.5s\" or \"80ms\""},
+		"not TOML":      {"count = 1\ncount\n", ""},
+		"second item":   {"[[item]]\nname = \"a\"\n[[item]]\nname = \"b\"\n", "f.toml:4: item.1.name: taken"},
+		"missing field": {"[[item]]\nname = \"a\"\n[[item]]\nfor = \"1s\"\n", "f.toml:3: item.1.name: taken"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var into file
@@ -68,7 +68,7 @@
 		old := logrus.GetLevel()
 		o.ApplyLogging()
 		if logrus.GetLevel() != logrus.WarnLevel {
-			t.Error("the level is not in force")
+			t.Error("the log level has not been applied")
 		}
 		logrus.SetLevel(old)
 		logrus.SetFormatter(&logrus.TextFormatter{})
--- a/conf/fleet.go
+++ b/conf/fleet.go
@@ -1,6 +1,6 @@
 package conf
 
-// This file owns the part [fleet] of an operator file. It must never know where peers are but by what files say.
+// This file holds the table [fleet] of an operator file. Peers' addresses come from configuration files only.
 
 import (
 	"fmt"
@@ -11,19 +11,21 @@
 	"ivybank/fleet/duty"
 )
 
-// FleetConfig is what operators set on proxies that hear one another.
+// FleetConfig configures proxies that exchange datagrams with one another.
 type FleetConfig struct {
-	Name               string   `toml:"name"`   // what all members call their fleet
-	Listen             string   `toml:"listen"` // empty: where the platform's configuration says
-	Peers              []string `toml:"peers"`  // one address for each place, the own one among them; empty: as the configuration says
-	SelfIndex          int      `toml:"me"`     // own place among them; read with peers
+	Name   string `toml:"name"`   // the same for all members of a fleet
+	Listen string `toml:"listen"` // empty: taken from the platform's configuration
+	// Peers holds addresses by member index, including this proxy's own. If it is empty, the platform's configuration
+	// names them.
+	Peers              []string `toml:"peers"`
+	SelfIndex          int      `toml:"me"` // this proxy's index in Peers; unused if Peers is empty
 	DatagramsPerSecond float64  `toml:"datagrams_per_second"`
 	AckWait            Duration `toml:"ack_wait"`
-	DeadAfter          Duration `toml:"quiet"`
+	DeadAfter          Duration `toml:"quiet"` // of silence, at the least
 	Overload           *struct {
-		FurtherRatio float64 `toml:"further"`         // part of first dispatches
-		MaxPerMember float64 `toml:"most_per_member"` // reqs a second
-		OverShare    float64 `toml:"over_share"`      // part of its worth left to what a tenant asks past its share
+		FurtherRatio float64 `toml:"further"`         // dispatches beyond a request's first, per first dispatch
+		MaxPerMember float64 `toml:"most_per_member"` // requests per second that a member's report may claim
+		OverShare    float64 `toml:"over_share"`      // fraction of a request's value left if its tenant exceeds its share
 	} `toml:"overload"`
 	Probes *struct {
 		Interval      Duration `toml:"every"`
@@ -34,16 +36,18 @@
 	Limits *Limits `toml:"limits"`
 }
 
-// MemberConfig is what it says to the member at a place among so many; probes where the settings allow them.
-func (x *FleetConfig) MemberConfig(me, of int, probes bool) fleet.Terms {
-	t := fleet.Terms{Me: me, Of: of, Datagrams: x.DatagramsPerSecond, AckWait: int64(x.AckWait), Quiet: int64(x.DeadAfter)}
+// MemberConfig returns the configuration of the member with the given index in a fleet of the given size. Probes
+// are left out if the platform's settings forbid them.
+func (x *FleetConfig) MemberConfig(index, members int, probes bool) fleet.Terms {
+	c := fleet.Terms{Me: index, Of: members, Datagrams: x.DatagramsPerSecond, AckWait: int64(x.AckWait),
+		Quiet: int64(x.DeadAfter)}
 	if s := x.Overload; s != nil {
-		t.Overload, t.Over = &fleet.Overload{Further: s.FurtherRatio, Most: s.MaxPerMember}, s.OverShare
+		c.Overload, c.Over = &fleet.Overload{Further: s.FurtherRatio, Most: s.MaxPerMember}, s.OverShare
 	}
 	if s := x.Probes; s != nil && probes {
-		t.Probes = &duty.Terms{Every: int64(s.Interval), After: int64(s.TakeOverAfter)}
+		c.Probes = &duty.Terms{Every: int64(s.Interval), After: int64(s.TakeOverAfter)}
 	}
-	return t
+	return c
 }
 
 func (o *OperatorConfig) checkFleet(f *File) error {
@@ -54,10 +58,10 @@
 	rules := []Rule{
 		{x.Name == "", "name", "expected a name that all members share"},
 		{x.DatagramsPerSecond < 2 || x.DatagramsPerSecond > 1000, "datagrams_per_second", "expected 2 to 1000"},
-		{x.AckWait <= 0, "ack_wait", "expected a time above 0"},
-		{x.DeadAfter < 3*x.AckWait, "quiet", "expected three times ack_wait at the least, or the living are taken for dead"},
-		{len(x.Peers) > 0 && (x.SelfIndex < 0 || x.SelfIndex >= len(x.Peers)), "me", "expected a place among peers, from 0"},
-		{(x.Listen == "") != (len(x.Peers) == 0), "listen", "expected with peers, and only then"},
+		{x.AckWait <= 0, "ack_wait", "expected a duration above 0"},
+		{x.DeadAfter < 3*x.AckWait, "quiet", "expected at least three times ack_wait: with less, live members are declared dead"},
+		{len(x.Peers) > 0 && (x.SelfIndex < 0 || x.SelfIndex >= len(x.Peers)), "me", "expected an index into peers, from 0"},
+		{(x.Listen == "") != (len(x.Peers) == 0), "listen", "listen and peers require each other"},
 	}
 	if x.Listen != "" {
 		_, err := netip.ParseAddrPort(x.Listen)
@@ -65,17 +69,19 @@
 	}
 	for i, a := range x.Peers {
 		_, err := netip.ParseAddrPort(a)
-		rules = append(rules, Rule{err != nil, "peers", fmt.Sprintf("the one at %d: expected address:port", i)})
+		rules = append(rules, Rule{err != nil, "peers", fmt.Sprintf("item %d: expected address:port", i)})
 	}
 	if v := x.Overload; v != nil {
-		rules = append(rules, Rule{v.FurtherRatio < 0 || v.FurtherRatio > 1, "overload.further", "expected a part from 0 to 1"},
+		rules = append(rules, Rule{v.FurtherRatio < 0 || v.FurtherRatio > 1, "overload.further",
+			"expected a fraction from 0 to 1"},
 			Rule{v.MaxPerMember <= 0, "overload.most_per_member", "expected a number above 0"},
-			Rule{v.OverShare < 0 || v.OverShare > 1, "overload.over_share", "expected a part from 0 to 1"})
+			Rule{v.OverShare < 0 || v.OverShare > 1, "overload.over_share", "expected a fraction from 0 to 1"})
 	}
 	if v := x.Probes; v != nil {
-		rules = append(rules, Rule{v.Interval < Duration(50e6), "probes.every", "expected 50ms at the least"},
-			Rule{v.TakeOverAfter < 2*v.Interval, "probes.take_over_after", "expected two times every at the least, or several probe at once"},
-			Rule{v.Timeout <= 0, "probes.timeout", "expected a time above 0"},
+		rules = append(rules, Rule{v.Interval < Duration(50e6), "probes.every", "expected at least 50ms"},
+			Rule{v.TakeOverAfter < 2*v.Interval, "probes.take_over_after",
+				"expected at least two times every: with less, several members probe at once"},
+			Rule{v.Timeout <= 0, "probes.timeout", "expected a duration above 0"},
 			Rule{!strings.HasPrefix(v.Path, "/"), "probes.path", "expected a path such as \"/ping\""})
 	}
 	return f.CheckRules("fleet.", rules)
--- a/conf/limits_test.go
+++ b/conf/limits_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-func TestLimitsOfOperator(t *testing.T) {
-	whole := `format = "ivybank/operator/1"
+func TestLimitsTable(t *testing.T) {
+	valid := `format = "ivybank/operator/1"
 [fleet]
 name = "a"
 listen = "127.0.0.1:1"
@@ -38,7 +38,7 @@
 		}
 		return o, o.checkLimits(f)
 	}
-	o, err := check(whole)
+	o, err := check(valid)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,8 +49,8 @@
 	if x := all[1]; x.Units != 30 || x.Linger != 5e9 || !x.Strict || x.Over(3) != 0 || x.Tenant != "acme" {
 		t.Errorf("%+v", x)
 	}
-	for i, want := range []string{"limit web: 40 a second, 10 at once, over by 8 at most with 3 members",
-		"limit open: 30 in flight, over by 0 at most with 3 members"} {
+	for i, want := range []string{"limit web: 40 a second, 10 at once, exceeded by at most 8 with 3 members",
+		"limit open: 30 in flight, exceeded by at most 0 with 3 members"} {
 		if got := o.Fleet.Limits.All[i].DescribeOvershoot(3); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
@@ -59,20 +59,20 @@
 		"voters = 3 -> voters = 2":                          "o.toml:7: fleet.limits.voters: expected 1, 3",
 		"voters = 3 -> voters = 5":                          "o.toml:7: fleet.limits.voters: expected no more than",
 		"drift = 200 -> drift = -1":                         "o.toml:8: fleet.limits.drift",
-		"name = \"open\" -> name = \"web\"":                 "o.toml:18: fleet.limits.limit.1.name: expected a name of its own",
+		"name = \"open\" -> name = \"web\"":                 "o.toml:18: fleet.limits.limit.1.name: expected a unique name",
 		"kind = \"rate\" -> kind = \"cost\"":                "o.toml:11: fleet.limits.limit.0.kind",
 		"burst = \"250ms\"\n -> ":                           "o.toml:9: fleet.limits.limit.0.burst",
 		"amount = 40.0 -> amount = 41.0":                    "o.toml:12: fleet.limits.limit.0.amount: expected a multiple of 4",
 		"amount = 30.0 -> amount = 0.5":                     "o.toml:21: fleet.limits.limit.1.amount: expected a whole number",
 		"mode = \"strict\" -> mode = \"lax\"":               "o.toml:22: fleet.limits.limit.1.mode",
 		"floor = 4.0 -> floor = 44.0":                       "o.toml:15: fleet.limits.limit.0.floor",
-		"mode = \"bounded\" -> mode = \"strict\"":           "o.toml:15: fleet.limits.limit.0.floor: expected with mode bounded",
+		"mode = \"bounded\" -> mode = \"strict\"":           "o.toml:15: fleet.limits.limit.0.floor: requires mode bounded",
 		"lease = \"3s\" -> lease = \"100ms\"":               "o.toml:23: fleet.limits.limit.1.lease",
 		"tenant = \"acme\" -> server = \"s-1\"":             "o.toml:19: fleet.limits.limit.server: no such field",
 		"[[fleet.limits.limit]]\nname = \"web\" -> [other]": "o.toml:9: other: no such field",
 	} {
 		from, to, _ := strings.Cut(change, " -> ")
-		if _, err := check(strings.Replace(whole, from, to, 1)); err == nil ||
+		if _, err := check(strings.Replace(valid, from, to, 1)); err == nil ||
 			!strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s: got %v, want %s", change, err, want)
 		}
--- a/conf/operator.go
+++ b/conf/operator.go
@@ -1,7 +1,7 @@
 package conf
 
-// This file owns the operator file: what operators set beside the platform's configuration. What a file does not name stays
-// as it is without one.
+// This file holds the operator file: what operators set in addition to the platform's configuration. Features that
+// the file does not mention work as they do without a file.
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// OperatorFormat is what an operator file says it is.
+// OperatorFormat is the value of the field "format" of an operator file.
 const OperatorFormat = "ivybank/operator/1"
 
-// OperatorConfig is an operator file.
+// OperatorConfig is the content of an operator file. Tables that are nil are not configured.
 type OperatorConfig struct {
 	Format string `toml:"format"`
 	Log    struct {
@@ -23,16 +23,16 @@
 	} `toml:"log"`
 	Idempotency *struct {
 		Header           string   `toml:"header"`
-		Folder           string   `toml:"folder"` // empty: memory alone
+		Folder           string   `toml:"folder"` // empty: keys are kept in memory only
 		MaxKeys          int      `toml:"entries"`
-		MaxResponseBytes int64    `toml:"answer_bytes"`   // of all answers that are kept
-		MaxResponseSize  int      `toml:"largest_answer"` // bytes; of a larger one only the outcome is kept
-		MaxWaiters       int      `toml:"waiters"`        // on one key
-		MaxKeyLength     int      `toml:"longest_key"`
+		MaxResponseBytes int64    `toml:"answer_bytes"`   // of all stored responses together
+		MaxResponseSize  int      `toml:"largest_answer"` // bytes; of a larger response only the outcome is stored
+		MaxWaiters       int      `toml:"waiters"`        // per key
+		MaxKeyLength     int      `toml:"longest_key"`    // bytes
 		RetryAfter       Duration `toml:"retry_in"`
 		RuleSets         []struct {
 			Name   string   `toml:"name"`
-			Retain Duration `toml:"retain"`
+			Retain Duration `toml:"retain"` // after the request has ended
 		} `toml:"ruleset"`
 	} `toml:"idempotency"`
 	Fleet    *FleetConfig    `toml:"fleet"`
@@ -41,7 +41,7 @@
 	Maintenance *MaintenanceConfig `toml:"maintenance"`
 }
 
-// LoadOperator reads and checks one.
+// LoadOperator reads and checks an operator file.
 func LoadOperator(path string) (*OperatorConfig, error) {
 	o := &OperatorConfig{}
 	f, err := Load(path, o)
@@ -57,10 +57,10 @@
 	case !slices.Contains([]string{"", "text", "json"}, o.Log.Format):
 		return nil, f.FieldErrorf("log.format", "%q: expected text or json", o.Log.Format)
 	}
-	if err := o.checkKeys(f); err != nil {
+	if err := o.checkIdempotency(f); err != nil {
 		return nil, err
 	}
-	if err := o.checkReturn(f); err != nil {
+	if err := o.checkRecovery(f); err != nil {
 		return nil, err
 	}
 	if err := o.checkMaintenance(f); err != nil {
@@ -75,32 +75,32 @@
 	return o, nil
 }
 
-func (o *OperatorConfig) checkKeys(f *File) error {
+func (o *OperatorConfig) checkIdempotency(f *File) error {
 	k := o.Idempotency
 	if k == nil {
 		return nil
 	}
 	rules := []Rule{
-		{k.Header == "" || strings.ContainsAny(k.Header, " :\t"), "header", "expected the name of a field"},
+		{k.Header == "" || strings.ContainsAny(k.Header, " :\t"), "header", "expected the name of a header"},
 		{k.MaxKeys <= 0, "entries", "expected a number above 0"},
 		{k.MaxResponseBytes < 0, "answer_bytes", "expected 0 or more"},
 		{k.MaxResponseSize < 0 || k.MaxResponseSize > 1<<16, "largest_answer", "expected 0 to 65536"},
 		{k.MaxWaiters <= 0, "waiters", "expected a number above 0"},
 		{k.MaxKeyLength <= 0 || k.MaxKeyLength > 4096, "longest_key", "expected 1 to 4096"},
-		{k.RetryAfter <= 0, "retry_in", "expected a time above 0"},
-		{len(k.RuleSets) == 0, "ruleset", "expected one at least"},
+		{k.RetryAfter <= 0, "retry_in", "expected a duration above 0"},
+		{len(k.RuleSets) == 0, "ruleset", "expected at least one"},
 	}
 	names := map[string]bool{}
 	for i, r := range k.RuleSets {
-		p := fmt.Sprintf("ruleset.%d.", i)
-		rules = append(rules, Rule{r.Name == "" || names[r.Name], p + "name", "expected a name of its own"},
-			Rule{r.Retain <= 0, p + "retain", "expected a time above 0"})
+		prefix := fmt.Sprintf("ruleset.%d.", i)
+		rules = append(rules, Rule{r.Name == "" || names[r.Name], prefix + "name", "expected a unique name"},
+			Rule{r.Retain <= 0, prefix + "retain", "expected a duration above 0"})
 		names[r.Name] = true
 	}
 	return f.CheckRules("idempotency.", rules)
 }
 
-// ApplyLogging puts it in force.
+// ApplyLogging sets the process's log level and format to those of the file.
 func (o *OperatorConfig) ApplyLogging() {
 	if level, err := logrus.ParseLevel(o.Log.Level); err == nil && o.Log.Level != "" {
 		logrus.SetLevel(level)
--- a/conf/return.go
+++ b/conf/recovery.go
@@ -1,21 +1,22 @@
 package conf
 
-// This file owns the part [return] of an operator file: what a proxy writes down, and whom it asks when it comes back.
+// This file holds the table [return] of an operator file: the snapshots that a proxy writes, and the peers that it
+// queries after a restart.
 
 import "ivybank/fleet"
 
-// RecoveryConfig is what operators set on coming back.
+// RecoveryConfig configures a proxy's recovery after a restart.
 type RecoveryConfig struct {
-	Folder            string   `toml:"folder"` // of snapshots; empty: none are kept
+	Folder            string   `toml:"folder"` // for snapshots; empty: none are written
 	SnapshotInterval  Duration `toml:"every"`
-	MaxObservationAge Duration `toml:"trust"` // what was met at servers longer ago is not believed
+	MaxObservationAge Duration `toml:"trust"` // older observations of servers are discarded
 	Learn             *struct {
-		MinPeers int      `toml:"others"` // members that have to answer
+		MinPeers int      `toml:"others"` // fleet members that have to answer
 		Timeout  Duration `toml:"for"`    // after the start
 	} `toml:"learn"`
 }
 
-// LearnConfig is what it says on asking others; nil where nobody is asked.
+// LearnConfig returns how peers are queried after a restart; nil if they are not.
 func (o *OperatorConfig) LearnConfig() *fleet.Learn {
 	if o.Recovery == nil || o.Recovery.Learn == nil {
 		return nil
@@ -23,20 +24,21 @@
 	return &fleet.Learn{Others: o.Recovery.Learn.MinPeers, For: int64(o.Recovery.Learn.Timeout)}
 }
 
-func (o *OperatorConfig) checkReturn(f *File) error {
+func (o *OperatorConfig) checkRecovery(f *File) error {
 	x := o.Recovery
 	if x == nil {
 		return nil
 	}
 	rules := []Rule{
-		{x.Folder != "" && x.SnapshotInterval < Duration(100e6), "every", "expected 100ms at the least"},
-		{x.Folder != "" && (x.MaxObservationAge < x.SnapshotInterval || x.MaxObservationAge > Duration(600e9)), "trust", "expected every at the least, 10m at the most"},
-		{x.Folder == "" && x.Learn == nil, "folder", "expected a folder, or a part [return.learn]"},
+		{x.Folder != "" && x.SnapshotInterval < Duration(100e6), "every", "expected at least 100ms"},
+		{x.Folder != "" && (x.MaxObservationAge < x.SnapshotInterval || x.MaxObservationAge > Duration(600e9)), "trust",
+			"expected at least the value of every, at most 10m"},
+		{x.Folder == "" && x.Learn == nil, "folder", "expected a folder, or a table [return.learn]"},
 	}
 	if l := x.Learn; l != nil {
 		rules = append(rules, Rule{l.MinPeers < 1 || l.MinPeers > 16, "learn.others", "expected 1 to 16"},
 			Rule{l.Timeout < Duration(200e6) || l.Timeout > Duration(60e9), "learn.for", "expected 200ms to 1m"},
-			Rule{o.Fleet == nil, "learn", "expected with a part [fleet]: others are its members"})
+			Rule{o.Fleet == nil, "learn", "requires a table [fleet], whose members are queried"})
 	}
 	return f.CheckRules("return.", rules)
 }
--- a/rehearse/lab/lab_test.go
+++ b/rehearse/lab/lab_test.go
@@ -92,7 +92,7 @@
 	for change, want := range map[string]string{
 		"mode = \"virtual\" -> mode = \"both\"":               "small.toml:3: mode: expected virtual, sockets or processes",
 		"seeds = [1, 2] -> seeds = []":                        "small.toml:4: seeds: expected one seed at least",
-		"length = \"6s\" -> length = \"soon\"":                "small.toml:5: length: \"soon\" is no time: expected one such as \"1.5s\" or \"80ms\"",
+		"length = \"6s\" -> length = \"soon\"":                "small.toml:5: length: \"soon\" is not a duration: expected one such as \"1.5s\" or \"80ms\"",
 		"length = \"6s\" -> lengths = \"6s\"":                 "small.toml:5: lengths: no such field",
 		"cores = 1 -> cores = 0":                              "small.toml:20: fleet.machine.0.cores: expected a number above 0",
 		"rate = 60.0 -> rate = -1.0":                          "small.toml:24: load.rate: expected a number above 0",
