--- a/proxy/admin/admin.go
+++ b/proxy/admin/admin.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	readWait = 2 * time.Second // a request has to arrive within this time
-	mostOpen = 16              // above it the oldest connection is closed
-	mostHead = 8 << 10
-	mostBody = 64 << 10
+	readTimeout    = 2 * time.Second // a request has to arrive within this time
+	maxConns       = 16              // above it the oldest connection is closed
+	maxHeaderBytes = 8 << 10
+	maxPlanBytes   = 64 << 10
 )
 
 // Kind is the kind of a call.
@@ -62,34 +62,34 @@
 // Parse returns the call that a method and an escaped path stand for, or a non-zero error reply.
 func Parse(method, path string) (Call, Reply) {
 	kinds := map[string]Call{}
-	part := strings.Split(strings.TrimPrefix(path, "/"), "/")
+	parts := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	switch {
 	case path == "/fleet":
 		kinds[http.MethodGet] = Call{Kind: GetFleet}
 	case path == "/return":
 		kinds[http.MethodGet] = Call{Kind: GetRecovery}
-	case path == "/plans" || len(part) == 2 && part[0] == "plans" && part[1] != "":
-		id := strings.Join(part[1:], "")
+	case path == "/plans" || len(parts) == 2 && parts[0] == "plans" && parts[1] != "":
+		id := strings.Join(parts[1:], "")
 		if kinds[http.MethodGet] = (Call{Kind: GetPlans, Plan: id}); id != "" {
 			kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: id, Verb: "submit"}
 		}
-	case len(part) == 3 && part[0] == "plans" && slices.Contains([]string{"pause", "resume", "abandon"}, part[2]):
-		kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: part[1], Verb: part[2]}
-	case len(part) == 4 && part[0] == "plans" && part[2] == "done":
-		kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: part[1], Verb: part[2], Host: part[3]}
+	case len(parts) == 3 && parts[0] == "plans" && slices.Contains([]string{"pause", "resume", "abandon"}, parts[2]):
+		kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: parts[1], Verb: parts[2]}
+	case len(parts) == 4 && parts[0] == "plans" && parts[2] == "done":
+		kinds[http.MethodPut] = Call{Kind: ChangePlan, Plan: parts[1], Verb: parts[2], Host: parts[3]}
 	case path == "/healthcheck":
 		kinds[http.MethodGet] = Call{Kind: Health}
 	case path == "/healthcheck/fail":
 		kinds[http.MethodPut] = Call{Kind: EvictClients}
 	case path == "/healthcheck/ok":
 		kinds[http.MethodPut] = Call{Kind: AdmitClients}
-	case len(part) == 3 && part[0] == "hosts" && part[1] != "" && (part[2] == "maint" || part[2] == "ready"):
-		id, err := url.PathUnescape(part[1])
+	case len(parts) == 3 && parts[0] == "hosts" && parts[1] != "" && (parts[2] == "maint" || parts[2] == "ready"):
+		id, err := url.PathUnescape(parts[1])
 		if err != nil {
 			return Call{}, Error(http.StatusBadRequest, "the host's id cannot be read")
 		}
 		kind := DisableHost
-		if part[2] == "ready" {
+		if parts[2] == "ready" {
 			kind = EnableHost
 		}
 		kinds[http.MethodPut] = Call{Kind: kind, Host: id}
@@ -107,57 +107,59 @@
 type Server struct {
 	listener net.Listener
 	server   *http.Server
-	ask      func(Call) Reply
+	handle   func(Call) Reply
 
-	mu   sync.Mutex
-	open []net.Conn // oldest first; removed as they are closed
+	mu    sync.Mutex
+	conns []net.Conn // oldest first; removed as they are closed
 }
 
 // Listen starts a server at an address. It passes each call to handle, which has to return soon.
-func Listen(addr string, ask func(Call) Reply) (*Server, error) {
+func Listen(addr string, handle func(Call) Reply) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	d := &Server{listener: l, ask: ask}
-	d.server = &http.Server{Handler: d, ReadTimeout: readWait, WriteTimeout: readWait, MaxHeaderBytes: mostHead,
-		ConnState: d.state, ErrorLog: log.New(io.Discard, "", 0)}
-	d.server.SetKeepAlivesEnabled(false)
-	go func() { _ = d.server.Serve(l) }()
-	return d, nil
+	srv := &Server{listener: l, handle: handle}
+	srv.server = &http.Server{Handler: srv, ReadTimeout: readTimeout, WriteTimeout: readTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ConnState:      srv.connState, ErrorLog: log.New(io.Discard, "", 0)}
+	srv.server.SetKeepAlivesEnabled(false)
+	go func() { _ = srv.server.Serve(l) }()
+	return srv, nil
 }
 
 // Addr returns the address that the server listens on.
-func (d *Server) Addr() string { return d.listener.Addr().String() }
+func (srv *Server) Addr() string { return srv.listener.Addr().String() }
 
 // Close stops listening and closes all connections.
-func (d *Server) Close() { _ = d.server.Close() }
+func (srv *Server) Close() { _ = srv.server.Close() }
 
 // connState tracks the open connections. Above maxConns it closes the oldest, most likely a stalled one.
-func (d *Server) state(c net.Conn, s http.ConnState) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	switch s {
+func (srv *Server) connState(c net.Conn, state http.ConnState) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	switch state {
 	case http.StateNew:
-		if d.open = append(d.open, c); len(d.open) > mostOpen {
-			_ = d.open[0].Close()
-			d.open = d.open[1:]
+		if srv.conns = append(srv.conns, c); len(srv.conns) > maxConns {
+			_ = srv.conns[0].Close()
+			srv.conns = srv.conns[1:]
 		}
 	case http.StateClosed, http.StateHijacked:
-		d.open = slices.DeleteFunc(d.open, func(x net.Conn) bool { return x == c })
+		srv.conns = slices.DeleteFunc(srv.conns, func(x net.Conn) bool { return x == c })
 	}
 }
 
-func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (srv *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, reply := Parse(r.Method, r.URL.EscapedPath())
 	if call.Verb == "submit" {
 		var err error
-		if call.Body, err = io.ReadAll(io.LimitReader(r.Body, mostBody+1)); err != nil || len(call.Body) > mostBody {
+		if call.Body, err = io.ReadAll(io.LimitReader(r.Body, maxPlanBytes+1)); err != nil ||
+			len(call.Body) > maxPlanBytes {
 			reply = Error(http.StatusRequestEntityTooLarge, "a plan is no longer than 64 KiB")
 		}
 	}
 	if reply.Status == 0 {
-		reply = d.ask(call)
+		reply = srv.handle(call)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(reply.Status)
--- a/proxy/admin/admin_test.go
+++ b/proxy/admin/admin_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func TestRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		method, path string
 		call         Call
@@ -51,19 +51,19 @@
 	}
 }
 
-func open(t *testing.T, ask func(Call) Reply) *Server {
+func startServer(t *testing.T, handle func(Call) Reply) *Server {
 	t.Helper()
-	d, err := Listen("127.0.0.1:0", ask)
+	srv, err := Listen("127.0.0.1:0", handle)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	return d
+	t.Cleanup(srv.Close)
+	return srv
 }
 
-func say(t *testing.T, d *Server, text string) (net.Conn, *bufio.Reader) {
+func send(t *testing.T, srv *Server, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c, err := net.Dial("tcp", d.Addr())
+	c, err := net.Dial("tcp", srv.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,8 +73,8 @@
 	return c, bufio.NewReader(c)
 }
 
-func TestDoor(t *testing.T) {
-	d := open(t, func(c Call) Reply {
+func TestServer(t *testing.T) {
+	srv := startServer(t, func(c Call) Reply {
 		if c.Host == "none" {
 			return Error(404, "not listed")
 		}
@@ -94,7 +94,7 @@
 		"with a body":   {"PUT /hosts/s/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc", 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, in := say(t, d, c.text)
+			_, in := send(t, srv, c.text)
 			r, err := http.ReadResponse(in, nil)
 			if err != nil || r.StatusCode != c.status {
 				t.Fatalf("got %v, %v, want %d", r, err, c.status)
@@ -107,22 +107,22 @@
 }
 
 // Stalled callers must not keep others out, however many there are: the oldest connection is closed.
-func TestStalled(t *testing.T) {
-	d := open(t, func(Call) Reply { return OK("") })
-	first, _ := say(t, d, "PUT /hosts/s")
-	for range 3 * mostOpen {
-		say(t, d, "GET /heal")
+func TestStalledCallers(t *testing.T) {
+	srv := startServer(t, func(Call) Reply { return OK("") })
+	first, _ := send(t, srv, "PUT /hosts/s")
+	for range 3 * maxConns {
+		send(t, srv, "GET /heal")
 	}
-	_, in := say(t, d, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
+	_, in := send(t, srv, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
 	if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 200 {
 		t.Fatalf("got %v, %v beside stalled callers, want status 200", r, err)
 	}
 	if _, err := first.Read(make([]byte, 1)); err == nil {
 		t.Error("got a response to a partial request, want its connection closed")
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.open) > mostOpen {
-		t.Errorf("got %d connections, want %d at most", len(d.open), mostOpen)
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if len(srv.conns) > maxConns {
+		t.Errorf("got %d connections, want %d at most", len(srv.conns), maxConns)
 	}
 }
--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -16,103 +16,104 @@
 
 // returnMarginNs is the time that a response may need to travel back: the client's timeout started when it
 // sent the request.
-const wayMargin = 5e6
+const returnMarginNs = 5e6
 
 // request is one request that was admitted.
-type req struct {
-	id         uint64
-	call       http1.Call
-	client     *client
-	taken      int64
-	dispatches []*dispatch
-	outs       int
-	ended      bool
-	flow       *flow            // the body, when it arrives in pieces
-	relay      *hostConn        // the host connection whose response is being relayed
-	key        *idempotency.Key // set for a request with an idempotency key, which has no client of its own
-	luck       float64          // hash of what a client's retries have in common, from 0 to 1; 0 without peers
-	shed       bool             // denied by the fleet, through overload control or a limit
-	book       *lease.Book      // the limits under which it was admitted; nil if the fleet has none
+type request struct {
+	id          uint64
+	msg         http1.Request
+	client      *client
+	receivedAt  int64
+	dispatches  []*dispatch
+	outstanding int
+	ended       bool
+	body        *bodyStream      // the body, when it arrives in pieces
+	relay       *hostConn        // the host connection whose response is being relayed
+	key         *idempotency.Key // set for a request with an idempotency key, which has no client of its own
+	retryHash   float64          // hash of what a client's retries have in common, from 0 to 1; 0 without peers
+	denied      bool             // denied by the fleet, through overload control or a limit
+	limitBook   *lease.Book      // the limits under which it was admitted; nil if the fleet has none
 }
 
 // admit validates a request and hands it to the balancer. A request that no host could serve is rejected here: a
 // host that refuses it or closes the connection would seem to be at fault. A request whose ID is already open is
 // rejected too, as the two would run as one.
-func (p *Proxy) admit(c *client, call sentAhead) error {
-	if err := p.sound(call.Call); err != nil {
+func (p *Proxy) admit(c *client, queued queuedRequest) error {
+	if err := p.validate(queued.Request); err != nil {
 		return err
 	}
-	if p.ids[call.ID] {
-		return errOpenID
+	if p.ids[queued.ID] {
+		return errDuplicateID
 	}
-	p.ids[call.ID] = true
-	r := &req{call: call.Call, client: c, taken: call.at, flow: call.flow}
-	c.req = r
-	p.enter(r, call.Timeout-wayMargin, call.at)
+	p.ids[queued.ID] = true
+	r := &request{msg: queued.Request, client: c, receivedAt: queued.at, body: queued.body}
+	c.request = r
+	p.addRequest(r, queued.Timeout-returnMarginNs, queued.at)
 	return nil
 }
 
-var errOpenID = errors.New("request id is already open")
+var errDuplicateID = errors.New("request id is already open")
 
 // validate returns an error unless the request is one that a host could serve.
-func (p *Proxy) sound(call http1.Call) error {
+func (p *Proxy) validate(msg http1.Request) error {
 	terms := p.terms
-	set := terms.RuleSet(call.RuleSet)
+	ruleSet := terms.RuleSet(msg.RuleSet)
 	switch {
-	case call.ID == "":
+	case msg.ID == "":
 		return errors.New("no request id")
-	case call.Timeout <= 0:
+	case msg.Timeout <= 0:
 		return errors.New("no client timeout")
-	case set == nil || terms.Tenant(call.Tenant) < 0 && len(terms.Tenants) > 0:
+	case ruleSet == nil || terms.Tenant(msg.Tenant) < 0 && len(terms.Tenants) > 0:
 		return errors.New("unknown rule set or tenant")
-	case call.Method == http.MethodGet && set.Effect == balance.Replayable:
-	case call.Method != http.MethodPost && call.Method != http.MethodPut:
+	case msg.Method == http.MethodGet && ruleSet.Effect == balance.Replayable:
+	case msg.Method != http.MethodPost && msg.Method != http.MethodPut:
 		return errors.New("method is not allowed for the rule set")
 	}
 	return nil
 }
 
 // addRequest adds a request to the table and the balancer. Its ID must be in p.ids already.
-func (p *Proxy) enter(r *req, budget, now int64) {
-	p.lastReq++
-	r.id = p.lastReq
-	p.reqs[r.id] = r
+func (p *Proxy) addRequest(r *request, budget, now int64) {
+	p.lastRequestID++
+	r.id = p.lastRequestID
+	p.requests[r.id] = r
 	p.count.Taken++
-	var back int64
-	if r.shed, back = p.sheds(r, now); !r.shed {
-		r.shed, back = p.limited(r)
+	var retryAfter int64
+	if r.denied, retryAfter = p.shedByFleet(r, now); !r.denied {
+		r.denied, retryAfter = p.deniedByLimit(r)
 	}
-	p.module.AddRequest(balance.Arrival{ID: r.id, RuleSet: r.call.RuleSet, Tenant: r.call.Tenant, Key: r.call.Key,
-		Budget: max(1, budget), Work: r.call.Work, BodyPending: r.flow != nil && !r.flow.whole, Shed: r.shed, RetryAfter: back}, now)
+	p.balancer.AddRequest(balance.Arrival{ID: r.id, RuleSet: r.msg.RuleSet, Tenant: r.msg.Tenant, Key: r.msg.Key,
+		Budget: max(1, budget), Work: r.msg.Work, BodyPending: r.body != nil && !r.body.complete, Shed: r.denied,
+		RetryAfter: retryAfter}, now)
 }
 
 // withdraw ends the open request, if any, of a client that disconnected or sent a malformed request after it.
 func (p *Proxy) withdraw(c *client) {
-	if c.waits != nil {
+	if c.waiter != nil {
 		p.count.Withdrawn++
-		p.leave(c.waits)
+		p.removeWaiter(c.waiter)
 	}
-	r := c.req
+	r := c.request
 	if r == nil {
 		return
 	}
-	c.req = nil
+	c.request = nil
 	r.ended = true
 	p.count.Withdrawn++
-	p.drop(r.flow)
-	p.module.Withdrawn(r.id)
+	p.discardBody(r.body)
+	p.balancer.Withdrawn(r.id)
 	for _, d := range r.dispatches {
-		if d.out && (r.relay != nil || !d.allSent()) { // its body stays incomplete, or nobody reads the response
+		if d.outstanding && (r.relay != nil || !d.allSent()) { // its body stays incomplete, or nobody reads the response
 			p.giveUp(d, balance.Cancelled, p.now())
 		}
 	}
 	p.forget(r)
 }
 
-func (p *Proxy) forget(r *req) {
-	if r.ended && r.outs == 0 {
-		r.unlimit()
-		delete(p.reqs, r.id)
-		delete(p.ids, r.call.ID)
+func (p *Proxy) forget(r *request) {
+	if r.ended && r.outstanding == 0 {
+		r.releaseLimit()
+		delete(p.requests, r.id)
+		delete(p.ids, r.msg.ID)
 	}
 }
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -17,68 +17,69 @@
 )
 
 const (
-	readSize = 64 << 10
+	readBufferBytes = 64 << 10
 	// Reads of one connection in a row, before other connections have their turn.
-	readsAtOnce = 16
+	maxReadsInRow = 16
 	// Bytes of body pieces that may be between being read and being accepted by the kernel on the other side.
-	mostTransit = 128 << 10
+	maxTransitBytes = 128 << 10
 	// Lower bound of that; with many bodies at a time each has its share of the memory.
-	leastTransit = 16 << 10
+	minTransitBytes = 16 << 10
 	// One in this many bytes of Go's heap may be in transit.
-	transitPart = 4
+	transitHeapShare = 4
 	// Reading resumes once no more than this is left unsent on the other side.
-	lowUnsent = 64 << 10
+	lowUnsentBytes = 64 << 10
 )
 
 // baseConn is one connection as nbio and the event loop share it.
-type wire struct {
-	nb    *nbio.Conn
-	took  atomic.Int64 // bytes that the kernel accepted
-	given atomic.Int64 // bytes handed to nbio; only the event loop adds
-	heard atomic.Int64 // bytes read
-	rmu   sync.Mutex   // held while reading and parsing
-	mover
-	closed bool         // event loop only
-	told   atomic.Int32 // its events that the event loop has not handled yet
+type baseConn struct {
+	nb       *nbio.Conn
+	accepted atomic.Int64 // bytes that the kernel accepted
+	queued   atomic.Int64 // bytes handed to nbio; only the event loop adds
+	received atomic.Int64 // bytes read
+	readMu   sync.Mutex   // held while reading and parsing
+	backpressure
+	closed        bool         // event loop only
+	pendingEvents atomic.Int32 // its events that the event loop has not handled yet
 }
 
 // backpressure limits the bytes in transit from the connection that body pieces are read from to the one they are
 // written to.
-type mover struct {
-	transit atomic.Int64    // bytes of pieces read here and not yet accepted on the other side
-	stalled atomic.Bool     // reading waits for transit to fall
-	owed    int64           // bytes of transit written to the other side or discarded, but not released yet; event loop only
-	hungry  atomic.Bool     // the event loop wants to know when little is left unsent here
-	low     func(now int64) // called then; event loop only
+type backpressure struct {
+	transit    atomic.Int64 // bytes of pieces read here and not yet accepted on the other side
+	readPaused atomic.Bool  // reading waits for transit to fall
+	// bytes of transit written to the other side or discarded, but not released yet; event loop only
+	unreleased int64
+	wantsLow   atomic.Bool     // the event loop wants to know when little is left unsent here
+	onLow      func(now int64) // called then; event loop only
 }
 
 // endpoint is what the callbacks call for a connection.
-type end interface {
-	read(p *Proxy, at int64, b []byte) // on the reading goroutine
-	eof(p *Proxy, at int64)            // the peer has ended its sending; on the reading goroutine
-	gone(p *Proxy, at int64)           // on the event loop
-	link() *wire
+type endpoint interface {
+	onRead(p *Proxy, at int64, b []byte) // on the reading goroutine
+	onEOF(p *Proxy, at int64)            // the peer has ended its sending; on the reading goroutine
+	onClose(p *Proxy, at int64)          // on the event loop
+	base() *baseConn
 }
 
-func (w *wire) link() *wire { return w }
+func (c *baseConn) base() *baseConn { return c }
 
 // write hands bytes to nbio, which queues what the kernel has no room for. An error shows as the closing of the
 // connection.
-func (w *wire) write(b []byte) {
-	w.given.Add(int64(len(b)))
-	_, _ = w.nb.Write(b)
+func (c *baseConn) write(b []byte) {
+	c.queued.Add(int64(len(b)))
+	_, _ = c.nb.Write(b)
 }
 
 // flushed reports whether the kernel accepted all that was written.
-func (w *wire) written() bool { return w.unsent() <= 0 }
+func (c *baseConn) flushed() bool { return c.unsent() <= 0 }
 
-func (w *wire) unsent() int64 { return w.given.Load() - w.took.Load() }
+func (c *baseConn) unsent() int64 { return c.queued.Load() - c.accepted.Load() }
 
 // acked returns the number of bytes that reached the peer. The kernel reports room for more only when a third of
 // its buffer has drained, which takes many seconds with a slow peer; this count moves with each packet.
-func (w *wire) acked() int64 {
-	n := w.took.Load()
-	if raw, err := w.nb.SyscallConn(); err == nil {
+func (c *baseConn) acked() int64 {
+	n := c.accepted.Load()
+	if raw, err := c.nb.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) {
 			if queued, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
 				n -= int64(queued)
@@ -89,197 +90,199 @@
 }
 
 // close closes the connection; after it the kernel accepts nothing more.
-func (w *wire) shut() {
-	w.closed = true
-	_ = w.nb.Close()
+func (c *baseConn) close() {
+	c.closed = true
+	_ = c.nb.Close()
 }
 
 // quiet reports whether there is neither unread input nor an event that the event loop has not handled.
-func (w *wire) silent() bool { return w.nothing() && w.told.Load() == 0 }
+func (c *baseConn) quiet() bool { return c.noInput() && c.pendingEvents.Load() == 0 }
 
 // noInput reports whether the peer has neither sent more nor ended the connection, including what the poller has
 // not reported yet.
-func (w *wire) nothing() bool {
-	none := false
-	raw, err := w.nb.SyscallConn()
+func (c *baseConn) noInput() bool {
+	empty := false
+	raw, err := c.nb.SyscallConn()
 	if err != nil {
-		return none
+		return empty
 	}
 	_ = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		none = err == syscall.EAGAIN
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		empty = err == syscall.EAGAIN
 	})
-	return none
+	return empty
 }
 
 // dial opens a connection, waiting for at most timeout ns. It calls newEndpoint to wrap the connection, and done on
 // the event loop with the endpoint or the error. nbio's own dialling reads IPv4 addresses from the wrong end of 16
 // bytes and reports refused connections as connected, so the standard library dials and hands the connection over.
-func (p *Proxy) dial(addr string, wait int64, made func(*nbio.Conn) end, up func(e end, now int64, err error)) {
+func (p *Proxy) dial(addr string, timeout int64, newEndpoint func(*nbio.Conn) endpoint,
+	done func(e endpoint, now int64, err error)) {
 	p.pool.dials++
 	go func() {
-		var e end
-		d := net.Dialer{Timeout: time.Duration(wait), KeepAlive: -1}
+		var e endpoint
+		d := net.Dialer{Timeout: time.Duration(timeout), KeepAlive: -1}
 		conn, err := d.Dial("tcp", addr)
 		if err == nil {
 			var nb *nbio.Conn
 			if nb, err = nbio.NBConn(conn); err != nil {
 				_ = conn.Close() // nbio keeps it open when no descriptor is left to duplicate it
 			} else {
-				e = made(nb)
+				e = newEndpoint(nb)
 				nb.SetSession(e)
-				_ = nb.SetReadBuffer(readSize) // what a host sends ahead of a slow client stays in the host's buffers
+				// what a host sends ahead of a slow client stays in the host's buffers
+				_ = nb.SetReadBuffer(readBufferBytes)
 				_, err = p.engine.AddConn(nb)
 			}
 		}
 		p.post(p.now(), nil, func(at int64) {
 			p.pool.dials--
-			if err == nil && e.link().closed {
-				err = errEnded
+			if err == nil && e.base().closed {
+				err = errConnClosed
 			}
-			up(e, at, err)
+			done(e, at, err)
 		})
 	}()
 }
 
 // onOpen is called by nbio when a client has connected.
-func (p *Proxy) opened(c *nbio.Conn) {
-	if c.Session() != nil {
+func (p *Proxy) onOpen(nb *nbio.Conn) {
+	if nb.Session() != nil {
 		return // dialled here
 	}
-	cl := newClient(c)
-	c.SetSession(cl)
-	p.post(p.now(), &cl.wire, func(at int64) { p.welcome(cl, at) })
+	cl := newClient(nb)
+	nb.SetSession(cl)
+	p.post(p.now(), &cl.baseConn, func(at int64) { p.addClient(cl, at) })
 }
 
 // onReadable is called by nbio when there is something to read, once until all of it was read. nbio then closes a
 // connection whose peer has ended its sending, so such a host connection is read to its end even when reading is
 // paused.
-func (p *Proxy) readable(c *nbio.Conn) {
-	e, ok := c.Session().(end)
+func (p *Proxy) onReadable(nb *nbio.Conn) {
+	e, ok := nb.Session().(endpoint)
 	if !ok {
 		return
 	}
 	_, host := e.(*hostConn)
-	p.pump(c, e, host && ended(c))
+	p.pump(nb, e, host && peerClosed(nb))
 }
 
 // peerClosed reports whether the peer has ended its sending.
-func ended(c *nbio.Conn) bool {
-	yes := false
-	if raw, err := c.SyscallConn(); err == nil {
+func peerClosed(nb *nbio.Conn) bool {
+	closed := false
+	if raw, err := nb.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) {
-			look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-			n, err := unix.Poll(look, 0)
-			yes = err == nil && n > 0
+			fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+			n, err := unix.Poll(fds, 0)
+			closed = err == nil && n > 0
 		})
 	}
-	return yes
+	return closed
 }
 
-var buffers = sync.Pool{New: func() any { b := make([]byte, readSize); return &b }}
+var buffers = sync.Pool{New: func() any { b := make([]byte, readBufferBytes); return &b }}
 
 // pump reads until the input or the room for it is exhausted, and goes on in another goroutine after maxReadsInRow
 // reads. If drain is set, it reads all input at once. It hands data over with the time at which it was read.
-func (p *Proxy) pump(c *nbio.Conn, e end, out bool) {
-	w := e.link()
-	w.rmu.Lock()
-	defer w.rmu.Unlock()
+func (p *Proxy) pump(nb *nbio.Conn, e endpoint, drain bool) {
+	conn := e.base()
+	conn.readMu.Lock()
+	defer conn.readMu.Unlock()
 	b := buffers.Get().(*[]byte)
 	defer buffers.Put(b)
 	defer func() {
 		if x := recover(); x != nil { // a panic ends the connection that caused it and nothing else
 			stack := debug.Stack()
-			p.post(p.now(), nil, func(int64) { p.caught(x, stack) })
-			_ = c.Close()
+			p.post(p.now(), nil, func(int64) { p.recordPanic(x, stack) })
+			_ = nb.Close()
 		}
 	}()
-	for n := 0; out || w.room(p.transit.Load()); n++ {
-		if n >= readsAtOnce && !out {
-			go p.pump(c, e, false)
+	for n := 0; drain || conn.canRead(p.transit.Load()); n++ {
+		if n >= maxReadsInRow && !drain {
+			go p.pump(nb, e, false)
 			return
 		}
-		_, got, err := c.ReadAndGetConn(b)
+		_, got, err := nb.ReadAndGetConn(b)
 		switch {
 		case got > 0:
-			w.heard.Add(int64(got))
-			e.read(p, p.now(), (*b)[:got])
+			conn.received.Add(int64(got))
+			e.onRead(p, p.now(), (*b)[:got])
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
 			return
 		case err == nil:
-			e.eof(p, p.now())
-			_ = c.Close()
+			e.onEOF(p, p.now())
+			_ = nb.Close()
 			return
 		default:
-			_ = c.CloseWithError(err)
+			_ = nb.CloseWithError(err)
 			return
 		}
 	}
 }
 
 // canRead reports whether more may be read. If not, release resumes the reading once there is room.
-func (w *wire) room(most int64) bool {
-	if w.transit.Load() < most {
+func (c *baseConn) canRead(limit int64) bool {
+	if c.transit.Load() < limit {
 		return true
 	}
-	w.stalled.Store(true)
-	return w.transit.Load() < most && w.stalled.CompareAndSwap(true, false)
+	c.readPaused.Store(true)
+	return c.transit.Load() < limit && c.readPaused.CompareAndSwap(true, false)
 }
 
 // release makes room for n more bytes to be read.
-func (p *Proxy) release(e end, n int64) {
-	w := e.link()
-	if w.transit.Add(-n) < p.transit.Load() && w.stalled.CompareAndSwap(true, false) && !w.closed {
-		go p.pump(w.nb, e, false)
+func (p *Proxy) release(e endpoint, n int64) {
+	conn := e.base()
+	if conn.transit.Add(-n) < p.transit.Load() && conn.readPaused.CompareAndSwap(true, false) && !conn.closed {
+		go p.pump(conn.nb, e, false)
 	}
 }
 
 // forwarded records that n bytes read from one connection were written to another, or discarded if to is nil. They
 // make room for reading once at most lowUnsentBytes are left unsent there.
-func (p *Proxy) moved(from end, n int64, to *wire) {
-	w := from.link()
-	w.owed += n
-	settle := func(int64) {
-		n := w.owed
-		w.owed = 0
+func (p *Proxy) forwarded(from endpoint, n int64, to *baseConn) {
+	conn := from.base()
+	conn.unreleased += n
+	releaseAll := func(int64) {
+		n := conn.unreleased
+		conn.unreleased = 0
 		p.release(from, n)
 	}
-	if to == nil || to.closed || to.unsent() <= lowUnsent {
-		settle(0)
+	if to == nil || to.closed || to.unsent() <= lowUnsentBytes {
+		releaseAll(0)
 		return
 	}
-	to.low = settle
-	if to.hungry.Store(true); to.unsent() <= lowUnsent && to.hungry.CompareAndSwap(true, false) {
-		settle(0)
+	to.onLow = releaseAll
+	if to.wantsLow.Store(true); to.unsent() <= lowUnsentBytes && to.wantsLow.CompareAndSwap(true, false) {
+		releaseAll(0)
 	}
 }
 
 // onClosed is called by nbio when a connection has ended, whichever side ended it.
-func (p *Proxy) closed(c *nbio.Conn, _ error) {
-	e, ok := c.Session().(end)
+func (p *Proxy) onClosed(nb *nbio.Conn, _ error) {
+	e, ok := nb.Session().(endpoint)
 	if !ok {
 		return // never connected
 	}
 	p.post(p.now(), nil, func(at int64) {
-		e.link().closed = true
-		e.gone(p, at)
+		e.base().closed = true
+		e.onClose(p, at)
 	})
 }
 
 // onWritten counts the bytes that the kernel accepted; nbio calls it while it holds the connection's lock.
-func (p *Proxy) taken(c *nbio.Conn, _ []byte, n int) {
-	e, ok := c.Session().(end)
+func (p *Proxy) onWritten(nb *nbio.Conn, _ []byte, n int) {
+	e, ok := nb.Session().(endpoint)
 	if !ok {
 		return
 	}
-	w := e.link()
-	w.took.Add(int64(n))
-	if w.unsent() <= lowUnsent && w.hungry.CompareAndSwap(true, false) {
+	conn := e.base()
+	conn.accepted.Add(int64(n))
+	if conn.unsent() <= lowUnsentBytes && conn.wantsLow.CompareAndSwap(true, false) {
 		p.post(p.now(), nil, func(now int64) {
-			if w.low != nil {
-				w.low(now)
+			if conn.onLow != nil {
+				conn.onLow(now)
 			}
 		})
 	}
--- a/proxy/counters.go
+++ b/proxy/counters.go
@@ -22,12 +22,12 @@
 	Keyed, Repeats, KeyConflicts, KeysRefused int
 	Panics, Reloads                           int
 	// Latency of successful requests and delay between reading and handling an event, in microseconds.
-	took, lag *hdrhistogram.Histogram
+	latency, loopLag *hdrhistogram.Histogram
 }
 
 func newCounters() Counters {
 	const longest, digits = 60e6, 2
-	return Counters{took: hdrhistogram.New(1, longest, digits), lag: hdrhistogram.New(1, longest, digits)}
+	return Counters{latency: hdrhistogram.New(1, longest, digits), loopLag: hdrhistogram.New(1, longest, digits)}
 }
 
 // record adds the time between two timestamps, given in ns. A value above the histogram's maximum is dropped.
@@ -48,7 +48,7 @@
 	for o, n := range c.Outcomes {
 		m["outcome_"+outcomeNames[o]] = n
 	}
-	for name, h := range map[string]*hdrhistogram.Histogram{"done_us_": c.took, "lag_us_": c.lag} {
+	for name, h := range map[string]*hdrhistogram.Histogram{"done_us_": c.latency, "lag_us_": c.loopLag} {
 		m[name+"p50"], m[name+"p99"], m[name+"max"] = h.ValueAtPercentile(50), h.ValueAtPercentile(99), h.Max()
 	}
 	return m
--- a/proxy/decisions.go
+++ b/proxy/decisions.go
@@ -11,34 +11,36 @@
 	"ivybank/proxy/http1"
 )
 
-func (p *Proxy) route(now int64) {
-	for d, ok := p.module.Next(now); ok; d, ok = p.module.Next(now) {
-		switch d.Kind {
+func (p *Proxy) runDecisions(now int64) {
+	for decision, ok := p.balancer.Next(now); ok; decision, ok = p.balancer.Next(now) {
+		switch decision.Kind {
 		case balance.Dispatch:
-			p.send(p.reqs[d.Request], d.Server, d.Time, now)
+			p.send(p.requests[decision.Request], decision.Server, decision.Time, now)
 		case balance.Deny:
-			p.final(p.reqs[d.Request], &p.count.Denied, http1.Answer{Status: http.StatusServiceUnavailable, RetryAfter: d.Time})
+			p.sendFinal(p.requests[decision.Request], &p.count.Denied,
+				http1.Response{Status: http.StatusServiceUnavailable, RetryAfter: decision.Time})
 		case balance.Abort:
-			p.final(p.reqs[d.Request], &p.count.Aborted, http1.Answer{Status: http.StatusBadGateway})
+			p.sendFinal(p.requests[decision.Request], &p.count.Aborted, http1.Response{Status: http.StatusBadGateway})
 		case balance.Cancel:
-			if r := p.reqs[d.Request]; r != nil && d.Attempt < len(r.dispatches) {
-				p.giveUp(r.dispatches[d.Attempt], balance.Cancelled, now)
+			if r := p.requests[decision.Request]; r != nil && decision.Attempt < len(r.dispatches) {
+				p.giveUp(r.dispatches[decision.Attempt], balance.Cancelled, now)
 			}
 		case balance.SetDeadline:
-			if r := p.reqs[d.Request]; r != nil && d.Attempt < len(r.dispatches) && r.dispatches[d.Attempt].out {
-				p.limit(r.dispatches[d.Attempt], d.Time, now)
+			if r := p.requests[decision.Request]; r != nil && decision.Attempt < len(r.dispatches) &&
+				r.dispatches[decision.Attempt].outstanding {
+				p.setDeadline(r.dispatches[decision.Attempt], decision.Time, now)
 			}
 		case balance.RequestList:
-			p.watch(now)
+			p.openWatch(now)
 		case balance.CloseConnections:
-			if h := p.host(d.Server); h != nil {
+			if h := p.host(decision.Server); h != nil {
 				p.closeIdle(h)
 			}
 		case balance.Wake:
-			p.stop(p.wake) // the balancer asks again only for an earlier time, or when the last timer has fired
-			p.wake = p.after(now, d.Time, func(int64) {})
+			p.stop(p.balancerTimer) // the balancer asks again only for an earlier time, or when the last timer has fired
+			p.balancerTimer = p.after(now, decision.Time, func(int64) {})
 		case balance.Log:
-			logrus.Info(d.Text)
+			logrus.Info(decision.Text)
 		}
 	}
 }
--- a/proxy/dispatch.go
+++ b/proxy/dispatch.go
@@ -16,65 +16,66 @@
 type reached int
 
 const (
-	unsent reached = iota // the proxy itself could not or would not send it: not the host's fault
+	notSent reached = iota // the proxy itself could not or would not send it: not the host's fault
 	unconnected
 	partWritten
 	allWritten
-	answerBegun
+	responseBegun
 )
 
 // dispatchError is the error of a dispatch that got no complete response.
-type broken struct {
+type dispatchError struct {
 	reached reached
 	cause   error
 }
 
-func (b *broken) Error() string { return fmt.Sprintf("reached %d: %v", b.reached, b.cause) }
-func (b *broken) Unwrap() error { return b.cause }
+func (e *dispatchError) Error() string { return fmt.Sprintf("reached %d: %v", e.reached, e.cause) }
+func (e *dispatchError) Unwrap() error { return e.cause }
 
 var (
-	errEnded   = errors.New("connection closed")
-	errAnswer  = errors.New("malformed response")
-	errDrained = errors.New("host accepts no new dispatches")
-	errUnknown = errors.New("unknown host")
-	errSockets = errors.New("no free file descriptor")
+	errConnClosed        = errors.New("connection closed")
+	errMalformedResponse = errors.New("malformed response")
+	errHostDraining      = errors.New("host accepts no new dispatches")
+	errUnknownHost       = errors.New("unknown host")
+	errNoDescriptor      = errors.New("no free file descriptor")
 )
 
 // dispatch is one attempt of a request.
 type dispatch struct {
-	req   *req
-	index int
-	host  *host
-	conn  *hostConn // nil until one is established
-	sent  int64
-	wrote int64 // when it was written to its connection
-	until int64
-	limit *timer
-	out   bool
+	req         *request
+	index       int
+	host        *host
+	conn        *hostConn // nil until one is established
+	sentAt      int64
+	writtenAt   int64 // when it was written to its connection
+	deadline    int64
+	timer       *timer
+	outstanding bool
 }
 
 // send starts a dispatch to a server. Times are Unix ns.
-func (p *Proxy) send(r *req, id string, until, now int64) {
-	d := &dispatch{req: r, index: len(r.dispatches), host: p.host(id), sent: now, until: until, out: true}
+func (p *Proxy) send(r *request, id string, deadline, now int64) {
+	d := &dispatch{req: r, index: len(r.dispatches), host: p.host(id), sentAt: now, deadline: deadline,
+		outstanding: true}
 	r.dispatches = append(r.dispatches, d)
-	r.outs++
+	r.outstanding++
 	p.count.Sent++
 	if p.peers != nil {
 		p.peers.fleet.Sent(id, d.index > 0, now)
 	}
 	if d.host == nil {
-		p.post(now, nil, func(at int64) { p.broke(d, &broken{unsent, errUnknown}, at) })
+		p.post(now, nil, func(at int64) { p.fail(d, &dispatchError{notSent, errUnknownHost}, at) })
 		return
 	}
-	if r.flow == nil || r.flow.whole { // otherwise the balancer sets the deadline once the body is complete
-		p.limit(d, until, now)
+	if r.body == nil || r.body.complete { // otherwise the balancer sets the deadline once the body is complete
+		p.setDeadline(d, deadline, now)
 	}
-	if c := p.idle(d.host); c != nil {
+	if c := p.takeIdle(d.host); c != nil {
 		p.count.Reused++
-		if fresh := settle - (now - c.used); fresh > 0 {
-			p.after(now, fresh, func(now int64) { p.settled(d, c, now) })
+		if wait := settleNs - (now - c.lastUsed); wait > 0 {
+			p.after(now, wait, func(now int64) { p.useSettled(d, c, now) })
 		} else {
-			p.write(d, c)
+			p.writeDispatch(d, c)
 		}
 		return
 	}
@@ -82,50 +83,51 @@
 }
 
 // setDeadline sets the time up to which a dispatch is waited for.
-func (p *Proxy) limit(d *dispatch, until, now int64) {
-	p.stop(d.limit)
-	d.until = until
-	d.limit = p.after(now, until-now, func(now int64) { p.giveUp(d, balance.TimedOut, now) })
+func (p *Proxy) setDeadline(d *dispatch, deadline, now int64) {
+	p.stop(d.timer)
+	d.deadline = deadline
+	d.timer = p.after(now, deadline-now, func(now int64) { p.giveUp(d, balance.TimedOut, now) })
 }
 
 // allSent reports whether all of the request was written and accepted by the kernel.
 func (d *dispatch) allSent() bool {
-	return d.conn != nil && d.conn.written() && (d.req.flow == nil || d.req.flow.sent)
+	return d.conn != nil && d.conn.flushed() && (d.req.body == nil || d.req.body.sent)
 }
 
 // useSettled uses a connection that had a response just before, unless more arrived on it.
-func (p *Proxy) settled(d *dispatch, c *hostConn, now int64) {
-	if c.closed || !c.nothing() {
-		c.shut()
-		if d.out {
+func (p *Proxy) useSettled(d *dispatch, c *hostConn, now int64) {
+	if c.closed || !c.noInput() {
+		c.close()
+		if d.outstanding {
 			p.connect(d, now)
 		}
 		return
 	}
-	p.connected(d, c, now)
+	p.useConn(d, c, now)
 }
 
 // writeDispatch writes the dispatch to an established connection. If its host takes no new dispatches any more, its
 // deadline has passed, or the process was stopped on the way here, it ends as not sent and the balancer decides
 // again.
-func (p *Proxy) write(d *dispatch, c *hostConn) {
-	p.present(p.now())
+func (p *Proxy) writeDispatch(d *dispatch, c *hostConn) {
+	p.catchUpWatch(p.now())
 	now := p.now()
-	wait := d.until - now
-	if f := d.req.flow; f != nil && !f.whole {
-		wait = d.req.call.Timeout // counted from its last byte
+	timeout := d.deadline - now
+	if body := d.req.body; body != nil && !body.complete {
+		timeout = d.req.msg.Timeout // counted from its last byte
 	}
-	call := http1.AppendCall(nil, d.req.call, d.host.addr, wait)
-	if p.present(p.now()) || !d.host.ready || p.unsure() || wait <= 0 { // nothing after this check may take time
-		p.post(now, nil, func(at int64) { p.broke(d, &broken{unsent, errDrained}, at) })
+	encoded := http1.AppendRequest(nil, d.req.msg, d.host.addr, timeout)
+	// nothing after this check may take time
+	if p.catchUpWatch(p.now()) || !d.host.ready || p.listUncertain() || timeout <= 0 {
+		p.post(now, nil, func(at int64) { p.fail(d, &dispatchError{notSent, errHostDraining}, at) })
 		p.park(c, now)
 		return
 	}
-	d.conn, c.carries, d.wrote = c, d, now
-	c.write(call)
-	if d.req.flow != nil {
-		p.pour(d)
-		p.stuck(d, c.acked(), d.wrote)
+	d.conn, c.dispatch, d.writtenAt = c, d, now
+	c.write(encoded)
+	if d.req.body != nil {
+		p.writeBody(d)
+		p.watchUpload(d, c.acked(), d.writtenAt)
 	}
 }
 
@@ -135,8 +137,8 @@
 	switch c := d.conn; {
 	case c == nil:
 		return unconnected
-	case c.begun.Load():
-		return answerBegun
+	case c.responseBegun.Load():
+		return responseBegun
 	case d.allSent():
 		return allWritten
 	}
@@ -144,37 +146,37 @@
 }
 
 // giveUp stops waiting for a dispatch; closing its connection tells the host.
-func (p *Proxy) giveUp(d *dispatch, o balance.Outcome, now int64) {
-	if !d.out {
+func (p *Proxy) giveUp(d *dispatch, outcome balance.Outcome, now int64) {
+	if !d.outstanding {
 		return
 	}
 	if c := d.conn; c != nil {
-		c.carries = nil
-		c.shut()
+		c.dispatch = nil
+		c.close()
 		if d.req.relay == c {
-			p.passed(d, o, now)
+			p.endRelay(d, outcome, now)
 			return
 		}
 	}
 	if d.progress() < allWritten {
-		o = balance.NotSent // its last byte certainly never left
+		outcome = balance.NotSent // its last byte certainly never left
 	}
-	p.book(d, o, nil, now)
+	p.finishDispatch(d, outcome, nil, now)
 }
 
 // fail ends a dispatch that got no complete response.
-func (p *Proxy) broke(d *dispatch, err *broken, now int64) {
-	if !d.out {
+func (p *Proxy) fail(d *dispatch, err *dispatchError, now int64) {
+	if !d.outstanding {
 		return
 	}
 	switch {
-	case err.reached == unsent:
-		p.book(d, balance.NotSent, nil, now)
+	case err.reached == notSent:
+		p.finishDispatch(d, balance.NotSent, nil, now)
 	case err.reached < allWritten:
-		p.book(d, balance.NoConnection, nil, now)
-	case errors.Is(err, errAnswer):
-		p.book(d, balance.Errored, nil, now)
+		p.finishDispatch(d, balance.NoConnection, nil, now)
+	case errors.Is(err, errMalformedResponse):
+		p.finishDispatch(d, balance.Errored, nil, now)
 	default:
-		p.book(d, balance.Reset, nil, now)
+		p.finishDispatch(d, balance.Reset, nil, now)
 	}
 }
--- a/proxy/drain.go
+++ b/proxy/drain.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	comeOn = 5e8 // new connections keep arriving for a while after SIGTERM or the call
-	linger = 3e8 // time without clients and requests before the process ends
-	glance = 5e6 // between checks of what is left
+	acceptGraceNs  = 5e8 // new connections keep arriving for a while after SIGTERM or the call
+	quietPeriodNs  = 3e8 // time without clients and requests before the process ends
+	pollIntervalNs = 5e6 // between checks of what is left
 
 	// Once clients no longer come, connections in use end with a response, and idle ones are closed one by one within
 	// this time.
-	leaving = 1e9
+	closeWindowNs = 1e9
 	// Before that is over, a connection that was used within this time still counts as in use.
-	still = 3e8
+	minIdleNs = 3e8
 )
 
 // drainState is the progress of the final drain and of the operator's.
-type drain struct {
-	begun, ending bool
-	quietFrom     int64
-	emptied       int64 // when an operator sent the clients away; 0 while they are accepted
+type drainState struct {
+	begun, closing bool
+	quietSince     int64
+	evictedAt      int64 // when an operator sent the clients away; 0 while they are accepted
 }
 
 // Drain starts the final drain; it may be called from any goroutine.
@@ -38,96 +38,96 @@
 		p.drain.begun = true
 		logrus.Info("draining")
 		p.leavePeers(at)
-		if p.start.Inherited == nil {
-			p.after(at, comeOn, p.ending)
+		if p.config.Inherited == nil {
+			p.after(at, acceptGraceNs, p.closeIdleClients)
 			return
 		}
 		// New clients go to the process that shares the listener.
-		p.accept.stop()
-		p.drain.ending = true
-		p.sendAway(at, at, func() bool { return true })
-		p.after(at, still, p.awaitEnd)
+		p.listener.stop()
+		p.drain.closing = true
+		p.closeGradually(at, at, func() bool { return true })
+		p.after(at, minIdleNs, p.awaitEnd)
 	})
 }
 
 // closeIdleClients closes idle clients. The others end with the response that they wait for, and so do those of
 // which part of a request has arrived or is unread in the kernel.
-func (p *Proxy) ending(now int64) {
-	p.drain.ending = true
+func (p *Proxy) closeIdleClients(now int64) {
+	p.drain.closing = true
 	for _, c := range p.clients {
-		if c.idle() && !c.last && !c.coming && c.silent() {
-			c.last = true
-			p.endClient(c, now)
+		if c.idle() && !c.closing && !c.incoming && c.quiet() {
+			c.closing = true
+			p.closeWhenFlushed(c, now)
 		}
 	}
 	p.awaitEnd(now)
 }
 
 func (p *Proxy) awaitEnd(now int64) {
-	p.drain.quietFrom = now
-	p.finish(now, now+p.start.LongestTimeout)
+	p.drain.quietSince = now
+	p.finishDrain(now, now+p.config.LongestTimeout)
 }
 
 // finishDrain stops the loop once nothing is left, or when the last client must have timed out.
-func (p *Proxy) finish(now, latest int64) {
-	if len(p.clients) > 0 || len(p.reqs) > 0 {
-		p.drain.quietFrom = now
+func (p *Proxy) finishDrain(now, latest int64) {
+	if len(p.clients) > 0 || len(p.requests) > 0 {
+		p.drain.quietSince = now
 	}
-	for _, r := range p.reqs { // a body that makes progress is not cut off; one that stalls ends by itself
+	for _, r := range p.requests { // a body that makes progress is not cut off; one that stalls ends by itself
 		if !r.ended { // it may have arrived after the drain began, and is waited for as long as its client waits
-			latest = max(latest, r.taken+min(r.call.Timeout, p.start.LongestTimeout))
+			latest = max(latest, r.receivedAt+min(r.msg.Timeout, p.config.LongestTimeout))
 		}
-		if r.relay != nil || r.flow != nil && !r.flow.useless {
-			latest = max(latest, now+linger)
+		if r.relay != nil || r.body != nil && !r.body.discarded {
+			latest = max(latest, now+quietPeriodNs)
 		}
 	}
-	if now-p.drain.quietFrom >= linger || now >= latest {
-		p.leaveLimits(now)
+	if now-p.drain.quietSince >= quietPeriodNs || now >= latest {
+		p.releaseLimits(now)
 		p.done = true
 		return
 	}
-	p.after(now, glance, func(now int64) { p.finish(now, latest) })
+	p.after(now, pollIntervalNs, func(now int64) { p.finishDrain(now, latest) })
 }
 
 // evictClients sends the clients away. Calling it again has no effect.
-func (p *Proxy) empty(now int64) {
-	if p.drain.emptied != 0 {
+func (p *Proxy) evictClients(now int64) {
+	if p.drain.evictedAt != 0 {
 		return
 	}
 	logrus.Info("operator call: closing client connections and failing health checks")
-	p.drain.emptied = now
-	p.after(now, comeOn, func(at int64) {
-		p.sendAway(at, at, func() bool { return p.drain.emptied == now })
+	p.drain.evictedAt = now
+	p.after(now, acceptGraceNs, func(at int64) {
+		p.closeGradually(at, at, func() bool { return p.drain.evictedAt == now })
 	})
 }
 
 // admitClients accepts clients again.
-func (p *Proxy) refill() {
-	if p.drain.emptied != 0 {
+func (p *Proxy) admitClients() {
+	if p.drain.evictedAt != 0 {
 		logrus.Info("operator call: accepting clients again")
-		p.drain.emptied = 0
+		p.drain.evictedAt = 0
 	}
 }
 
 // closeGradually closes idle client connections while wanted returns true: those idle for longest first and a few
 // at a time, as closing one while a request is on its way costs the client a retry.
-func (p *Proxy) sendAway(now, from int64, wanted func() bool) {
+func (p *Proxy) closeGradually(now, from int64, wanted func() bool) {
 	if !wanted() || p.done {
 		return
 	}
-	least, left := int64(still), from+leaving-now
-	if left <= 0 {
-		least, left = 0, 0
+	minIdle, remaining := int64(minIdleNs), from+closeWindowNs-now
+	if remaining <= 0 {
+		minIdle, remaining = 0, 0
 	}
 	var resting []*client
 	for _, c := range p.clients {
-		if c.idle() && !c.last && !c.coming && now-c.rests >= least && c.written() && c.silent() {
+		if c.idle() && !c.closing && !c.incoming && now-c.idleSince >= minIdle && c.flushed() && c.quiet() {
 			resting = append(resting, c)
 		}
 	}
-	slices.SortStableFunc(resting, func(x, y *client) int { return int(x.rests - y.rests) })
-	for _, c := range resting[:(len(resting)+int(left/glance))/(1+int(left/glance))] {
-		p.dismiss(c)
+	slices.SortStableFunc(resting, func(x, y *client) int { return int(x.idleSince - y.idleSince) })
+	for _, c := range resting[:(len(resting)+int(remaining/pollIntervalNs))/(1+int(remaining/pollIntervalNs))] {
+		p.closeClient(c)
 	}
-	p.after(now, glance, func(now int64) { p.sendAway(now, from, wanted) })
+	p.after(now, pollIntervalNs, func(now int64) { p.closeGradually(now, from, wanted) })
 }
--- a/proxy/hostlist.go
+++ b/proxy/hostlist.go
@@ -11,18 +11,18 @@
 )
 
 var (
-	errNoList = errors.New("no list of instances")
-	errCut    = errors.New("cut off")
+	errNoList    = errors.New("no list of instances")
+	errTruncated = errors.New("cut off")
 )
 
 // hostList is one whole list, or the changes of one.
-type roll struct {
-	Generation int64   `json:"generation"`
-	Reset      bool    `json:"reset"`
-	Instances  []entry `json:"instances"`
+type hostList struct {
+	Generation int64       `json:"generation"`
+	Reset      bool        `json:"reset"`
+	Instances  []hostEntry `json:"instances"`
 }
 
-type entry struct {
+type hostEntry struct {
 	ID      string  `json:"instanceId"`
 	Addr    string  `json:"hostPort"`
 	Zone    string  `json:"zone"`
@@ -34,68 +34,68 @@
 }
 
 // parseHostList reads one list. A list with an invalid entry is rejected as a whole.
-func parseRoll(text []byte) (roll, error) {
-	var r roll
-	if err := json.Unmarshal(text, &r); err != nil {
-		return r, err
+func parseHostList(text []byte) (hostList, error) {
+	var list hostList
+	if err := json.Unmarshal(text, &list); err != nil {
+		return list, err
 	}
-	if r.Instances == nil {
-		return r, errNoList
+	if list.Instances == nil {
+		return list, errNoList
 	}
-	for _, e := range r.Instances {
+	for _, e := range list.Instances {
 		if e.ID == "" || e.Addr == "" && e.State != "gone" {
-			return r, errors.New("an entry without id or address")
+			return list, errors.New("an entry without id or address")
 		}
 	}
-	return r, nil
+	return list, nil
 }
 
 // listBuffer holds the unread part of a watch's response: lists, each one JSON object, with any white space in and
 // between them.
-type listText struct {
-	held []byte // shrinks list by list
+type listBuffer struct {
+	data []byte // shrinks list by list
 }
 
-func (t *listText) add(b []byte) { t.held = append(t.held, b...) }
+func (l *listBuffer) add(b []byte) { l.data = append(l.data, b...) }
 
 // next removes and returns the next list; false if it is incomplete. Consecutive lines that are no list give one
 // error.
-func (t *listText) next() (r roll, whole bool, err error) {
-	t.held = bytes.TrimLeft(t.held, " \t\r\n")
-	if len(t.held) == 0 {
-		t.held = nil
-		return r, false, nil
+func (l *listBuffer) next() (list hostList, complete bool, err error) {
+	l.data = bytes.TrimLeft(l.data, " \t\r\n")
+	if len(l.data) == 0 {
+		l.data = nil
+		return list, false, nil
 	}
-	n, err := object(t.held)
+	n, err := objectLength(l.data)
 	switch {
 	case err == nil:
-		r, err = parseRoll(t.held[:n])
-		t.held = t.held[n:]
+		list, err = parseHostList(l.data[:n])
+		l.data = l.data[n:]
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		n = t.behind()
+		n = l.findNext()
 		if n < 0 {
-			return r, false, nil
+			return list, false, nil
 		}
-		t.held, err = t.held[n:], errCut
+		l.data, err = l.data[n:], errTruncated
 	default: // invalid up to the next line that begins with an object
-		if n = bytes.Index(t.held, []byte("\n{")); n < 0 {
-			n = len(t.held) - 1
+		if n = bytes.Index(l.data, []byte("\n{")); n < 0 {
+			n = len(l.data) - 1
 		}
-		t.held = t.held[n+1:]
+		l.data = l.data[n+1:]
 	}
-	return r, true, err
+	return list, true, err
 }
 
 // findNext returns the offset of a complete list that begins a line behind a truncated one, or -1.
-func (t *listText) behind() int {
+func (l *listBuffer) findNext() int {
 	for from := 0; ; {
-		i := bytes.Index(t.held[from:], []byte("\n{"))
+		i := bytes.Index(l.data[from:], []byte("\n{"))
 		if i < 0 {
 			return -1
 		}
 		from += i + 1
-		if n, err := object(t.held[from:]); err == nil {
-			if _, err := parseRoll(t.held[from : from+n]); err == nil {
+		if n, err := objectLength(l.data[from:]); err == nil {
+			if _, err := parseHostList(l.data[from : from+n]); err == nil {
 				return from
 			}
 		}
@@ -103,12 +103,12 @@
 }
 
 // objectLength returns the length of the JSON object at the start of text; io.ErrUnexpectedEOF if it is incomplete.
-func object(text []byte) (int, error) {
+func objectLength(text []byte) (int, error) {
 	if text[0] != '{' {
 		return 0, errNoList
 	}
-	d := json.NewDecoder(bytes.NewReader(text))
+	decoder := json.NewDecoder(bytes.NewReader(text))
 	var raw json.RawMessage
-	err := d.Decode(&raw)
-	return int(d.InputOffset()), err
+	err := decoder.Decode(&raw)
+	return int(decoder.InputOffset()), err
 }
--- a/proxy/hostlist_test.go
+++ b/proxy/hostlist_test.go
@@ -22,7 +22,7 @@
 
 // Lists come on one line or several, with empty lines between them. However their bytes are split, each is applied
 // once and whole; a truncated or invalid one does not affect the others.
-func TestListText(t *testing.T) {
+func TestListBuffer(t *testing.T) {
 	one := `{"generation":1,"reset":true,"instances":[{"instanceId":"a","hostPort":"b:1"},` +
 		`{"instanceId":"c{","hostPort":"d:1"}]}`
 	two := `{"generation":2,"reset":false,"instances":[{"instanceId":"a","lifecycle":"gone"}]}`
@@ -53,7 +53,7 @@
 			}
 			t.Run(fmt.Sprint(name, " by ", size), func(t *testing.T) {
 				var got []int64
-				var lists listText
+				var lists listBuffer
 				for from := 0; from < len(c.text); from += size {
 					lists.add([]byte(c.text[from:min(len(c.text), from+size)]))
 					for r, whole, err := lists.next(); whole; r, whole, err = lists.next() {
@@ -76,10 +76,10 @@
 // A list on a watch reaches the balancer whole, also if it is indented and split into chunks anywhere.
 func TestIndentedWatch(t *testing.T) {
 	p := testProxy(t)
-	p.open = true
+	p.accepting = true
 	nb, _ := pair(t)
-	w := &watch{wire: wire{nb: nb}, answers: http1.NewChunks(mostList), up: true}
-	p.list.watch = w
+	w := &watch{baseConn: baseConn{nb: nb}, parser: http1.NewChunkParser(maxListBytes), connected: true}
+	p.discovery.watch = w
 	text := indented(t, `{"generation":8,"reset":true,"instances":[{"instanceId":"u","hostPort":"127.0.0.1:2",
 		"lifecycle":"ready"},{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`, "  ") + "\n\n"
 	bytes := []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -87,18 +87,18 @@
 		bytes = http1.AppendPiece(bytes, true, []byte(text[:min(50, len(text))]), false)
 	}
 	for i := range bytes {
-		w.read(p, p.now(), bytes[i:i+1])
+		w.onRead(p, p.now(), bytes[i:i+1])
 	}
 	p.round()
 	if u := p.host("u"); u == nil || !u.ready || p.host("s").ready {
 		t.Error("the list was not applied")
 	}
-	if p.count.Lines != 1 || p.count.BadLines != 0 || p.list.generation != 8 || len(w.text.held) != 0 {
+	if p.count.Lines != 1 || p.count.BadLines != 0 || p.discovery.generation != 8 || len(w.buffer.data) != 0 {
 		t.Errorf("%d lists, %d bad, generation %d, %d bytes held", p.count.Lines, p.count.BadLines,
-			p.list.generation, len(w.text.held))
+			p.discovery.generation, len(w.buffer.data))
 	}
-	w.read(p, p.now(), http1.AppendPiece(nil, true, nil, true))
-	if p.round(); p.list.watch == w {
+	w.onRead(p, p.now(), http1.AppendPiece(nil, true, nil, true))
+	if p.round(); p.discovery.watch == w {
 		t.Error("a watch whose response has ended is still open")
 	}
 }
--- a/proxy/http1/encode.go
+++ b/proxy/http1/encode.go
@@ -10,32 +10,32 @@
 
 // AppendRequest appends a request as it is sent to a host, with the time in ns that the proxy will wait. The
 // address is used as Host if the client named none.
-func AppendCall(b []byte, c Call, addr string, wait int64) []byte {
-	b = append(b, c.Method...)
+func AppendRequest(b []byte, req Request, addr string, timeout int64) []byte {
+	b = append(b, req.Method...)
 	b = append(b, ' ')
-	b = append(b, c.Target...)
+	b = append(b, req.Target...)
 	b = append(b, " HTTP/1.1"...)
-	b = field(b, Field{"Host", cmp.Or(c.Host, addr)})
-	for _, f := range c.Fields {
-		b = field(b, f)
+	b = appendField(b, Field{"Host", cmp.Or(req.Host, addr)})
+	for _, f := range req.Fields {
+		b = appendField(b, f)
 	}
-	if wait > 0 {
+	if timeout > 0 {
 		b = append(b, "\r\nRequest-Timeout: "...)
-		b = appendSeconds(b, wait)
+		b = appendSeconds(b, timeout)
 	}
-	if c.Piece == First {
-		return piece(b, c.Length, c.Body)
+	if req.Piece == First {
+		return appendFirst(b, req.Length, req.Body)
 	}
-	if len(c.Body) > 0 || c.Method != http.MethodGet {
+	if len(req.Body) > 0 || req.Method != http.MethodGet {
 		b = append(b, "\r\nContent-Length: "...)
-		b = strconv.AppendInt(b, int64(len(c.Body)), 10)
+		b = strconv.AppendInt(b, int64(len(req.Body)), 10)
 	}
 	b = append(b, "\r\n\r\n"...)
-	return append(b, c.Body...)
+	return append(b, req.Body...)
 }
 
 // appendFirst ends the head of a message that comes in pieces and appends the first piece.
-func piece(b []byte, length int, body []byte) []byte {
+func appendFirst(b []byte, length int, body []byte) []byte {
 	if length < 0 {
 		b = append(b, "\r\nTransfer-Encoding: chunked\r\n\r\n"...)
 	} else {
@@ -65,37 +65,37 @@
 
 // AppendResponse appends a response as it is sent to a client. If its length is unknown, the end of the connection
 // ends it for an HTTP/1.0 client.
-func AppendAnswer(b []byte, a Answer, old bool) []byte {
+func AppendResponse(b []byte, resp Response, http10 bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(a.Status), 10)
+	b = strconv.AppendInt(b, int64(resp.Status), 10)
 	b = append(b, ' ')
-	b = append(b, http.StatusText(a.Status)...)
-	for _, f := range a.Fields {
-		b = field(b, f)
+	b = append(b, http.StatusText(resp.Status)...)
+	for _, f := range resp.Fields {
+		b = appendField(b, f)
 	}
-	if a.RetryAfter > 0 {
+	if resp.RetryAfter > 0 {
 		b = append(b, "\r\nRetry-After: "...)
-		b = appendSeconds(b, a.RetryAfter)
+		b = appendSeconds(b, resp.RetryAfter)
 	}
-	if a.Close {
+	if resp.Close {
 		b = append(b, "\r\nConnection: close"...)
 	}
 	switch {
-	case a.Piece == First && a.Length < 0 && old:
+	case resp.Piece == First && resp.Length < 0 && http10:
 		b = append(b, "\r\n\r\n"...)
-		return append(b, a.Body...)
-	case a.Piece == First:
-		return piece(b, a.Length, a.Body)
-	case a.Status == http.StatusNoContent || a.Status == http.StatusNotModified:
+		return append(b, resp.Body...)
+	case resp.Piece == First:
+		return appendFirst(b, resp.Length, resp.Body)
+	case resp.Status == http.StatusNoContent || resp.Status == http.StatusNotModified:
 		return append(b, "\r\n\r\n"...)
 	}
 	b = append(b, "\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(a.Body)), 10)
+	b = strconv.AppendInt(b, int64(len(resp.Body)), 10)
 	b = append(b, "\r\n\r\n"...)
-	return append(b, a.Body...)
+	return append(b, resp.Body...)
 }
 
-func field(b []byte, f Field) []byte {
+func appendField(b []byte, f Field) []byte {
 	b = append(b, "\r\n"...)
 	b = append(b, f.Name...)
 	b = append(b, ": "...)
@@ -103,5 +103,5 @@
 }
 
 func appendSeconds(b []byte, ns int64) []byte {
-	return strconv.AppendFloat(b, float64(ns)/nanos, 'f', 3, 64)
+	return strconv.AppendFloat(b, float64(ns)/nsPerSecond, 'f', 3, 64)
 }
--- a/proxy/http1/http1_test.go
+++ b/proxy/http1/http1_test.go
@@ -9,18 +9,19 @@
 	"testing"
 )
 
-const post = "POST /api?a=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\nRequest-Class: checkout\r\n" +
+const postText = "POST /api?a=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\nRequest-Class: checkout\r\n" +
 	"Tenant: acme\r\naffinity-key: 7f3a\r\nRequest-Timeout: 0.480\r\nRequest-Info: Other=1, CostGuessNs=12\r\n" +
 	"Idempotency-Key: m1\r\nTE: gzip\r\nConnection: X-Hop, keep-alive\r\nX-Hop: 1\r\nContent-Length: 5\r\n\r\nhello"
 
-var posted = Call{Method: "POST", Target: "/api?a=1", ID: "9b1f", RuleSet: "checkout", Tenant: "acme", Key: "7f3a",
+var postRequest = Request{Method: "POST", Target: "/api?a=1", ID: "9b1f", RuleSet: "checkout", Tenant: "acme",
+	Key:  "7f3a",
 	Host: "origin.svc", Timeout: 480e6, Work: 12, Body: []byte("hello"),
 	Fields: []Field{{"Request-Id", "9b1f"}, {"Request-Class", "checkout"}, {"Tenant", "acme"}, {"affinity-key", "7f3a"},
 		{"Request-Info", "Other=1, CostGuessNs=12"}, {"Idempotency-Key", "m1"}}}
 
 // parseAll feeds the pieces and collects the requests, each joined from its pieces.
-func calls(pieces ...[]byte) (got []Call, err error) {
-	p := NewCalls()
+func parseAll(pieces ...[]byte) (got []Request, err error) {
+	p := NewRequestParser()
 	for _, piece := range pieces {
 		p.Feed(piece)
 		for {
@@ -45,26 +46,26 @@
 	return got, nil
 }
 
-func TestCalls(t *testing.T) {
-	chunked := strings.Replace(post, "Content-Length: 5\r\n\r\nhello",
+func TestRequests(t *testing.T) {
+	chunked := strings.Replace(postText, "Content-Length: 5\r\n\r\nhello",
 		"Transfer-Encoding: chunked\r\n\r\n2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nTrailer: x\r\n\r\n", 1)
-	get := Call{Method: "GET", Target: "/", ID: "1", Close: true, Fields: []Field{{"Request-Id", "1"}}}
+	get := Request{Method: "GET", Target: "/", ID: "1", Close: true, Fields: []Field{{"Request-Id", "1"}}}
 	old := get
-	old.Old = true
+	old.HTTP10 = true
 	for name, c := range map[string]struct {
 		text string
-		want []Call
+		want []Request
 	}{
-		"length":     {post, []Call{posted}},
-		"chunked":    {chunked, []Call{posted}},
-		"pipelined":  {post + chunked + post, []Call{posted, posted, posted}},
-		"empty line": {"\r\n" + post + "\r\n" + post, []Call{posted, posted}},
-		"no body":    {"GET / HTTP/1.1\r\nRequest-Id: 1\r\nConnection: x, Close\r\n\r\n", []Call{get}},
-		"old":        {"GET / HTTP/1.0\r\nRequest-Id: 1\r\n\r\n", []Call{old}},
+		"length":     {postText, []Request{postRequest}},
+		"chunked":    {chunked, []Request{postRequest}},
+		"pipelined":  {postText + chunked + postText, []Request{postRequest, postRequest, postRequest}},
+		"empty line": {"\r\n" + postText + "\r\n" + postText, []Request{postRequest, postRequest}},
+		"no body":    {"GET / HTTP/1.1\r\nRequest-Id: 1\r\nConnection: x, Close\r\n\r\n", []Request{get}},
+		"old":        {"GET / HTTP/1.0\r\nRequest-Id: 1\r\n\r\n", []Request{old}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for cut := range len(c.text) + 1 {
-				got, err := calls([]byte(c.text[:cut]), []byte(c.text[cut:]))
+				got, err := parseAll([]byte(c.text[:cut]), []byte(c.text[cut:]))
 				if err != nil || !reflect.DeepEqual(got, c.want) {
 					t.Fatalf("cut at %d: got %+v, %v, want %+v", cut, got, err, c.want)
 				}
@@ -72,13 +73,13 @@
 		})
 	}
 	t.Run("unfinished", func(t *testing.T) {
-		if got, err := calls([]byte(post[:len(post)-1])); len(got) != 0 || err != nil {
+		if got, err := parseAll([]byte(postText[:len(postText)-1])); len(got) != 0 || err != nil {
 			t.Fatalf("got %+v, %v, want no request yet", got, err)
 		}
 	})
 }
 
-func TestCallsRefused(t *testing.T) {
+func TestRequestsRejected(t *testing.T) {
 	head := "POST / HTTP/1.1\r\n"
 	for name, c := range map[string]struct {
 		text string
@@ -98,45 +99,49 @@
 		"other encoding":     {head + "Transfer-Encoding: gzip, chunked\r\n\r\n", ErrMalformed},
 		"bad chunk":          {head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n", ErrMalformed},
 		"long chunk data":    {head + "Transfer-Encoding: chunked\r\n\r\n2\r\nhello\r\n", ErrMalformed},
-		"long body":          {head + fmt.Sprintf("Content-Length: %d\r\n\r\n", MostBody+1), ErrTooLarge},
+		"long body":          {head + fmt.Sprintf("Content-Length: %d\r\n\r\n", MaxBodyBytes+1), ErrTooLarge},
 		"endless length":     {head + "Content-Length: 99999999999999999999\r\n\r\n", ErrTooLarge},
 		"long chunks":        {head + "Transfer-Encoding: chunked\r\n\r\n3000000\r\n", ErrTooLarge},
-		"long head":          {head + "X: " + strings.Repeat("x", mostHead), ErrTooLarge},
+		"long head":          {head + "X: " + strings.Repeat("x", maxHeadBytes), ErrTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got, err := calls([]byte(c.text)); !errors.Is(err, c.want) || len(got) != 0 {
+			if got, err := parseAll([]byte(c.text)); !errors.Is(err, c.want) || len(got) != 0 {
 				t.Fatalf("got %+v, %v, want %v", got, err, c.want)
 			}
 		})
 	}
 	t.Run("longest body", func(t *testing.T) {
-		got, err := calls([]byte(head + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", MostWhole)))
-		if err != nil || len(got) != 1 || len(got[0].Body) != MostWhole {
+		got, err := parseAll([]byte(head + "Content-Length: 65536\r\n\r\n" + strings.Repeat("x", MaxWholeBytes)))
+		if err != nil || len(got) != 1 || len(got[0].Body) != MaxWholeBytes {
 			t.Fatalf("got %d calls, %v, want one of 64 KiB", len(got), err)
 		}
 	})
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want Answer
+		want Response
 		err  error
 	}{
-		"served":     {"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nhi", Answer{Status: 200, Fields: []Field{{"Content-Type", "a/b"}}, Body: []byte("hi")}, nil},
-		"no reason":  {"HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", Answer{Status: 200}, nil},
-		"refused":    {"HTTP/1.1 503 X\r\nNot-Started: 1\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n", Answer{Status: 503, NotStarted: true, RetryAfter: 15e8}, nil},
-		"no content": {"HTTP/1.1 204 X\r\nConnection: close\r\n\r\n", Answer{Status: 204, Close: true}, nil},
-		"continue":   {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", Answer{Status: 200, Body: []byte("hi")}, nil},
-		"odd field":  {"HTTP/1.1 200 OK\r\nServer-Load: TEXT \x00\x01\xff=\r\nContent-Length: 2\r\n\r\nhi", Answer{Status: 200, Body: []byte("hi")}, nil},
-		"odd length": {"HTTP/1.1 200 OK\r\nContent-Length: 2\x00\r\n\r\nhi", Answer{}, ErrMalformed},
+		"served": {"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\nContent-Length: 2\r\n\r\nhi",
+			Response{Status: 200, Fields: []Field{{"Content-Type", "a/b"}}, Body: []byte("hi")}, nil},
+		"no reason": {"HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n", Response{Status: 200}, nil},
+		"refused": {"HTTP/1.1 503 X\r\nNot-Started: 1\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n",
+			Response{Status: 503, NotStarted: true, RetryAfter: 15e8}, nil},
+		"no content": {"HTTP/1.1 204 X\r\nConnection: close\r\n\r\n", Response{Status: 204, Close: true}, nil},
+		"continue": {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+			Response{Status: 200, Body: []byte("hi")}, nil},
+		"odd field": {"HTTP/1.1 200 OK\r\nServer-Load: TEXT \x00\x01\xff=\r\nContent-Length: 2\r\n\r\nhi",
+			Response{Status: 200, Body: []byte("hi")}, nil},
+		"odd length": {"HTTP/1.1 200 OK\r\nContent-Length: 2\x00\r\n\r\nhi", Response{}, ErrMalformed},
 		// Without a length its end would be the end of the connection, which may be a failure: half a body must not
 		// become a 200.
-		"bad status": {"HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", Answer{}, ErrMalformed},
-		"no http":    {"ICY 200 OK\r\n\r\n", Answer{}, ErrMalformed},
+		"bad status": {"HTTP/1.1 2000 OK\r\nContent-Length: 0\r\n\r\n", Response{}, ErrMalformed},
+		"no http":    {"ICY 200 OK\r\n\r\n", Response{}, ErrMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := NewAnswers()
+			p := NewResponseParser()
 			p.Feed([]byte(c.text))
 			got, ok, err := p.Next()
 			if !errors.Is(err, c.err) || ok != (c.err == nil) || !reflect.DeepEqual(got, c.want) {
@@ -145,14 +150,14 @@
 		})
 	}
 	t.Run("begun", func(t *testing.T) {
-		p := NewAnswers()
+		p := NewResponseParser()
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh"))
 		if _, ok, err := p.Next(); ok || err != nil || !p.Begun() {
 			t.Fatalf("got %v, %v, begun %v, want part of a message buffered", ok, err, p.Begun())
 		}
 	})
 	t.Run("stream", func(t *testing.T) {
-		p := NewChunks(MostBody)
+		p := NewChunkParser(MaxBodyBytes)
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n1\r\n"))
 		a, ok, _ := p.Next()
 		if !ok || string(a.Body) != "abc" {
@@ -170,17 +175,18 @@
 
 func TestAppend(t *testing.T) {
 	t.Run("call", func(t *testing.T) {
-		want := posted
+		want := postRequest
 		want.Timeout = 300e6 // the proxy tells the host its own timeout
-		got, err := calls(AppendCall(nil, posted, "127.0.0.1:1", 300e6))
+		got, err := parseAll(AppendRequest(nil, postRequest, "127.0.0.1:1", 300e6))
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 			t.Fatalf("got %+v, %v, want %+v", got, err, want)
 		}
 	})
 	t.Run("answer", func(t *testing.T) {
-		want := Answer{Status: 503, RetryAfter: 16e7, Fields: []Field{{"Content-Type", "a/b"}}, Body: []byte("no"), Close: true}
-		p := NewAnswers()
-		p.Feed(AppendAnswer(nil, want, false))
+		want := Response{Status: 503, RetryAfter: 16e7, Fields: []Field{{"Content-Type", "a/b"}}, Body: []byte("no"),
+			Close: true}
+		p := NewResponseParser()
+		p.Feed(AppendResponse(nil, want, false))
 		if got, ok, err := p.Next(); !ok || err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("got %+v, %v, %v, want %+v", got, ok, err, want)
 		}
@@ -188,24 +194,25 @@
 }
 
 // FuzzCalls checks that the result does not depend on how the input is split.
-func FuzzCalls(f *testing.F) {
-	f.Add([]byte(post+post), uint8(7))
-	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), uint8(1))
+func FuzzRequests(f *testing.F) {
+	f.Add([]byte(postText+postText), uint8(7))
+	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"),
+		uint8(1))
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd"), uint8(2))
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
-		whole, err := calls(text)
+		whole, err := parseAll(text)
 		var pieces [][]byte
 		for rest := text; len(rest) > 0; {
 			n := min(len(rest), 1+int(step))
 			pieces = append(pieces, bytes.Clone(rest[:n]))
 			rest = rest[n:]
 		}
-		cut, errCut := calls(pieces...)
+		cut, errCut := parseAll(pieces...)
 		if !reflect.DeepEqual(whole, cut) || !errors.Is(errCut, err) {
 			t.Fatalf("whole: %+v, %v; in pieces: %+v, %v", whole, err, cut, errCut)
 		}
 		for _, c := range whole {
-			if len(c.Body) > MostBody || c.Method == "" || c.Target == "" {
+			if len(c.Body) > MaxBodyBytes || c.Method == "" || c.Target == "" {
 				t.Fatalf("got %+v", c)
 			}
 		}
@@ -221,8 +228,8 @@
 			"length":  "POST / HTTP/1.1\r\nContent-Length: 320000\r\n\r\n" + long,
 			"chunked": "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4E200\r\n" + long + "\r\n0\r\nX: 1\r\n\r\n",
 		} {
-			p, body, pieces := NewCalls(), "", []Piece{}
-			for rest := text + post; len(rest) > 0; {
+			p, body, pieces := NewRequestParser(), "", []Piece{}
+			for rest := text + postText; len(rest) > 0; {
 				n := min(len(rest), 30000)
 				p.Feed([]byte(rest[:n]))
 				rest = rest[n:]
@@ -233,7 +240,8 @@
 					if pieces = append(pieces, c.Piece); c.Piece != Whole {
 						body += string(c.Body)
 					}
-					if want := map[string]int{"length": 320000, "chunked": -1}[name]; c.Piece == First && c.Length != want {
+					if want := map[string]int{"length": 320000, "chunked": -1}[name]; c.Piece == First &&
+						c.Length != want {
 						t.Errorf("%s: got length %d, want %d", name, c.Length, want)
 					}
 				}
@@ -245,7 +253,7 @@
 		}
 	})
 	t.Run("answer of a told length begins with its head", func(t *testing.T) {
-		p := NewAnswers()
+		p := NewResponseParser()
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n"))
 		if a, ok, err := p.Next(); !ok || err != nil || a.Piece != First || a.Length != 320000 || len(a.Body) != 0 {
 			t.Fatalf("got %+v, %v, %v", a, ok, err)
@@ -255,26 +263,26 @@
 		}
 	})
 	t.Run("to the end", func(t *testing.T) {
-		p := NewAnswers()
+		p := NewResponseParser()
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nX: y\r\n\r\nab"))
 		if _, ok, err := p.Next(); ok || err != nil {
 			t.Fatalf("got %v, %v before the end", ok, err)
 		}
-		a, ok := p.End()
+		a, ok := p.EOF()
 		if !ok || string(a.Body) != "ab" || a.Piece != Whole || !a.Close || len(a.Fields) != 1 {
 			t.Fatalf("got %+v, %v", a, ok)
 		}
-		if _, ok := p.End(); ok {
+		if _, ok := p.EOF(); ok {
 			t.Fatal("got a second response")
 		}
-		p = NewAnswers()
+		p = NewResponseParser()
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab"))
-		if _, ok := p.End(); ok {
+		if _, ok := p.EOF(); ok {
 			t.Fatal("got a response that was cut off")
 		}
 	})
 	t.Run("no body by its kind", func(t *testing.T) {
-		p := NewAnswers()
+		p := NewResponseParser()
 		p.Feed([]byte("HTTP/1.1 103 X\r\nContent-Length: 9\r\n\r\nHTTP/1.1 304 X\r\nContent-Length: 9\r\n\r\n"))
 		if a, ok, err := p.Next(); !ok || err != nil || a.Status != 304 || len(a.Body) != 0 {
 			t.Fatalf("got %+v, %v, %v", a, ok, err)
@@ -282,15 +290,17 @@
 	})
 	t.Run("written and read again", func(t *testing.T) {
 		for _, length := range []int{320000, -1} {
-			call := Call{Method: "POST", Target: "/", Host: "x", Piece: First, Length: length, Body: []byte(long[:100000])}
-			b := AppendCall(nil, call, "x", 0)
+			call := Request{Method: "POST", Target: "/", Host: "x", Piece: First, Length: length,
+				Body: []byte(long[:100000])}
+			b := AppendRequest(nil, call, "x", 0)
 			b = AppendPiece(b, length < 0, []byte(long[100000:]), false)
 			b = AppendPiece(b, length < 0, nil, true)
-			if got, err := calls(b[:70000], b[70000:]); err != nil || len(got) != 1 || string(got[0].Body) != long {
+			if got, err := parseAll(b[:70000], b[70000:]); err != nil || len(got) != 1 || string(got[0].Body) != long {
 				t.Errorf("length %d: got %d calls, %v", length, len(got), err)
 			}
 		}
-		old := AppendAnswer(nil, Answer{Status: 200, Piece: First, Length: -1, Body: []byte("ab"), Close: true}, true)
+		old := AppendResponse(nil, Response{Status: 200, Piece: First, Length: -1, Body: []byte("ab"), Close: true},
+			true)
 		if text := string(old); strings.Contains(text, "chunked") || !strings.HasSuffix(text, "\r\n\r\nab") {
 			t.Errorf("got %q for an old client", text)
 		}
@@ -299,39 +309,39 @@
 
 func TestHeads(t *testing.T) {
 	t.Run("expects", func(t *testing.T) {
-		p := NewCalls()
+		p := NewRequestParser()
 		p.Feed([]byte("POST / HTTP/1.1\r\nExpect: 100-Continue\r\nContent-Length: 2\r\n\r\n"))
-		if _, ok, err := p.Next(); ok || err != nil || !p.Expects() || !p.HeadIn() {
-			t.Fatalf("got %v, %v, expects %v", ok, err, p.Expects())
+		if _, ok, err := p.Next(); ok || err != nil || !p.ExpectsContinue() || !p.HeadDone() {
+			t.Fatalf("got %v, %v, expects %v", ok, err, p.ExpectsContinue())
 		}
 		p.Feed([]byte("a"))
-		if _, _, err := p.Next(); err != nil || p.Expects() {
+		if _, _, err := p.Next(); err != nil || p.ExpectsContinue() {
 			t.Fatal("a sender that has begun its body does not expect 100 Continue")
 		}
 	})
 	for target, want := range map[string][2]string{
 		"http://a:1/b?c": {"a:1", "/b?c"}, "http://a": {"a", "/"}, "http://a?c": {"a", "/?c"}, "/b": {"h", "/b"},
 	} {
-		got, err := calls([]byte("GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n"))
+		got, err := parseAll([]byte("GET " + target + " HTTP/1.1\r\nHost: h\r\n\r\n"))
 		if err != nil || len(got) != 1 || got[0].Host != want[0] || got[0].Target != want[1] {
 			t.Errorf("%s: got %+v, %v, want %v", target, got, err, want)
 		}
 	}
-	if _, err := calls([]byte("GET http:///b HTTP/1.1\r\nHost: h\r\n\r\n")); !errors.Is(err, ErrMalformed) {
+	if _, err := parseAll([]byte("GET http:///b HTTP/1.1\r\nHost: h\r\n\r\n")); !errors.Is(err, ErrMalformed) {
 		t.Errorf("got %v for a target without a host", err)
 	}
 }
 
 // A watch lasts for days: the limit of a chunk must not apply to all of them together.
-func TestStreamHasNoEnd(t *testing.T) {
-	a := NewChunks(100)
+func TestStreamHasNoLengthLimit(t *testing.T) {
+	a := NewChunkParser(100)
 	a.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	for i := range 50 {
 		a.Feed(AppendPiece(nil, true, make([]byte, 90), false))
 		if got, ok, err := a.Next(); !ok || err != nil || len(got.Body) != 90 {
 			t.Fatalf("chunk %d: %v, %v, %d bytes", i, ok, err, len(got.Body))
 		}
-		if !a.HeadIn() {
+		if !a.HeadDone() {
 			t.Fatal("the response counts as ended")
 		}
 	}
@@ -339,9 +349,9 @@
 	if _, _, err := a.Next(); err != ErrTooLarge {
 		t.Errorf("got %v for a chunk above the limit", err)
 	}
-	a = NewChunks(100)
+	a = NewChunkParser(100)
 	a.Feed([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
-	if _, ok, err := a.Next(); !ok || err != nil || a.HeadIn() {
+	if _, ok, err := a.Next(); !ok || err != nil || a.HeadDone() {
 		t.Errorf("%v, %v: the end of the response is not detected", ok, err)
 	}
 }
--- a/proxy/http1/parse.go
+++ b/proxy/http1/parse.go
@@ -16,13 +16,13 @@
 
 const (
 	// MaxWholeBytes is the longest body that is returned whole; a longer one comes in pieces.
-	MostWhole = 64 << 10
+	MaxWholeBytes = 64 << 10
 	// MaxBodyBytes is the longest body of a message.
-	MostBody = 40 << 20
-	mostHead = 16 << 10
-	mostLine = 256     // a chunk's length with its extensions
-	mostIdle = 8 << 10 // a larger buffer is released once it is empty: there are many connections
-	nanos    = 1e9     // header fields give seconds, with decimals
+	MaxBodyBytes       = 40 << 20
+	maxHeadBytes       = 16 << 10
+	maxChunkLineBytes  = 256     // a chunk's length with its extensions
+	maxIdleBufferBytes = 8 << 10 // a larger buffer is released once it is empty: there are many connections
+	nsPerSecond        = 1e9     // header fields give seconds, with decimals
 )
 
 // Errors of a message. After an error the parser returns nothing more.
@@ -46,7 +46,7 @@
 type Field struct{ Name, Value string }
 
 // Request is a parsed request, or one piece of it. Times are in nanoseconds.
-type Call struct {
+type Request struct {
 	Method, Target, Host string
 	ID                   string
 	RuleSet, Tenant, Key string
@@ -55,13 +55,13 @@
 	Fields               []Field // all end-to-end fields except Request-Timeout and Host
 	Body                 []byte
 	Close                bool // the sender closes the connection after the response
-	Old                  bool // HTTP/1.0: no chunks in the response
+	HTTP10               bool // HTTP/1.0: no chunks in the response
 	Piece                Piece
 	Length               int // of the whole body if this is the First piece; -1 if unknown
 }
 
 // Response is a parsed response, or one piece of it.
-type Answer struct {
+type Response struct {
 	Status     int
 	NotStarted bool  // the request never ran
 	RetryAfter int64 // in ns; 0 if absent
@@ -73,45 +73,45 @@
 }
 
 // state is what the parser reads next.
-type stage int
+type state int
 
 const (
-	head stage = iota
+	head state = iota
 	body
 	chunkLine
 	chunkData
 	chunkEnd
 	trailer
-	toEnd // the end of the connection ends the body
+	untilEOF // the end of the connection ends the body
 )
 
 // parser is the common part of RequestParser and ResponseParser: heads, lengths and chunks.
 type parser struct {
-	most    int  // longest body, in bytes
-	wholly  int  // longest body that is returned whole, in bytes
-	early   bool // a body known to be longer than maxWhole starts its pieces with the head
-	stream  bool
-	lenient bool   // a field with an invalid value is ignored instead of rejected
-	buf     []byte // input that has not been consumed
-	scanned int    // no line end begins before this offset
-	at      stage
-	left    int
-	body    []byte
-	got     int  // bytes of the body so far
-	parted  bool // the First piece has been returned
-	piece   Piece
-	err     error
-	chunked bool
-	length  int // -1 if unknown
-	close   bool
-	fields  []Field
-	named   []string // fields that the Connection field names as hop-by-hop
-	begun   bool     // part of a message has arrived
-	expects bool     // the sender waits for 100 Continue before it sends the body
-	first   func(line string) error
-	none    func() bool                   // reports that the message has no body, whatever its length says
-	ends    bool                          // a body without a length lasts until the end of the connection
-	meaning func(name, value string) bool // returns false if the field is not to be forwarded
+	maxBody         int  // longest body, in bytes
+	maxWhole        int  // longest body that is returned whole, in bytes
+	piecesFromHead  bool // a body known to be longer than maxWhole starts its pieces with the head
+	streaming       bool
+	lenient         bool   // a field with an invalid value is ignored instead of rejected
+	buf             []byte // input that has not been consumed
+	scanned         int    // no line end begins before this offset
+	state           state
+	remaining       int
+	body            []byte
+	bodyRead        int  // bytes of the body so far
+	firstReturned   bool // the First piece has been returned
+	piece           Piece
+	err             error
+	chunked         bool
+	length          int // -1 if unknown
+	close           bool
+	fields          []Field
+	hopByHop        []string // fields that the Connection field names as hop-by-hop
+	begun           bool     // part of a message has arrived
+	expectsContinue bool     // the sender waits for 100 Continue before it sends the body
+	startLine       func(line string) error
+	noBody          func() bool                   // reports that the message has no body, whatever its length says
+	endsAtEOF       bool                          // a body without a length lasts until the end of the connection
+	handleField     func(name, value string) bool // returns false if the field is not to be forwarded
 }
 
 // Feed adds input.
@@ -130,29 +130,29 @@
 }
 
 // line consumes the next line and returns it without its end.
-func (p *parser) line(most int) (string, bool, error) {
+func (p *parser) line(limit int) (string, bool, error) {
 	i := bytes.IndexByte(p.buf[p.scanned:], '\n')
 	if i < 0 {
-		if p.scanned = len(p.buf); len(p.buf) > most {
+		if p.scanned = len(p.buf); len(p.buf) > limit {
 			return "", false, ErrTooLarge
 		}
 		return "", false, nil
 	}
 	i += p.scanned
-	if i > most {
+	if i > limit {
 		return "", false, ErrTooLarge
 	}
 	if i == 0 || p.buf[i-1] != '\r' {
 		return "", false, ErrMalformed
 	}
 	text := string(p.buf[:i-1])
-	p.use(i + 1)
+	p.consume(i + 1)
 	return text, true, nil
 }
 
-func (p *parser) use(n int) {
+func (p *parser) consume(n int) {
 	p.buf = p.buf[:copy(p.buf, p.buf[n:])]
-	if p.scanned = 0; len(p.buf) == 0 && cap(p.buf) > mostIdle {
+	if p.scanned = 0; len(p.buf) == 0 && cap(p.buf) > maxIdleBufferBytes {
 		p.buf = nil
 	}
 }
@@ -160,33 +160,36 @@
 // advance parses the input; it returns true if a message or a piece of one is complete.
 func (p *parser) advance() (bool, error) {
 	ok, err := p.step()
-	if ok || err != nil || p.at == head || p.at == trailer || !p.pieces() || p.parted && len(p.body) == 0 {
+	if ok || err != nil || p.state == head || p.state == trailer || !p.inPieces() || p.firstReturned &&
+		len(p.body) == 0 {
 		return ok, err
 	}
-	if p.piece = More; !p.parted {
-		p.parted, p.piece = true, First
+	if p.piece = More; !p.firstReturned {
+		p.firstReturned, p.piece = true, First
 	}
 	return true, nil
 }
 
 // inPieces reports whether the message is too long to be returned whole.
-func (p *parser) pieces() bool {
-	return !p.stream && (p.parted || p.got > p.wholly || p.early && p.length > p.wholly)
+func (p *parser) inPieces() bool {
+	return !p.streaming && (p.firstReturned || p.bodyRead > p.maxWhole || p.piecesFromHead && p.length > p.maxWhole)
 }
 
 // HeadDone reports whether a message's head is complete and its body is not.
-func (p *parser) HeadIn() bool { return p.begun && p.at != head }
+func (p *parser) HeadDone() bool { return p.begun && p.state != head }
 
 // ExpectsContinue reports whether the sender waits for 100 Continue; it is false once the first byte of the body
 // has arrived.
-func (p *parser) Expects() bool { return p.expects && p.HeadIn() && p.got == 0 && len(p.buf) == 0 }
+func (p *parser) ExpectsContinue() bool {
+	return p.expectsContinue && p.HeadDone() && p.bodyRead == 0 && len(p.buf) == 0
+}
 
 func (p *parser) step() (bool, error) {
 	if p.err != nil {
 		return false, p.err
 	}
 	for {
-		switch p.at {
+		switch p.state {
 		case head:
 			ok, err := p.head()
 			if err != nil {
@@ -195,39 +198,39 @@
 			if !ok {
 				return false, nil
 			}
-		case toEnd:
-			if p.got += len(p.buf); p.got > p.most {
+		case untilEOF:
+			if p.bodyRead += len(p.buf); p.bodyRead > p.maxBody {
 				return p.fail(ErrTooLarge)
 			}
 			p.body = append(p.body, p.buf...)
-			p.use(len(p.buf))
+			p.consume(len(p.buf))
 			return false, nil
 		case body, chunkData:
-			n := min(p.left, len(p.buf))
+			n := min(p.remaining, len(p.buf))
 			p.body = append(p.body, p.buf[:n]...)
-			p.got += n
-			p.use(n)
-			if p.left -= n; p.left > 0 {
+			p.bodyRead += n
+			p.consume(n)
+			if p.remaining -= n; p.remaining > 0 {
 				return false, nil
 			}
-			if p.at == body {
-				return p.whole(), nil
+			if p.state == body {
+				return p.finishMessage(), nil
 			}
-			p.at = chunkEnd
+			p.state = chunkEnd
 		case chunkEnd:
-			text, ok, err := p.line(mostLine)
+			text, ok, err := p.line(maxChunkLineBytes)
 			if err != nil || text != "" {
 				return p.fail(ErrMalformed)
 			}
 			if !ok {
 				return false, nil
 			}
-			if p.at = chunkLine; p.stream {
-				p.got = 0 // a stream has no length limit: its chunks are bounded one by one
+			if p.state = chunkLine; p.streaming {
+				p.bodyRead = 0 // a stream has no length limit: its chunks are bounded one by one
 				return true, nil
 			}
 		case chunkLine:
-			text, ok, err := p.line(mostLine)
+			text, ok, err := p.line(maxChunkLineBytes)
 			if err != nil {
 				return p.fail(err)
 			}
@@ -239,14 +242,14 @@
 			if err != nil {
 				return p.fail(ErrMalformed)
 			}
-			if p.left = int(n); p.left+p.got > p.most {
+			if p.remaining = int(n); p.remaining+p.bodyRead > p.maxBody {
 				return p.fail(ErrTooLarge)
 			}
-			if p.at = chunkData; n == 0 {
-				p.at = trailer
+			if p.state = chunkData; n == 0 {
+				p.state = trailer
 			}
 		case trailer:
-			text, ok, err := p.line(mostHead)
+			text, ok, err := p.line(maxHeadBytes)
 			if err != nil {
 				return p.fail(err)
 			}
@@ -254,22 +257,22 @@
 				return false, nil
 			}
 			if text == "" {
-				return p.whole(), nil
+				return p.finishMessage(), nil
 			}
 		}
 	}
 }
 
-func (p *parser) whole() bool {
-	if p.piece = Whole; p.parted {
+func (p *parser) finishMessage() bool {
+	if p.piece = Whole; p.firstReturned {
 		p.piece = Last
 	}
-	p.at, p.begun, p.parted, p.expects = head, false, false, false
+	p.state, p.begun, p.firstReturned, p.expectsContinue = head, false, false, false
 	return true
 }
 
 // takeBody returns the body bytes that have arrived since the last call.
-func (p *parser) take() []byte {
+func (p *parser) takeBody() []byte {
 	b := p.body
 	p.body = nil
 	return b
@@ -278,66 +281,70 @@
 // head reads a start line and fields once all of them have arrived.
 func (p *parser) head() (bool, error) {
 	for !p.begun && len(p.buf) > 1 && p.buf[0] == '\r' && p.buf[1] == '\n' {
-		p.use(2) // an empty line before a message is ignored
+		p.consume(2) // an empty line before a message is ignored
 	}
 	end := bytes.Index(p.buf[p.scanned:], []byte("\r\n\r\n"))
 	if end < 0 {
-		if p.scanned = max(0, len(p.buf)-3); len(p.buf) >= mostHead+4 {
+		if p.scanned = max(0, len(p.buf)-3); len(p.buf) >= maxHeadBytes+4 {
 			return false, ErrTooLarge
 		}
 		return false, nil
 	}
-	if end += p.scanned; end > mostHead {
+	if end += p.scanned; end > maxHeadBytes {
 		return false, ErrTooLarge
 	}
-	first, rest, _ := strings.Cut(string(p.buf[:end]), "\r\n")
-	p.use(end + 4)
-	p.begun, p.body, p.length, p.chunked, p.close, p.fields, p.named = true, nil, -1, false, false, nil, nil
-	p.got, p.expects = 0, false
-	if err := p.first(first); err != nil {
+	start, rest, _ := strings.Cut(string(p.buf[:end]), "\r\n")
+	p.consume(end + 4)
+	p.begun, p.body, p.length, p.chunked, p.close, p.fields, p.hopByHop = true, nil, -1, false, false, nil, nil
+	p.bodyRead, p.expectsContinue = 0, false
+	if err := p.startLine(start); err != nil {
 		return false, err
 	}
 	for rest != "" {
-		var text string
-		text, rest, _ = strings.Cut(rest, "\r\n")
-		if err := p.one(text); err != nil {
+		var line string
+		line, rest, _ = strings.Cut(rest, "\r\n")
+		if err := p.field(line); err != nil {
 			return false, err
 		}
 	}
-	p.fields = slices.DeleteFunc(p.fields, func(f Field) bool { return slices.Contains(p.named, strings.ToLower(f.Name)) })
+	p.fields = slices.DeleteFunc(p.fields, func(f Field) bool {
+		return slices.Contains(p.hopByHop,
+			strings.ToLower(f.Name))
+	})
 	switch {
 	case p.chunked && p.length >= 0:
 		return false, ErrMalformed
-	case p.none != nil && p.none():
-		p.at, p.left, p.chunked = body, 0, false
-	case p.length > p.most:
+	case p.noBody != nil && p.noBody():
+		p.state, p.remaining, p.chunked = body, 0, false
+	case p.length > p.maxBody:
 		return false, ErrTooLarge
 	case p.chunked:
-		p.at = chunkLine
-	case p.ends && p.length < 0:
-		p.at, p.close = toEnd, true
+		p.state = chunkLine
+	case p.endsAtEOF && p.length < 0:
+		p.state, p.close = untilEOF, true
 	default:
-		p.at, p.left = body, max(0, p.length)
+		p.state, p.remaining = body, max(0, p.length)
 	}
 	return true, nil
 }
 
 // field parses one header field. Message framing is handled here, all other fields by the handler of the message
 // type.
-func (p *parser) one(text string) error {
-	name, value, ok := strings.Cut(text, ":")
+func (p *parser) field(line string) error {
+	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsFunc(name, notToken) {
 		return ErrMalformed
 	}
 	value = strings.Trim(value, " \t")
-	low := strings.ToLower(name)
+	lowerName := strings.ToLower(name)
 	if strings.ContainsFunc(value, func(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }) {
-		if p.lenient && !strings.ContainsAny(value, "\r\n") && low != "content-length" && low != "transfer-encoding" {
+		if p.lenient && !strings.ContainsAny(value, "\r\n") && lowerName != "content-length" &&
+			lowerName != "transfer-encoding" {
 			return nil // an unreadable field, such as a load report, does not invalidate a sound response
 		}
 		return ErrMalformed
 	}
-	switch low {
+	switch lowerName {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
 		if errors.Is(err, strconv.ErrRange) {
@@ -356,14 +363,14 @@
 		for token := range strings.SplitSeq(value, ",") {
 			token = strings.ToLower(strings.Trim(token, " \t"))
 			p.close = p.close || token == "close"
-			p.named = append(p.named, token)
+			p.hopByHop = append(p.hopByHop, token)
 		}
 	case "expect":
-		p.expects = strings.EqualFold(value, "100-continue")
+		p.expectsContinue = strings.EqualFold(value, "100-continue")
 	case "keep-alive", "proxy-connection", "te", "trailer", "upgrade":
 		// hop-by-hop
 	default:
-		if p.meaning(low, value) {
+		if p.handleField(lowerName, value) {
 			p.fields = append(p.fields, Field{name, value})
 		}
 	}
@@ -378,95 +385,96 @@
 // seconds parses a time in seconds, with or without decimals, and returns ns; 0 if it is invalid.
 func seconds(text string) int64 {
 	s, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(s > 0) || s > math.MaxInt64/nanos/2 {
+	if err != nil || !(s > 0) || s > math.MaxInt64/nsPerSecond/2 {
 		return 0
 	}
-	return int64(s * nanos)
+	return int64(s * nsPerSecond)
 }
 
 // RequestParser parses what a client sends.
-type Calls struct {
+type RequestParser struct {
 	parser
-	call  Call
-	named string // the host in an absolute target
+	request    Request
+	targetHost string // the host in an absolute target
 }
 
 // NewRequestParser returns a parser for one connection.
-func NewCalls() *Calls {
-	c := &Calls{}
-	c.most, c.wholly, c.first, c.parser.meaning = MostBody, MostWhole, c.start, c.meaning
-	return c
+func NewRequestParser() *RequestParser {
+	p := &RequestParser{}
+	p.maxBody, p.maxWhole, p.startLine, p.parser.handleField = MaxBodyBytes, MaxWholeBytes, p.parseStartLine,
+		p.handleField
+	return p
 }
 
 // Next returns the next request or a piece of one; false if it is incomplete.
-func (c *Calls) Next() (Call, bool, error) {
-	ok, err := c.advance()
+func (p *RequestParser) Next() (Request, bool, error) {
+	ok, err := p.advance()
 	if !ok {
-		return Call{}, false, err
+		return Request{}, false, err
 	}
-	if c.piece == More || c.piece == Last {
-		return Call{Piece: c.piece, Body: c.take()}, true, nil
+	if p.piece == More || p.piece == Last {
+		return Request{Piece: p.piece, Body: p.takeBody()}, true, nil
 	}
-	got := c.call
-	got.Body, got.Fields, got.Close, got.Piece = c.take(), c.fields, got.Close || c.close, c.piece
-	if c.piece == First {
-		got.Length = c.length
+	req := p.request
+	req.Body, req.Fields, req.Close, req.Piece = p.takeBody(), p.fields, req.Close || p.close, p.piece
+	if p.piece == First {
+		req.Length = p.length
 	}
-	return got, true, nil
+	return req, true, nil
 }
 
-func (c *Calls) start(line string) error {
-	c.call, c.named = Call{}, ""
-	part := strings.Split(line, " ")
-	if len(part) != 3 || part[0] == "" || strings.ContainsFunc(part[0], notToken) || part[1] == "" ||
-		strings.ContainsFunc(part[1], func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
+func (p *RequestParser) parseStartLine(line string) error {
+	p.request, p.targetHost = Request{}, ""
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || parts[0] == "" || strings.ContainsFunc(parts[0], notToken) || parts[1] == "" ||
+		strings.ContainsFunc(parts[1], func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
 		return ErrMalformed
 	}
-	switch part[2] {
+	switch parts[2] {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		c.call.Close, c.call.Old = true, true
+		p.request.Close, p.request.HTTP10 = true, true
 	default:
 		return ErrMalformed
 	}
-	c.call.Method, c.call.Target = part[0], part[1]
+	p.request.Method, p.request.Target = parts[0], parts[1]
 	// An absolute target overrides the Host field.
-	if rest, ok := strings.CutPrefix(part[1], "http://"); ok {
+	if rest, ok := strings.CutPrefix(parts[1], "http://"); ok {
 		i := strings.IndexAny(rest, "/?")
 		if i < 0 {
 			i, rest = len(rest), rest+"/"
 		}
-		if c.named = rest[:i]; c.named == "" {
+		if p.targetHost = rest[:i]; p.targetHost == "" {
 			return ErrMalformed
 		}
-		c.call.Host, c.call.Target = c.named, rest[i:]
+		p.request.Host, p.request.Target = p.targetHost, rest[i:]
 		if rest[i] == '?' {
-			c.call.Target = "/" + rest[i:]
+			p.request.Target = "/" + rest[i:]
 		}
 	}
 	return nil
 }
 
-func (c *Calls) meaning(name, value string) bool {
+func (p *RequestParser) handleField(name, value string) bool {
 	switch name {
 	case "host":
-		c.call.Host = cmp.Or(c.named, value)
+		p.request.Host = cmp.Or(p.targetHost, value)
 		return false
 	case "request-id":
-		c.call.ID = value
+		p.request.ID = value
 	case "request-class":
-		c.call.RuleSet = value
+		p.request.RuleSet = value
 	case "tenant":
-		c.call.Tenant = value
+		p.request.Tenant = value
 	case "affinity-key":
-		c.call.Key = value
+		p.request.Key = value
 	case "request-timeout":
-		c.call.Timeout = seconds(value)
+		p.request.Timeout = seconds(value)
 		return false
 	case "request-info":
 		for pair := range strings.SplitSeq(value, ",") {
 			if k, v, _ := strings.Cut(strings.TrimSpace(pair), "="); k == "CostGuessNs" {
-				c.call.Work, _ = strconv.ParseInt(v, 10, 64)
+				p.request.Work, _ = strconv.ParseInt(v, 10, 64)
 			}
 		}
 	}
@@ -474,90 +482,91 @@
 }
 
 // ResponseParser parses what a host or discovery sends.
-type Answers struct {
+type ResponseParser struct {
 	parser
-	answer Answer
+	response Response
 }
 
 // NewResponseParser returns a parser for one connection.
-func NewAnswers() *Answers {
-	a := &Answers{}
-	a.most, a.wholly, a.early, a.ends = MostBody, MostWhole, true, true
-	a.lenient, a.first, a.parser.meaning, a.none = true, a.start, a.meaning, a.empty
-	return a
+func NewResponseParser() *ResponseParser {
+	p := &ResponseParser{}
+	p.maxBody, p.maxWhole, p.piecesFromHead, p.endsAtEOF = MaxBodyBytes, MaxWholeBytes, true, true
+	p.lenient, p.startLine, p.parser.handleField, p.noBody = true, p.parseStartLine, p.handleField, p.noBodyStatus
+	return p
 }
 
 // NewChunkParser returns a parser that returns each chunk of a response as it arrives; maxChunk is the longest,
 // in bytes.
-func NewChunks(most int) *Answers {
-	a := NewAnswers()
-	a.most, a.stream, a.ends = most, true, false
-	return a
+func NewChunkParser(maxChunk int) *ResponseParser {
+	p := NewResponseParser()
+	p.maxBody, p.streaming, p.endsAtEOF = maxChunk, true, false
+	return p
 }
 
 // noBodyStatus reports whether a response has no body because of its status.
-func (a *Answers) empty() bool {
-	return a.answer.Status < 200 || a.answer.Status == 204 || a.answer.Status == 304
+func (p *ResponseParser) noBodyStatus() bool {
+	return p.response.Status < 200 || p.response.Status == 204 || p.response.Status == 304
 }
 
 // EOF returns the response that the end of the connection completes; false if it cuts one off.
-func (a *Answers) End() (Answer, bool) {
-	if a.err != nil || a.at != toEnd {
-		return Answer{}, false
+func (p *ResponseParser) EOF() (Response, bool) {
+	if p.err != nil || p.state != untilEOF {
+		return Response{}, false
 	}
-	a.whole()
-	return a.give(), true
+	p.finishMessage()
+	return p.result(), true
 }
 
-func (a *Answers) give() Answer {
-	if a.piece == More || a.piece == Last {
-		return Answer{Status: a.answer.Status, Piece: a.piece, Body: a.take(), Close: a.answer.Close || a.close}
+func (p *ResponseParser) result() Response {
+	if p.piece == More || p.piece == Last {
+		return Response{Status: p.response.Status, Piece: p.piece, Body: p.takeBody(), Close: p.response.Close ||
+			p.close}
 	}
-	got := a.answer
-	got.Body, got.Fields, got.Close, got.Piece = a.take(), a.fields, got.Close || a.close, a.piece
-	if a.piece == First {
-		got.Length = a.length
+	resp := p.response
+	resp.Body, resp.Fields, resp.Close, resp.Piece = p.takeBody(), p.fields, resp.Close || p.close, p.piece
+	if p.piece == First {
+		resp.Length = p.length
 	}
-	return got
+	return resp
 }
 
 // Next returns the next response or a piece of one; false if it is incomplete.
-func (a *Answers) Next() (Answer, bool, error) {
+func (p *ResponseParser) Next() (Response, bool, error) {
 	for {
-		ok, err := a.advance()
+		ok, err := p.advance()
 		if !ok {
-			return Answer{}, false, err
+			return Response{}, false, err
 		}
-		if a.answer.Status < 200 {
+		if p.response.Status < 200 {
 			continue // informational: the final response follows
 		}
-		if a.stream && a.length < 0 && !a.chunked && !a.empty() {
-			_, err := a.fail(ErrMalformed) // only chunked responses can be streamed
-			return Answer{}, false, err
+		if p.streaming && p.length < 0 && !p.chunked && !p.noBodyStatus() {
+			_, err := p.fail(ErrMalformed) // only chunked responses can be streamed
+			return Response{}, false, err
 		}
-		return a.give(), true, nil
+		return p.result(), true, nil
 	}
 }
 
-func (a *Answers) start(line string) error {
-	a.answer = Answer{}
+func (p *ResponseParser) parseStartLine(line string) error {
+	p.response = Response{}
 	proto, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	n, err := strconv.ParseUint(code, 10, 16)
 	if err != nil || len(code) != 3 || n < 100 || proto != "HTTP/1.1" && proto != "HTTP/1.0" {
 		return ErrMalformed
 	}
-	a.answer.Status, a.answer.Close = int(n), proto == "HTTP/1.0"
+	p.response.Status, p.response.Close = int(n), proto == "HTTP/1.0"
 	return nil
 }
 
-func (a *Answers) meaning(name, value string) bool {
+func (p *ResponseParser) handleField(name, value string) bool {
 	switch name {
 	case "not-started":
-		a.answer.NotStarted = value == "1"
+		p.response.NotStarted = value == "1"
 		return false
 	case "retry-after":
-		a.answer.RetryAfter = seconds(value)
+		p.response.RetryAfter = seconds(value)
 		return false
 	}
 	return true
--- a/proxy/idempotency_test.go
+++ b/proxy/idempotency_test.go
@@ -12,11 +12,13 @@
 
 // A ledger most of which is obsolete is rewritten with the live records only; one that is mostly live is left as it
 // is.
-func TestTidyLedger(t *testing.T) {
+func TestCompactLedger(t *testing.T) {
 	p := testProxy(t)
 	file := filepath.Join(t.TempDir(), "keys.ledger")
-	p.start.Idempotency = &IdempotencyConfig{Header: "K", File: file, Terms: idempotency.Config{MaxKeys: 1 << 20, MaxResponseBytes: 1 << 30, MaxResponseSize: 1 << 16, MaxWaiters: 1, MaxKeyLength: 99,
-		Retain: map[string]int64{"once": int64(time.Hour)}}}
+	p.config.Idempotency = &IdempotencyConfig{Header: "K", File: file,
+		Terms: idempotency.Config{MaxKeys: 1 << 20, MaxResponseBytes: 1 << 30, MaxResponseSize: 1 << 16,
+			MaxWaiters: 1, MaxKeyLength: 99,
+			Retain: map[string]int64{"once": int64(time.Hour)}}}
 	if err := p.openKeys(); err != nil {
 		t.Fatal(err)
 	}
@@ -40,23 +42,24 @@
 	settled := func() {
 		t.Helper()
 		done := make(chan error)
-		k.ledger.Append(ledger.Record{Kind: ledger.Free, Entry: idempotency.Entry{Key: idempotency.Key{RuleSet: "once", Name: "0"}}}, func(err error) { done <- err })
+		k.ledger.Append(ledger.Record{Kind: ledger.Free,
+			Entry: idempotency.Entry{Key: idempotency.Key{RuleSet: "once", Name: "0"}}}, func(err error) { done <- err })
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 	}
 	settled()
 	before := k.ledger.Size()
-	if before < leastLedger {
+	if before < minCompactBytes {
 		t.Fatalf("got %d bytes, too few for this test", before)
 	}
-	p.tidyLedger(p.now())
+	p.compactLedger(p.now())
 	settled()
 	after := k.ledger.Size()
 	if after > before/10 {
 		t.Errorf("got %d bytes of %d with 30 of 3000 keys live", after, before)
 	}
-	p.tidyLedger(p.now())
+	p.compactLedger(p.now())
 	settled()
 	if again := k.ledger.Size(); again < after {
 		t.Errorf("got %d bytes of %d: a ledger of live records was rewritten", again, after)
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -12,51 +12,52 @@
 )
 
 // maxLimitTickAgeNs bounds the age of the last tick: above it the core is ticked before it is asked.
-const limitsLate = 100e6
+const maxLimitTickAgeNs = 100e6
 
 // limits is the event loop's state of the fleet-wide limits.
 type limits struct {
 	*lease.Member
-	terms  lease.Terms
-	ticked int64
-	timer  *timer
-	bad    int64 // undecodable datagrams and those with a wrong sender
+	terms        lease.Terms
+	lastTick     int64
+	timer        *timer
+	badDatagrams int64 // undecodable datagrams and those with a wrong sender
 }
 
 // withLimitsOf returns c with the limits of other.
-func (x FleetConfig) but(y *FleetConfig) FleetConfig {
-	x.Limits, x.Voters, x.Drift = y.Limits, y.Voters, y.Drift
-	return x
+func (c FleetConfig) withLimitsOf(other *FleetConfig) FleetConfig {
+	c.Limits, c.Voters, c.Drift = other.Limits, other.Voters, other.Drift
+	return c
 }
 
 // reconfigureLimits applies new limits. If the members changed, the core starts anew, after what was held is given
 // back.
-func (p *Proxy) relimit(x *FleetConfig, now int64) {
-	var t lease.Terms
-	if x != nil && len(x.Limits) > 0 {
-		t = lease.Terms{Me: x.Terms.Me, Of: len(x.Peers), Voters: x.Voters, Drift: x.Drift, Limits: x.Limits}
+func (p *Proxy) reconfigureLimits(cfg *FleetConfig, now int64) {
+	var terms lease.Terms
+	if cfg != nil && len(cfg.Limits) > 0 {
+		terms = lease.Terms{Me: cfg.Terms.Me, Of: len(cfg.Peers), Voters: cfg.Voters, Drift: cfg.Drift,
+			Limits: cfg.Limits}
 	}
 	if l := p.limits; l != nil {
-		same := l.terms
-		if same.Limits = t.Limits; reflect.DeepEqual(same, t) {
-			l.terms = t
-			l.Member.Limits(t.Limits, now)
+		unchanged := l.terms
+		if unchanged.Limits = terms.Limits; reflect.DeepEqual(unchanged, terms) {
+			l.terms = terms
+			l.Member.Limits(terms.Limits, now)
 			return
 		}
-		p.leaveLimits(now)
+		p.releaseLimits(now)
 	}
-	if t.Of == 0 {
+	if terms.Of == 0 {
 		return
 	}
-	l := &limits{terms: t, ticked: now}
-	t.Life, t.Seed = swim.LifeOf(now), p.terms.Seed^4
-	l.Member = lease.New(t, now)
+	l := &limits{terms: terms, lastTick: now}
+	terms.Life, terms.Seed = swim.LifeOf(now), p.terms.Seed^4
+	l.Member = lease.New(terms, now)
 	p.limits = l
 	p.tickLimits(now)
 }
 
 // releaseLimits gives back what is held.
-func (p *Proxy) leaveLimits(now int64) {
+func (p *Proxy) releaseLimits(now int64) {
 	if l := p.limits; l != nil {
 		p.stop(l.timer)
 		l.Leave(now)
@@ -67,26 +68,26 @@
 
 func (p *Proxy) tickLimits(now int64) {
 	l := p.limits
-	if q := p.peers; q != nil {
-		p.hear(q, now)
+	if ps := p.peers; ps != nil {
+		p.readDatagrams(ps, now)
 	}
 	l.Tick(now)
-	l.ticked = now
+	l.lastTick = now
 	p.sendLimits()
 	p.stop(l.timer)
 	l.timer = p.after(now, lease.TickEvery, p.tickLimits)
 }
 
 // handleLimitDatagram handles a datagram of the lease protocol.
-func (p *Proxy) hearLimits(q *peers, place int, b []byte, now int64) {
+func (p *Proxy) handleLimitDatagram(ps *peers, member int, b []byte, now int64) {
 	l := p.limits
 	if l == nil {
-		q.drops.Version++ // a build or configuration without limits counts it the same way
+		ps.drops.Version++ // a build or configuration without limits counts it the same way
 		return
 	}
-	d, err := lease.Decode(q.name, b)
-	if err != nil || d.From != place {
-		l.bad++
+	d, err := lease.Decode(ps.fleetID, b)
+	if err != nil || d.From != member {
+		l.badDatagrams++
 		return
 	}
 	l.Heard(&d, now)
@@ -95,45 +96,45 @@
 
 // sendLimits sends the core's datagrams; without peers they are lost, as any datagram may be.
 func (p *Proxy) sendLimits() {
-	q := p.peers
+	ps := p.peers
 	for to, d, ok := p.limits.Next(); ok; to, d, ok = p.limits.Next() {
-		if q == nil || to >= len(q.Peers) {
+		if ps == nil || to >= len(ps.Peers) {
 			continue
 		}
-		b, err := lease.Encode(q.name, &d)
+		b, err := lease.Encode(ps.fleetID, &d)
 		if err == nil {
-			_, err = q.conn.WriteToUDPAddrPort(b, q.Peers[to])
+			_, err = ps.conn.WriteToUDPAddrPort(b, ps.Peers[to])
 		}
 		if err != nil {
-			q.drops.Unsent++
+			ps.drops.Unsent++
 		}
 	}
 }
 
 // deniedByLimit reports whether a fleet-wide limit denies a request, and for how many ns the client is to back off.
-func (p *Proxy) limited(r *req) (denied bool, back int64) {
+func (p *Proxy) deniedByLimit(r *request) (denied bool, retryAfter int64) {
 	l := p.limits
 	if l == nil {
 		return false, 0
 	}
 	now := p.now()
-	if now-l.ticked > limitsLate {
+	if now-l.lastTick > maxLimitTickAgeNs {
 		p.tickLimits(now)
 		now = p.now()
 	}
 	book := l.Book()
-	ok, back := book.Admit(lease.Scope{RuleSet: r.call.RuleSet, Tenant: r.call.Tenant}, now)
-	if ok {
-		r.book = book
+	admitted, retryAfter := book.Admit(lease.Scope{RuleSet: r.msg.RuleSet, Tenant: r.msg.Tenant}, now)
+	if admitted {
+		r.limitBook = book
 	}
-	return !ok, back
+	return !admitted, retryAfter
 }
 
 // releaseLimit gives back the request's share of work in flight.
-func (r *req) unlimit() {
-	if r.book != nil {
-		r.book.Done(lease.Scope{RuleSet: r.call.RuleSet, Tenant: r.call.Tenant})
-		r.book = nil
+func (r *request) releaseLimit() {
+	if r.limitBook != nil {
+		r.limitBook.Done(lease.Scope{RuleSet: r.msg.RuleSet, Tenant: r.msg.Tenant})
+		r.limitBook = nil
 	}
 }
 
--- a/proxy/listen.go
+++ b/proxy/listen.go
@@ -12,7 +12,7 @@
 )
 
 // acceptTimeoutNs bounds an accept on a listener that was set to blocking mode.
-const acceptWait = 5e7
+const acceptTimeoutNs = 5e7
 
 // listener accepts from when it is opened until it is stopped. nbio retries after every error of Accept, so the
 // Accept of a stopped listener does not return.
@@ -48,7 +48,7 @@
 	return l, raw.Control(func(fd uintptr) {
 		// Blocking mode belongs to all that share the listener: whoever starts a further process may set it again.
 		// A blocked accept then returns after this timeout, so that it does not accept a connection after the stop.
-		wait := syscall.NsecToTimeval(acceptWait)
+		wait := syscall.NsecToTimeval(acceptTimeoutNs)
 		_ = syscall.SetsockoptTimeval(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &wait)
 	})
 }
--- a/proxy/loop.go
+++ b/proxy/loop.go
@@ -25,10 +25,10 @@
 )
 
 // maxUnsentBytes bounds the response bytes that a client has not read; above it the connection is closed.
-const mostUnsent = 1 << 20
+const maxUnsentBytes = 1 << 20
 
 // transitUpdateNs is the interval at which the transit limit of each body is recomputed.
-const portionApart = 5e7
+const transitUpdateNs = 5e7
 
 // Config is what a proxy is started with. Times are in nanoseconds.
 type Config struct {
@@ -52,54 +52,54 @@
 
 // Proxy is one running client proxy. Everything but the event queues belongs to the event loop.
 type Proxy struct {
-	start  Config
-	engine *nbio.Engine
-	module *balance.Balancer
-	base   time.Time // start of the clock: wall time, monotonic from there
+	config     Config
+	engine     *nbio.Engine
+	balancer   *balance.Balancer
+	clockStart time.Time // start of the clock: wall time, monotonic from there
 
-	mu     sync.Mutex
-	news   []event // from watches on discovery; handled before all other events, and by catchUpWatch
-	events []event // handled in every round of the loop
-	bell   chan struct{}
+	mu          sync.Mutex
+	watchEvents []event // from watches on discovery; handled before all other events, and by catchUpWatch
+	events      []event // handled in every round of the loop
+	wakeup      chan struct{}
 
-	timers    timers          // removed when they fire or are stopped
-	wake      *timer          // fires when the balancer wants to be called
-	reqs      map[uint64]*req // by balancer ID; removed when they have ended and no dispatch is outstanding
-	ids       map[string]bool // IDs of these requests; removed with them
-	lastReq   uint64          // balancer ID of the latest request; counts up
-	hosts     []*host         // by ID; removed when they are off the list and have no connection
-	clients   []*client       // in order of arrival; removed when their connection ends
-	pool      pool
-	list      discovery
-	dice      rng.Source // for delays that the balancer does not decide
-	drain     drain
-	keys      *keys           // nil: no idempotency keys
-	peers     *peers          // nil: no peers
-	comeback  *comeback       // nil: not configured
-	works     *works          // nil: no maintenance plans
-	limits    *limits         // nil: no fleet-wide limits
-	deaf      bool            // the address for peers is in use
-	terms     *balance.Config // replaced as a whole, never modified
-	sockets   int             // descriptors that this process may hold now
-	held      holds.Table     // hosts that operators took out of use
-	seen      map[string]bool // IDs that were listed; the oldest are removed above maxSeenIDs
-	order     []string        // the same, oldest first
-	accept    *listener
-	open      bool         // clients are accepted
-	other     atomic.Bool  // another process of this proxy is running
-	transit   atomic.Int64 // bytes of each body that may be in transit
-	portioned int64        // when that was computed
-	rounded   int64        // when the latest round started to ask the balancer
-	newsAt    int64        // everything that discovery had written by then was handled
-	count     Counters
-	done      bool
+	timers           timers              // removed when they fire or are stopped
+	balancerTimer    *timer              // fires when the balancer wants to be called
+	requests         map[uint64]*request // by balancer ID; removed when they have ended and no dispatch is outstanding
+	ids              map[string]bool     // IDs of these requests; removed with them
+	lastRequestID    uint64              // balancer ID of the latest request; counts up
+	hosts            []*host             // by ID; removed when they are off the list and have no connection
+	clients          []*client           // in order of arrival; removed when their connection ends
+	pool             pool
+	discovery        discoveryState
+	random           rng.Source // for delays that the balancer does not decide
+	drain            drainState
+	keys             *keyState       // nil: no idempotency keys
+	peers            *peers          // nil: no peers
+	recovery         *recovery       // nil: not configured
+	plans            *planState      // nil: no maintenance plans
+	limits           *limits         // nil: no fleet-wide limits
+	peerAddrInUse    bool            // the address for peers is in use
+	terms            *balance.Config // replaced as a whole, never modified
+	sockets          int             // descriptors that this process may hold now
+	holds            holds.Table     // hosts that operators took out of use
+	seen             map[string]bool // IDs that were listed; the oldest are removed above maxSeenIDs
+	seenOrder        []string        // the same, oldest first
+	listener         *listener
+	accepting        bool         // clients are accepted
+	hasSibling       atomic.Bool  // another process of this proxy is running
+	transit          atomic.Int64 // bytes of each body that may be in transit
+	transitUpdatedAt int64        // when that was computed
+	lastRound        int64        // when the latest round started to ask the balancer
+	caughtUpAt       int64        // everything that discovery had written by then was handled
+	count            Counters
+	done             bool
 }
 
 // event is what a callback saw: when, on which connection, and what the event loop has to do about it.
 type event struct {
-	at int64
-	on *wire // closed if do panics; nil if the event is about no connection
-	do func(at int64)
+	at   int64
+	conn *baseConn // closed if do panics; nil if the event is about no connection
+	do   func(at int64)
 }
 
 // timer calls do when it fires, unless it is stopped before.
@@ -143,14 +143,14 @@
 }
 
 // now returns Unix time in nanoseconds that never goes back: the host list's start times are on the same clock.
-func (p *Proxy) now() int64 { return p.base.UnixNano() + int64(time.Since(p.base)) }
+func (p *Proxy) now() int64 { return p.clockStart.UnixNano() + int64(time.Since(p.clockStart)) }
 
 // post queues an event for the event loop. It never blocks, as the caller may hold nbio's locks.
-func (p *Proxy) post(at int64, on *wire, do func(at int64)) {
-	if on != nil {
-		on.told.Add(1)
+func (p *Proxy) post(at int64, conn *baseConn, do func(at int64)) {
+	if conn != nil {
+		conn.pendingEvents.Add(1)
 	}
-	p.queue(&p.events, event{at, on, do})
+	p.queue(&p.events, event{at, conn, do})
 }
 
 // queue appends an event to one of the two queues and wakes the loop.
@@ -159,67 +159,68 @@
 	*to = append(*to, e)
 	p.mu.Unlock()
 	select {
-	case p.bell <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // New returns a proxy that does not listen yet.
-func New(s Config) *Proxy {
-	p := &Proxy{start: s, base: time.Now(), bell: make(chan struct{}, 1), reqs: map[uint64]*req{}, ids: map[string]bool{},
-		count: newCounters(), sockets: s.Sockets, seen: map[string]bool{}}
-	if s.Holds != nil {
-		p.held = s.Holds.Table()
+func New(cfg Config) *Proxy {
+	p := &Proxy{config: cfg, clockStart: time.Now(), wakeup: make(chan struct{}, 1), requests: map[uint64]*request{},
+		ids:   map[string]bool{},
+		count: newCounters(), sockets: cfg.Sockets, seen: map[string]bool{}}
+	if cfg.Holds != nil {
+		p.holds = cfg.Holds.Table()
 	}
-	p.terms, p.dice.Seed = &s.Terms, s.Terms.Seed^1
-	p.portion(p.now())
-	p.module = balance.New(s.Terms, p.now())
-	p.known(s.KnownHosts, p.now())
-	p.remembered(p.now())
-	p.rounded = p.now()
+	p.terms, p.random.Seed = &cfg.Terms, cfg.Terms.Seed^1
+	p.updateTransitLimit(p.now())
+	p.balancer = balance.New(cfg.Terms, p.now())
+	p.loadKnownHosts(cfg.KnownHosts, p.now())
+	p.loadSnapshot(p.now())
+	p.lastRound = p.now()
 	return p
 }
 
 // Run listens and serves until a drain has ended.
 func (p *Proxy) Run() error {
-	l := p.start.Inherited
+	l := p.config.Inherited
 	if l == nil {
 		var err error
-		if l, err = net.Listen("tcp", p.start.Listen); err != nil {
+		if l, err = net.Listen("tcp", p.config.Listen); err != nil {
 			return err
 		}
 	}
 	if err := p.openKeys(); err != nil {
 		return fmt.Errorf("idempotency keys: %w", err)
 	}
-	p.accept = newListener(l)
-	nbio.MaxOpenFiles = max(p.start.Sockets, 1024)
-	p.engine = nbio.NewEngine(nbio.Config{Name: "ivybank", Network: "tcp", Addrs: []string{p.start.Listen},
-		NPoller: p.start.Pollers, MaxWriteBufferSize: mostUnsent, EpollMod: nbio.EPOLLET,
-		Listen: func(string, string) (net.Listener, error) { return p.accept, nil }})
-	p.engine.OnOpen(p.opened)
-	p.engine.OnRead(p.readable)
-	p.engine.OnClose(p.closed)
-	p.engine.OnWrittenSize(p.taken)
+	p.listener = newListener(l)
+	nbio.MaxOpenFiles = max(p.config.Sockets, 1024)
+	p.engine = nbio.NewEngine(nbio.Config{Name: "ivybank", Network: "tcp", Addrs: []string{p.config.Listen},
+		NPoller: p.config.Pollers, MaxWriteBufferSize: maxUnsentBytes, EpollMod: nbio.EPOLLET,
+		Listen: func(string, string) (net.Listener, error) { return p.listener, nil }})
+	p.engine.OnOpen(p.onOpen)
+	p.engine.OnRead(p.onReadable)
+	p.engine.OnClose(p.onClosed)
+	p.engine.OnWrittenSize(p.onWritten)
 	p.engine.OnAcceptError(func(error) { time.Sleep(5 * time.Millisecond) }) // nbio retries at once
 	if err := p.engine.Start(); err != nil {
 		return err
 	}
-	p.welcomeFrom(p.start.SiblingLock != nil && p.start.SiblingLock.Other(), p.now())
-	if p.start.Holds != nil {
-		go p.follow()
+	p.scheduleAccept(p.config.SiblingLock != nil && p.config.SiblingLock.Other(), p.now())
+	if p.config.Holds != nil {
+		go p.watchSibling()
 	}
-	p.relimit(p.start.Fleet, p.now())
-	p.openPeers(p.lifeBefore(), p.now())
+	p.reconfigureLimits(p.config.Fleet, p.now())
+	p.startPeers(p.minIncarnation(), p.now())
 	p.subscribe(p.now())
-	if p.comeback != nil {
-		p.keep(p.now())
-		p.lookFull(p.now())
+	if p.recovery != nil {
+		p.saveSnapshot(p.now())
+		p.checkFullService(p.now())
 	}
 	alarm := time.NewTimer(0)
 	for !p.done {
 		select {
-		case <-p.bell:
+		case <-p.wakeup:
 		case <-alarm.C:
 		}
 		p.round()
@@ -234,11 +235,11 @@
 }
 
 // startAccepting begins to accept clients.
-func (p *Proxy) letIn() {
-	if !p.open {
-		p.open = true
-		close(p.accept.opened)
-		logrus.Infof("serving on %s", p.start.Listen)
+func (p *Proxy) startAccepting() {
+	if !p.accepting {
+		p.accepting = true
+		close(p.listener.opened)
+		logrus.Infof("serving on %s", p.config.Listen)
 	}
 }
 
@@ -247,46 +248,46 @@
 func (p *Proxy) round() {
 	due := p.now() // when this round had to run at the latest
 	if len(p.timers) > 0 {
-		due = min(due, max(p.rounded, p.timers[0].at))
+		due = min(due, max(p.lastRound, p.timers[0].at))
 	}
-	due = p.ran(due)
+	due = p.checkStall(due)
 	p.mu.Lock()
 	events := p.events
 	p.events = nil
 	p.mu.Unlock()
-	p.takeNews()
-	p.handle(events)
+	p.handleWatchEvents()
+	p.handleEvents(events)
 	now := p.now()
 	for len(p.timers) > 0 && p.timers[0].at <= now {
 		t := heap.Pop(&p.timers).(*timer)
 		p.guard(nil, func() { t.do(now) })
 	}
-	if now-p.portioned > portionApart {
-		p.portion(now)
+	if now-p.transitUpdatedAt > transitUpdateNs {
+		p.updateTransitLimit(now)
 	}
-	due = p.ran(due) // the process may have been stopped since the last check
-	p.rounded = due  // not the round's end: a process that is stopped while it sends would seem to have run
-	p.guard(nil, func() { p.route(p.now()) })
+	due = p.checkStall(due) // the process may have been stopped since the last check
+	p.lastRound = due       // not the round's end: a process that is stopped while it sends would seem to have run
+	p.guard(nil, func() { p.runDecisions(p.now()) })
 }
 
 // handleEvents handles events in their order.
-func (p *Proxy) handle(events []event) {
+func (p *Proxy) handleEvents(events []event) {
 	for _, e := range events {
-		record(p.count.lag, e.at, p.now())
-		p.guard(e.on, func() { e.do(e.at) })
-		if e.on != nil {
-			e.on.told.Add(-1)
+		record(p.count.loopLag, e.at, p.now())
+		p.guard(e.conn, func() { e.do(e.at) })
+		if e.conn != nil {
+			e.conn.pendingEvents.Add(-1)
 		}
 	}
 }
 
 // guard limits a panic to the event that caused it and the event's connection.
-func (p *Proxy) guard(on *wire, do func()) {
+func (p *Proxy) guard(conn *baseConn, do func()) {
 	defer func() {
 		if x := recover(); x != nil {
-			p.caught(x, debug.Stack())
-			if on != nil {
-				on.shut()
+			p.recordPanic(x, debug.Stack())
+			if conn != nil {
+				conn.close()
 			}
 		}
 	}()
@@ -294,7 +295,7 @@
 }
 
 // recordPanic counts and logs a recovered panic; it is called on the event loop.
-func (p *Proxy) caught(x any, stack []byte) {
+func (p *Proxy) recordPanic(x any, stack []byte) {
 	p.count.Panics++
 	logrus.Errorf("panic: %v\n%s", x, stack)
 }
--- a/proxy/outcome.go
+++ b/proxy/outcome.go
@@ -11,32 +11,33 @@
 )
 
 // outcomeOf maps a host's response to an outcome. A refusal without Not-Started counts as possibly run.
-func outcome(a http1.Answer) balance.Outcome {
+func outcomeOf(resp http1.Response) balance.Outcome {
 	switch {
-	case a.Status == http.StatusOK:
+	case resp.Status == http.StatusOK:
 		return balance.Served
-	case a.Status >= http.StatusBadRequest && a.Status < http.StatusInternalServerError:
+	case resp.Status >= http.StatusBadRequest && resp.Status < http.StatusInternalServerError:
 		return balance.Unknown // the request is at fault, not the host
-	case (a.Status == http.StatusServiceUnavailable || a.Status == http.StatusGatewayTimeout) && a.NotStarted:
+	case (resp.Status == http.StatusServiceUnavailable || resp.Status == http.StatusGatewayTimeout) && resp.NotStarted:
 		return balance.Refused
 	}
 	return balance.Errored
 }
 
 // finishDispatch ends a dispatch. The first successful response goes to the client.
-func (p *Proxy) book(d *dispatch, o balance.Outcome, a *http1.Answer, now int64) {
+func (p *Proxy) finishDispatch(d *dispatch, outcome balance.Outcome, resp *http1.Response, now int64) {
 	r := d.req
-	d.out = false
-	r.outs--
-	p.stop(d.limit)
-	p.count.Outcomes[o]++
-	if o == balance.Served && !r.ended && r.relay == nil {
-		record(p.count.took, r.taken, now)
-		p.final(r, &p.count.Done, http1.Answer{Status: a.Status, Fields: a.Fields, Body: a.Body, Piece: a.Piece})
+	d.outstanding = false
+	r.outstanding--
+	p.stop(d.timer)
+	p.count.Outcomes[outcome]++
+	if outcome == balance.Served && !r.ended && r.relay == nil {
+		record(p.count.latency, r.receivedAt, now)
+		p.sendFinal(r, &p.count.Done, http1.Response{Status: resp.Status, Fields: resp.Fields, Body: resp.Body,
+			Piece: resp.Piece})
 	}
-	p.module.Finished(r.id, d.index, o, r.ended, now-d.sent, now)
+	p.balancer.Finished(r.id, d.index, outcome, r.ended, now-d.sentAt, now)
 	if p.peers != nil && d.host != nil {
-		p.peers.fleet.Finished(d.host.id, o, r.ended, now-d.sent, now)
+		p.peers.fleet.Finished(d.host.id, outcome, r.ended, now-d.sentAt, now)
 	}
 	p.forget(r)
 }
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	mostHeard  = 256 // datagrams that are read in a row; more wait for the next tick
-	peersApart = 1e9 // between attempts to listen for peers while the address is in use
+	maxDatagramsInRow = 256 // datagrams that are read in a row; more wait for the next tick
+	peerListenRetryNs = 1e9 // between attempts to listen for peers while the address is in use
 )
 
 // FleetConfig is the operator's configuration of peers, and their addresses. Times are in nanoseconds.
@@ -47,57 +47,61 @@
 // peers is the event loop's state of the peers.
 type peers struct {
 	FleetConfig
-	fleet  *fleet.Fleet
-	conn   *net.UDPConn
-	raw    syscall.RawConn // the same socket
-	timer  *timer
-	name   uint32
-	asking map[string]bool // hosts that are being probed; removed when the probe ends
-	probes *http.Client
-	drops  dropped
+	fleet       *fleet.Fleet
+	conn        *net.UDPConn
+	raw         syscall.RawConn // the same socket
+	timer       *timer
+	fleetID     uint32
+	probing     map[string]bool // hosts that are being probed; removed when the probe ends
+	probeClient *http.Client
+	drops       dropCounts
 }
 
 // dropCounts counts dropped datagrams by reason.
-type dropped struct {
+type dropCounts struct {
 	Address, Short, Garbled, Version, Fleet, Form, Unsent int64
 }
 
 // startPeers begins to listen for peers, with an incarnation no lower than minLife, so that it is above those this
 // process had before. If another process of an upgrade still holds the address, listening is retried: until then
 // this process decides alone.
-func (p *Proxy) openPeers(least uint64, now int64) {
-	x := p.start.Fleet
-	if x == nil || p.peers != nil || p.drain.begun {
+func (p *Proxy) startPeers(minLife uint64, now int64) {
+	cfg := p.config.Fleet
+	if cfg == nil || p.peers != nil || p.drain.begun {
 		return
 	}
-	conn, raw, err := listenPeers(x.Listen)
+	conn, raw, err := listenPeers(cfg.Listen)
 	if err != nil {
-		if !p.deaf {
+		if !p.peerAddrInUse {
 			logrus.Warnf("cannot listen for peers yet, retrying: %v", err)
 		}
-		p.deaf = true
-		p.after(now, peersApart, func(now int64) { p.openPeers(least, now) })
+		p.peerAddrInUse = true
+		p.after(now, peerListenRetryNs, func(now int64) { p.startPeers(minLife, now) })
 		return
 	}
-	p.deaf = false
-	t := x.Terms
-	t.RuleSets, t.Tenants, t.MaxAdvice, t.Seed = p.terms.RuleSets, p.terms.Tenants, p.terms.MaxRetryAfter, p.terms.Seed^uint64(t.Me)
-	t.Life = max(least, swim.LifeOf(now)) // by wall time; if that was set back, peers correct it
-	q := &peers{FleetConfig: *x, conn: conn, raw: raw, name: peer.Fleet(x.Name), fleet: fleet.New(t, now), asking: map[string]bool{},
-		probes: &http.Client{Timeout: time.Duration(x.ProbeTimeout), Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Duration(p.start.ConnIdle / 2)}}}
-	p.peers = q
-	p.listPeers(now)
+	p.peerAddrInUse = false
+	terms := cfg.Terms
+	terms.RuleSets, terms.Tenants, terms.MaxAdvice, terms.Seed = p.terms.RuleSets, p.terms.Tenants,
+		p.terms.MaxRetryAfter, p.terms.Seed^uint64(terms.Me)
+	terms.Life = max(minLife, swim.LifeOf(now)) // by wall time; if that was set back, peers correct it
+	ps := &peers{FleetConfig: *cfg, conn: conn, raw: raw, fleetID: peer.Fleet(cfg.Name), fleet: fleet.New(terms, now),
+		probing: map[string]bool{},
+		probeClient: &http.Client{Timeout: time.Duration(cfg.ProbeTimeout),
+			Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Duration(p.config.ConnIdle / 2)}}}
+	p.peers = ps
+	p.updatePeerHosts(now)
 	p.tickPeers(now)
-	p.openWorks(now)
-	logrus.WithFields(logrus.Fields{"fleet": x.Name, "place": t.Me, "of": t.Of}).Infof("listening for peers on %s", x.Listen)
+	p.startPlans(now)
+	logrus.WithFields(logrus.Fields{"fleet": cfg.Name, "place": terms.Me,
+		"of": terms.Of}).Infof("listening for peers on %s", cfg.Listen)
 }
 
 func listenPeers(addr string) (*net.UDPConn, syscall.RawConn, error) {
-	at, err := net.ResolveUDPAddr("udp4", addr)
+	udpAddr, err := net.ResolveUDPAddr("udp4", addr)
 	if err != nil {
 		return nil, nil, err
 	}
-	conn, err := net.ListenUDP("udp4", at)
+	conn, err := net.ListenUDP("udp4", udpAddr)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -107,146 +111,146 @@
 
 // reconfigurePeers applies a new configuration. If it differs, or what load shedding depends on does, the fleet
 // state starts anew.
-func (p *Proxy) refleet(x *FleetConfig, now int64) {
-	p.relimit(x, now)
-	least := uint64(0)
-	if q := p.peers; q != nil {
-		if x != nil && reflect.DeepEqual(q.FleetConfig.but(x), *x) &&
-			q.fleet.Same(p.terms.RuleSets, p.terms.Tenants, p.terms.MaxRetryAfter) {
+func (p *Proxy) reconfigurePeers(cfg *FleetConfig, now int64) {
+	p.reconfigureLimits(cfg, now)
+	minLife := uint64(0)
+	if ps := p.peers; ps != nil {
+		if cfg != nil && reflect.DeepEqual(ps.FleetConfig.withLimitsOf(cfg), *cfg) &&
+			ps.fleet.Same(p.terms.RuleSets, p.terms.Tenants, p.terms.MaxRetryAfter) {
 			return
 		}
-		if x == nil {
+		if cfg == nil {
 			p.leavePeers(now)
 		}
-		least = swim.After(q.fleet.Members().Life()) // datagram numbers start over
-		p.stop(q.timer)
-		_ = q.conn.Close()
-		q.probes.CloseIdleConnections()
+		minLife = swim.After(ps.fleet.Members().Life()) // datagram numbers start over
+		p.stop(ps.timer)
+		_ = ps.conn.Close()
+		ps.probeClient.CloseIdleConnections()
 		p.peers = nil
-		p.closeWorks()
-		p.module.ApplyAdvice(balance.Advice{})
+		p.stopPlans()
+		p.balancer.ApplyAdvice(balance.Advice{})
 	}
-	p.start.Fleet = x
-	p.openPeers(least, now)
+	p.config.Fleet = cfg
+	p.startPeers(minLife, now)
 }
 
 // readDatagrams handles the datagrams that have arrived; those of unknown senders and invalid ones are counted and
 // dropped. They are read with the tick, not as they arrive: each wakeup costs more than all the work done in it.
-func (p *Proxy) hear(q *peers, now int64) {
-	_ = q.raw.Read(func(fd uintptr) bool {
+func (p *Proxy) readDatagrams(ps *peers, now int64) {
+	_ = ps.raw.Read(func(fd uintptr) bool {
 		var b [peer.Most + 1]byte
-		for range mostHeard {
+		for range maxDatagramsInRow {
 			n, from, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_DONTWAIT)
 			if err == syscall.EINTR {
 				continue
 			}
-			at, ok := from.(*syscall.SockaddrInet4)
+			sender, ok := from.(*syscall.SockaddrInet4)
 			if err != nil || !ok {
 				break
 			}
-			place := slices.Index(q.Peers, netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)))
-			if n > 0 && b[0] == lease.Version && place >= 0 {
-				p.hearLimits(q, place, b[:n], now)
+			member := slices.Index(ps.Peers, netip.AddrPortFrom(netip.AddrFrom4(sender.Addr), uint16(sender.Port)))
+			if n > 0 && b[0] == lease.Version && member >= 0 {
+				p.handleLimitDatagram(ps, member, b[:n], now)
 				continue
 			}
-			d, err := peer.Decode(q.name, b[:n])
+			d, err := peer.Decode(ps.fleetID, b[:n])
 			switch {
-			case place < 0, err == nil && d.From != place:
-				q.drops.Address++
+			case member < 0, err == nil && d.From != member:
+				ps.drops.Address++
 			case err != nil:
-				q.drops.count(err)
+				ps.drops.count(err)
 			default:
-				q.fleet.Heard(&d, now)
+				ps.fleet.Heard(&d, now)
 			}
 		}
 		return true // do not wait for more
 	})
 }
 
-func (x *dropped) count(err error) {
+func (d *dropCounts) count(err error) {
 	switch err {
 	case peer.ErrShort:
-		x.Short++
+		d.Short++
 	case peer.ErrGarbled:
-		x.Garbled++
+		d.Garbled++
 	case peer.ErrVersion:
-		x.Version++
+		d.Version++
 	case peer.ErrFleet:
-		x.Fleet++
+		d.Fleet++
 	default:
-		x.Form++
+		d.Form++
 	}
 }
 
 // tickPeers runs what is due in the fleet.
 func (p *Proxy) tickPeers(now int64) {
-	q := p.peers
-	if q == nil {
+	ps := p.peers
+	if ps == nil {
 		return
 	}
-	next := q.fleet.Tick(now)
-	p.hear(q, now)
-	p.carryPeers(now)
-	q.timer = p.after(now, max(1e6, next-now), p.tickPeers)
+	next := ps.fleet.Tick(now)
+	p.readDatagrams(ps, now)
+	p.runPeerActions(now)
+	ps.timer = p.after(now, max(1e6, next-now), p.tickPeers)
 }
 
 // runPeerActions carries out what the fleet decides.
-func (p *Proxy) carryPeers(now int64) {
-	q := p.peers
-	for a, ok := q.fleet.Next(); ok; a, ok = q.fleet.Next() {
-		switch a.Kind {
+func (p *Proxy) runPeerActions(now int64) {
+	ps := p.peers
+	for action, ok := ps.fleet.Next(); ok; action, ok = ps.fleet.Next() {
+		switch action.Kind {
 		case fleet.Send:
-			b, err := peer.Encode(q.name, &a.Datagram)
-			if err == nil && a.To < len(q.Peers) {
-				_, err = q.conn.WriteToUDPAddrPort(b, q.Peers[a.To])
+			b, err := peer.Encode(ps.fleetID, &action.Datagram)
+			if err == nil && action.To < len(ps.Peers) {
+				_, err = ps.conn.WriteToUDPAddrPort(b, ps.Peers[action.To])
 			}
 			if err != nil {
-				q.drops.Unsent++
+				ps.drops.Unsent++
 			}
 		case fleet.Probe:
-			p.probe(q, a.Server)
+			p.probeHost(ps, action.Server)
 		case fleet.Advise:
-			p.module.ApplyAdvice(a.Advice)
+			p.balancer.ApplyAdvice(action.Advice)
 		case fleet.Teach:
-			q.fleet.Answer(a.To, p.module.ServerSnapshots(now), now)
+			ps.fleet.Answer(action.To, p.balancer.ServerSnapshots(now), now)
 		case fleet.Deliver:
-			if p.works != nil {
-				p.works.crew.Heard(a.To, a.Letter, now)
-				p.carryWorks(now)
+			if p.plans != nil {
+				p.plans.crew.Heard(action.To, action.Letter, now)
+				p.runPlanActions(now)
 			}
 		case fleet.Recall:
-			p.learnt(a.Told, now)
+			p.learnFromPeers(action.Told, now)
 		case fleet.Tell:
-			logrus.WithFields(a.Fields).Info("fleet: " + a.Text)
+			logrus.WithFields(action.Fields).Info("fleet: " + action.Text)
 		}
 	}
 }
 
 // probeHost checks a host's health off the event loop.
-func (p *Proxy) probe(q *peers, id string) {
+func (p *Proxy) probeHost(ps *peers, id string) {
 	h := p.host(id)
-	if h == nil || q.asking[id] {
+	if h == nil || ps.probing[id] {
 		return
 	}
-	q.asking[id] = true
-	url := fmt.Sprintf("http://%s%s", h.addr, q.ProbePath)
+	ps.probing[id] = true
+	url := fmt.Sprintf("http://%s%s", h.addr, ps.ProbePath)
 	go func() {
-		well := false
-		if a, err := q.probes.Get(url); err == nil {
-			_ = a.Body.Close()
-			well = a.StatusCode == http.StatusOK
+		healthy := false
+		if resp, err := ps.probeClient.Get(url); err == nil {
+			_ = resp.Body.Close()
+			healthy = resp.StatusCode == http.StatusOK
 		}
 		p.post(p.now(), nil, func(at int64) {
-			delete(q.asking, id)
-			if p.peers == q {
-				q.fleet.Probed(id, well, at)
+			delete(ps.probing, id)
+			if p.peers == ps {
+				ps.fleet.Probed(id, healthy, at)
 			}
 		})
 	}()
 }
 
 // updatePeerHosts tells the fleet which hosts are in use.
-func (p *Proxy) listPeers(now int64) {
+func (p *Proxy) updatePeerHosts(now int64) {
 	if p.peers == nil {
 		return
 	}
@@ -262,70 +266,73 @@
 // leavePeers tells the peers that this process ends.
 func (p *Proxy) leavePeers(now int64) {
 	if p.peers != nil {
-		p.leaveWorks(now)
+		p.handOverPlans(now)
 		p.peers.fleet.Leave()
-		p.carryPeers(now)
+		p.runPeerActions(now)
 	}
 }
 
 // shedByFleet reports whether the fleet sheds a request, and for how many ns its client is to back off.
-func (p *Proxy) sheds(r *req, now int64) (shed bool, back int64) {
+func (p *Proxy) shedByFleet(r *request, now int64) (shed bool, retryAfter int64) {
 	if p.peers == nil {
 		return false, 0
 	}
-	r.luck = sameness(&r.call)
-	set := slices.IndexFunc(p.terms.RuleSets, func(x balance.RuleSet) bool { return x.Name == r.call.RuleSet })
-	return p.peers.fleet.Arrive(set, p.terms.Tenant(r.call.Tenant), r.luck, again(&r.call), now)
+	r.retryHash = retryHash(&r.msg)
+	ruleSet := slices.IndexFunc(p.terms.RuleSets, func(x balance.RuleSet) bool { return x.Name == r.msg.RuleSet })
+	return p.peers.fleet.Arrive(ruleSet, p.terms.Tenant(r.msg.Tenant), r.retryHash, isRetry(&r.msg), now)
 }
 
 // isRetry reports whether a request is marked as a retry by its client.
-func again(c *http1.Call) bool {
-	return slices.ContainsFunc(c.Fields, func(f http1.Field) bool { return strings.EqualFold(f.Name, "Client-Retry") && f.Value == "1" })
+func isRetry(msg *http1.Request) bool {
+	return slices.ContainsFunc(msg.Fields, func(f http1.Field) bool {
+		return strings.EqualFold(f.Name,
+			"Client-Retry") && f.Value == "1"
+	})
 }
 
 // retryHash returns a number between 0 and 1 that a client's retries share with the first try, and that is the same
 // at all proxies.
-func sameness(c *http1.Call) float64 {
-	const odd = 0x9e3779b97f4a7c15
-	h := xxhash.Sum64String(c.RuleSet)
-	for _, x := range [...]string{c.Tenant, c.Key, c.Method, c.Target} {
-		h = (h ^ xxhash.Sum64String(x)) * odd
+func retryHash(msg *http1.Request) float64 {
+	const multiplier = 0x9e3779b97f4a7c15
+	h := xxhash.Sum64String(msg.RuleSet)
+	for _, x := range [...]string{msg.Tenant, msg.Key, msg.Method, msg.Target} {
+		h = (h ^ xxhash.Sum64String(x)) * multiplier
 		h ^= h >> 29
 	}
-	h = (h ^ xxhash.Sum64(c.Body)) * odd
+	h = (h ^ xxhash.Sum64(msg.Body)) * multiplier
 	return (float64((h^h>>32)>>11) + 0.5) / (1 << 53)
 }
 
 // reportFinal records a final response for the fleet and the service meter.
-func (p *Proxy) told(r *req, done bool, now int64) {
-	if p.peers == nil && p.comeback == nil {
+func (p *Proxy) reportFinal(r *request, done bool, now int64) {
+	if p.peers == nil && p.recovery == nil {
 		return
 	}
-	set := p.terms.RuleSet(r.call.RuleSet)
-	good := done && (set == nil || now-r.taken <= set.ResponseTarget)
-	p.measured(set, good, now)
-	if p.peers == nil || r.shed {
+	ruleSet := p.terms.RuleSet(r.msg.RuleSet)
+	good := done && (ruleSet == nil || now-r.receivedAt <= ruleSet.ResponseTarget)
+	p.recordService(ruleSet, good, now)
+	if p.peers == nil || r.denied {
 		return
 	}
 	if good {
 		p.peers.fleet.Done(now)
 	} else {
-		p.peers.fleet.Lost(r.luck, now)
+		p.peers.fleet.Lost(r.retryHash, now)
 	}
 }
 
 // fleetReply answers an operator's query of the fleet.
 func (p *Proxy) fleetReply(now int64) admin.Reply {
-	q := p.peers
-	if q == nil {
+	ps := p.peers
+	if ps == nil {
 		return admin.Error(http.StatusNotFound, "no peers are heard: the operator file has no [fleet]")
 	}
-	d := &q.drops
-	return asJSON(struct {
+	d := &ps.drops
+	return jsonReply(struct {
 		fleet.Status
 		Limits  []lease.Status   `json:"limits,omitempty"`
 		Dropped map[string]int64 `json:"dropped"`
-	}{q.fleet.Status(now), p.limitsStatus(now), map[string]int64{
+	}{ps.fleet.Status(now), p.limitsStatus(now), map[string]int64{
 		"address": d.Address, "short": d.Short, "garbled": d.Garbled, "version": d.Version,
 		"fleet": d.Fleet, "form": d.Form, "unsent": d.Unsent}})
 }
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	nb, other := pair(t)
 	h := p.host("s")
-	c := &hostConn{wire: wire{nb: nb}, host: h, addr: h.addr, since: h.since, counted: true}
+	c := &hostConn{baseConn: baseConn{nb: nb}, host: h, addr: h.addr, hostStart: h.startTime, counted: true}
 	h.conns++
 	p.pool.conns++
 	p.park(c, used)
@@ -58,15 +58,15 @@
 }
 
 // waitForInput waits until the kernel shows what the other side did.
-func notice(c *hostConn) {
-	for end := time.Now().Add(10 * time.Second); c.nothing() && time.Now().Before(end); {
+func waitForInput(c *hostConn) {
+	for end := time.Now().Add(10 * time.Second); c.noInput() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // A request that the kernel did not accept in full never ran; any other may have. The count is nbio's, which queues
 // writes.
-func TestHowFar(t *testing.T) {
+func TestProgressAndOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		conn, took, begun bool
 		reached           reached
@@ -75,20 +75,20 @@
 		"unconnected":  {false, false, false, unconnected, balance.NoConnection, balance.NotSent},
 		"part written": {true, false, false, partWritten, balance.NoConnection, balance.NotSent},
 		"all written":  {true, true, false, allWritten, balance.Reset, balance.TimedOut},
-		"answer begun": {true, true, true, answerBegun, balance.Reset, balance.TimedOut},
+		"answer begun": {true, true, true, responseBegun, balance.Reset, balance.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			build := func(p *Proxy) *dispatch {
-				d := &dispatch{req: &req{outs: 1}, host: p.host("s"), out: true}
+				d := &dispatch{req: &request{outstanding: 1}, host: p.host("s"), outstanding: true}
 				if c.conn {
 					nb, _ := pair(t)
-					d.conn = &hostConn{wire: wire{nb: nb}}
-					d.conn.given.Store(10)
-					d.conn.took.Store(9)
+					d.conn = &hostConn{baseConn: baseConn{nb: nb}}
+					d.conn.queued.Store(10)
+					d.conn.accepted.Store(9)
 					if c.took {
-						d.conn.took.Store(10)
+						d.conn.accepted.Store(10)
 					}
-					d.conn.begun.Store(c.begun)
+					d.conn.responseBegun.Store(c.begun)
 				}
 				return d
 			}
@@ -97,8 +97,8 @@
 			if got := d.progress(); got != c.reached {
 				t.Fatalf("got %d, want %d", got, c.reached)
 			}
-			p.broke(d, &broken{d.progress(), errEnded}, 1)
-			if p.count.Outcomes[c.broke] != 1 || d.out {
+			p.fail(d, &dispatchError{d.progress(), errConnClosed}, 1)
+			if p.count.Outcomes[c.broke] != 1 || d.outstanding {
 				t.Errorf("broken: got %v, want one %s", p.count.Outcomes, outcomeNames[c.broke])
 			}
 			p = testProxy(t)
@@ -114,70 +114,70 @@
 
 func TestOutcome(t *testing.T) {
 	for _, c := range []struct {
-		a    http1.Answer
+		a    http1.Response
 		want balance.Outcome
 	}{
-		{http1.Answer{Status: 200}, balance.Served},
-		{http1.Answer{Status: 500}, balance.Errored},
-		{http1.Answer{Status: 503, NotStarted: true}, balance.Refused},
-		{http1.Answer{Status: 504, NotStarted: true}, balance.Refused},
-		{http1.Answer{Status: 503}, balance.Errored},
-		{http1.Answer{Status: 500, NotStarted: true}, balance.Errored},
-		{http1.Answer{Status: 204}, balance.Errored},
+		{http1.Response{Status: 200}, balance.Served},
+		{http1.Response{Status: 500}, balance.Errored},
+		{http1.Response{Status: 503, NotStarted: true}, balance.Refused},
+		{http1.Response{Status: 504, NotStarted: true}, balance.Refused},
+		{http1.Response{Status: 503}, balance.Errored},
+		{http1.Response{Status: 500, NotStarted: true}, balance.Errored},
+		{http1.Response{Status: 204}, balance.Errored},
 	} {
-		if got := outcome(c.a); got != c.want {
+		if got := outcomeOf(c.a); got != c.want {
 			t.Errorf("%+v: got %s, want %s", c.a, outcomeNames[got], outcomeNames[c.want])
 		}
 	}
 }
 
 // A client that sent only an empty line must still time out.
-func TestComes(t *testing.T) {
+func TestEmptyLineKeepsReadTimer(t *testing.T) {
 	p := testProxy(t)
 	c := &client{}
-	p.await(c, 1)
-	if p.comes(c, false, false, false, 2); c.due.index < 0 {
+	p.startReadTimer(c, 1)
+	if p.partialRequest(c, false, false, false, 2); c.readTimer.index < 0 {
 		t.Fatal("an empty line stopped the timer of the first request")
 	}
-	c.asked = true
-	if p.comes(c, false, false, false, 3); c.due.index >= 0 {
+	c.hasRequested = true
+	if p.partialRequest(c, false, false, false, 3); c.readTimer.index >= 0 {
 		t.Fatal("the timer runs between requests")
 	}
 }
 
 // A copy of a response that was read before the next request was written on its connection never answers that
 // request.
-func TestLateCopy(t *testing.T) {
+func TestLateDuplicateResponse(t *testing.T) {
 	p := testProxy(t)
 	c, _ := parked(t, p, 1)
-	d := &dispatch{req: &req{outs: 1, ended: true}, host: p.host("s"), out: true}
+	d := &dispatch{req: &request{outstanding: 1, ended: true}, host: p.host("s"), outstanding: true}
 	p.unpark(c)
-	c.carries, d.conn, d.wrote = d, c, 100
-	p.answered(c, http1.Answer{Status: 200}, 99)
+	c.dispatch, d.conn, d.writtenAt = d, c, 100
+	p.handleResponse(c, http1.Response{Status: 200}, 99)
 	if p.count.Outcomes[balance.Errored] != 1 || !c.closed {
 		t.Fatalf("got %v, closed %v, want an error and the connection closed", p.count.Outcomes, c.closed)
 	}
 }
 
 // A connection that just had a response is not used before stray bytes behind it would have arrived.
-func TestSettled(t *testing.T) {
+func TestStrayBytesBehindResponse(t *testing.T) {
 	p := testProxy(t)
 	c, other := parked(t, p, 1000)
-	p.reqs[1] = &req{id: 1}
-	p.send(p.reqs[1], "s", 1e9, 1001)
-	d := p.reqs[1].dispatches[0]
-	if c.given.Load() != 0 || d.conn != nil || len(p.timers) != 2 {
+	p.requests[1] = &request{id: 1}
+	p.send(p.requests[1], "s", 1e9, 1001)
+	d := p.requests[1].dispatches[0]
+	if c.queued.Load() != 0 || d.conn != nil || len(p.timers) != 2 {
 		t.Fatalf("the request was written at once, %d timers", len(p.timers))
 	}
 	_, _ = other.Write([]byte("HTTP/1.1 200 OK"))
-	notice(c)
-	if p.settled(d, c, 1000+settle); !c.closed || d.conn != nil || p.pool.dials != 1 {
+	waitForInput(c)
+	if p.useSettled(d, c, 1000+settleNs); !c.closed || d.conn != nil || p.pool.dials != 1 {
 		t.Fatalf("closed %v, %d dials, want the request on a new connection", c.closed, p.pool.dials)
 	}
 }
 
 // A connection that the peer has ended must not carry a request, which would end as a reset that may have run.
-func TestIdle(t *testing.T) {
+func TestTakeIdle(t *testing.T) {
 	for name, spoil := range map[string]func(net.Conn){
 		"ended":       func(c net.Conn) { _ = c.Close() },
 		"stray bytes": func(c net.Conn) { _, _ = c.Write([]byte("x")) },
@@ -187,11 +187,11 @@
 			good, _ := parked(t, p, 1)
 			bad, other := parked(t, p, 2)
 			spoil(other)
-			notice(bad)
-			if got := p.idle(p.host("s")); got != good {
+			waitForInput(bad)
+			if got := p.takeIdle(p.host("s")); got != good {
 				t.Fatalf("got %p, want the good one", got)
 			}
-			if got := p.idle(p.host("s")); got != nil || !bad.closed {
+			if got := p.takeIdle(p.host("s")); got != nil || !bad.closed {
 				t.Fatalf("got %p, want none left and the bad one closed", got)
 			}
 		})
@@ -199,7 +199,8 @@
 	t.Run("moved", func(t *testing.T) {
 		p := testProxy(t)
 		c, _ := parked(t, p, 1)
-		p.listed(balance.ListUpdate, roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:2", State: "ready"}}}, 2)
+		p.applyList(balance.ListUpdate, hostList{Generation: 8,
+			Instances: []hostEntry{{ID: "s", Addr: "127.0.0.1:2", State: "ready"}}}, 2)
 		if !c.closed || p.host("s").addr != "127.0.0.1:2" {
 			t.Fatal("a connection to the old address was kept")
 		}
@@ -207,22 +208,22 @@
 }
 
 // Clients have priority: idle connections to hosts are closed for them, the longest idle first.
-func TestRoomForOne(t *testing.T) {
+func TestMakeRoom(t *testing.T) {
 	p := testProxy(t)
 	old, _ := parked(t, p, 1)
 	late, _ := parked(t, p, 2)
-	for range 100 - spareSockets - 2 {
-		p.clients = append(p.clients, &client{rests: p.now()})
+	for range 100 - reservedFDs - 2 {
+		p.clients = append(p.clients, &client{idleSince: p.now()})
 	}
-	if !p.roomForOne() || !old.closed || late.closed || p.pool.conns != 1 {
+	if !p.makeRoom() || !old.closed || late.closed || p.pool.conns != 1 {
 		t.Fatalf("got old closed %v, late closed %v, %d counted", old.closed, late.closed, p.pool.conns)
 	}
-	old.gone(p, 3) // nbio's callback comes later and must not count it a second time
+	old.onClose(p, 3) // nbio's callback comes later and must not count it a second time
 	if p.pool.conns != 1 || p.host("s").conns != 1 {
 		t.Fatalf("got %d, %d counted, want 1", p.pool.conns, p.host("s").conns)
 	}
-	p.clients = append(p.clients, &client{rests: p.now()}, &client{rests: p.now()})
-	if p.roomForOne() {
+	p.clients = append(p.clients, &client{idleSince: p.now()}, &client{idleSince: p.now()})
+	if p.makeRoom() {
 		t.Fatal("got a descriptor while clients alone use all of them")
 	}
 }
@@ -236,7 +237,7 @@
 	p.stop(p.after(0, 1, func(int64) { order = append(order, "stopped") }))
 	p.post(p.now(), nil, func(int64) { order = append(order, "event") })
 	nb, _ := pair(t)
-	w := &wire{nb: nb}
+	w := &baseConn{nb: nb}
 	p.post(p.now(), w, func(int64) { panic("one event's panic ends its connection and nothing else") })
 	p.round()
 	if want := []string{"event", "first", "second"}; !slices.Equal(order, want) || p.count.Panics != 1 || !w.closed {
@@ -246,28 +247,28 @@
 
 // A client's last response is sent before its connection is closed, but a client that never reads is not waited
 // for.
-func TestCloseWritten(t *testing.T) {
+func TestPollFlushed(t *testing.T) {
 	p := testProxy(t)
 	nb, _ := pair(t)
-	c := &client{wire: wire{nb: nb}}
-	c.given.Store(10)
-	p.closeWritten(c, 0, 1, 100)
+	c := &client{baseConn: baseConn{nb: nb}}
+	c.queued.Store(10)
+	p.pollFlushed(c, 0, 1, 100)
 	if c.closed || len(p.timers) != 1 {
 		t.Fatalf("closed %v with bytes left, %d timers", c.closed, len(p.timers))
 	}
-	if p.closeWritten(c, 0, 100, 100); !c.closed {
+	if p.pollFlushed(c, 0, 100, 100); !c.closed {
 		t.Fatal("the connection of a client that does not read stays open")
 	}
 	nb, _ = pair(t)
-	c = &client{wire: wire{nb: nb}}
-	c.given.Store(10)
-	c.took.Store(10)
-	if p.closeWritten(c, 0, 1, 100); !c.closed {
+	c = &client{baseConn: baseConn{nb: nb}}
+	c.queued.Store(10)
+	c.accepted.Store(10)
+	if p.pollFlushed(c, 0, 1, 100); !c.closed {
 		t.Fatal("the connection of a client that has received everything stays open")
 	}
 }
 
-func TestParseRoll(t *testing.T) {
+func TestParseHostList(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		ok   bool
@@ -283,7 +284,7 @@
 		"nothing at all": {``, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := parseRoll([]byte(c.text)); (err == nil) != c.ok {
+			if _, err := parseHostList([]byte(c.text)); (err == nil) != c.ok {
 				t.Fatalf("got %v", err)
 			}
 		})
@@ -291,44 +292,46 @@
 }
 
 // Nothing is dispatched to a server that began to drain while the connection to it was being established.
-func TestDrainedMeanwhile(t *testing.T) {
+func TestHostDrainsWhileConnecting(t *testing.T) {
 	p := testProxy(t)
-	p.listed(balance.ListUpdate, roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}, 1)
+	p.applyList(balance.ListUpdate, hostList{Generation: 8,
+		Instances: []hostEntry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}, 1)
 	nb, _ := pair(t)
-	d := &dispatch{req: &req{outs: 1}, host: p.host("s"), out: true}
-	c := &hostConn{wire: wire{nb: nb}, host: d.host}
-	p.connected(d, c, 2)
+	d := &dispatch{req: &request{outstanding: 1}, host: p.host("s"), outstanding: true}
+	c := &hostConn{baseConn: baseConn{nb: nb}, host: d.host}
+	p.useConn(d, c, 2)
 	p.round()
-	if p.count.Outcomes[balance.NotSent] != 1 || c.given.Load() != 0 || !c.closed {
-		t.Fatalf("got %v, %d bytes given", p.count.Outcomes, c.given.Load())
+	if p.count.Outcomes[balance.NotSent] != 1 || c.queued.Load() != 0 || !c.closed {
+		t.Fatalf("got %v, %d bytes given", p.count.Outcomes, c.queued.Load())
 	}
-	if !errors.Is(&broken{unconnected, errDrained}, errDrained) {
+	if !errors.Is(&dispatchError{unconnected, errHostDraining}, errHostDraining) {
 		t.Fatal("the error does not unwrap to its cause")
 	}
 }
 
 // A long successful response that starts before all of the request was sent, or while another host's response is
 // being relayed, must not reach the client.
-func TestEarlyPieces(t *testing.T) {
-	for name, spoil := range map[string]func(r *req, c *hostConn){
-		"early":  func(r *req, c *hostConn) { c.given.Add(10) },
-		"second": func(r *req, c *hostConn) { r.relay = &hostConn{} },
-		"ended":  func(r *req, c *hostConn) { r.ended = true },
+func TestPrematureRelay(t *testing.T) {
+	for name, spoil := range map[string]func(r *request, c *hostConn){
+		"early":  func(r *request, c *hostConn) { c.queued.Add(10) },
+		"second": func(r *request, c *hostConn) { r.relay = &hostConn{} },
+		"ended":  func(r *request, c *hostConn) { r.ended = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := testProxy(t)
 			c, _ := parked(t, p, 1)
 			p.unpark(c)
 			nb, other := pair(t)
-			cl := &client{wire: wire{nb: nb}}
-			r := &req{id: 1, client: cl, outs: 1}
-			cl.req = r
-			d := &dispatch{req: r, host: p.host("s"), conn: c, out: true}
-			c.carries = d
+			cl := &client{baseConn: baseConn{nb: nb}}
+			r := &request{id: 1, client: cl, outstanding: 1}
+			cl.request = r
+			d := &dispatch{req: r, host: p.host("s"), conn: c, outstanding: true}
+			c.dispatch = d
 			spoil(r, c)
-			p.begins(c, http1.Answer{Status: 200, Piece: http1.First, Length: 100000, Body: []byte("x")}, 100)
-			if d.out || !c.closed || p.count.Outcomes[balance.Errored] != 1 || cl.given.Load() != 0 {
-				t.Errorf("out %v, closed %v, %v, %d bytes to the client", d.out, c.closed, p.count.Outcomes, cl.given.Load())
+			p.startRelay(c, http1.Response{Status: 200, Piece: http1.First, Length: 100000, Body: []byte("x")}, 100)
+			if d.outstanding || !c.closed || p.count.Outcomes[balance.Errored] != 1 || cl.queued.Load() != 0 {
+				t.Errorf("out %v, closed %v, %v, %d bytes to the client", d.outstanding, c.closed, p.count.Outcomes,
+					cl.queued.Load())
 			}
 			_ = other
 		})
@@ -336,42 +339,42 @@
 }
 
 // Reading stops at the transit limit and resumes once the other side has accepted the bytes.
-func TestTransit(t *testing.T) {
+func TestTransitLimit(t *testing.T) {
 	p := testProxy(t)
 	nb, _ := pair(t)
-	from := &client{wire: wire{nb: nb}}
-	to := &wire{}
+	from := &client{baseConn: baseConn{nb: nb}}
+	to := &baseConn{}
 	most := p.transit.Load()
 	from.transit.Store(most)
-	if from.room(most) || !from.stalled.Load() {
+	if from.canRead(most) || !from.readPaused.Load() {
 		t.Fatal("reading goes on past the limit")
 	}
-	to.given.Store(most)
-	if p.moved(from, most, to); !to.hungry.Load() || from.transit.Load() != most {
+	to.queued.Store(most)
+	if p.forwarded(from, most, to); !to.wantsLow.Load() || from.transit.Load() != most {
 		t.Fatalf("released %d bytes before the other side has accepted any", most-from.transit.Load())
 	}
-	to.took.Store(most)
-	if p.moved(from, 0, to); from.transit.Load() != 0 || from.stalled.Load() {
-		t.Fatalf("%d in transit, stalled %v once all was accepted", from.transit.Load(), from.stalled.Load())
+	to.accepted.Store(most)
+	if p.forwarded(from, 0, to); from.transit.Load() != 0 || from.readPaused.Load() {
+		t.Fatalf("%d in transit, stalled %v once all was accepted", from.transit.Load(), from.readPaused.Load())
 	}
 	for range 300 {
-		p.clients = append(p.clients, &client{flow: &flow{}})
+		p.clients = append(p.clients, &client{body: &bodyStream{}})
 	}
-	p.start.Memory = 32 << 20
-	if p.portion(1); p.transit.Load() >= most || p.transit.Load() < leastTransit {
+	p.config.Memory = 32 << 20
+	if p.updateTransitLimit(1); p.transit.Load() >= most || p.transit.Load() < minTransitBytes {
 		t.Errorf("got %d bytes each for 300 bodies within 32 MB", p.transit.Load())
 	}
 }
 
 // A body that the kernel did not accept at once has not stalled: it has its time, and goes on while bytes move.
-func TestStuck(t *testing.T) {
+func TestWatchUpload(t *testing.T) {
 	p := testProxy(t)
 	c, _ := parked(t, p, 1)
 	p.unpark(c)
-	d := &dispatch{req: &req{outs: 1, flow: &flow{}}, host: p.host("s"), conn: c, out: true}
-	c.carries = d
-	c.given.Store(100)
-	c.took.Store(40)
+	d := &dispatch{req: &request{outstanding: 1, body: &bodyStream{}}, host: p.host("s"), conn: c, outstanding: true}
+	c.dispatch = d
+	c.queued.Store(100)
+	c.accepted.Store(40)
 	due := func() {
 		t.Helper()
 		if len(p.timers) != 1 {
@@ -381,32 +384,33 @@
 		p.stop(x)
 		x.do(x.at)
 	}
-	p.stuck(d, 40, 1)
-	if !d.out || c.closed {
+	p.watchUpload(d, 40, 1)
+	if !d.outstanding || c.closed {
 		t.Fatal("given up at once")
 	}
-	c.took.Store(60)
-	if due(); !d.out {
+	c.accepted.Store(60)
+	if due(); !d.outstanding {
 		t.Fatal("given up though bytes moved")
 	}
-	if due(); d.out || !c.closed || p.count.Outcomes[balance.NotSent] != 1 {
-		t.Fatalf("out %v, closed %v, %v, want it given up as never sent", d.out, c.closed, p.count.Outcomes)
+	if due(); d.outstanding || !c.closed || p.count.Outcomes[balance.NotSent] != 1 {
+		t.Fatalf("out %v, closed %v, %v, want it given up as never sent", d.outstanding, c.closed, p.count.Outcomes)
 	}
 }
 
 // Taking a host out of use just after the start, by an operator, a plan or a peer's report, does not count as a
 // list from discovery: the balancer still asks for one.
-func TestAsksAllTheSame(t *testing.T) {
-	p := New(Config{Sockets: 100, Terms: balance.Config{FleetSize: 1, ListOnRequest: true, AskWithin: 2e9, Tick: 5e6, RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
+func TestHoldIsNoList(t *testing.T) {
+	p := New(Config{Sockets: 100, Terms: balance.Config{FleetSize: 1, ListOnRequest: true, AskWithin: 2e9, Tick: 5e6,
+		RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
 		KnownHosts: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`)})
 	now := p.now()
-	p.holding(holds.Table{Version: 1, Hosts: map[string]holds.Hold{"s": {Out: true, From: now}}}, now)
+	p.applyHolds(holds.Table{Version: 1, Hosts: map[string]holds.Hold{"s": {Out: true, From: now}}}, now)
 	if p.host("s").ready {
 		t.Fatal("the host is still ready")
 	}
 	asked := false
 	for at := now; at < now+3e9; at += 5e7 {
-		for d, ok := p.module.Next(at); ok; d, ok = p.module.Next(at) {
+		for d, ok := p.balancer.Next(at); ok; d, ok = p.balancer.Next(at) {
 			asked = asked || d.Kind == balance.RequestList
 		}
 	}
@@ -416,24 +420,24 @@
 }
 
 // A Retry-After of discovery is obeyed with a random part added, and leads to one call only.
-func TestPutOff(t *testing.T) {
+func TestDeferWatch(t *testing.T) {
 	p := testProxy(t)
 	now := p.now()
-	if p.putOff(2e9, now); p.list.after != 0 {
+	if p.deferWatch(2e9, now); p.discovery.notBefore != 0 {
 		t.Fatal("Retry-After is obeyed without recovery settings")
 	}
-	p.comeback = &comeback{}
-	p.putOff(2e9, now)
-	if wait := p.list.after - now; wait < 2e9 || wait > 25e8 {
+	p.recovery = &recovery{}
+	p.deferWatch(2e9, now)
+	if wait := p.discovery.notBefore - now; wait < 2e9 || wait > 25e8 {
 		t.Fatalf("deferred for %d ms", wait/1e6)
 	}
 	for range 3 {
-		p.watch(now + 1e9)
+		p.openWatch(now + 1e9)
 	}
-	if p.count.Watches != 0 || len(p.timers) != 1 || p.timers[0].at != p.list.after {
+	if p.count.Watches != 0 || len(p.timers) != 1 || p.timers[0].at != p.discovery.notBefore {
 		t.Errorf("%d calls, %d timers", p.count.Watches, len(p.timers))
 	}
-	if p.putOff(3600e9, now); p.list.after-now > 125e8 {
-		t.Errorf("deferred for %d s", (p.list.after-now)/1e9)
+	if p.deferWatch(3600e9, now); p.discovery.notBefore-now > 125e8 {
+		t.Errorf("deferred for %d s", (p.discovery.notBefore-now)/1e9)
 	}
 }
--- a/proxy/requirements_test.go
+++ b/proxy/requirements_test.go
@@ -32,7 +32,7 @@
 // timers.
 func drive(t *testing.T, p *Proxy, from, to int64) (rounds int) {
 	t.Helper()
-	p.route(from)
+	p.runDecisions(from)
 	for len(p.timers) > 0 && p.timers[0].at <= to {
 		if rounds++; rounds > 100000 {
 			t.Fatal("time does not advance")
@@ -40,13 +40,13 @@
 		x := p.timers[0]
 		p.stop(x)
 		x.do(x.at)
-		p.route(x.at)
+		p.runDecisions(x.at)
 	}
 	return rounds
 }
 
 // newTestProxy returns a proxy with rule sets and one server.
-func standing(t *testing.T, change func(*Config)) *Proxy {
+func newTestProxy(t *testing.T, change func(*Config)) *Proxy {
 	t.Helper()
 	s := Config{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6, LongestTimeout: 3e9, Discovery: "127.0.0.1:1",
 		KnownHosts: []byte(`{"generation":7,"instances":[
@@ -61,15 +61,15 @@
 	return New(s)
 }
 
-func pushed(s *Config) { s.Terms.ListOnRequest = false }
+func pushLists(s *Config) { s.Terms.ListOnRequest = false }
 
 // attach has the kernel accept what is written to a connection; nothing is read from it.
-func attach(t *testing.T, p *Proxy, e end) {
+func attach(t *testing.T, p *Proxy, e endpoint) {
 	t.Helper()
 	if p.engine == nil {
 		p.engine = nbio.NewEngine(nbio.Config{NPoller: 1, EpollMod: nbio.EPOLLET})
 		p.engine.OnRead(func(*nbio.Conn) {})
-		p.engine.OnWrittenSize(p.taken)
+		p.engine.OnWrittenSize(p.onWritten)
 		if err := p.engine.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -79,14 +79,14 @@
 			_ = p.engine.Shutdown(end)
 		})
 	}
-	e.link().nb.SetSession(e)
-	if _, err := p.engine.AddConn(e.link().nb); err != nil {
+	e.base().nb.SetSession(e)
+	if _, err := p.engine.AddConn(e.base().nb); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // connectClient returns a client's connection, its other side, and a reader for the responses.
-func customer(t *testing.T, p *Proxy) (*client, net.Conn, *bufio.Reader) {
+func connectClient(t *testing.T, p *Proxy) (*client, net.Conn, *bufio.Reader) {
 	t.Helper()
 	nb, other := pair(t)
 	c := newClient(nb)
@@ -96,7 +96,7 @@
 	return c, other, bufio.NewReader(other)
 }
 
-func said(t *testing.T, in *bufio.Reader) *http.Response {
+func readResponse(t *testing.T, in *bufio.Reader) *http.Response {
 	t.Helper()
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -106,17 +106,17 @@
 	return r
 }
 
-func asks(rules, id string, timeout int64) http1.Call {
-	return http1.Call{Method: http.MethodPost, Target: "/api", ID: id, RuleSet: rules, Timeout: timeout}
+func newRequest(rules, id string, timeout int64) http1.Request {
+	return http1.Request{Method: http.MethodPost, Target: "/api", ID: id, RuleSet: rules, Timeout: timeout}
 }
 
 // receivingWatch returns an open watch that received something at the given time.
-func spoken(t *testing.T, p *Proxy, at int64) *watch {
+func receivingWatch(t *testing.T, p *Proxy, at int64) *watch {
 	t.Helper()
 	nb, _ := pair(t)
-	w := &watch{wire: wire{nb: nb}, answers: http1.NewChunks(mostList), up: true}
-	p.list.watch = w
-	p.heard(w, at)
+	w := &watch{baseConn: baseConn{nb: nb}, parser: http1.NewChunkParser(maxListBytes), connected: true}
+	p.discovery.watch = w
+	p.watchAlive(w, at)
 	return w
 }
 
@@ -138,9 +138,9 @@
 }
 
 // balancerAsks reports whether the balancer asks for the list in the given time.
-func moduleAsks(p *Proxy, from, to int64) bool {
+func balancerAsks(p *Proxy, from, to int64) bool {
 	for at := from; at < to; at += 5e7 {
-		for d, ok := p.module.Next(at); ok; d, ok = p.module.Next(at) {
+		for d, ok := p.balancer.Next(at); ok; d, ok = p.balancer.Next(at) {
 			if d.Kind == balance.RequestList {
 				return true
 			}
@@ -152,25 +152,27 @@
 // What is sent on a silent watch counts as delivered 6 s after its last byte. The watch is closed well before, at
 // random times across proxies, and the next one is opened in the same moment, whether or not the list is pushed;
 // the balancer is not told of a failure.
-func TestSilentWatchBegunAnew(t *testing.T) {
-	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushed} {
+func TestSilentWatchReopened(t *testing.T) {
+	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushLists} {
 		t.Run(name, func(t *testing.T) {
 			ends := map[int64]bool{}
 			for seed := range uint64(20) {
-				p := standing(t, change)
-				p.dice.Seed = seed
-				p.module.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now()) // as after a subscription
+				p := newTestProxy(t, change)
+				p.random.Seed = seed
+				// as after a subscription
+				p.balancer.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 				from := p.now()
-				w := spoken(t, p, from)
-				p.heard(w, from+2e9) // an empty line keeps the watch alive
+				w := receivingWatch(t, p, from)
+				p.watchAlive(w, from+2e9) // an empty line keeps the watch alive
 				at := fire(t, p)
 				if silent := at - from - 2e9; silent < 25e8 || silent > 4e9 {
 					t.Fatalf("closed after %d ms of silence", silent/1e6)
 				}
-				if ends[at-from] = true; !w.closed || p.list.watch == w || p.list.watch == nil || p.count.Watches != 1 {
+				if ends[at-from] = true; !w.closed || p.discovery.watch == w || p.discovery.watch == nil ||
+					p.count.Watches != 1 {
 					t.Fatal("the next watch is not opened at once")
 				}
-				if moduleAsks(p, at, at+10e9) {
+				if balancerAsks(p, at, at+10e9) {
 					t.Fatal("the balancer was told of a failure")
 				}
 			}
@@ -189,13 +191,13 @@
 		least, most int
 	}{"refused": {0, 2, 5}, "busy": {2e9, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
-			p := standing(t, nil)
-			p.module.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
+			p := newTestProxy(t, nil)
+			p.balancer.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			from := p.now()
-			spoken(t, p, from)
+			receivingWatch(t, p, from)
 			at, calls := fire(t, p), 0
 			for ; ; calls++ {
-				p.turned(p.list.watch, c.retryIn, at)
+				p.watchRefused(p.discovery.watch, c.retryIn, at)
 				if len(p.timers) == 0 {
 					break
 				}
@@ -204,7 +206,7 @@
 			if calls < c.least || calls > c.most || at > from+65e8 {
 				t.Errorf("%d calls by the proxy itself, the last after %d ms", calls, (at-from)/1e6)
 			}
-			if !moduleAsks(p, at, at+3e9) {
+			if !balancerAsks(p, at, at+3e9) {
 				t.Error("the balancer does not ask any more")
 			}
 		})
@@ -213,26 +215,26 @@
 
 // A call that is never answered, or a watch that ends, is for the balancer to repeat: it knows how long the list in
 // use is valid.
-func TestLostWatchIsTheModules(t *testing.T) {
+func TestLostWatchLeftToBalancer(t *testing.T) {
 	for name, end := range map[string]func(*Proxy, *watch, int64) int64{
-		"ended": func(p *Proxy, w *watch, now int64) int64 { w.gone(p, now+1e9); return now + 1e9 },
+		"ended": func(p *Proxy, w *watch, now int64) int64 { w.onClose(p, now+1e9); return now + 1e9 },
 		"never answered": func(p *Proxy, w *watch, now int64) int64 {
-			w.spoke = false
+			w.hasReceived = false
 			return fire(t, p)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := standing(t, nil)
-			p.module.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
+			p := newTestProxy(t, nil)
+			p.balancer.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			now := p.now()
-			at := end(p, spoken(t, p, now), now)
-			if p.list.watch != nil || p.count.Watches != 0 {
+			at := end(p, receivingWatch(t, p, now), now)
+			if p.discovery.watch != nil || p.count.Watches != 0 {
 				t.Fatal("the proxy calls discovery by itself")
 			}
 			if h := p.host("s"); !h.ready {
 				t.Error("the list in use was dropped")
 			}
-			if !moduleAsks(p, at, at+p.terms.AskWithin) {
+			if !balancerAsks(p, at, at+p.terms.AskWithin) {
 				t.Error("the balancer does not ask within the time that the settings give")
 			}
 		})
@@ -240,43 +242,43 @@
 }
 
 // An open watch without anything to send is kept: what is written to one that is replaced counts as delivered.
-func TestWatchWithNothingToTell(t *testing.T) {
-	p := standing(t, nil)
+func TestWatchWithoutLists(t *testing.T) {
+	p := newTestProxy(t, nil)
 	nb, _ := pair(t)
-	w := &watch{wire: wire{nb: nb}, answers: http1.NewChunks(mostList), up: true}
-	p.list.watch = w
+	w := &watch{baseConn: baseConn{nb: nb}, parser: http1.NewChunkParser(maxListBytes), connected: true}
+	p.discovery.watch = w
 	now := p.now()
-	w.read(p, now, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	w.onRead(p, now, []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	p.round()
-	if p.list.watch != w || moduleAsks(p, now, now+30e9) {
+	if p.discovery.watch != w || balancerAsks(p, now, now+30e9) {
 		t.Error("another watch is opened")
 	}
-	p.heard(w, now+1e9)
-	if p.endWatch(w, now+2e9, true); !moduleAsks(p, now+2e9, now+2e9+p.terms.AskWithin) {
+	p.watchAlive(w, now+1e9)
+	if p.endWatch(w, now+2e9, true); !balancerAsks(p, now+2e9, now+2e9+p.terms.AskWithin) {
 		t.Error("the balancer does not ask once the watch has ended")
 	}
 }
 
 // Where lists are pushed, what the agent has counts as delivered even with no watch open: the next one is tried at
 // once, and at least every 1.5 s while there is none, also while the proxy drains.
-func TestPushedWatchComesBackAtOnce(t *testing.T) {
-	p := standing(t, pushed)
+func TestPushedWatchReopenedAtOnce(t *testing.T) {
+	p := newTestProxy(t, pushLists)
 	p.drain.begun = true
 	now := p.now()
-	p.endWatch(spoken(t, p, now), now+1e9, true)
+	p.endWatch(receivingWatch(t, p, now), now+1e9, true)
 	at := now + 1e9
 	for i, most := range []int64{15e7, 3e8, 6e8, 12e8, 15e8, 15e8, 15e8} {
 		due := fire(t, p)
 		if wait := due - at; wait <= 0 || wait > most {
 			t.Fatalf("try %d after %d ms, want %d at most", i, wait/1e6, most/1e6)
 		}
-		if at = due; p.list.watch == nil || p.count.Watches != i+1 {
+		if at = due; p.discovery.watch == nil || p.count.Watches != i+1 {
 			t.Fatalf("try %d did not call discovery", i)
 		}
-		p.endWatch(p.list.watch, at, true)
+		p.endWatch(p.discovery.watch, at, true)
 	}
 	p.stop(p.timers[0])
-	p.endWatch(spoken(t, p, at), at+1e9, true) // one that received something
+	p.endWatch(receivingWatch(t, p, at), at+1e9, true) // one that received something
 	if wait := next(t, p).at - at - 1e9; wait > 15e7 {
 		t.Errorf("after a watch that received something it waits %d ms", wait/1e6)
 	}
@@ -297,22 +299,22 @@
 		open   bool // at once
 	}{
 		"asked":            {nil, false, true},
-		"pushed, told":     {pushed, true, false},
-		"pushed, not told": {pushed, false, false},
+		"pushed, told":     {pushLists, true, false},
+		"pushed, not told": {pushLists, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := standing(t, c.change)
-			p.accept = newListener(nil)
+			p := newTestProxy(t, c.change)
+			p.listener = newListener(nil)
 			now := p.now()
-			if p.welcomeFrom(false, now); p.open != c.open {
-				t.Fatalf("open %v at the start", p.open)
+			if p.scheduleAccept(false, now); p.accepting != c.open {
+				t.Fatalf("open %v at the start", p.accepting)
 			}
 			if c.told {
-				r, err := parseRoll([]byte(`{"generation":8,"reset":true,"instances":[
+				r, err := parseHostList([]byte(`{"generation":8,"reset":true,"instances":[
 					{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`))
-				w := spoken(t, p, now)
-				if p.line(w, r, err, now+1e8); !p.open || p.host("s").ready {
-					t.Errorf("open %v once the list has come, server ready %v", p.open, p.host("s").ready)
+				w := receivingWatch(t, p, now)
+				if p.applyLine(w, r, err, now+1e8); !p.accepting || p.host("s").ready {
+					t.Errorf("open %v once the list has come, server ready %v", p.accepting, p.host("s").ready)
 				}
 				return
 			}
@@ -322,7 +324,7 @@
 				}
 			}
 			select {
-			case <-p.accept.opened:
+			case <-p.listener.opened:
 			default:
 				t.Error("clients are not accepted")
 			}
@@ -333,16 +335,16 @@
 // A list of another discovery counts as delivered 4 s after SIGHUP: its watch is opened at once, and the end of the
 // old one does not count as a failure.
 func TestMovedDiscovery(t *testing.T) {
-	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushed} {
+	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushLists} {
 		t.Run(name, func(t *testing.T) {
-			p := standing(t, change)
-			old := spoken(t, p, p.now())
-			p.list.failures = 9
-			s := p.start
+			p := newTestProxy(t, change)
+			old := receivingWatch(t, p, p.now())
+			p.discovery.failures = 9
+			s := p.config
 			s.Discovery = "127.0.0.1:2"
 			p.Reconfigure(s)
 			p.round()
-			w := p.list.watch
+			w := p.discovery.watch
 			if !old.closed || w == nil || w == old || p.count.Watches != 1 || !p.host("s").ready {
 				t.Fatalf("%d calls, the old watch closed %v", p.count.Watches, old.closed)
 			}
@@ -363,44 +365,44 @@
 
 // After SIGTERM clients still send on connections that stay open. An idle one is closed. One with unread data in
 // the kernel or part of a request stays open until its response, which ends it.
-func TestTermAnswersWhatIsSent(t *testing.T) {
-	p := standing(t, nil)
-	p.start.KnownHosts, p.drain.begun = nil, true
-	p.listed(balance.ListReplace, roll{Instances: []entry{}}, p.now()) // no server: each request is denied
-	resting, _, _ := customer(t, p)
-	unread, other, unreadIn := customer(t, p)
-	half, _, halfIn := customer(t, p)
-	half.coming = true
+func TestSIGTERMAnswersSentRequests(t *testing.T) {
+	p := newTestProxy(t, nil)
+	p.config.KnownHosts, p.drain.begun = nil, true
+	p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, p.now()) // no server: each request is denied
+	resting, _, _ := connectClient(t, p)
+	unread, other, unreadIn := connectClient(t, p)
+	half, _, halfIn := connectClient(t, p)
+	half.incoming = true
 	call := "POST /api HTTP/1.1\r\nHost: a\r\nRequest-Id: a\r\nRequest-Class: once\r\nRequest-Timeout: 1\r\n" +
 		"Content-Length: 0\r\n\r\n"
 	if _, err := other.Write([]byte(call)); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); unread.nothing() && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); unread.noInput() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	now := p.now()
-	p.ending(now)
+	p.closeIdleClients(now)
 	if !resting.closed || unread.closed || half.closed {
 		t.Fatalf("closed: idle %v, unread %v, partial %v", resting.closed, unread.closed, half.closed)
 	}
-	unread.read(p, now, []byte(call))
-	half.read(p, now, []byte(strings.Replace(call, "Id: a", "Id: b", 1)))
+	unread.onRead(p, now, []byte(call))
+	half.onRead(p, now, []byte(strings.Replace(call, "Id: a", "Id: b", 1)))
 	p.round()
 	drive(t, p, now, now+1e9)
 	for name, in := range map[string]*bufio.Reader{"unread": unreadIn, "half": halfIn} {
-		if r := said(t, in); r.StatusCode != http.StatusServiceUnavailable || !r.Close {
+		if r := readResponse(t, in); r.StatusCode != http.StatusServiceUnavailable || !r.Close {
 			t.Errorf("%s: got %d, last %v", name, r.StatusCode, r.Close)
 		}
 	}
 }
 
 // The process does not end before an admitted request has its response, as long as its client may wait.
-func TestTermWaitsForReqs(t *testing.T) {
-	p := standing(t, nil)
+func TestSIGTERMWaitsForRequests(t *testing.T) {
+	p := newTestProxy(t, nil)
 	now := p.now()
-	r := &req{taken: now + 2e9, call: asks("once", "a", 25e8)}
-	p.reqs[1] = r
+	r := &request{receivedAt: now + 2e9, msg: newRequest("once", "a", 25e8)}
+	p.requests[1] = r
 	p.awaitEnd(now)
 	if drive(t, p, now, now+44e8); p.done {
 		t.Fatal("ended with an open req whose client waits")
@@ -408,9 +410,9 @@
 	if drive(t, p, now+44e8, now+46e8); !p.done {
 		t.Fatal("waits for longer than the client does")
 	}
-	p = standing(t, nil)
-	r = &req{taken: now, call: asks("once", "a", 3600e9)}
-	p.reqs[1] = r
+	p = newTestProxy(t, nil)
+	r = &request{receivedAt: now, msg: newRequest("once", "a", 3600e9)}
+	p.requests[1] = r
 	p.awaitEnd(now)
 	if drive(t, p, now, now+31e8); !p.done {
 		t.Fatal("a client timeout of an hour delays the end")
@@ -418,24 +420,24 @@
 }
 
 // What was written for a client that reads slowly is sent before its connection is closed in a drain.
-func TestSentAwayAfterAnswer(t *testing.T) {
-	p := standing(t, nil)
-	c, _, _ := customer(t, p)
-	c.given.Add(10) // not accepted by the kernel yet
+func TestClosedAfterResponse(t *testing.T) {
+	p := newTestProxy(t, nil)
+	c, _, _ := connectClient(t, p)
+	c.queued.Add(10) // not accepted by the kernel yet
 	now := p.now()
-	p.sendAway(now, now-10e9, func() bool { return true })
+	p.closeGradually(now, now-10e9, func() bool { return true })
 	if c.closed {
 		t.Fatal("the response was cut off")
 	}
-	c.took.Add(10)
-	if p.sendAway(now, now-10e9, func() bool { return true }); !c.closed {
+	c.accepted.Add(10)
+	if p.closeGradually(now, now-10e9, func() bool { return true }); !c.closed {
 		t.Fatal("an idle client's connection stays open")
 	}
 }
 
 // Each request has its final response before its client's timeout: 503 if it certainly never ran, as is always so
 // if it was never sent, or may run again, and 502 if it may have run.
-func TestFinalAnswerInTime(t *testing.T) {
+func TestFinalResponseInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		rules string
 		sent  bool
@@ -448,24 +450,24 @@
 	} {
 		for _, timeout := range []int64{2e8, 8e8, 3e9} {
 			t.Run(fmt.Sprint(name, " ", timeout/1e6), func(t *testing.T) {
-				p := standing(t, nil)
+				p := newTestProxy(t, nil)
 				now := p.now()
 				if c.sent { // the server never answers
 					host, _ := parked(t, p, now-1e9)
 					attach(t, p, host)
 				} else {
-					p.listed(balance.ListReplace, roll{Instances: []entry{}}, now)
+					p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, now)
 				}
-				cl, _, in := customer(t, p)
-				p.take(cl, sentAhead{Call: asks(c.rules, "a", timeout), at: now})
+				cl, _, in := connectClient(t, p)
+				p.queueRequest(cl, queuedRequest{Request: newRequest(c.rules, "a", timeout), at: now})
 				drive(t, p, now, now+timeout-1)
-				if cl.req != nil {
+				if cl.request != nil {
 					t.Fatal("no response within the client's timeout")
 				}
 				if p.count.Sent > 0 != c.sent {
 					t.Fatalf("%d dispatches", p.count.Sent)
 				}
-				if r := said(t, in); r.StatusCode != c.want {
+				if r := readResponse(t, in); r.StatusCode != c.want {
 					t.Errorf("got %d, want %d", r.StatusCode, c.want)
 				}
 			})
@@ -475,84 +477,84 @@
 
 // A new connection is not closed on its request, however few descriptors are left: the request is denied.
 func TestNewConnectionIsAnswered(t *testing.T) {
-	p := standing(t, func(s *Config) { s.Sockets = spareSockets + 8 })
+	p := newTestProxy(t, func(s *Config) { s.Sockets = reservedFDs + 8 })
 	for range 8 {
-		c, _, _ := customer(t, p)
-		c.req = &req{}
+		c, _, _ := connectClient(t, p)
+		c.request = &request{}
 	}
 	nb, other := pair(t)
 	c := newClient(nb)
 	attach(t, p, c)
 	now := p.now()
-	p.welcome(c, now)
-	if c.closed || !c.extra {
-		t.Fatalf("closed %v, extra %v", c.closed, c.extra)
+	p.addClient(c, now)
+	if c.closed || !c.noDescriptor {
+		t.Fatalf("closed %v, extra %v", c.closed, c.noDescriptor)
 	}
-	p.take(c, sentAhead{Call: asks("once", "a", 1e9), at: now})
+	p.queueRequest(c, queuedRequest{Request: newRequest("once", "a", 1e9), at: now})
 	_ = other.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if r := said(t, bufio.NewReader(other)); r.StatusCode != http.StatusServiceUnavailable || !r.Close {
+	if r := readResponse(t, bufio.NewReader(other)); r.StatusCode != http.StatusServiceUnavailable || !r.Close {
 		t.Errorf("got %d, last %v", r.StatusCode, r.Close)
 	}
 	if p.count.Taken != 0 || p.count.Crowded != 1 {
 		t.Errorf("%d reqs, %d crowded", p.count.Taken, p.count.Crowded)
 	}
 	// An idle connection with an unread request is not closed either.
-	p = standing(t, nil)
-	c, other, _ = customer(t, p)
+	p = newTestProxy(t, nil)
+	c, other, _ = connectClient(t, p)
 	_, _ = other.Write([]byte("POST"))
-	for end := time.Now().Add(10 * time.Second); c.nothing() && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); c.noInput() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if p.closeResting(p.now()+10e9, 0) || c.closed {
+	if p.closeLongestIdle(p.now()+10e9, 0) || c.closed {
 		t.Error("closed while a request was unread")
 	}
 }
 
 // No table grows without bound with what discovery and clients send.
 func TestNothingGrows(t *testing.T) {
-	p := standing(t, nil)
+	p := newTestProxy(t, nil)
 	now := p.now()
-	p.listed(balance.ListReplace, roll{Instances: []entry{}}, now)
-	cl, _, in := customer(t, p)
+	p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, now)
+	cl, _, in := connectClient(t, p)
 	for i := range 3000 {
 		at := now + int64(i)*1e8
 		id := fmt.Sprint(i)
-		p.listed(balance.ListReplace, roll{Generation: int64(i), Instances: []entry{
+		p.applyList(balance.ListReplace, hostList{Generation: int64(i), Instances: []hostEntry{
 			{ID: "h" + id, Addr: "127.0.0.1:1", State: "draining"},
 			{ID: "g" + id, Addr: "127.0.0.1:1", State: "draining"}}}, at)
-		p.heard(spoken(t, p, at), at)
-		p.list.watch = nil
+		p.watchAlive(receivingWatch(t, p, at), at)
+		p.discovery.watch = nil
 		if i%10 == 0 {
-			p.take(cl, sentAhead{Call: asks("once", id, 1e9), at: at})
+			p.queueRequest(cl, queuedRequest{Request: newRequest("once", id, 1e9), at: at})
 			drive(t, p, at, at+99e6)
-			said(t, in)
+			readResponse(t, in)
 		}
 		p.timers = p.timers[:0]
 	}
 	drive(t, p, now+300e9, now+301e9)
-	if len(p.hosts) > 2 || len(p.reqs) != 0 || len(p.ids) != 0 || len(p.events) > 3000 {
-		t.Errorf("%d hosts, %d reqs, %d ids", len(p.hosts), len(p.reqs), len(p.ids))
+	if len(p.hosts) > 2 || len(p.requests) != 0 || len(p.ids) != 0 || len(p.events) > 3000 {
+		t.Errorf("%d hosts, %d reqs, %d ids", len(p.hosts), len(p.requests), len(p.ids))
 	}
-	for i := range 2 * mostSeen {
-		p.remember(fmt.Sprint("seen ", i))
+	for i := range 2 * maxSeenIDs {
+		p.rememberID(fmt.Sprint("seen ", i))
 	}
-	if len(p.seen) > mostSeen || len(p.order) > mostSeen {
-		t.Errorf("%d ids remembered, %d in order", len(p.seen), len(p.order))
+	if len(p.seen) > maxSeenIDs || len(p.seenOrder) > maxSeenIDs {
+		t.Errorf("%d ids remembered, %d in order", len(p.seen), len(p.seenOrder))
 	}
 }
 
 // A busy loop counts as a crash: with an open request, a silent client and an open watch, at least one tick passes
 // between rounds.
 func TestLoopWaits(t *testing.T) {
-	p := standing(t, nil)
+	p := newTestProxy(t, nil)
 	now := p.now()
-	p.listed(balance.ListReplace, roll{Instances: []entry{}}, now)
-	spoken(t, p, now)
-	cl, _, _ := customer(t, p)
-	p.await(cl, now)
+	p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, now)
+	receivingWatch(t, p, now)
+	cl, _, _ := connectClient(t, p)
+	p.startReadTimer(cl, now)
 	p.drain.begun = true
-	p.after(now, comeOn, p.ending)
-	p.take(cl, sentAhead{Call: asks("once", "a", 1e9), at: now})
+	p.after(now, acceptGraceNs, p.closeIdleClients)
+	p.queueRequest(cl, queuedRequest{Request: newRequest("once", "a", 1e9), at: now})
 	if n := drive(t, p, now, now+2e9); n > 2e9/5e6+50 {
 		t.Errorf("%d rounds in 2 s", n)
 	}
@@ -560,7 +562,7 @@
 
 // The operators' bench refuses programs that start others or move bytes past the process: nothing of that is
 // called, and the program is one process, linked against the C library.
-func TestOnePlainProcess(t *testing.T) {
+func TestSingleProcess(t *testing.T) {
 	refused := regexp.MustCompile(`^(Fork.*|Clone.*|Exec|StartProcess|Splice|Tee|Vmsplice|Send[fF]ile|(?i)io_?uring.*)$`)
 	seen := 0
 	roots := []string{".", "../balance", "../terms", "../fleet", "../keys", "../conf", "../internal"}
--- a/proxy/sibling/sibling.go
+++ b/proxy/sibling/sibling.go
@@ -11,7 +11,7 @@
 )
 
 // maxProcesses is how many processes may run side by side; an upgrade needs two.
-const seats = 8
+const maxProcesses = 8
 
 // Lock is this process's lock in the file.
 type Lock struct{ file *os.File }
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for i := range int64(seats) {
+	for i := range int64(maxProcesses) {
 		lock := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart, Start: i, Len: 1}
 		if err = syscall.FcntlFlock(f.Fd(), syscall.F_SETLK, &lock); err == nil {
 			return &Lock{f}, nil
@@ -32,8 +32,8 @@
 }
 
 // Other reports whether another process holds a lock.
-func (s *Lock) Other() bool {
-	lock := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart, Len: seats}
-	err := syscall.FcntlFlock(s.file.Fd(), syscall.F_GETLK, &lock)
+func (l *Lock) Other() bool {
+	lock := syscall.Flock_t{Type: syscall.F_WRLCK, Whence: io.SeekStart, Len: maxProcesses}
+	err := syscall.FcntlFlock(l.file.Fd(), syscall.F_GETLK, &lock)
 	return err == nil && lock.Type != syscall.F_UNLCK
 }
--- a/proxy/sibling/sibling_test.go
+++ b/proxy/sibling/sibling_test.go
@@ -19,7 +19,8 @@
 			panic(err)
 		}
 		fmt.Println("here")
-		time.Sleep(time.Hour) // not an endless wait: the runtime ends a process in which all goroutines are blocked forever
+		// not an endless wait: the runtime ends a process in which all goroutines are blocked forever
+		time.Sleep(time.Hour)
 		runtime.KeepAlive(seat)
 	}
 	os.Exit(m.Run())
@@ -55,7 +56,7 @@
 	}
 }
 
-func TestNowhere(t *testing.T) {
+func TestMissingFolder(t *testing.T) {
 	if _, err := Acquire(filepath.Join(t.TempDir(), "gone", "seats")); err == nil {
 		t.Error("got a lock in a folder that does not exist")
 	}
--- a/proxy/stopped_test.go
+++ b/proxy/stopped_test.go
@@ -43,13 +43,13 @@
 func watched(t *testing.T, p *Proxy) (*watch, net.Conn) {
 	t.Helper()
 	nb, other := pair(t)
-	w := &watch{wire: wire{nb: nb}, answers: http1.NewChunks(mostList), up: true}
-	p.list.watch = w
+	w := &watch{baseConn: baseConn{nb: nb}, parser: http1.NewChunkParser(maxListBytes), connected: true}
+	p.discovery.watch = w
 	return w, other
 }
 
 // sendDraining has discovery report the server as draining, and waits until that is in the kernel's buffer.
-func drains(t *testing.T, w *watch, other net.Conn) {
+func sendDraining(t *testing.T, w *watch, other net.Conn) {
 	t.Helper()
 	line := `{"generation":8,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`
 	line += "\n"
@@ -57,40 +57,40 @@
 	if _, err := fmt.Fprintf(other, "%s%x\r\n%s\r\n", head, len(line), line); err != nil {
 		t.Fatal(err)
 	}
-	notice(&hostConn{wire: wire{nb: w.nb}})
+	waitForInput(&hostConn{baseConn: baseConn{nb: w.nb}})
 }
 
 // simulateStop makes it look as if the process had not run for 5 s.
-func stopped(p *Proxy) {
-	p.newsAt -= 5e9
-	p.rounded -= 5e9
+func simulateStop(p *Proxy) {
+	p.caughtUpAt -= 5e9
+	p.lastRound -= 5e9
 }
 
 // Whichever event is handled first after a stop, nothing is dispatched to a server that discovery has meanwhile
 // reported as draining; with and without recovery settings, whether the stop was noticed or not.
-func TestToldWhileStopped(t *testing.T) {
+func TestDrainingReportedWhileStopped(t *testing.T) {
 	over := func(p *Proxy) int64 { return p.now() + 3e9 }
-	for name, first := range map[string]func(p *Proxy, r *req, c *hostConn){
-		"a dispatch that was decided before": func(p *Proxy, r *req, c *hostConn) {
+	for name, first := range map[string]func(p *Proxy, r *request, c *hostConn){
+		"a dispatch that was decided before": func(p *Proxy, r *request, c *hostConn) {
 			p.send(r, "s", over(p), p.now())
 		},
-		"a connection that came up": func(p *Proxy, r *req, c *hostConn) {
+		"a connection that came up": func(p *Proxy, r *request, c *hostConn) {
 			p.unpark(c)
-			d := &dispatch{req: r, host: c.host, until: over(p), out: true}
-			p.post(p.now(), nil, func(at int64) { p.connected(d, c, at) })
+			d := &dispatch{req: r, host: c.host, deadline: over(p), outstanding: true}
+			p.post(p.now(), nil, func(at int64) { p.useConn(d, c, at) })
 			p.round()
 		},
-		"the same, handled before the stop was noticed": func(p *Proxy, r *req, c *hostConn) {
+		"the same, handled before the stop was noticed": func(p *Proxy, r *request, c *hostConn) {
 			p.unpark(c)
-			p.connected(&dispatch{req: r, host: c.host, until: over(p), out: true}, c, p.now())
+			p.useConn(&dispatch{req: r, host: c.host, deadline: over(p), outstanding: true}, c, p.now())
 		},
-		"a connection that had an answer just before": func(p *Proxy, r *req, c *hostConn) {
+		"a connection that had an answer just before": func(p *Proxy, r *request, c *hostConn) {
 			p.unpark(c)
-			p.settled(&dispatch{req: r, host: c.host, until: over(p), out: true}, c, p.now())
+			p.useSettled(&dispatch{req: r, host: c.host, deadline: over(p), outstanding: true}, c, p.now())
 		},
-		"a req": func(p *Proxy, r *req, c *hostConn) {
+		"a req": func(p *Proxy, r *request, c *hostConn) {
 			p.post(p.now(), nil, func(at int64) {
-				p.enter(&req{call: http1.Call{ID: "a", Timeout: 3e9}, taken: at}, 3e9, at)
+				p.addRequest(&request{msg: http1.Request{ID: "a", Timeout: 3e9}, receivedAt: at}, 3e9, at)
 			})
 			p.round()
 		},
@@ -99,16 +99,16 @@
 			t.Run(name+", "+set, func(t *testing.T) {
 				p := testProxy(t)
 				if set == "return" {
-					p.comeback = newComeback(RecoveryConfig{}, "discovery", p.now())
+					p.recovery = newRecovery(RecoveryConfig{}, "discovery", p.now())
 				}
 				w, other := watched(t, p)
 				c := polled(t, p)
-				stopped(p)
-				drains(t, w, other)
-				first(p, &req{outs: 1}, c)
+				simulateStop(p)
+				sendDraining(t, w, other)
+				first(p, &request{outstanding: 1}, c)
 				p.round()
-				if c.given.Load() > 0 {
-					t.Errorf("%d bytes were written to the draining server", c.given.Load())
+				if c.queued.Load() > 0 {
+					t.Errorf("%d bytes were written to the draining server", c.queued.Load())
 				}
 				if p.host("s").ready || p.count.Lines != 1 {
 					t.Errorf("ready %v after %d lines", p.host("s").ready, p.count.Lines)
@@ -119,84 +119,85 @@
 }
 
 // Events of a watch that a poller has read are handled before all other events, also without a stop.
-func TestNewsFirst(t *testing.T) {
+func TestWatchEventsFirst(t *testing.T) {
 	p := testProxy(t)
 	w, _ := watched(t, p)
 	c := polled(t, p)
 	p.unpark(c)
-	p.newsAt = p.now() + 60e9
-	d := &dispatch{req: &req{outs: 1}, host: c.host, until: p.now() + 3e9, out: true}
-	p.post(p.now(), nil, func(at int64) { p.connected(d, c, at) })
-	p.tell(p.now(), w, func(at int64) {
-		r := roll{Generation: 8, Instances: []entry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}
-		p.line(w, r, nil, at)
+	p.caughtUpAt = p.now() + 60e9
+	d := &dispatch{req: &request{outstanding: 1}, host: c.host, deadline: p.now() + 3e9, outstanding: true}
+	p.post(p.now(), nil, func(at int64) { p.useConn(d, c, at) })
+	p.postWatchEvent(p.now(), w, func(at int64) {
+		r := hostList{Generation: 8, Instances: []hostEntry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}
+		p.applyLine(w, r, nil, at)
 	})
 	p.round()
-	if c.given.Load() > 0 || p.host("s").ready {
-		t.Errorf("%d bytes were written, ready %v", c.given.Load(), p.host("s").ready)
+	if c.queued.Load() > 0 || p.host("s").ready {
+		t.Errorf("%d bytes were written, ready %v", c.queued.Load(), p.host("s").ready)
 	}
 }
 
 // A dispatch whose deadline passed during a stop is not sent: its server would run it for nobody.
-func TestOverWhileStopped(t *testing.T) {
+func TestDeadlinePassedWhileStopped(t *testing.T) {
 	p := testProxy(t)
 	c := polled(t, p)
 	p.unpark(c)
-	d := &dispatch{req: &req{outs: 1}, host: c.host, until: p.now(), out: true}
-	p.write(d, c)
+	d := &dispatch{req: &request{outstanding: 1}, host: c.host, deadline: p.now(), outstanding: true}
+	p.writeDispatch(d, c)
 	p.round()
-	if c.given.Load() > 0 || c.closed || p.count.Outcomes[balance.NotSent] != 1 {
-		t.Errorf("%d bytes were written, closed %v, %v", c.given.Load(), c.closed, p.count.Outcomes)
+	if c.queued.Load() > 0 || c.closed || p.count.Outcomes[balance.NotSent] != 1 {
+		t.Errorf("%d bytes were written, closed %v, %v", c.queued.Load(), c.closed, p.count.Outcomes)
 	}
 }
 
 // What the old watch had received counts even if the new one is not established in time.
-func TestToldByOldWatch(t *testing.T) {
+func TestListOfReplacedWatch(t *testing.T) {
 	p := testProxy(t)
-	p.comeback = newComeback(RecoveryConfig{}, "discovery", p.now())
+	p.recovery = newRecovery(RecoveryConfig{}, "discovery", p.now())
 	w, other := watched(t, p)
-	stopped(p)
-	drains(t, w, other)
-	p.ran(p.now() - 5e9)
-	if p.comeback.count.Stood != 1 || !p.unsure() || p.list.watch == w {
-		t.Fatalf("%d stalls, list uncertain %v", p.comeback.count.Stood, p.unsure())
+	simulateStop(p)
+	sendDraining(t, w, other)
+	p.checkStall(p.now() - 5e9)
+	if p.recovery.count.Stalls != 1 || !p.listUncertain() || p.discovery.watch == w {
+		t.Fatalf("%d stalls, list uncertain %v", p.recovery.count.Stalls, p.listUncertain())
 	}
-	if p.sure(p.now()); p.unsure() || p.host("s").ready {
-		t.Errorf("list uncertain %v, ready %v, want the old watch's last list applied", p.unsure(), p.host("s").ready)
+	if p.trustList(p.now()); p.listUncertain() || p.host("s").ready {
+		t.Errorf("list uncertain %v, ready %v, want the old watch's last list applied", p.listUncertain(),
+			p.host("s").ready)
 	}
 }
 
 // A stop while the loop is sending is noticed by the next round, like a stop at any other time.
 func TestStoppedWhileSending(t *testing.T) {
 	p := testProxy(t)
-	p.comeback = newComeback(RecoveryConfig{}, "discovery", p.now())
+	p.recovery = newRecovery(RecoveryConfig{}, "discovery", p.now())
 	w, _ := watched(t, p)
 	polled(t, p)
 	p.after(p.now(), 1e8, func(int64) {})
 	p.post(p.now(), nil, func(at int64) {
-		p.enter(&req{call: http1.Call{ID: "a", Timeout: 3e9}, taken: at}, 3e9, at)
-		p.newsAt = 0 // so that the dispatch runs the event below
-		p.tell(at, w, func(int64) { time.Sleep(time.Duration(stoodLong + 2e8)) })
+		p.addRequest(&request{msg: http1.Request{ID: "a", Timeout: 3e9}, receivedAt: at}, 3e9, at)
+		p.caughtUpAt = 0 // so that the dispatch runs the event below
+		p.postWatchEvent(at, w, func(int64) { time.Sleep(time.Duration(stallThresholdNs + 2e8)) })
 	})
 	p.round()
-	if p.round(); p.comeback.count.Stood != 1 {
-		t.Errorf("%d stalls, want 1", p.comeback.count.Stood)
+	if p.round(); p.recovery.count.Stalls != 1 {
+		t.Errorf("%d stalls, want 1", p.recovery.count.Stalls)
 	}
 }
 
 // The watch is read at most once per maxWatchAgeNs, however many dispatches are sent.
-func TestPresentOnce(t *testing.T) {
+func TestCatchUpOncePerInterval(t *testing.T) {
 	p := testProxy(t)
 	w, other := watched(t, p)
 	now := p.now()
-	if !p.present(now) {
+	if !p.catchUpWatch(now) {
 		t.Fatal("not read the first time")
 	}
-	drains(t, w, other)
-	if p.present(now+stale-1) || p.count.Lines != 0 {
+	sendDraining(t, w, other)
+	if p.catchUpWatch(now+maxWatchAgeNs-1) || p.count.Lines != 0 {
 		t.Error("read again too early")
 	}
-	if !p.present(now+stale) || p.count.Lines != 1 {
+	if !p.catchUpWatch(now+maxWatchAgeNs) || p.count.Lines != 1 {
 		t.Errorf("%d lines read after maxWatchAgeNs, want 1", p.count.Lines)
 	}
 }
