--- a/proxy/admin/admin_test.go
+++ b/proxy/admin/admin_test.go
@@ -89,7 +89,7 @@
 		"no":            {"PUT /hosts/none/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404},
 		"unknown path":  {"PUT /hosts//../x HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", 404},
 		"other method":  {"DELETE /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n", 405},
-		"no call":       {"hello\r\n\r\n", 400},
+		"no request":    {"hello\r\n\r\n", 400},
 		"endless head":  {"GET /healthcheck HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("x", 64<<10) + "\r\n\r\n", 431},
 		"with a body":   {"PUT /hosts/s/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc", 200},
 	} {
--- a/proxy/hostlist_test.go
+++ b/proxy/hostlist_test.go
@@ -31,21 +31,21 @@
 		text string
 		want []int64 // generations; 0: an error
 	}{
-		"one line each":             {one + "\n\n\n" + two + "\n", []int64{1, 2}},
-		"indented":                  {indented(t, one, "  ") + "\n\n" + indented(t, two, "\t"), []int64{1, 2}},
-		"broken without an indent":  {indented(t, one, "") + "\n" + indented(t, two, "") + "\n", []int64{1, 2}},
-		"other line ends":           {strings.ReplaceAll(indented(t, one, " "), "\n", "\r\n") + two, []int64{1, 2}},
-		"none between":              {one + two, []int64{1, 2}},
-		"empty lines within":        {strings.ReplaceAll(indented(t, one, " "), "\n", "\n\n") + two, []int64{1, 2}},
-		"cut, then a line":          {cut + "\n" + one + "\n" + two + "\n", []int64{0, 1, 2}},
-		"cut, then indented":        {cut + "\n" + indented(t, one, " ") + "\n" + two + "\n", []int64{0, 1, 2}},
-		"cut in a word":             {`{"generation":1,"inst` + "\n" + indented(t, two, " ") + "\n", []int64{0, 2}},
-		"none":                      {"nothing\n" + two + "\n", []int64{0, 2}},
-		"unusable":                  {useless + "\n" + two + "\n", []int64{0, 2}},
-		"not whole":                 {two + "\n" + one[:len(one)-1], []int64{2}},
-		"only empty lines":          {"\n\n\r\n", nil},
-		"a brace within a word":     {strings.Replace(one, `"d:1"`, `"}\n{"`, 1) + "\n" + two, []int64{1, 2}},
-		"another's word for a list": {`{"generation":3}` + "\n" + two + "\n", []int64{0, 2}},
+		"one line each":            {one + "\n\n\n" + two + "\n", []int64{1, 2}},
+		"indented":                 {indented(t, one, "  ") + "\n\n" + indented(t, two, "\t"), []int64{1, 2}},
+		"broken without an indent": {indented(t, one, "") + "\n" + indented(t, two, "") + "\n", []int64{1, 2}},
+		"other line ends":          {strings.ReplaceAll(indented(t, one, " "), "\n", "\r\n") + two, []int64{1, 2}},
+		"none between":             {one + two, []int64{1, 2}},
+		"empty lines within":       {strings.ReplaceAll(indented(t, one, " "), "\n", "\n\n") + two, []int64{1, 2}},
+		"cut, then a line":         {cut + "\n" + one + "\n" + two + "\n", []int64{0, 1, 2}},
+		"cut, then indented":       {cut + "\n" + indented(t, one, " ") + "\n" + two + "\n", []int64{0, 1, 2}},
+		"cut in a name":            {`{"generation":1,"inst` + "\n" + indented(t, two, " ") + "\n", []int64{0, 2}},
+		"none":                     {"nothing\n" + two + "\n", []int64{0, 2}},
+		"unusable":                 {useless + "\n" + two + "\n", []int64{0, 2}},
+		"not whole":                {two + "\n" + one[:len(one)-1], []int64{2}},
+		"only empty lines":         {"\n\n\r\n", nil},
+		"a brace within a string":  {strings.Replace(one, `"d:1"`, `"}\n{"`, 1) + "\n" + two, []int64{1, 2}},
+		"other field for the list": {`{"generation":3}` + "\n" + two + "\n", []int64{0, 2}},
 	} {
 		for _, size := range []int{1, 7, len(c.text)} {
 			if size == 1 && name == "none" {
@@ -75,7 +75,7 @@
 
 // A list on a watch reaches the balancer whole, also if it is indented and split into chunks anywhere.
 func TestIndentedWatch(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	p.accepting = true
 	nb, _ := pair(t)
 	w := &watch{baseConn: baseConn{nb: nb}, parser: http1.NewChunkParser(maxListBytes), connected: true}
--- a/proxy/http1/http1_test.go
+++ b/proxy/http1/http1_test.go
@@ -174,7 +174,7 @@
 }
 
 func TestAppend(t *testing.T) {
-	t.Run("call", func(t *testing.T) {
+	t.Run("request", func(t *testing.T) {
 		want := postRequest
 		want.Timeout = 300e6 // the proxy tells the host its own timeout
 		got, err := parseAll(AppendRequest(nil, postRequest, "127.0.0.1:1", 300e6))
@@ -182,7 +182,7 @@
 			t.Fatalf("got %+v, %v, want %+v", got, err, want)
 		}
 	})
-	t.Run("answer", func(t *testing.T) {
+	t.Run("response", func(t *testing.T) {
 		want := Response{Status: 503, RetryAfter: 16e7, Fields: []Field{{"Content-Type", "a/b"}}, Body: []byte("no"),
 			Close: true}
 		p := NewResponseParser()
@@ -223,7 +223,7 @@
 // last is marked.
 func TestPieces(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 20000)
-	t.Run("call", func(t *testing.T) {
+	t.Run("request", func(t *testing.T) {
 		for name, text := range map[string]string{
 			"length":  "POST / HTTP/1.1\r\nContent-Length: 320000\r\n\r\n" + long,
 			"chunked": "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4E200\r\n" + long + "\r\n0\r\nX: 1\r\n\r\n",
@@ -252,7 +252,7 @@
 			}
 		}
 	})
-	t.Run("answer of a told length begins with its head", func(t *testing.T) {
+	t.Run("response of a known length starts with its head", func(t *testing.T) {
 		p := NewResponseParser()
 		p.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 320000\r\n\r\n"))
 		if a, ok, err := p.Next(); !ok || err != nil || a.Piece != First || a.Length != 320000 || len(a.Body) != 0 {
--- a/proxy/idempotency_test.go
+++ b/proxy/idempotency_test.go
@@ -13,7 +13,7 @@
 // A ledger most of which is obsolete is rewritten with the live records only; one that is mostly live is left as it
 // is.
 func TestCompactLedger(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	file := filepath.Join(t.TempDir(), "keys.ledger")
 	p.config.Idempotency = &IdempotencyConfig{Header: "K", File: file,
 		Terms: idempotency.Config{MaxKeys: 1 << 20, MaxResponseBytes: 1 << 30, MaxResponseSize: 1 << 16,
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -14,8 +14,8 @@
 	"ivybank/proxy/http1"
 )
 
-// testProxy returns a proxy that knows one server and does not listen.
-func testProxy(t *testing.T) *Proxy {
+// newBareProxy returns a proxy that knows one server and does not listen.
+func newBareProxy(t *testing.T) *Proxy {
 	t.Helper()
 	return New(Config{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6,
 		KnownHosts: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`),
@@ -46,7 +46,7 @@
 	return nb, other
 }
 
-func parked(t *testing.T, p *Proxy, used int64) (*hostConn, net.Conn) {
+func newParkedConn(t *testing.T, p *Proxy, used int64) (*hostConn, net.Conn) {
 	t.Helper()
 	nb, other := pair(t)
 	h := p.host("s")
@@ -72,10 +72,10 @@
 		reached           reached
 		broke, given      balance.Outcome
 	}{
-		"unconnected":  {false, false, false, unconnected, balance.NoConnection, balance.NotSent},
-		"part written": {true, false, false, partWritten, balance.NoConnection, balance.NotSent},
-		"all written":  {true, true, false, allWritten, balance.Reset, balance.TimedOut},
-		"answer begun": {true, true, true, responseBegun, balance.Reset, balance.TimedOut},
+		"unconnected":    {false, false, false, unconnected, balance.NoConnection, balance.NotSent},
+		"part written":   {true, false, false, partWritten, balance.NoConnection, balance.NotSent},
+		"all written":    {true, true, false, allWritten, balance.Reset, balance.TimedOut},
+		"response begun": {true, true, true, responseBegun, balance.Reset, balance.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
 			build := func(p *Proxy) *dispatch {
@@ -92,7 +92,7 @@
 				}
 				return d
 			}
-			p := testProxy(t)
+			p := newBareProxy(t)
 			d := build(p)
 			if got := d.progress(); got != c.reached {
 				t.Fatalf("got %d, want %d", got, c.reached)
@@ -101,7 +101,7 @@
 			if p.count.Outcomes[c.broke] != 1 || d.outstanding {
 				t.Errorf("broken: got %v, want one %s", p.count.Outcomes, outcomeNames[c.broke])
 			}
-			p = testProxy(t)
+			p = newBareProxy(t)
 			d = build(p)
 			p.giveUp(d, balance.TimedOut, 1)
 			p.giveUp(d, balance.Cancelled, 2) // a dispatch ends once
@@ -133,7 +133,7 @@
 
 // A client that sent only an empty line must still time out.
 func TestEmptyLineKeepsReadTimer(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	c := &client{}
 	p.startReadTimer(c, 1)
 	if p.partialRequest(c, false, false, false, 2); c.readTimer.index < 0 {
@@ -148,8 +148,8 @@
 // A copy of a response that was read before the next request was written on its connection never answers that
 // request.
 func TestLateDuplicateResponse(t *testing.T) {
-	p := testProxy(t)
-	c, _ := parked(t, p, 1)
+	p := newBareProxy(t)
+	c, _ := newParkedConn(t, p, 1)
 	d := &dispatch{req: &request{outstanding: 1, ended: true}, host: p.host("s"), outstanding: true}
 	p.unpark(c)
 	c.dispatch, d.conn, d.writtenAt = d, c, 100
@@ -161,8 +161,8 @@
 
 // A connection that just had a response is not used before stray bytes behind it would have arrived.
 func TestStrayBytesBehindResponse(t *testing.T) {
-	p := testProxy(t)
-	c, other := parked(t, p, 1000)
+	p := newBareProxy(t)
+	c, other := newParkedConn(t, p, 1000)
 	p.requests[1] = &request{id: 1}
 	p.send(p.requests[1], "s", 1e9, 1001)
 	d := p.requests[1].dispatches[0]
@@ -183,9 +183,9 @@
 		"stray bytes": func(c net.Conn) { _, _ = c.Write([]byte("x")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := testProxy(t)
-			good, _ := parked(t, p, 1)
-			bad, other := parked(t, p, 2)
+			p := newBareProxy(t)
+			good, _ := newParkedConn(t, p, 1)
+			bad, other := newParkedConn(t, p, 2)
 			spoil(other)
 			waitForInput(bad)
 			if got := p.takeIdle(p.host("s")); got != good {
@@ -197,8 +197,8 @@
 		})
 	}
 	t.Run("moved", func(t *testing.T) {
-		p := testProxy(t)
-		c, _ := parked(t, p, 1)
+		p := newBareProxy(t)
+		c, _ := newParkedConn(t, p, 1)
 		p.applyList(balance.ListUpdate, hostList{Generation: 8,
 			Instances: []hostEntry{{ID: "s", Addr: "127.0.0.1:2", State: "ready"}}}, 2)
 		if !c.closed || p.host("s").addr != "127.0.0.1:2" {
@@ -209,9 +209,9 @@
 
 // Clients have priority: idle connections to hosts are closed for them, the longest idle first.
 func TestMakeRoom(t *testing.T) {
-	p := testProxy(t)
-	old, _ := parked(t, p, 1)
-	late, _ := parked(t, p, 2)
+	p := newBareProxy(t)
+	old, _ := newParkedConn(t, p, 1)
+	late, _ := newParkedConn(t, p, 2)
 	for range 100 - reservedFDs - 2 {
 		p.clients = append(p.clients, &client{idleSince: p.now()})
 	}
@@ -230,7 +230,7 @@
 
 // A response that was read before its dispatch timed out counts, however late the event loop handles it.
 func TestRound(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	var order []string
 	p.after(0, 2, func(int64) { order = append(order, "second") })
 	p.after(0, 1, func(int64) { order = append(order, "first") })
@@ -248,7 +248,7 @@
 // A client's last response is sent before its connection is closed, but a client that never reads is not waited
 // for.
 func TestPollFlushed(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	nb, _ := pair(t)
 	c := &client{baseConn: baseConn{nb: nb}}
 	c.queued.Store(10)
@@ -293,7 +293,7 @@
 
 // Nothing is dispatched to a server that began to drain while the connection to it was being established.
 func TestHostDrainsWhileConnecting(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	p.applyList(balance.ListUpdate, hostList{Generation: 8,
 		Instances: []hostEntry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}, 1)
 	nb, _ := pair(t)
@@ -318,8 +318,8 @@
 		"ended":  func(r *request, c *hostConn) { r.ended = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := testProxy(t)
-			c, _ := parked(t, p, 1)
+			p := newBareProxy(t)
+			c, _ := newParkedConn(t, p, 1)
 			p.unpark(c)
 			nb, other := pair(t)
 			cl := &client{baseConn: baseConn{nb: nb}}
@@ -330,7 +330,8 @@
 			spoil(r, c)
 			p.startRelay(c, http1.Response{Status: 200, Piece: http1.First, Length: 100000, Body: []byte("x")}, 100)
 			if d.outstanding || !c.closed || p.count.Outcomes[balance.Errored] != 1 || cl.queued.Load() != 0 {
-				t.Errorf("out %v, closed %v, %v, %d bytes to the client", d.outstanding, c.closed, p.count.Outcomes,
+				t.Errorf("outstanding %v, closed %v, %v, %d bytes to the client", d.outstanding, c.closed,
+					p.count.Outcomes,
 					cl.queued.Load())
 			}
 			_ = other
@@ -340,7 +341,7 @@
 
 // Reading stops at the transit limit and resumes once the other side has accepted the bytes.
 func TestTransitLimit(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	nb, _ := pair(t)
 	from := &client{baseConn: baseConn{nb: nb}}
 	to := &baseConn{}
@@ -368,8 +369,8 @@
 
 // A body that the kernel did not accept at once has not stalled: it has its time, and goes on while bytes move.
 func TestWatchUpload(t *testing.T) {
-	p := testProxy(t)
-	c, _ := parked(t, p, 1)
+	p := newBareProxy(t)
+	c, _ := newParkedConn(t, p, 1)
 	p.unpark(c)
 	d := &dispatch{req: &request{outstanding: 1, body: &bodyStream{}}, host: p.host("s"), conn: c, outstanding: true}
 	c.dispatch = d
@@ -380,9 +381,9 @@
 		if len(p.timers) != 1 {
 			t.Fatalf("got %d timers, want the next check", len(p.timers))
 		}
-		x := p.timers[0]
-		p.stop(x)
-		x.do(x.at)
+		timer := p.timers[0]
+		p.stop(timer)
+		timer.do(timer.at)
 	}
 	p.watchUpload(d, 40, 1)
 	if !d.outstanding || c.closed {
@@ -393,13 +394,14 @@
 		t.Fatal("given up though bytes moved")
 	}
 	if due(); d.outstanding || !c.closed || p.count.Outcomes[balance.NotSent] != 1 {
-		t.Fatalf("out %v, closed %v, %v, want it given up as never sent", d.outstanding, c.closed, p.count.Outcomes)
+		t.Fatalf("outstanding %v, closed %v, %v, want it given up as never sent", d.outstanding, c.closed,
+			p.count.Outcomes)
 	}
 }
 
 // Taking a host out of use just after the start, by an operator, a plan or a peer's report, does not count as a
 // list from discovery: the balancer still asks for one.
-func TestHoldIsNoList(t *testing.T) {
+func TestHoldDoesNotCountAsList(t *testing.T) {
 	p := New(Config{Sockets: 100, Terms: balance.Config{FleetSize: 1, ListOnRequest: true, AskWithin: 2e9, Tick: 5e6,
 		RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
 		KnownHosts: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`)})
@@ -421,7 +423,7 @@
 
 // A Retry-After of discovery is obeyed with a random part added, and leads to one call only.
 func TestDeferWatch(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	now := p.now()
 	if p.deferWatch(2e9, now); p.discovery.notBefore != 0 {
 		t.Fatal("Retry-After is obeyed without recovery settings")
--- a/proxy/requirements_test.go
+++ b/proxy/requirements_test.go
@@ -28,27 +28,27 @@
 	"ivybank/proxy/http1"
 )
 
-// drive lets time pass: it runs timers in order, and after each what the balancer decides. It returns the number of
-// timers.
-func drive(t *testing.T, p *Proxy, from, to int64) (rounds int) {
+// advanceTime lets time pass: it runs timers in order, and after each what the balancer decides. It returns the number
+// of timers that fired.
+func advanceTime(t *testing.T, p *Proxy, from, to int64) (fired int) {
 	t.Helper()
 	p.runDecisions(from)
 	for len(p.timers) > 0 && p.timers[0].at <= to {
-		if rounds++; rounds > 100000 {
+		if fired++; fired > 100000 {
 			t.Fatal("time does not advance")
 		}
-		x := p.timers[0]
-		p.stop(x)
-		x.do(x.at)
-		p.runDecisions(x.at)
+		timer := p.timers[0]
+		p.stop(timer)
+		timer.do(timer.at)
+		p.runDecisions(timer.at)
 	}
-	return rounds
+	return fired
 }
 
-// newTestProxy returns a proxy with rule sets and one server.
-func newTestProxy(t *testing.T, change func(*Config)) *Proxy {
+// newProxyWithRules returns a proxy with rule sets and one server.
+func newProxyWithRules(t *testing.T, change func(*Config)) *Proxy {
 	t.Helper()
-	s := Config{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6, LongestTimeout: 3e9, Discovery: "127.0.0.1:1",
+	cfg := Config{Sockets: 100, ConnIdle: 60e9, DialTimeout: 250e6, LongestTimeout: 3e9, Discovery: "127.0.0.1:1",
 		KnownHosts: []byte(`{"generation":7,"instances":[
 			{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`),
 		Terms: balance.Config{Tick: 5e6, MaxDispatches: 3, FleetSize: 300, ListOnRequest: true, AskWithin: 4e9,
@@ -56,12 +56,12 @@
 				{Name: "once", Effect: balance.NonReplayable, ResponseTarget: 8e8, BillingValue: 1},
 				{Name: "again", ResponseTarget: 8e8, BillingValue: 1, OverdueValue: 0.5}}}}
 	if change != nil {
-		change(&s)
+		change(&cfg)
 	}
-	return New(s)
+	return New(cfg)
 }
 
-func pushLists(s *Config) { s.Terms.ListOnRequest = false }
+func pushLists(cfg *Config) { cfg.Terms.ListOnRequest = false }
 
 // attach has the kernel accept what is written to a connection; nothing is read from it.
 func attach(t *testing.T, p *Proxy, e endpoint) {
@@ -120,8 +120,8 @@
 	return w
 }
 
-// next returns the earliest timer.
-func next(t *testing.T, p *Proxy) *timer {
+// nextTimer returns the earliest timer.
+func nextTimer(t *testing.T, p *Proxy) *timer {
 	t.Helper()
 	if len(p.timers) == 0 {
 		t.Fatal("no timer is pending")
@@ -129,12 +129,12 @@
 	return p.timers[0]
 }
 
-// fire runs the earliest timer and returns the time at which it was due.
-func fire(t *testing.T, p *Proxy) int64 {
-	x := next(t, p)
-	p.stop(x)
-	x.do(x.at)
-	return x.at
+// fireNext runs the earliest timer and returns the time at which it was due.
+func fireNext(t *testing.T, p *Proxy) int64 {
+	timer := nextTimer(t, p)
+	p.stop(timer)
+	timer.do(timer.at)
+	return timer.at
 }
 
 // balancerAsks reports whether the balancer asks for the list in the given time.
@@ -153,18 +153,18 @@
 // random times across proxies, and the next one is opened in the same moment, whether or not the list is pushed;
 // the balancer is not told of a failure.
 func TestSilentWatchReopened(t *testing.T) {
-	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushLists} {
+	for name, change := range map[string]func(*Config){"on request": nil, "pushed": pushLists} {
 		t.Run(name, func(t *testing.T) {
 			ends := map[int64]bool{}
 			for seed := range uint64(20) {
-				p := newTestProxy(t, change)
+				p := newProxyWithRules(t, change)
 				p.random.Seed = seed
 				// as after a subscription
 				p.balancer.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 				from := p.now()
 				w := receivingWatch(t, p, from)
 				p.watchAlive(w, from+2e9) // an empty line keeps the watch alive
-				at := fire(t, p)
+				at := fireNext(t, p)
 				if silent := at - from - 2e9; silent < 25e8 || silent > 4e9 {
 					t.Fatalf("closed after %d ms of silence", silent/1e6)
 				}
@@ -191,17 +191,17 @@
 		least, most int
 	}{"refused": {0, 2, 5}, "busy": {2e9, 0, 0}} {
 		t.Run(name, func(t *testing.T) {
-			p := newTestProxy(t, nil)
+			p := newProxyWithRules(t, nil)
 			p.balancer.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			from := p.now()
 			receivingWatch(t, p, from)
-			at, calls := fire(t, p), 0
+			at, calls := fireNext(t, p), 0
 			for ; ; calls++ {
 				p.watchRefused(p.discovery.watch, c.retryIn, at)
 				if len(p.timers) == 0 {
 					break
 				}
-				at = fire(t, p)
+				at = fireNext(t, p)
 			}
 			if calls < c.least || calls > c.most || at > from+65e8 {
 				t.Errorf("%d calls by the proxy itself, the last after %d ms", calls, (at-from)/1e6)
@@ -220,11 +220,11 @@
 		"ended": func(p *Proxy, w *watch, now int64) int64 { w.onClose(p, now+1e9); return now + 1e9 },
 		"never answered": func(p *Proxy, w *watch, now int64) int64 {
 			w.hasReceived = false
-			return fire(t, p)
+			return fireNext(t, p)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newTestProxy(t, nil)
+			p := newProxyWithRules(t, nil)
 			p.balancer.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 			now := p.now()
 			at := end(p, receivingWatch(t, p, now), now)
@@ -243,7 +243,7 @@
 
 // An open watch without anything to send is kept: what is written to one that is replaced counts as delivered.
 func TestWatchWithoutLists(t *testing.T) {
-	p := newTestProxy(t, nil)
+	p := newProxyWithRules(t, nil)
 	nb, _ := pair(t)
 	w := &watch{baseConn: baseConn{nb: nb}, parser: http1.NewChunkParser(maxListBytes), connected: true}
 	p.discovery.watch = w
@@ -262,13 +262,13 @@
 // Where lists are pushed, what the agent has counts as delivered even with no watch open: the next one is tried at
 // once, and at least every 1.5 s while there is none, also while the proxy drains.
 func TestPushedWatchReopenedAtOnce(t *testing.T) {
-	p := newTestProxy(t, pushLists)
+	p := newProxyWithRules(t, pushLists)
 	p.drain.begun = true
 	now := p.now()
 	p.endWatch(receivingWatch(t, p, now), now+1e9, true)
 	at := now + 1e9
 	for i, most := range []int64{15e7, 3e8, 6e8, 12e8, 15e8, 15e8, 15e8} {
-		due := fire(t, p)
+		due := fireNext(t, p)
 		if wait := due - at; wait <= 0 || wait > most {
 			t.Fatalf("try %d after %d ms, want %d at most", i, wait/1e6, most/1e6)
 		}
@@ -279,12 +279,12 @@
 	}
 	p.stop(p.timers[0])
 	p.endWatch(receivingWatch(t, p, at), at+1e9, true) // one that received something
-	if wait := next(t, p).at - at - 1e9; wait > 15e7 {
+	if wait := nextTimer(t, p).at - at - 1e9; wait > 15e7 {
 		t.Errorf("after a watch that received something it waits %d ms", wait/1e6)
 	}
 	p.done = true
 	calls := p.count.Watches
-	if fire(t, p); p.count.Watches != calls {
+	if fireNext(t, p); p.count.Watches != calls {
 		t.Error("it calls discovery after the end of the process")
 	}
 }
@@ -298,12 +298,12 @@
 		told   bool
 		open   bool // at once
 	}{
-		"asked":            {nil, false, true},
-		"pushed, told":     {pushLists, true, false},
-		"pushed, not told": {pushLists, false, false},
+		"on request":           {nil, false, true},
+		"pushed, list arrives": {pushLists, true, false},
+		"pushed, no list":      {pushLists, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newTestProxy(t, c.change)
+			p := newProxyWithRules(t, c.change)
 			p.listener = newListener(nil)
 			now := p.now()
 			if p.scheduleAccept(false, now); p.accepting != c.open {
@@ -319,7 +319,7 @@
 				return
 			}
 			if !c.open {
-				if at := fire(t, p); at > now+2e9 {
+				if at := fireNext(t, p); at > now+2e9 {
 					t.Errorf("accepting after %d ms", (at-now)/1e6)
 				}
 			}
@@ -335,9 +335,9 @@
 // A list of another discovery counts as delivered 4 s after SIGHUP: its watch is opened at once, and the end of the
 // old one does not count as a failure.
 func TestMovedDiscovery(t *testing.T) {
-	for name, change := range map[string]func(*Config){"asked": nil, "pushed": pushLists} {
+	for name, change := range map[string]func(*Config){"on request": nil, "pushed": pushLists} {
 		t.Run(name, func(t *testing.T) {
-			p := newTestProxy(t, change)
+			p := newProxyWithRules(t, change)
 			old := receivingWatch(t, p, p.now())
 			p.discovery.failures = 9
 			s := p.config
@@ -351,12 +351,12 @@
 			if lost := p.count.WatchesLost; lost != 0 {
 				t.Errorf("%d watches lost", lost)
 			}
-			if name == "asked" {
+			if name == "on request" {
 				return
 			}
 			now := p.now()
 			p.endWatch(w, now, true) // the first call fails
-			if wait := next(t, p).at - now; wait > 15e7 {
+			if wait := nextTimer(t, p).at - now; wait > 15e7 {
 				t.Errorf("the next call after %d ms", wait/1e6)
 			}
 		})
@@ -366,7 +366,7 @@
 // After SIGTERM clients still send on connections that stay open. An idle one is closed. One with unread data in
 // the kernel or part of a request stays open until its response, which ends it.
 func TestSIGTERMAnswersSentRequests(t *testing.T) {
-	p := newTestProxy(t, nil)
+	p := newProxyWithRules(t, nil)
 	p.config.KnownHosts, p.drain.begun = nil, true
 	p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, p.now()) // no server: each request is denied
 	resting, _, _ := connectClient(t, p)
@@ -389,7 +389,7 @@
 	unread.onRead(p, now, []byte(call))
 	half.onRead(p, now, []byte(strings.Replace(call, "Id: a", "Id: b", 1)))
 	p.round()
-	drive(t, p, now, now+1e9)
+	advanceTime(t, p, now, now+1e9)
 	for name, in := range map[string]*bufio.Reader{"unread": unreadIn, "half": halfIn} {
 		if r := readResponse(t, in); r.StatusCode != http.StatusServiceUnavailable || !r.Close {
 			t.Errorf("%s: got %d, last %v", name, r.StatusCode, r.Close)
@@ -399,29 +399,29 @@
 
 // The process does not end before an admitted request has its response, as long as its client may wait.
 func TestSIGTERMWaitsForRequests(t *testing.T) {
-	p := newTestProxy(t, nil)
+	p := newProxyWithRules(t, nil)
 	now := p.now()
 	r := &request{receivedAt: now + 2e9, msg: newRequest("once", "a", 25e8)}
 	p.requests[1] = r
 	p.awaitEnd(now)
-	if drive(t, p, now, now+44e8); p.done {
-		t.Fatal("ended with an open req whose client waits")
+	if advanceTime(t, p, now, now+44e8); p.done {
+		t.Fatal("ended with an open request whose client waits")
 	}
-	if drive(t, p, now+44e8, now+46e8); !p.done {
+	if advanceTime(t, p, now+44e8, now+46e8); !p.done {
 		t.Fatal("waits for longer than the client does")
 	}
-	p = newTestProxy(t, nil)
+	p = newProxyWithRules(t, nil)
 	r = &request{receivedAt: now, msg: newRequest("once", "a", 3600e9)}
 	p.requests[1] = r
 	p.awaitEnd(now)
-	if drive(t, p, now, now+31e8); !p.done {
+	if advanceTime(t, p, now, now+31e8); !p.done {
 		t.Fatal("a client timeout of an hour delays the end")
 	}
 }
 
 // What was written for a client that reads slowly is sent before its connection is closed in a drain.
 func TestClosedAfterResponse(t *testing.T) {
-	p := newTestProxy(t, nil)
+	p := newProxyWithRules(t, nil)
 	c, _, _ := connectClient(t, p)
 	c.queued.Add(10) // not accepted by the kernel yet
 	now := p.now()
@@ -450,17 +450,17 @@
 	} {
 		for _, timeout := range []int64{2e8, 8e8, 3e9} {
 			t.Run(fmt.Sprint(name, " ", timeout/1e6), func(t *testing.T) {
-				p := newTestProxy(t, nil)
+				p := newProxyWithRules(t, nil)
 				now := p.now()
 				if c.sent { // the server never answers
-					host, _ := parked(t, p, now-1e9)
+					host, _ := newParkedConn(t, p, now-1e9)
 					attach(t, p, host)
 				} else {
 					p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, now)
 				}
 				cl, _, in := connectClient(t, p)
 				p.queueRequest(cl, queuedRequest{Request: newRequest(c.rules, "a", timeout), at: now})
-				drive(t, p, now, now+timeout-1)
+				advanceTime(t, p, now, now+timeout-1)
 				if cl.request != nil {
 					t.Fatal("no response within the client's timeout")
 				}
@@ -477,7 +477,7 @@
 
 // A new connection is not closed on its request, however few descriptors are left: the request is denied.
 func TestNewConnectionIsAnswered(t *testing.T) {
-	p := newTestProxy(t, func(s *Config) { s.Sockets = reservedFDs + 8 })
+	p := newProxyWithRules(t, func(s *Config) { s.Sockets = reservedFDs + 8 })
 	for range 8 {
 		c, _, _ := connectClient(t, p)
 		c.request = &request{}
@@ -496,10 +496,10 @@
 		t.Errorf("got %d, last %v", r.StatusCode, r.Close)
 	}
 	if p.count.Taken != 0 || p.count.Crowded != 1 {
-		t.Errorf("%d reqs, %d crowded", p.count.Taken, p.count.Crowded)
+		t.Errorf("%d requests, %d crowded", p.count.Taken, p.count.Crowded)
 	}
 	// An idle connection with an unread request is not closed either.
-	p = newTestProxy(t, nil)
+	p = newProxyWithRules(t, nil)
 	c, other, _ = connectClient(t, p)
 	_, _ = other.Write([]byte("POST"))
 	for end := time.Now().Add(10 * time.Second); c.noInput() && time.Now().Before(end); {
@@ -512,7 +512,7 @@
 
 // No table grows without bound with what discovery and clients send.
 func TestNothingGrows(t *testing.T) {
-	p := newTestProxy(t, nil)
+	p := newProxyWithRules(t, nil)
 	now := p.now()
 	p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, now)
 	cl, _, in := connectClient(t, p)
@@ -526,14 +526,14 @@
 		p.discovery.watch = nil
 		if i%10 == 0 {
 			p.queueRequest(cl, queuedRequest{Request: newRequest("once", id, 1e9), at: at})
-			drive(t, p, at, at+99e6)
+			advanceTime(t, p, at, at+99e6)
 			readResponse(t, in)
 		}
 		p.timers = p.timers[:0]
 	}
-	drive(t, p, now+300e9, now+301e9)
+	advanceTime(t, p, now+300e9, now+301e9)
 	if len(p.hosts) > 2 || len(p.requests) != 0 || len(p.ids) != 0 || len(p.events) > 3000 {
-		t.Errorf("%d hosts, %d reqs, %d ids", len(p.hosts), len(p.requests), len(p.ids))
+		t.Errorf("%d hosts, %d requests, %d ids", len(p.hosts), len(p.requests), len(p.ids))
 	}
 	for i := range 2 * maxSeenIDs {
 		p.rememberID(fmt.Sprint("seen ", i))
@@ -546,7 +546,7 @@
 // A busy loop counts as a crash: with an open request, a silent client and an open watch, at least one tick passes
 // between rounds.
 func TestLoopWaits(t *testing.T) {
-	p := newTestProxy(t, nil)
+	p := newProxyWithRules(t, nil)
 	now := p.now()
 	p.applyList(balance.ListReplace, hostList{Instances: []hostEntry{}}, now)
 	receivingWatch(t, p, now)
@@ -555,7 +555,7 @@
 	p.drain.begun = true
 	p.after(now, acceptGraceNs, p.closeIdleClients)
 	p.queueRequest(cl, queuedRequest{Request: newRequest("once", "a", 1e9), at: now})
-	if n := drive(t, p, now, now+2e9); n > 2e9/5e6+50 {
+	if n := advanceTime(t, p, now, now+2e9); n > 2e9/5e6+50 {
 		t.Errorf("%d rounds in 2 s", n)
 	}
 }
--- a/proxy/stopped_test.go
+++ b/proxy/stopped_test.go
@@ -25,10 +25,10 @@
 	return e, e.Start()
 })
 
-// polled returns a parked connection that may be written to.
-func polled(t *testing.T, p *Proxy) *hostConn {
+// newPolledConn returns a parked connection that may be written to.
+func newPolledConn(t *testing.T, p *Proxy) *hostConn {
 	t.Helper()
-	c, _ := parked(t, p, p.now()-1e9)
+	c, _ := newParkedConn(t, p, p.now()-1e9)
 	e, err := poller()
 	if err == nil {
 		_, err = e.AddConn(c.nb)
@@ -39,8 +39,8 @@
 	return c
 }
 
-// watched gives a proxy an open watch and returns it with discovery's side of the connection.
-func watched(t *testing.T, p *Proxy) (*watch, net.Conn) {
+// attachWatch gives a proxy an open watch and returns it with discovery's side of the connection.
+func attachWatch(t *testing.T, p *Proxy) (*watch, net.Conn) {
 	t.Helper()
 	nb, other := pair(t)
 	w := &watch{baseConn: baseConn{nb: nb}, parser: http1.NewChunkParser(maxListBytes), connected: true}
@@ -69,43 +69,43 @@
 // Whichever event is handled first after a stop, nothing is dispatched to a server that discovery has meanwhile
 // reported as draining; with and without recovery settings, whether the stop was noticed or not.
 func TestDrainingReportedWhileStopped(t *testing.T) {
-	over := func(p *Proxy) int64 { return p.now() + 3e9 }
-	for name, first := range map[string]func(p *Proxy, r *request, c *hostConn){
+	deadline := func(p *Proxy) int64 { return p.now() + 3e9 }
+	for name, firstEvent := range map[string]func(p *Proxy, r *request, c *hostConn){
 		"a dispatch that was decided before": func(p *Proxy, r *request, c *hostConn) {
-			p.send(r, "s", over(p), p.now())
+			p.send(r, "s", deadline(p), p.now())
 		},
-		"a connection that came up": func(p *Proxy, r *request, c *hostConn) {
+		"a connection that was just established": func(p *Proxy, r *request, c *hostConn) {
 			p.unpark(c)
-			d := &dispatch{req: r, host: c.host, deadline: over(p), outstanding: true}
+			d := &dispatch{req: r, host: c.host, deadline: deadline(p), outstanding: true}
 			p.post(p.now(), nil, func(at int64) { p.useConn(d, c, at) })
 			p.round()
 		},
 		"the same, handled before the stop was noticed": func(p *Proxy, r *request, c *hostConn) {
 			p.unpark(c)
-			p.useConn(&dispatch{req: r, host: c.host, deadline: over(p), outstanding: true}, c, p.now())
+			p.useConn(&dispatch{req: r, host: c.host, deadline: deadline(p), outstanding: true}, c, p.now())
 		},
-		"a connection that had an answer just before": func(p *Proxy, r *request, c *hostConn) {
+		"a connection that had a response just before": func(p *Proxy, r *request, c *hostConn) {
 			p.unpark(c)
-			p.useSettled(&dispatch{req: r, host: c.host, deadline: over(p), outstanding: true}, c, p.now())
+			p.useSettled(&dispatch{req: r, host: c.host, deadline: deadline(p), outstanding: true}, c, p.now())
 		},
-		"a req": func(p *Proxy, r *request, c *hostConn) {
+		"a request": func(p *Proxy, r *request, c *hostConn) {
 			p.post(p.now(), nil, func(at int64) {
 				p.addRequest(&request{msg: http1.Request{ID: "a", Timeout: 3e9}, receivedAt: at}, 3e9, at)
 			})
 			p.round()
 		},
 	} {
-		for _, set := range []string{"plain", "return"} {
-			t.Run(name+", "+set, func(t *testing.T) {
-				p := testProxy(t)
-				if set == "return" {
+		for _, settings := range []string{"without recovery", "with recovery"} {
+			t.Run(name+", "+settings, func(t *testing.T) {
+				p := newBareProxy(t)
+				if settings == "with recovery" {
 					p.recovery = newRecovery(RecoveryConfig{}, "discovery", p.now())
 				}
-				w, other := watched(t, p)
-				c := polled(t, p)
+				w, other := attachWatch(t, p)
+				c := newPolledConn(t, p)
 				simulateStop(p)
 				sendDraining(t, w, other)
-				first(p, &request{outstanding: 1}, c)
+				firstEvent(p, &request{outstanding: 1}, c)
 				p.round()
 				if c.queued.Load() > 0 {
 					t.Errorf("%d bytes were written to the draining server", c.queued.Load())
@@ -120,16 +120,16 @@
 
 // Events of a watch that a poller has read are handled before all other events, also without a stop.
 func TestWatchEventsFirst(t *testing.T) {
-	p := testProxy(t)
-	w, _ := watched(t, p)
-	c := polled(t, p)
+	p := newBareProxy(t)
+	w, _ := attachWatch(t, p)
+	c := newPolledConn(t, p)
 	p.unpark(c)
 	p.caughtUpAt = p.now() + 60e9
 	d := &dispatch{req: &request{outstanding: 1}, host: c.host, deadline: p.now() + 3e9, outstanding: true}
 	p.post(p.now(), nil, func(at int64) { p.useConn(d, c, at) })
 	p.postWatchEvent(p.now(), w, func(at int64) {
-		r := hostList{Generation: 8, Instances: []hostEntry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}
-		p.applyLine(w, r, nil, at)
+		list := hostList{Generation: 8, Instances: []hostEntry{{ID: "s", Addr: "127.0.0.1:1", State: "draining"}}}
+		p.applyLine(w, list, nil, at)
 	})
 	p.round()
 	if c.queued.Load() > 0 || p.host("s").ready {
@@ -139,8 +139,8 @@
 
 // A dispatch whose deadline passed during a stop is not sent: its server would run it for nobody.
 func TestDeadlinePassedWhileStopped(t *testing.T) {
-	p := testProxy(t)
-	c := polled(t, p)
+	p := newBareProxy(t)
+	c := newPolledConn(t, p)
 	p.unpark(c)
 	d := &dispatch{req: &request{outstanding: 1}, host: c.host, deadline: p.now(), outstanding: true}
 	p.writeDispatch(d, c)
@@ -152,9 +152,9 @@
 
 // What the old watch had received counts even if the new one is not established in time.
 func TestListOfReplacedWatch(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	p.recovery = newRecovery(RecoveryConfig{}, "discovery", p.now())
-	w, other := watched(t, p)
+	w, other := attachWatch(t, p)
 	simulateStop(p)
 	sendDraining(t, w, other)
 	p.checkStall(p.now() - 5e9)
@@ -169,10 +169,10 @@
 
 // A stop while the loop is sending is noticed by the next round, like a stop at any other time.
 func TestStoppedWhileSending(t *testing.T) {
-	p := testProxy(t)
+	p := newBareProxy(t)
 	p.recovery = newRecovery(RecoveryConfig{}, "discovery", p.now())
-	w, _ := watched(t, p)
-	polled(t, p)
+	w, _ := attachWatch(t, p)
+	newPolledConn(t, p)
 	p.after(p.now(), 1e8, func(int64) {})
 	p.post(p.now(), nil, func(at int64) {
 		p.addRequest(&request{msg: http1.Request{ID: "a", Timeout: 3e9}, receivedAt: at}, 3e9, at)
@@ -187,8 +187,8 @@
 
 // The watch is read at most once per maxWatchAgeNs, however many dispatches are sent.
 func TestCatchUpOncePerInterval(t *testing.T) {
-	p := testProxy(t)
-	w, other := watched(t, p)
+	p := newBareProxy(t)
+	w, other := attachWatch(t, p)
 	now := p.now()
 	if !p.catchUpWatch(now) {
 		t.Fatal("not read the first time")
