--- a/keys/idempotency/store.go
+++ b/keys/idempotency/store.go
@@ -1,6 +1,6 @@
-// Package idempotency decides what becomes of a req with an idempotency key: whether it is the first of its key and goes on, joins
-// the one that is open, or gets what became of it. It owns the keys and their states. It must never do I/O, look at a
-// clock, or let a key that may have run go again.
+// Package idempotency decides what happens to a request with an idempotency key: whether it is the first with its key
+// and is dispatched, waits for the one in progress, or gets the recorded outcome. The package holds the keys and their
+// states. It must not do I/O or read a clock, nor let a key that may have been executed be dispatched again.
 package idempotency
 
 import (
@@ -8,54 +8,54 @@
 	"slices"
 )
 
-// perKey is about what a key holds beside its answer.
-const perKey = 300
+// bytesPerKey is the approximate size of a key's entry without its response.
+const bytesPerKey = 300
 
-// Key names one attempt of a client's, whatever it is sent with.
+// Key identifies one operation of a client, however often it is sent.
 type Key struct{ Tenant, RuleSet, Name string }
 
-// Fingerprint is what a call asks: the hash of its method, target and body.
+// Fingerprint is a hash of a request's method, target and body.
 type Fingerprint [16]byte
 
-// State is where a key stands.
+// State is the state of a key.
 type State int
 
-// The states. A key that is free is forgotten at once.
+// The states. A key whose request was provably not executed is removed at once and has no state.
 const (
-	Open State = iota
-	Done
-	Unsure
+	Open   State = iota // its request is in progress
+	Done                // its request was executed and answered
+	Unsure              // its request may have been executed
 )
 
 func (s State) String() string { return [...]string{"open", "done", "unsure"}[s] }
 
-// Response is what became of a key that is done, as it goes to its client.
+// Response is the response to a key's request as the client gets it.
 type Response struct {
 	Status int
 	Fields [][2]string
 	Body   []byte
-	Stored bool // false: it was too large, and only that it was done is known
+	Stored bool // false: it was too large, and only the outcome is known
 }
 
-// Outcome is how an attempt ended.
+// Outcome is how a key's request ended.
 type Outcome int
 
-// The outcomes of the decision module, as a key sees them.
+// The outcomes, as the decision module tells them apart.
 const (
 	Served  Outcome = iota
-	Denied          // provably never ran
-	Aborted         // may have run
+	Denied          // provably not executed
+	Aborted         // may have been executed
 )
 
-// Config are what operators set.
+// Config is the operator's configuration. Durations are in nanoseconds.
 type Config struct {
-	MaxKeys          int              // keys held
-	MaxResponseBytes int64            // of kept answers
-	MaxResponseSize  int              // bytes of an answer that is kept whole
-	MaxWaiters       int              // on one key
-	MaxKeyLength     int              // bytes of a key's name
-	Retain           map[string]int64 // by rule set: for how long after its end a key is kept; others have no keys
-	RetryAfter       int64            // advised where the store is full
+	MaxKeys          int
+	MaxResponseBytes int64            // of all stored responses together
+	MaxResponseSize  int              // bytes; of a larger response only the outcome is stored
+	MaxWaiters       int              // per key
+	MaxKeyLength     int              // bytes
+	Retain           map[string]int64 // by rule set: how long keys are kept after the end; other rule sets have no keys
+	RetryAfter       int64            // advised if the store is full
 }
 
 // Entry is what is known of a key.
@@ -63,27 +63,27 @@
 	Key         Key
 	Fingerprint Fingerprint
 	State       State
-	At          int64 // of its beginning, then of its end
+	At          int64 // time of the request's start if it is open, else of its end
 	Response    Response
-	wait        []uint64 // in order of arrival; emptied by the end, or as they leave
-	due         int      // place among those that end; -1: open
+	waiters     []uint64 // in order of arrival; cleared when the request ends
+	heapIndex   int      // index in Store.expiries; -1 while the request is open
 }
 
-// Action is what a req with a key is to do.
+// Action is what to do with a request that has a key.
 type Action int
 
-// The kinds of verdict.
+// The actions.
 const (
-	Proceed      Action = iota // it is the first: its beginning is recorded, then it goes on
-	Join                       // it waits for the one that is open
-	Settled                    // the entry says what became of the first
-	Conflict                   // the key stands for something else
-	Full                       // there is no room: try again later
-	KeyTooLong                 // the key's name is
-	PossiblyLost               // keys of before were lost, and it may be one of them
+	Proceed      Action = iota // it is the first with its key: record its start, then dispatch it
+	Join                       // wait for the request in progress
+	Settled                    // answer with the outcome in the entry
+	Conflict                   // reject it: the key belongs to a different request
+	Full                       // reject it: there is no room, retry later
+	KeyTooLong                 // reject it
+	PossiblyLost               // reject it: keys have been lost, and this may be one of them
 )
 
-// Decision is what a req is to do.
+// Decision is the action for a request, with the key's entry for Proceed, Join, Settled and Conflict.
 type Decision struct {
 	Action Action
 	Entry  *Entry
@@ -91,163 +91,165 @@
 
 // Store holds the keys.
 type Store struct {
-	t       Config
-	entries map[Key]*Entry // emptied as keys are free or past their time; Most at the most
-	due     dues           // those that have ended, the first to be forgotten first
-	answers int64          // bytes of kept answers
-	sealed  bool           // a key that is not known may have run all the same
-	lost    int64          // since when that holds for as long as keys are kept; 0: it does not
+	config        Config
+	entries       map[Key]*Entry // at most MaxKeys; removed when a request was not executed or its key expires
+	expiries      expiryHeap     // of keys whose request has ended, the first to expire first
+	responseBytes int64          // of all stored responses
+	refuseUnknown bool           // unknown keys may have been executed
+	lostAt        int64          // from this time on unknown keys are refused for as long as keys are kept; 0: they are not
 }
 
-// New makes a book without keys.
-func New(t Config) *Store { return &Store{t: t, entries: map[Key]*Entry{}} }
+// New returns a store without keys.
+func New(c Config) *Store { return &Store{config: c, entries: map[Key]*Entry{}} }
 
-// Covers says whether a rule set has keys.
-func (b *Store) Covers(ruleSet string) bool {
-	_, ok := b.t.Retain[ruleSet]
+// Covers reports whether requests of a rule set may have keys.
+func (s *Store) Covers(ruleSet string) bool {
+	_, ok := s.config.Retain[ruleSet]
 	return ok
 }
 
-// RefuseUnknown refuses all keys that are not known: one of them may be among what was lost.
-func (b *Store) RefuseUnknown() { b.sealed = true }
+// RefuseUnknown makes the store refuse all unknown keys: any of them may be among those that were lost.
+func (s *Store) RefuseUnknown() { s.refuseUnknown = true }
 
-// RefuseUnknownWhileRetained refuses keys that are not known for as long as one that has just begun is kept: newer ones than all that are known have been lost.
-func (b *Store) RefuseUnknownWhileRetained(now int64) { b.lost = max(1, now) }
+// RefuseUnknownWhileRetained makes the store refuse unknown keys for as long as a key that starts now is kept. It is
+// called when keys newer than all known ones have been lost.
+func (s *Store) RefuseUnknownWhileRetained(now int64) { s.lostAt = max(1, now) }
 
-// Len is how many keys are held.
-func (b *Store) Len() int { return len(b.entries) }
+// Len returns the number of keys.
+func (s *Store) Len() int { return len(s.entries) }
 
-// Admit says what a req with a key is to do. Waiter is its own number, for when it joins.
-func (b *Store) Admit(k Key, p Fingerprint, waiter uint64, now int64) Decision {
-	b.forget(now)
-	e := b.entries[k]
+// Admit decides what to do with a request that has a key. Waiter identifies the request among those that wait.
+func (s *Store) Admit(k Key, p Fingerprint, waiter uint64, now int64) Decision {
+	s.expire(now)
+	e := s.entries[k]
 	switch {
-	case len(k.Name) > b.t.MaxKeyLength:
+	case len(k.Name) > s.config.MaxKeyLength:
 		return Decision{Action: KeyTooLong}
 	case e != nil && e.Fingerprint != p:
 		return Decision{Conflict, e}
 	case e != nil && e.State != Open:
 		return Decision{Settled, e}
-	case e != nil && len(e.wait) >= b.t.MaxWaiters:
+	case e != nil && len(e.waiters) >= s.config.MaxWaiters:
 		return Decision{Action: Full}
 	case e != nil:
-		e.wait = append(e.wait, waiter)
+		e.waiters = append(e.waiters, waiter)
 		return Decision{Join, e}
-	case b.lost > 0 && now < b.lost+b.t.Retain[k.RuleSet]:
+	case s.lostAt > 0 && now < s.lostAt+s.config.Retain[k.RuleSet]:
 		return Decision{Action: PossiblyLost}
-	case b.sealed || len(b.entries) >= b.t.MaxKeys:
+	case s.refuseUnknown || len(s.entries) >= s.config.MaxKeys:
 		return Decision{Action: Full}
 	}
-	e = &Entry{Key: k, Fingerprint: p, At: now, wait: []uint64{waiter}, due: -1}
-	b.entries[k] = e
+	e = &Entry{Key: k, Fingerprint: p, At: now, waiters: []uint64{waiter}, heapIndex: -1}
+	s.entries[k] = e
 	return Decision{Proceed, e}
 }
 
-// RemoveWaiter takes a waiter off its key. The attempt lives on.
-func (b *Store) RemoveWaiter(k Key, waiter uint64) {
-	if e := b.entries[k]; e != nil {
-		e.wait = slices.DeleteFunc(e.wait, func(x uint64) bool { return x == waiter })
+// RemoveWaiter removes a waiter from a key whose client has left. The key's request goes on.
+func (s *Store) RemoveWaiter(k Key, waiter uint64) {
+	if e := s.entries[k]; e != nil {
+		e.waiters = slices.DeleteFunc(e.waiters, func(x uint64) bool { return x == waiter })
 	}
 }
 
-// Finish takes the outcome of a key's attempt and gives those that wait for it, in order of arrival. The entry says what to
-// record; it is free where its state is still Open.
-func (b *Store) Finish(k Key, o Outcome, a Response, now int64) (e *Entry, waiters []uint64) {
-	e = b.entries[k]
+// Finish records the outcome of a key's request. It returns the entry to be recorded and those that wait for it, in
+// order of arrival. If the entry's state is still Open, the request was not executed and its key has been removed.
+func (s *Store) Finish(k Key, o Outcome, r Response, now int64) (e *Entry, waiters []uint64) {
+	e = s.entries[k]
 	if e == nil || e.State != Open {
 		return nil, nil
 	}
-	waiters, e.wait = e.wait, nil
+	waiters, e.waiters = e.waiters, nil
 	if o == Denied {
-		delete(b.entries, k)
+		delete(s.entries, k)
 		return e, waiters
 	}
 	e.State, e.At = Unsure, now
 	if o == Served {
-		e.State, e.Response = Done, a
-		if e.Response.Stored = a.Stored && len(a.Body) <= b.t.MaxResponseSize && b.answers+int64(len(a.Body)) <= b.t.MaxResponseBytes; !e.Response.Stored {
-			e.Response = Response{Status: a.Status}
+		e.State, e.Response = Done, r
+		if e.Response.Stored = r.Stored && len(r.Body) <= s.config.MaxResponseSize &&
+			s.responseBytes+int64(len(r.Body)) <= s.config.MaxResponseBytes; !e.Response.Stored {
+			e.Response = Response{Status: r.Status}
 		}
-		b.answers += int64(len(e.Response.Body))
+		s.responseBytes += int64(len(e.Response.Body))
 	}
-	heap.Push(&b.due, due{e.At + b.t.Retain[k.RuleSet], e})
+	heap.Push(&s.expiries, expiry{e.At + s.config.Retain[k.RuleSet], e})
 	return e, waiters
 }
 
-// Restore takes an entry from a record. One that was open when its process ended may have run.
-func (b *Store) Restore(e Entry, now int64) {
-	if !b.Covers(e.Key.RuleSet) {
-		return // operators have taken the rule set's keys away
+// Restore adds an entry from the ledger. A request that was open when its process ended may have been executed.
+func (s *Store) Restore(e Entry, now int64) {
+	if !s.Covers(e.Key.RuleSet) {
+		return // operators have removed the rule set's keys from the configuration
 	}
-	if old := b.entries[e.Key]; old != nil {
-		b.drop(old)
+	if old := s.entries[e.Key]; old != nil {
+		s.remove(old)
 	}
-	if e.At = min(e.At, now); e.State == Open { // what lies ahead is from before the clock was set back
+	if e.At = min(e.At, now); e.State == Open { // a time in the future was recorded before the clock was set back
 		e.State = Unsure
 	}
-	e.wait, e.due = nil, -1
-	b.entries[e.Key] = &e
-	b.answers += int64(len(e.Response.Body))
-	heap.Push(&b.due, due{e.At + b.t.Retain[e.Key.RuleSet], &e})
+	e.waiters, e.heapIndex = nil, -1
+	s.entries[e.Key] = &e
+	s.responseBytes += int64(len(e.Response.Body))
+	heap.Push(&s.expiries, expiry{e.At + s.config.Retain[e.Key.RuleSet], &e})
 }
 
-// Remove takes a key off: it provably never ran.
-func (b *Store) Remove(k Key) {
-	if e := b.entries[k]; e != nil {
-		b.drop(e)
+// Remove removes a key whose request was provably not executed.
+func (s *Store) Remove(k Key) {
+	if e := s.entries[k]; e != nil {
+		s.remove(e)
 	}
 }
 
-func (b *Store) drop(e *Entry) {
-	delete(b.entries, e.Key)
-	b.answers -= int64(len(e.Response.Body))
-	if e.due >= 0 {
-		heap.Remove(&b.due, e.due)
+func (s *Store) remove(e *Entry) {
+	delete(s.entries, e.Key)
+	s.responseBytes -= int64(len(e.Response.Body))
+	if e.heapIndex >= 0 {
+		heap.Remove(&s.expiries, e.heapIndex)
 	}
 }
 
-// forget lets go of what is past its time.
-func (b *Store) forget(now int64) {
-	for len(b.due) > 0 && b.due[0].at <= now {
-		b.drop(b.due[0].e)
+// expire removes the keys that are no longer retained.
+func (s *Store) expire(now int64) {
+	for len(s.expiries) > 0 && s.expiries[0].at <= now {
+		s.remove(s.expiries[0].e)
 	}
 }
 
-// EstimatedBytes is about what all keys hold, without looking at each.
-func (b *Store) EstimatedBytes() int64 { return int64(len(b.entries))*perKey + b.answers }
+// EstimatedBytes returns the approximate size of all keys in constant time.
+func (s *Store) EstimatedBytes() int64 { return int64(len(s.entries))*bytesPerKey + s.responseBytes }
 
-// Entries are all keys, in no order, for a record written anew.
-func (b *Store) Entries(now int64) []*Entry {
-	b.forget(now)
-	all := make([]*Entry, 0, len(b.entries))
-	for _, e := range b.entries {
+// Entries returns the entries of all keys in no particular order, to rewrite the ledger.
+func (s *Store) Entries(now int64) []*Entry {
+	s.expire(now)
+	all := make([]*Entry, 0, len(s.entries))
+	for _, e := range s.entries {
 		all = append(all, e)
 	}
 	return all
 }
 
-type due struct {
+type expiry struct {
 	at int64
 	e  *Entry
 }
 
-type dues []due
+type expiryHeap []expiry
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int) {
+func (d expiryHeap) Len() int           { return len(d) }
+func (d expiryHeap) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d expiryHeap) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
-	d[i].e.due, d[j].e.due = i, j
+	d[i].e.heapIndex, d[j].e.heapIndex = i, j
 }
-func (d *dues) Push(x any) {
-	x.(due).e.due = len(*d)
-	*d = append(*d, x.(due))
+func (d *expiryHeap) Push(x any) {
+	x.(expiry).e.heapIndex = len(*d)
+	*d = append(*d, x.(expiry))
 }
-func (d *dues) Pop() any {
+func (d *expiryHeap) Pop() any {
 	old := *d
 	x := old[len(old)-1]
-	old[len(old)-1] = due{}
+	old[len(old)-1] = expiry{}
 	*d = old[:len(old)-1]
-	x.e.due = -1
+	x.e.heapIndex = -1
 	return x
 }
--- a/keys/idempotency/store_test.go
+++ b/keys/idempotency/store_test.go
@@ -9,57 +9,60 @@
 	"testing"
 )
 
-const sec = int64(1e9)
+const second = int64(1e9)
 
-var terms = Config{MaxKeys: 40, MaxResponseBytes: 1000, MaxResponseSize: 100, MaxWaiters: 3, MaxKeyLength: 10, Retain: map[string]int64{"a": 10 * sec, "b": 20 * sec}}
+var testConfig = Config{MaxKeys: 40, MaxResponseBytes: 1000, MaxResponseSize: 100, MaxWaiters: 3, MaxKeyLength: 10,
+	Retain: map[string]int64{"a": 10 * second, "b": 20 * second}}
 
-func TestVerdicts(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	k := Key{"t", "a", "k"}
 	for name, c := range map[string]struct {
-		before func(b *Store)
-		key    Key
-		print  Fingerprint
-		at     int64
-		want   Action
-		state  State
+		prepare     func(s *Store)
+		key         Key
+		fingerprint Fingerprint
+		at          int64
+		want        Action
+		state       State
 	}{
-		"first":              {func(*Store) {}, k, Fingerprint{1}, 0, Proceed, Open},
-		"joins":              {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{1}, 1, Join, Open},
-		"something else":     {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{2}, 1, Conflict, Open},
-		"another tenant's":   {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, Key{"u", "a", "k"}, Fingerprint{2}, 1, Proceed, Open},
-		"another rule set's": {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, Key{"t", "b", "k"}, Fingerprint{2}, 1, Proceed, Open},
-		"done": {func(b *Store) {
-			b.Admit(k, Fingerprint{1}, 1, 0)
-			b.Finish(k, Served, Response{Status: 200, Stored: true}, 1)
+		"first with its key":          {func(*Store) {}, k, Fingerprint{1}, 0, Proceed, Open},
+		"same request":                {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{1}, 1, Join, Open},
+		"different request":           {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{2}, 1, Conflict, Open},
+		"same name, another tenant":   {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0) }, Key{"u", "a", "k"}, Fingerprint{2}, 1, Proceed, Open},
+		"same name, another rule set": {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0) }, Key{"t", "b", "k"}, Fingerprint{2}, 1, Proceed, Open},
+		"done": {func(s *Store) {
+			s.Admit(k, Fingerprint{1}, 1, 0)
+			s.Finish(k, Served, Response{Status: 200, Stored: true}, 1)
 		}, k, Fingerprint{1}, 2, Settled, Done},
-		"unsure":               {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{1}, 2, Settled, Unsure},
-		"done, something else": {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Served, Response{}, 1) }, k, Fingerprint{2}, 2, Conflict, Done},
-		"free":                 {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Denied, Response{}, 1) }, k, Fingerprint{2}, 2, Proceed, Open},
-		"past its time":        {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{2}, 1 + 10*sec, Proceed, Open},
-		"just within its time": {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0); b.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{1}, 10 * sec, Settled, Unsure},
-		"open for ever":        {func(b *Store) { b.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{1}, 1000 * sec, Join, Open},
-		"too many wait": {func(b *Store) {
+		"unsure":                  {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0); s.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{1}, 2, Settled, Unsure},
+		"done, different request": {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0); s.Finish(k, Served, Response{}, 1) }, k, Fingerprint{2}, 2, Conflict, Done},
+		"not executed":            {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0); s.Finish(k, Denied, Response{}, 1) }, k, Fingerprint{2}, 2, Proceed, Open},
+		"retention over":          {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0); s.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{2}, 1 + 10*second, Proceed, Open},
+		"just retained":           {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0); s.Finish(k, Aborted, Response{}, 1) }, k, Fingerprint{1}, 10 * second, Settled, Unsure},
+		"open keys never expire":  {func(s *Store) { s.Admit(k, Fingerprint{1}, 1, 0) }, k, Fingerprint{1}, 1000 * second, Join, Open},
+		"too many waiters": {func(s *Store) {
 			for i := range 3 {
-				b.Admit(k, Fingerprint{1}, uint64(i), 0)
+				s.Admit(k, Fingerprint{1}, uint64(i), 0)
 			}
 		}, k, Fingerprint{1}, 1, Full, Open},
-		"room once one has left": {func(b *Store) {
+		"room once a waiter has left": {func(s *Store) {
 			for i := range 3 {
-				b.Admit(k, Fingerprint{1}, uint64(i), 0)
+				s.Admit(k, Fingerprint{1}, uint64(i), 0)
 			}
-			b.RemoveWaiter(k, 1)
+			s.RemoveWaiter(k, 1)
 		}, k, Fingerprint{1}, 1, Join, Open},
-		"too long":       {func(*Store) {}, Key{"t", "a", strings.Repeat("k", 11)}, Fingerprint{1}, 0, KeyTooLong, Open},
-		"lost":           {func(b *Store) { b.RefuseUnknownWhileRetained(5) }, k, Fingerprint{1}, 0, PossiblyLost, Open},
-		"sealed":         {func(b *Store) { b.RefuseUnknown() }, k, Fingerprint{1}, 0, Full, Open},
-		"sealed, known":  {func(b *Store) { b.Restore(Entry{Key: k, Fingerprint: Fingerprint{1}}, 0); b.RefuseUnknown() }, k, Fingerprint{1}, 0, Settled, Unsure},
-		"from after now": {func(b *Store) { b.Restore(Entry{Key: k, Fingerprint: Fingerprint{1}, State: Done, At: 500 * sec}, 0) }, k, Fingerprint{1}, 9 * sec, Settled, Done},
-		"taken away":     {func(b *Store) { b.Restore(Entry{Key: Key{"t", "z", "k"}}, 0) }, Key{"t", "z", "k"}, Fingerprint{1}, 0, Proceed, Open},
+		"key too long":                    {func(*Store) {}, Key{"t", "a", strings.Repeat("k", 11)}, Fingerprint{1}, 0, KeyTooLong, Open},
+		"keys lost":                       {func(s *Store) { s.RefuseUnknownWhileRetained(5) }, k, Fingerprint{1}, 0, PossiblyLost, Open},
+		"unknown keys refused":            {func(s *Store) { s.RefuseUnknown() }, k, Fingerprint{1}, 0, Full, Open},
+		"unknown keys refused, known key": {func(s *Store) { s.Restore(Entry{Key: k, Fingerprint: Fingerprint{1}}, 0); s.RefuseUnknown() }, k, Fingerprint{1}, 0, Settled, Unsure},
+		"recorded in the future": {func(s *Store) {
+			s.Restore(Entry{Key: k, Fingerprint: Fingerprint{1}, State: Done, At: 500 * second}, 0)
+		}, k, Fingerprint{1}, 9 * second, Settled, Done},
+		"rule set no longer configured": {func(s *Store) { s.Restore(Entry{Key: Key{"t", "z", "k"}}, 0) }, Key{"t", "z", "k"}, Fingerprint{1}, 0, Proceed, Open},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := New(terms)
-			c.before(b)
-			got := b.Admit(c.key, c.print, 99, c.at)
+			s := New(testConfig)
+			c.prepare(s)
+			got := s.Admit(c.key, c.fingerprint, 99, c.at)
 			if got.Action != c.want || got.Entry != nil && got.Entry.State != c.state {
 				t.Errorf("got %+v, want %d, %s", got, c.want, c.state)
 			}
@@ -67,83 +70,83 @@
 	}
 }
 
-// What may have run is never let go for room, however many keys come.
+// A key whose request may have been executed is never evicted to make room.
 func TestFull(t *testing.T) {
-	b := New(terms)
+	s := New(testConfig)
 	for i := range 100 {
 		k := Key{"t", "a", fmt.Sprint(i)}
-		v := b.Admit(k, Fingerprint{1}, 1, int64(i))
-		if want := map[bool]Action{true: Proceed, false: Full}[i < terms.MaxKeys]; v.Action != want {
+		v := s.Admit(k, Fingerprint{1}, 1, int64(i))
+		if want := map[bool]Action{true: Proceed, false: Full}[i < testConfig.MaxKeys]; v.Action != want {
 			t.Fatalf("key %d: got %d, want %d", i, v.Action, want)
 		}
 		if i%2 == 0 {
-			b.Finish(k, Aborted, Response{}, int64(i))
+			s.Finish(k, Aborted, Response{}, int64(i))
 		}
 	}
-	if v := b.Admit(Key{"t", "a", "0"}, Fingerprint{1}, 1, 100); v.Action != Settled || v.Entry.State != Unsure {
-		t.Errorf("got %+v for the first key, want it kept", v)
+	if v := s.Admit(Key{"t", "a", "0"}, Fingerprint{1}, 1, 100); v.Action != Settled || v.Entry.State != Unsure {
+		t.Errorf("got %+v for the first key, want it retained", v)
 	}
-	b.Finish(Key{"t", "a", "1"}, Denied, Response{}, 101)
-	if v := b.Admit(Key{"t", "a", "99"}, Fingerprint{1}, 1, 102); v.Action != Proceed {
-		t.Errorf("got %+v once one is free", v)
+	s.Finish(Key{"t", "a", "1"}, Denied, Response{}, 101)
+	if v := s.Admit(Key{"t", "a", "99"}, Fingerprint{1}, 1, 102); v.Action != Proceed {
+		t.Errorf("got %+v once a key has been removed", v)
 	}
 }
 
-func TestAnswers(t *testing.T) {
-	b := New(terms)
-	kept := 0
+func TestResponseSizes(t *testing.T) {
+	s := New(testConfig)
+	stored := 0
 	for i := range 20 {
 		k := Key{"t", "a", fmt.Sprint(i)}
-		b.Admit(k, Fingerprint{1}, 1, 0)
+		s.Admit(k, Fingerprint{1}, 1, 0)
 		size := 80
 		if i == 0 {
 			size = 101
 		}
-		e, _ := b.Finish(k, Served, Response{Status: 200, Stored: true, Body: make([]byte, size)}, 1)
+		e, _ := s.Finish(k, Served, Response{Status: 200, Stored: true, Body: make([]byte, size)}, 1)
 		if e.Response.Stored {
-			kept++
+			stored++
 		}
 		if e.Response.Status != 200 || e.Response.Stored == (len(e.Response.Body) == 0) {
 			t.Errorf("got %+v", e.Response)
 		}
 	}
-	if kept != 12 { // of 80 bytes within 1000, the first too large by itself
-		t.Errorf("kept %d, want 12", kept)
+	if stored != 12 { // of 80 bytes each within 1000 in all; the first response exceeds MaxResponseSize
+		t.Errorf("stored %d responses, want 12", stored)
 	}
-	if b.forget(11 * sec); b.answers != 0 || b.Len() != 0 || len(b.due) != 0 {
-		t.Errorf("got %d bytes, %d keys, %d due once all are past their time", b.answers, b.Len(), len(b.due))
+	if s.expire(11 * second); s.responseBytes != 0 || s.Len() != 0 || len(s.expiries) != 0 {
+		t.Errorf("got %d bytes, %d keys, %d expiries once all keys have expired", s.responseBytes, s.Len(), len(s.expiries))
 	}
 }
 
-// model is the plain reference: a list of all that ever happened to a key.
+// model is a simple reference implementation of Store.
 type model struct {
 	keys map[Key]*modelKey
 }
 
 type modelKey struct {
-	print   Fingerprint
-	state   State
-	ended   int64
-	waiters []uint64
+	fingerprint Fingerprint
+	state       State
+	ended       int64
+	waiters     []uint64
 }
 
-func (m *model) forget(now int64) {
+func (m *model) expire(now int64) {
 	for k, e := range m.keys {
-		if e.state != Open && now-e.ended >= terms.Retain[k.RuleSet] {
+		if e.state != Open && now-e.ended >= testConfig.Retain[k.RuleSet] {
 			delete(m.keys, k)
 		}
 	}
 }
 
-// A long random life of a book is held against the reference: each verdict, each list of waiters.
+// Random sequences of calls are compared with the reference: each decision and each list of waiters.
 func TestModel(t *testing.T) {
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		b, m := New(terms), &model{map[Key]*modelKey{}}
+		s, m := New(testConfig), &model{map[Key]*modelKey{}}
 		now := int64(0)
 		for step := range 3000 {
-			now += r.Int64N(sec / 2)
-			m.forget(now)
+			now += r.Int64N(second / 2)
+			m.expire(now)
 			k := Key{"t", []string{"a", "b"}[r.IntN(2)], fmt.Sprint(r.IntN(30))}
 			e := m.keys[k]
 			switch r.IntN(4) {
@@ -151,24 +154,24 @@
 				p := Fingerprint{byte(r.IntN(8) / 7)}
 				want := Proceed
 				switch {
-				case e != nil && e.print != p:
+				case e != nil && e.fingerprint != p:
 					want = Conflict
 				case e != nil && e.state != Open:
 					want = Settled
-				case e != nil && len(e.waiters) >= terms.MaxWaiters, e == nil && len(m.keys) >= terms.MaxKeys:
+				case e != nil && len(e.waiters) >= testConfig.MaxWaiters, e == nil && len(m.keys) >= testConfig.MaxKeys:
 					want = Full
 				case e != nil:
 					want = Join
 					e.waiters = append(e.waiters, uint64(step))
 				default:
-					m.keys[k] = &modelKey{print: p, waiters: []uint64{uint64(step)}}
+					m.keys[k] = &modelKey{fingerprint: p, waiters: []uint64{uint64(step)}}
 				}
-				if got := b.Admit(k, p, uint64(step), now); got.Action != want {
+				if got := s.Admit(k, p, uint64(step), now); got.Action != want {
 					t.Fatalf("seed %d, step %d: got %d, want %d", seed, step, got.Action, want)
 				}
 			case 2:
 				o := Outcome(r.IntN(3))
-				_, got := b.Finish(k, o, Response{Stored: true}, now)
+				_, got := s.Finish(k, o, Response{Stored: true}, now)
 				var want []uint64
 				if e != nil && e.state == Open {
 					want, e.waiters = e.waiters, nil
@@ -185,36 +188,37 @@
 			case 3:
 				if e != nil && len(e.waiters) > 0 {
 					i := r.IntN(len(e.waiters))
-					b.RemoveWaiter(k, e.waiters[i])
+					s.RemoveWaiter(k, e.waiters[i])
 					e.waiters = slices.Delete(e.waiters, i, i+1)
 				}
 			}
-			if b.forget(now); b.Len() != len(m.keys) {
-				t.Fatalf("seed %d, step %d: got %d keys, want %d", seed, step, b.Len(), len(m.keys))
+			if s.expire(now); s.Len() != len(m.keys) {
+				t.Fatalf("seed %d, step %d: got %d keys, want %d", seed, step, s.Len(), len(m.keys))
 			}
 		}
 	}
 }
 
-// BenchmarkMemory tells what a key holds in memory, without its answer and with one of 200 bytes.
+// BenchmarkMemory measures the memory per key, without a response body and with one of 200 bytes.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []int{0, 200} {
-		b.Run(fmt.Sprint("answer ", size), func(b *testing.B) {
+		b.Run(fmt.Sprint("response ", size), func(b *testing.B) {
 			const n = 100000
 			for b.Loop() {
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book := New(Config{MaxKeys: n, MaxResponseBytes: 1 << 30, MaxResponseSize: 1 << 16, MaxWaiters: 1, MaxKeyLength: 99, Retain: map[string]int64{"filing": 1 << 60}})
+				store := New(Config{MaxKeys: n, MaxResponseBytes: 1 << 30, MaxResponseSize: 1 << 16, MaxWaiters: 1, MaxKeyLength: 99,
+					Retain: map[string]int64{"filing": 1 << 60}})
 				for i := range n {
 					k := Key{"public-halls", "filing", fmt.Sprintf("7f3a9c21-e0b4-d655-%012d", i)}
-					book.Admit(k, Fingerprint{1}, 1, 0)
-					book.Finish(k, Served, Response{Status: 200, Stored: true, Body: make([]byte, size)}, 1)
+					store.Admit(k, Fingerprint{1}, 1, 0)
+					store.Finish(k, Served, Response{Status: 200, Stored: true, Body: make([]byte, size)}, 1)
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/n, "B/key")
-				runtime.KeepAlive(book)
+				runtime.KeepAlive(store)
 			}
 		})
 	}
--- a/keys/ledger/ledger.go
+++ b/keys/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger keeps idempotency keys on disk: records are appended, made durable several at a time, and written anew when
-// most are of the past. It owns the file and its format. It must never call a record durable that the kernel did not, alter
+// Package ledger stores idempotency keys on disk in an append-only file. Records are synced in groups, and the file is
+// rewritten when most of them are obsolete. The package must not report a record as durable before the kernel has, change
 // what it cannot read, or decide what a record means.
 package ledger
 
@@ -20,49 +20,49 @@
 )
 
 const (
-	header   = "IVYLEDG1" // the last byte is the format's version
-	mark     = "\xC7ivy"  // before each record, to find the next one behind damage
-	overhead = len(mark) + 8
-	largest  = 1 << 20 // bytes of a record
+	header           = "IVYLEDG1" // the last byte is the format's version
+	recordMark       = "\xC7ivy"  // precedes each record, to find the next one after damage
+	recordHeaderSize = len(recordMark) + 8
+	maxRecordSize    = 1 << 20 // bytes
 )
 
-// What can be wrong with a file.
+// The errors that callers may distinguish.
 var (
 	ErrNewerVersion = errors.New("written by a newer version")
 	ErrNotLedger    = errors.New("not a ledger")
 	ErrLocked       = errors.New("in use by another process")
-	ErrFailed       = errors.New("the disk has failed to keep what it was given")
+	ErrFailed       = errors.New("writing to the disk has failed, and no further record is accepted")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Kind is what a record tells.
+// Kind is the kind of a record.
 type Kind byte
 
 // The kinds of record.
 const (
-	Begin Kind = 'B' // the key's attempt may be dispatched from here on
-	End   Kind = 'E' // it is done or unsure
-	Free  Kind = 'F' // it provably never ran
+	Begin Kind = 'B' // the key's request may be dispatched once this is durable
+	End   Kind = 'E' // the request has ended; the key is done or unsure
+	Free  Kind = 'F' // the request was provably not executed
 )
 
-// Record is one record.
+// Record is a change of a key's state.
 type Record struct {
 	Kind  Kind
 	Entry idempotency.Entry
 }
 
-// Report is what opening a file found.
+// Report is the result of reading a file.
 type Report struct {
 	Records   int
-	TornBytes int64 // bytes of a last record that was not whole, cut off
-	DamagedAt int64 // where a record within cannot be read; -1: all can
+	TornBytes int64 // of an incomplete record at the end, which Open truncates
+	DamagedAt int64 // offset of the first unreadable record before the end; -1: there is none
 }
 
-// appendRecord writes a record.
+// appendRecord appends an encoded record to b.
 func appendRecord(b []byte, r Record) []byte {
 	start := len(b)
-	b = append(b, mark...)
+	b = append(b, recordMark...)
 	b = append(b, 0, 0, 0, 0, 0, 0, 0, 0)
 	text := func(s string) {
 		b = binary.AppendUvarint(b, uint64(len(s)))
@@ -75,11 +75,11 @@
 	text(e.Key.RuleSet)
 	text(e.Key.Name)
 	b = append(b, e.Fingerprint[:]...)
-	kept := byte(0)
+	stored := byte(0)
 	if e.Response.Stored {
-		kept = 1
+		stored = 1
 	}
-	b = append(b, kept)
+	b = append(b, stored)
 	b = binary.AppendUvarint(b, uint64(e.Response.Status))
 	b = binary.AppendUvarint(b, uint64(len(e.Response.Fields)))
 	for _, f := range e.Response.Fields {
@@ -87,13 +87,13 @@
 		text(f[1])
 	}
 	text(string(e.Response.Body))
-	payload := b[start+overhead:]
-	binary.LittleEndian.PutUint32(b[start+len(mark):], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(b[start+len(mark)+4:], crc32.Checksum(payload, castagnoli))
+	payload := b[start+recordHeaderSize:]
+	binary.LittleEndian.PutUint32(b[start+len(recordMark):], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(b[start+len(recordMark)+4:], crc32.Checksum(payload, castagnoli))
 	return b
 }
 
-// decode reads a payload whose sum is right.
+// decode decodes a payload whose checksum is right.
 func decode(b []byte) (r Record, ok bool) {
 	in := bytes.NewReader(b)
 	bad := false
@@ -136,29 +136,30 @@
 	return r, !bad && in.Len() == 0
 }
 
-// at reads the record that begins at an offset; n is its length.
-func at(text []byte, o int) (r Record, n int, ok bool) {
-	if len(text)-o < overhead || string(text[o:o+len(mark)]) != mark {
+// readRecord reads the record at offset o; n is its length with its header.
+func readRecord(text []byte, o int) (r Record, n int, ok bool) {
+	if len(text)-o < recordHeaderSize || string(text[o:o+len(recordMark)]) != recordMark {
 		return r, 0, false
 	}
-	size := int(binary.LittleEndian.Uint32(text[o+len(mark):]))
-	if size > largest || len(text)-o-overhead < size {
+	size := int(binary.LittleEndian.Uint32(text[o+len(recordMark):]))
+	if size > maxRecordSize || len(text)-o-recordHeaderSize < size {
 		return r, 0, false
 	}
-	payload := text[o+overhead : o+overhead+size]
-	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(text[o+len(mark)+4:]) {
+	payload := text[o+recordHeaderSize : o+recordHeaderSize+size]
+	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(text[o+len(recordMark)+4:]) {
 		return r, 0, false
 	}
 	r, ok = decode(payload)
-	return r, overhead + size, ok
+	return r, recordHeaderSize + size, ok
 }
 
-// Read goes through a ledger's text. What is whole before the end of good is all that is whole from the start on.
+// Read decodes a ledger and calls each for every readable record. Good is the offset up to which it is to be kept: what
+// follows is an incomplete record. The error is ErrNotLedger or ErrNewerVersion.
 func Read(text []byte, each func(Record)) (rep Report, good int, err error) {
 	rep.DamagedAt = -1
 	switch {
 	case len(text) < len(header) && bytes.HasPrefix([]byte(header), text):
-		rep.TornBytes = int64(len(text)) // ended before its first record
+		rep.TornBytes = int64(len(text)) // the header itself is incomplete
 		return rep, 0, nil
 	case len(text) < len(header) || string(text[:len(header)-1]) != header[:len(header)-1]:
 		return rep, 0, ErrNotLedger
@@ -169,7 +170,7 @@
 	}
 	o := len(header)
 	for o < len(text) {
-		r, n, ok := at(text, o)
+		r, n, ok := readRecord(text, o)
 		if ok {
 			each(r)
 			rep.Records++
@@ -178,13 +179,13 @@
 		}
 		next := o + 1
 		for ; next < len(text); next++ {
-			i := bytes.Index(text[next:], []byte(mark))
+			i := bytes.Index(text[next:], []byte(recordMark))
 			if i < 0 {
 				next = len(text)
 				break
 			}
 			next += i
-			if _, _, ok := at(text, next); ok {
+			if _, _, ok := readRecord(text, next); ok {
 				break
 			}
 		}
@@ -200,7 +201,7 @@
 	return rep, o, nil
 }
 
-// file is what a ledger needs of one; tests put their own in its place.
+// file is the part of *os.File that a ledger uses; tests replace it.
 type file interface {
 	io.Writer
 	Sync() error
@@ -208,34 +209,34 @@
 	Close() error
 }
 
-// Ledger is an open ledger with one goroutine that writes.
+// Ledger is an open ledger. One goroutine, the writer, does all writing.
 type Ledger struct {
-	path string
-	lock *os.File
-	make func(path string) (file, error) // of a file that is written anew
-
-	mu    sync.Mutex
-	queue []op // emptied by each round of the writer
-	bell  chan struct{}
-	ended chan struct{}
-
-	file   file         // the writer's
-	good   int64        // bytes that are whole; the writer's
-	size   atomic.Int64 // the same, for others
-	failed atomic.Bool
-	syncs  atomic.Int64
+	path       string
+	lock       *os.File
+	createFile func(path string) (file, error) // creates the file of a rewrite
+
+	mu     sync.Mutex
+	queue  []operation // emptied by each round of the writer
+	wake   chan struct{}
+	closed chan struct{}
+
+	file        file         // used by the writer only
+	durableSize int64        // bytes of durable records; used by the writer only
+	size        atomic.Int64 // the same, for other goroutines
+	failed      atomic.Bool
+	syncs       atomic.Int64
 }
 
-// op is a record to append, or all that the file is to hold.
-type op struct {
-	record Record
-	all    []Record
-	anew   bool
-	end    bool
-	done   func(error)
+// operation is a record to append, a rewrite of the whole file, or the request to close it.
+type operation struct {
+	record  Record
+	all     []Record
+	rewrite bool
+	close   bool
+	done    func(error)
 }
 
-// Lock takes a ledger for this process; ErrLocked where another has it.
+// Lock locks a ledger for this process. The error is ErrLocked if another process holds it.
 func Lock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -251,7 +252,7 @@
 	return f, nil
 }
 
-// Open takes a ledger, reads it and cuts off a last record that is not whole.
+// Open locks a ledger or creates it, calls each for every record and truncates an incomplete record at the end.
 func Open(path string, each func(Record)) (*Ledger, Report, error) {
 	lock, err := Lock(path)
 	if err != nil {
@@ -304,12 +305,13 @@
 }
 
 func newLedger(path string, f file, good int64) *Ledger {
-	l := &Ledger{path: path, file: f, good: good, make: create, bell: make(chan struct{}, 1), ended: make(chan struct{})}
+	l := &Ledger{path: path, file: f, durableSize: good, createFile: create,
+		wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	l.size.Store(good)
 	return l
 }
 
-// syncFolder makes a file's name durable.
+// syncFolder syncs the folder that holds a file, so that the file's name is durable.
 func syncFolder(path string) error {
 	d, err := os.Open(filepath.Dir(path))
 	if err != nil {
@@ -318,121 +320,124 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Append adds a record; done is told, on the writer, once it is durable or why it is not.
-func (l *Ledger) Append(r Record, done func(error)) { l.put(op{record: r, done: done}) }
+// Append appends a record. The writer's goroutine calls done once the record is durable, or with the error.
+func (l *Ledger) Append(r Record, done func(error)) { l.enqueue(operation{record: r, done: done}) }
 
-// Rewrite has the file hold these records and what is appended from here on, nothing else.
-func (l *Ledger) Rewrite(all []Record, done func(error)) { l.put(op{all: all, anew: true, done: done}) }
+// Rewrite replaces the file's content by the given records; later appends follow them. The writer's goroutine calls
+// done with the result.
+func (l *Ledger) Rewrite(all []Record, done func(error)) {
+	l.enqueue(operation{all: all, rewrite: true, done: done})
+}
 
-// Size is how large the file is.
+// Size returns the size of the file in bytes.
 func (l *Ledger) Size() int64 { return l.size.Load() }
 
-// Syncs is how often records were made durable.
+// Syncs returns how often appended records were synced.
 func (l *Ledger) Syncs() int64 { return l.syncs.Load() }
 
-// Failed says whether nothing can be made durable any more.
+// Failed reports whether the ledger has stopped accepting records after a disk failure.
 func (l *Ledger) Failed() bool { return l.failed.Load() }
 
-// Close makes durable what was appended and ends.
+// Close writes and syncs what was appended, closes the file and unlocks it.
 func (l *Ledger) Close() {
-	l.put(op{end: true})
-	<-l.ended
+	l.enqueue(operation{close: true})
+	<-l.closed
 	if l.lock != nil {
 		_ = l.lock.Close()
 	}
 }
 
-func (l *Ledger) put(o op) {
+func (l *Ledger) enqueue(o operation) {
 	l.mu.Lock()
 	l.queue = append(l.queue, o)
 	l.mu.Unlock()
 	select {
-	case l.bell <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
 func (l *Ledger) run() {
-	defer close(l.ended)
-	for range l.bell {
+	defer close(l.closed)
+	for range l.wake {
 		l.mu.Lock()
 		ops := l.queue
 		l.queue = nil
 		l.mu.Unlock()
 		for len(ops) > 0 {
 			n := 0
-			for n < len(ops) && !ops[n].anew && !ops[n].end {
+			for n < len(ops) && !ops[n].rewrite && !ops[n].close {
 				n++
 			}
-			if n > 0 { // those that came together are made durable together
+			if n > 0 { // one sync for all queued records
 				l.commit(ops[:n])
 				ops = ops[n:]
 				continue
 			}
 			o := ops[0]
 			ops = ops[1:]
-			if o.end {
+			if o.close {
 				_ = l.file.Close()
 				return
 			}
-			tell(o, l.anew(o.all))
+			report(o, l.rewrite(o.all))
 		}
 	}
 }
 
-func tell(o op, err error) {
+func report(o operation, err error) {
 	if o.done != nil {
 		o.done(err)
 	}
 }
 
-func (l *Ledger) commit(ops []op) {
+func (l *Ledger) commit(ops []operation) {
 	var b []byte
 	for _, o := range ops {
 		b = appendRecord(b, o.record)
 	}
 	err := l.write(b)
 	for _, o := range ops {
-		tell(o, err)
+		report(o, err)
 	}
 }
 
-// write makes bytes durable or leaves the file as it was. A sync that failed is final: what the kernel has dropped by then
-// would not come back by another.
+// write makes bytes durable or leaves the file as it was. A failed sync is final: the kernel may have dropped the data,
+// and another sync would not write it.
 func (l *Ledger) write(b []byte) error {
 	if l.failed.Load() {
 		return ErrFailed
 	}
 	if _, err := l.file.Write(b); err != nil {
-		if cut := l.file.Truncate(l.good); cut != nil {
+		if cut := l.file.Truncate(l.durableSize); cut != nil {
 			l.failed.Store(true)
 			return errors.Join(ErrFailed, err, cut)
 		}
 		if s, ok := l.file.(io.Seeker); ok {
-			if _, seek := s.Seek(l.good, io.SeekStart); seek != nil {
+			if _, seek := s.Seek(l.durableSize, io.SeekStart); seek != nil {
 				l.failed.Store(true)
 				return errors.Join(ErrFailed, err, seek)
 			}
 		}
-		return err // the disk may have room again later
+		return err // not final: the disk may have room again later
 	}
 	l.syncs.Add(1)
 	if err := l.file.Sync(); err != nil {
 		l.failed.Store(true)
 		return errors.Join(ErrFailed, err)
 	}
-	l.good += int64(len(b))
-	l.size.Store(l.good)
+	l.durableSize += int64(len(b))
+	l.size.Store(l.durableSize)
 	return nil
 }
 
-// anew writes the file anew beside the old one and puts it in its place once it is durable.
-func (l *Ledger) anew(all []Record) error {
+// rewrite writes a new file beside the old one and renames it to the old name once it is durable.
+func (l *Ledger) rewrite(all []Record) error {
 	if l.failed.Load() {
 		return ErrFailed
 	}
 	next := l.path + ".next"
-	f, err := l.make(next)
+	f, err := l.createFile(next)
 	if err != nil {
 		return err
 	}
@@ -446,15 +451,15 @@
 	if err == nil {
 		err = os.Rename(next, l.path)
 	}
-	if err != nil { // the old one holds
+	if err != nil { // the old file remains in use
 		return errors.Join(err, f.Close(), os.Remove(next))
 	}
 	if err := syncFolder(l.path); err != nil {
-		l.failed.Store(true) // which of the two there is after a crash is not known
+		l.failed.Store(true) // a crash could leave either file under the name
 		return errors.Join(ErrFailed, err, f.Close())
 	}
 	_ = l.file.Close()
-	l.file, l.good = f, int64(len(b))
-	l.size.Store(l.good)
+	l.file, l.durableSize = f, int64(len(b))
+	l.size.Store(l.durableSize)
 	return nil
 }
--- a/keys/ledger/ledger_test.go
+++ b/keys/ledger/ledger_test.go
@@ -15,11 +15,13 @@
 	"ivybank/keys/idempotency"
 )
 
-func record(i int, kind Kind) Record {
-	r := Record{kind, idempotency.Entry{Key: idempotency.Key{Tenant: "t", RuleSet: "filing", Name: fmt.Sprint("key-", i)}, Fingerprint: idempotency.Fingerprint{byte(i)}, At: int64(i) * 1e9}}
+func testRecord(i int, kind Kind) Record {
+	r := Record{kind, idempotency.Entry{Key: idempotency.Key{Tenant: "t", RuleSet: "filing", Name: fmt.Sprint("key-", i)},
+		Fingerprint: idempotency.Fingerprint{byte(i)}, At: int64(i) * 1e9}}
 	if kind == End {
 		r.Entry.State = idempotency.Done
-		r.Entry.Response = idempotency.Response{Status: 200, Stored: true, Fields: [][2]string{{"Content-Type", "a/b"}}, Body: bytes.Repeat([]byte{byte(i)}, i%50)}
+		r.Entry.Response = idempotency.Response{Status: 200, Stored: true,
+			Fields: [][2]string{{"Content-Type", "a/b"}}, Body: bytes.Repeat([]byte{byte(i)}, i%50)}
 		if len(r.Entry.Response.Body) == 0 {
 			r.Entry.Response.Body = nil
 		}
@@ -27,7 +29,7 @@
 	return r
 }
 
-func opened(t *testing.T, path string) (*Ledger, []Record, Report) {
+func mustOpen(t *testing.T, path string) (*Ledger, []Record, Report) {
 	t.Helper()
 	var got []Record
 	l, rep, err := Open(path, func(r Record) { got = append(got, r) })
@@ -37,8 +39,8 @@
 	return l, got, rep
 }
 
-// durable appends and waits.
-func durable(l *Ledger, rs ...Record) error {
+// appendSync appends records and waits until they are durable.
+func appendSync(l *Ledger, rs ...Record) error {
 	var wait sync.WaitGroup
 	var mu sync.Mutex
 	var all error
@@ -52,27 +54,27 @@
 
 func TestLedger(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
-	l, got, rep := opened(t, path)
+	l, got, rep := mustOpen(t, path)
 	if len(got) != 0 || rep.DamagedAt != -1 {
 		t.Fatalf("got %v, %+v", got, rep)
 	}
 	var want []Record
 	for i := range 300 {
-		want = append(want, record(i, []Kind{Begin, End, Free}[i%3]))
+		want = append(want, testRecord(i, []Kind{Begin, End, Free}[i%3]))
 	}
-	if err := durable(l, want...); err != nil {
+	if err := appendSync(l, want...); err != nil {
 		t.Fatal(err)
 	}
 	if n := l.Syncs(); n >= 300 {
-		t.Errorf("got %d syncs for 300 records, want those that come together made durable together", n)
+		t.Errorf("got %d syncs for 300 records, want one sync for several queued records", n)
 	}
 	if _, _, err := Open(path, func(Record) {}); !errors.Is(err, ErrLocked) {
-		t.Errorf("got %v while it is in use", err)
+		t.Errorf("got %v while the ledger is locked", err)
 	}
 	l.Close()
-	l, got, _ = opened(t, path)
+	l, got, _ = mustOpen(t, path)
 	if !reflect.DeepEqual(got, want) {
-		t.Fatal("what was read is not what was written")
+		t.Fatal("the records read are not those written")
 	}
 	old := l.Size()
 	done := make(chan error, 2)
@@ -82,19 +84,19 @@
 		t.Fatalf("got %v, %d bytes of %d", err, l.Size(), old)
 	}
 	l.Close()
-	l, got, _ = opened(t, path)
+	l, got, _ = mustOpen(t, path)
 	l.Close()
 	if !reflect.DeepEqual(got, append(want[:10:10], want[20])) {
-		t.Error("what was written anew is not what was asked for, and what came after")
+		t.Error("the rewritten file does not hold the given records and the later one")
 	}
 }
 
-// Cut at any byte, a file gives all records that were whole and none else, and goes on from there.
-func TestTorn(t *testing.T) {
+// A file truncated at any byte yields exactly its complete records, and further records can be appended.
+func TestTruncated(t *testing.T) {
 	text := []byte(header)
 	var ends []int
 	for i := range 40 {
-		text = appendRecord(text, record(i, []Kind{Begin, End}[i%2]))
+		text = appendRecord(text, testRecord(i, []Kind{Begin, End}[i%2]))
 		ends = append(ends, len(text))
 	}
 	r := rand.New(rand.NewPCG(1, 1))
@@ -104,44 +106,44 @@
 		if err := os.WriteFile(path, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		whole := 0
-		for whole < len(ends) && ends[whole] <= cut {
-			whole++
+		complete := 0
+		for complete < len(ends) && ends[complete] <= cut {
+			complete++
 		}
-		l, got, rep := opened(t, path)
-		if len(got) != whole || rep.DamagedAt != -1 {
-			t.Fatalf("cut at %d: got %d records, %+v, want %d", cut, len(got), rep, whole)
+		l, got, rep := mustOpen(t, path)
+		if len(got) != complete || rep.DamagedAt != -1 {
+			t.Fatalf("truncated at %d: got %d records, %+v, want %d", cut, len(got), rep, complete)
 		}
-		if err := durable(l, record(99, Begin)); err != nil {
+		if err := appendSync(l, testRecord(99, Begin)); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
-		l, got, rep = opened(t, path)
+		l, got, rep = mustOpen(t, path)
 		l.Close()
-		if len(got) != whole+1 || rep.TornBytes != 0 || got[whole].Entry.Key.Name != "key-99" {
-			t.Fatalf("cut at %d: got %d records, %+v after a further one", cut, len(got), rep)
+		if len(got) != complete+1 || rep.TornBytes != 0 || got[complete].Entry.Key.Name != "key-99" {
+			t.Fatalf("truncated at %d: got %d records, %+v after one more was appended", cut, len(got), rep)
 		}
 	}
 }
 
-// A flipped bit is never read as something else: what it hit is missing and told, the rest is there.
-func TestFlipped(t *testing.T) {
+// A flipped bit never yields a different record: the damaged record is missing and reported, the others are read.
+func TestFlippedBit(t *testing.T) {
 	text := []byte(header)
 	var want []Record
 	for i := range 20 {
-		want = append(want, record(i, End))
+		want = append(want, testRecord(i, End))
 		text = appendRecord(text, want[i])
 	}
 	last := len(appendRecord(nil, want[19]))
 	r := rand.New(rand.NewPCG(2, 1))
 	for range 2000 {
 		o := len(header) + r.IntN(len(text)-len(header)-last)
-		spoilt := bytes.Clone(text)
-		spoilt[o] ^= 1 << r.IntN(8)
+		damaged := bytes.Clone(text)
+		damaged[o] ^= 1 << r.IntN(8)
 		var got []Record
-		rep, _, err := Read(spoilt, func(r Record) { got = append(got, r) })
+		rep, _, err := Read(damaged, func(r Record) { got = append(got, r) })
 		if err != nil || rep.DamagedAt < 0 || len(got) != 19 {
-			t.Fatalf("bit at %d: got %d records, %+v, %v, want one missing and told", o, len(got), rep, err)
+			t.Fatalf("bit at %d: got %d records, %+v, %v, want one missing and reported", o, len(got), rep, err)
 		}
 		at := 0
 		for _, g := range got {
@@ -155,12 +157,15 @@
 	}
 }
 
-func TestOtherFiles(t *testing.T) {
+func TestForeignFiles(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want error
 	}{
-		"newer": {"IVYLEDG2more", ErrNewerVersion}, "older": {"IVYLEDG0more", ErrNotLedger}, "something else": {"hello, world", ErrNotLedger}, "short": {"hel", ErrNotLedger},
+		"newer version":   {"IVYLEDG2more", ErrNewerVersion},
+		"older version":   {"IVYLEDG0more", ErrNotLedger},
+		"other content":   {"hello, world", ErrNotLedger},
+		"shorter content": {"hel", ErrNotLedger},
 	} {
 		path := filepath.Join(t.TempDir(), "ledger")
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
@@ -173,20 +178,20 @@
 			t.Errorf("%s: the file was altered", name)
 		}
 	}
-	if _, _, err := Open(filepath.Join(t.TempDir(), "gone", "ledger"), func(Record) {}); err == nil {
-		t.Error("got a ledger in a folder that is gone")
+	if _, _, err := Open(filepath.Join(t.TempDir(), "missing", "ledger"), func(Record) {}); err == nil {
+		t.Error("opened a ledger in a folder that does not exist")
 	}
 }
 
-// sick is a file whose disk fails on command.
-type sick struct {
+// faultyFile is a file whose operations fail as configured.
+type faultyFile struct {
 	*os.File
-	room  int // bytes left on the disk
-	syncs error
-	cuts  error
+	room        int   // bytes left on the disk
+	syncErr     error // returned by Sync if set
+	truncateErr error // returned by Truncate if set
 }
 
-func (s *sick) Write(b []byte) (int, error) {
+func (s *faultyFile) Write(b []byte) (int, error) {
 	if len(b) > s.room {
 		n, _ := s.File.Write(b[:s.room])
 		s.room = 0
@@ -196,23 +201,23 @@
 	return s.File.Write(b)
 }
 
-func (s *sick) Sync() error { return errors.Join(s.syncs, s.File.Sync()) }
+func (s *faultyFile) Sync() error { return errors.Join(s.syncErr, s.File.Sync()) }
 
-func (s *sick) Truncate(n int64) error {
-	if s.cuts != nil {
-		return s.cuts
+func (s *faultyFile) Truncate(n int64) error {
+	if s.truncateErr != nil {
+		return s.truncateErr
 	}
 	return s.File.Truncate(n)
 }
 
-func TestSickDisk(t *testing.T) {
-	build := func(t *testing.T) (*Ledger, *sick, string) {
+func TestDiskErrors(t *testing.T) {
+	build := func(t *testing.T) (*Ledger, *faultyFile, string) {
 		path := filepath.Join(t.TempDir(), "ledger")
 		l, _, err := open(path, func(Record) {})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &sick{File: l.file.(*os.File), room: 1 << 20}
+		s := &faultyFile{File: l.file.(*os.File), room: 1 << 20}
 		l.file = s
 		go l.run()
 		return l, s, path
@@ -225,65 +230,65 @@
 	t.Run("full, then room again", func(t *testing.T) {
 		l, s, path := build(t)
 		defer l.Close()
-		_ = durable(l, record(1, Begin))
+		_ = appendSync(l, testRecord(1, Begin))
 		s.room = 10
-		if err := durable(l, record(2, Begin)); !errors.Is(err, syscall.ENOSPC) {
+		if err := appendSync(l, testRecord(2, Begin)); !errors.Is(err, syscall.ENOSPC) {
 			t.Fatalf("got %v", err)
 		}
 		if n, rep := read(path); n != 1 || rep.TornBytes != 0 {
-			t.Errorf("got %d records, %+v, want the file as it was", n, rep)
+			t.Errorf("got %d records, %+v, want the file unchanged", n, rep)
 		}
 		s.room = 1 << 20
-		if err := durable(l, record(3, Begin)); err != nil || l.Failed() {
+		if err := appendSync(l, testRecord(3, Begin)); err != nil || l.Failed() {
 			t.Errorf("got %v, failed %v with room again", err, l.Failed())
 		}
 		if n, rep := read(path); n != 2 || rep.TornBytes != 0 {
 			t.Errorf("got %d records, %+v", n, rep)
 		}
 	})
-	t.Run("full, and cannot be cut", func(t *testing.T) {
+	t.Run("full, and truncation fails", func(t *testing.T) {
 		l, s, _ := build(t)
 		defer l.Close()
-		s.room, s.cuts = 10, syscall.EIO
-		if err := durable(l, record(1, Begin)); !errors.Is(err, ErrFailed) || !l.Failed() {
+		s.room, s.truncateErr = 10, syscall.EIO
+		if err := appendSync(l, testRecord(1, Begin)); !errors.Is(err, ErrFailed) || !l.Failed() {
 			t.Errorf("got %v, failed %v", err, l.Failed())
 		}
 	})
-	t.Run("a sync that fails is final", func(t *testing.T) {
+	t.Run("a failed sync is final", func(t *testing.T) {
 		l, s, _ := build(t)
 		defer l.Close()
-		s.syncs = syscall.EIO
-		if err := durable(l, record(1, Begin)); !errors.Is(err, ErrFailed) {
+		s.syncErr = syscall.EIO
+		if err := appendSync(l, testRecord(1, Begin)); !errors.Is(err, ErrFailed) {
 			t.Fatalf("got %v", err)
 		}
-		s.syncs = nil
-		if err := durable(l, record(2, Begin)); !errors.Is(err, ErrFailed) {
+		s.syncErr = nil
+		if err := appendSync(l, testRecord(2, Begin)); !errors.Is(err, ErrFailed) {
 			t.Errorf("got %v from the next one, want it refused", err)
 		}
 		done := make(chan error)
 		l.Rewrite(nil, func(err error) { done <- err })
 		if err := <-done; !errors.Is(err, ErrFailed) {
-			t.Errorf("got %v, want nothing written anew either", err)
+			t.Errorf("got %v, want a rewrite refused as well", err)
 		}
 	})
-	t.Run("no room to write anew", func(t *testing.T) {
+	t.Run("no room to rewrite", func(t *testing.T) {
 		l, _, path := build(t)
 		defer l.Close()
-		_ = durable(l, record(1, Begin))
-		l.make = func(path string) (file, error) {
+		_ = appendSync(l, testRecord(1, Begin))
+		l.createFile = func(path string) (file, error) {
 			f, err := create(path)
-			return &sick{File: f.(*os.File), room: 5}, err
+			return &faultyFile{File: f.(*os.File), room: 5}, err
 		}
 		done := make(chan error)
-		l.Rewrite([]Record{record(2, Begin)}, func(err error) { done <- err })
+		l.Rewrite([]Record{testRecord(2, Begin)}, func(err error) { done <- err })
 		if err := <-done; !errors.Is(err, syscall.ENOSPC) || l.Failed() {
 			t.Errorf("got %v, failed %v", err, l.Failed())
 		}
-		if err := durable(l, record(3, Begin)); err != nil {
+		if err := appendSync(l, testRecord(3, Begin)); err != nil {
 			t.Error(err)
 		}
 		if n, _ := read(path); n != 2 {
-			t.Errorf("got %d records, want the old file to hold", n)
+			t.Errorf("got %d records, want the old file to stay in use", n)
 		}
 	})
 }
@@ -293,7 +298,7 @@
 		b.Run(fmt.Sprint("records ", size), func(b *testing.B) {
 			text := []byte(header)
 			for i := range size {
-				text = appendRecord(text, record(i, End))
+				text = appendRecord(text, testRecord(i, End))
 			}
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
@@ -315,7 +320,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		done := make(chan error, 1)
 		for i := 0; pb.Next(); i++ {
-			l.Append(record(i, Begin), func(err error) { done <- err })
+			l.Append(testRecord(i, Begin), func(err error) { done <- err })
 			if err := <-done; err != nil {
 				b.Error(err)
 			}
