--- a/proxy/requirements_test.go
+++ b/proxy/requirements_test.go
@@ -294,9 +294,9 @@
 // valid, and the proxy accepts clients at once.
 func TestPushedListBeforeClients(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*Config)
-		told   bool
-		open   bool // at once
+		change      func(*Config)
+		listArrives bool
+		open        bool // at once
 	}{
 		"on request":           {nil, false, true},
 		"pushed, list arrives": {pushLists, true, false},
@@ -309,7 +309,7 @@
 			if p.scheduleAccept(false, now); p.accepting != c.open {
 				t.Fatalf("open %v at the start", p.accepting)
 			}
-			if c.told {
+			if c.listArrives {
 				r, err := parseHostList([]byte(`{"generation":8,"reset":true,"instances":[
 					{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"draining"}]}`))
 				w := receivingWatch(t, p, now)
