--- a/proxy/client.go
+++ b/proxy/client.go
@@ -145,7 +145,7 @@
 	received := c.received.Load()
 	switch {
 	case c.closed || c.closing && c.body == nil:
-	// it makes progress, or its reading is paused here
+	// It makes progress, or its reading is paused here.
 	case c.bodyPending && (received-c.lastReceived >= minBodyBytes || c.readPaused.Load()):
 		c.lastReceived = received
 		p.startReadTimer(c, now)
--- a/proxy/conn.go
+++ b/proxy/conn.go
@@ -47,10 +47,10 @@
 type backpressure struct {
 	transit    atomic.Int64 // bytes of pieces read here and not yet accepted on the other side
 	readPaused atomic.Bool  // reading waits for transit to fall
-	// bytes of transit written to the other side or discarded, but not released yet; event loop only
+	// Bytes of transit written to the other side or discarded, but not released yet; event loop only.
 	unreleased int64
 	wantsLow   atomic.Bool     // the event loop wants to know when little is left unsent here
-	onLow      func(now int64) // called then; event loop only
+	onLow      func(now int64) // called once little is left; event loop only
 }
 
 // endpoint is what the callbacks call for a connection.
@@ -131,7 +131,7 @@
 			} else {
 				e = newEndpoint(nb)
 				nb.SetSession(e)
-				// what a host sends ahead of a slow client stays in the host's buffers
+				// What a host sends ahead of a slow client stays in the host's buffers.
 				_ = nb.SetReadBuffer(readBufferBytes)
 				_, err = p.engine.AddConn(nb)
 			}
--- a/proxy/dispatch.go
+++ b/proxy/dispatch.go
@@ -117,7 +117,7 @@
 		timeout = d.req.msg.Timeout // counted from its last byte
 	}
 	encoded := http1.AppendRequest(nil, d.req.msg, d.host.addr, timeout)
-	// nothing after this check may take time
+	// Nothing after this check may take time.
 	if p.catchUpWatch(p.now()) || !d.host.ready || p.listUncertain() || timeout <= 0 {
 		p.post(now, nil, func(at int64) { p.fail(d, &dispatchError{notSent, errHostDraining}, at) })
 		p.park(c, now)
--- a/proxy/http1/parse.go
+++ b/proxy/http1/parse.go
@@ -368,7 +368,7 @@
 	case "expect":
 		p.expectsContinue = strings.EqualFold(value, "100-continue")
 	case "keep-alive", "proxy-connection", "te", "trailer", "upgrade":
-		// hop-by-hop
+		// Hop-by-hop.
 	default:
 		if p.handleField(lowerName, value) {
 			p.fields = append(p.fields, Field{name, value})
--- a/proxy/idempotency.go
+++ b/proxy/idempotency.go
@@ -24,7 +24,7 @@
 
 const (
 	ledgerRetryInterval = 100 * time.Millisecond // between attempts to open a ledger that another process has locked
-	// peers may report the newest key within this time of a start; until then keys are refused
+	// Peers may report the newest key within this time of a start; until then keys are refused.
 	maxWitnessWaitNs   = 15e8
 	witnessPollNs      = 5e7     // between checks whether they have
 	ledgerRetryAfterNs = 2e8     // Retry-After sent until then
--- a/proxy/recovery.go
+++ b/proxy/recovery.go
@@ -25,9 +25,9 @@
 const (
 	fullServicePollNs    = 2.5e8            // between checks whether service is full
 	snapshotWarnInterval = 30 * time.Second // between warnings that snapshots cannot be written
-	// how long the process waits for a list after a stall if discovery was connected before
+	// How long the process waits for a list after a stall if discovery was connected before.
 	maxListVerifyNs = int64(5e8)
-	// rounds that are so late show that the process did not run; it verifies the host list first
+	// Rounds that are so late show that the process did not run; it verifies the host list first.
 	stallThresholdNs = int64(5e8)
 )
 
@@ -35,7 +35,7 @@
 type RecoveryConfig struct {
 	Folder string // for snapshots; empty: none are kept
 	Every  int64  // interval between them
-	Trust  int64  // older observations of hosts are not trusted
+	Trust  int64  // observations of hosts that are older are not trusted
 }
 
 // recovery is the event loop's state of recovery; nil if it is not configured.
@@ -54,9 +54,9 @@
 	lastWarning     time.Time
 	count           struct{ Written, Unwritten, Refused, Drained, Stalls int }
 	drainingByPeers map[string]bool // hosts that peers report as draining; removed when discovery reports on them
-	// the process stalled, and discovery has not sent the list since: nothing is dispatched
+	// The process stalled, and discovery has not sent the list since: nothing is dispatched.
 	listUncertain bool
-	verifyTimer   *timer // ends that at the latest
+	verifyTimer   *timer // ends listUncertain at the latest
 }
 
 func newRecovery(cfg RecoveryConfig, source string, now int64) *recovery {
--- a/proxy/requirements_test.go
+++ b/proxy/requirements_test.go
@@ -159,7 +159,7 @@
 			for seed := range uint64(20) {
 				p := newProxyWithRules(t, change)
 				p.random.Seed = seed
-				// as after a subscription
+				// As after a subscription.
 				p.balancer.UpdateList(balance.ListReplace, []balance.Server{{ID: "s"}}, p.now())
 				from := p.now()
 				w := receivingWatch(t, p, from)
--- a/proxy/sibling/sibling_test.go
+++ b/proxy/sibling/sibling_test.go
@@ -19,7 +19,7 @@
 			panic(err)
 		}
 		fmt.Println("here")
-		// not an endless wait: the runtime ends a process in which all goroutines are blocked forever
+		// Not an endless wait: the runtime ends a process in which all goroutines are blocked forever.
 		time.Sleep(time.Hour)
 		runtime.KeepAlive(seat)
 	}
