--- a/balance/balance.go
+++ b/balance/balance.go
@@ -26,7 +26,7 @@
 	randomStreakOdds = 1e-4                        // a streak counts as chance if it is more probable than this
 	backoffJitter    = outlier.BackoffJitter       // random fraction of an ejection's duration
 	firstBackoff     = int64(outlier.FirstBackoff) // upper bound of a first ejection's duration
-	backoffTargets   = 6                           // and this many shortest response targets: chance streaks come fast there
+	backoffTargets   = 6                           // in shortest response targets: streaks come faster there
 	recoveredHealth  = outlier.RecoveredHealth     // health from which a server's backoff starts over
 
 	skipFactor      = 1.6      // a server is skipped above this multiple of its share of all in flight,
@@ -63,7 +63,8 @@
 	askDelay        = 5e6      // ns, per balancer, over which calls for the server list are spread
 )
 
-type Balancer struct { // the dispatch state of one proxy instance
+// Balancer is the dispatch state of one proxy instance. It is not safe for concurrent use.
+type Balancer struct {
 	cfg                               Config
 	requests                          map[uint64]*request // until ended with no dispatch pending
 	open                              []*request          // not ended, in order of arrival
@@ -74,10 +75,10 @@
 	wakeAt, rateStart, shortestTarget int64 // shortestTarget: shortest response target
 	inflight, healthy                 int
 	timeouts                          [5]decay.Counter     // share of timed-out dispatches, by idle step
-	placements                        []*placement         // one for each placement that any terms had; never removed
+	placements                        []*placement         // of all settings so far; never removed
 	weighedAt, reviewAt               int64                // last and next review of the servers
 	reviewNow                         bool                 // servers are to be reviewed at once
-	latencyRatio, slotTime            float64              // mean time, over response target and by in-flight slot
+	latencyRatio, slotTime            float64              // mean time by response target, and by slot
 	meanHealth, avgWeight             float64              // of all servers
 	refusedShare                      float64              // recent fraction of dispatches that were refused
 	answerRate                        decay.Counter        // answers
@@ -91,40 +92,41 @@
 	advice                            Advice
 }
 
-// New creates an instance; the host passes the server list next, as Listed(Restored).
-func New(t Config, now int64) *Balancer {
-	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now, rng: rng.Source{Seed: t.Seed}}
-	b.Reconfigure(t, now)
+// New creates an instance; the host passes the server list next, as ListRestored.
+func New(cfg Config, now int64) *Balancer {
+	b := &Balancer{requests: map[uint64]*request{}, rateStart: now, requestAt: now,
+		rng: rng.Source{Seed: cfg.Seed}}
+	b.Reconfigure(cfg, now)
 	return b
 }
 
-// Reconfigure applies new terms. Server state stays, and open requests keep the rules they arrived under. If the
-// deployment changes in kind, measured times and rates no longer apply and are reset.
-func (b *Balancer) Reconfigure(t Config, now int64) {
+// Reconfigure applies new settings. Server state stays, and open requests keep the rules they arrived under.
+// If the deployment changes in kind, measured times and rates no longer apply and are reset.
+func (b *Balancer) Reconfigure(cfg Config, now int64) {
 	old := b.cfg
-	served := make([]decay.Counter, len(t.Tenants))
-	for i, x := range t.Tenants {
-		if had := old.Tenant(x.Name); had >= 0 {
-			served[i] = b.tenantRates[had]
+	rates := make([]decay.Counter, len(cfg.Tenants))
+	for i, tenant := range cfg.Tenants {
+		if index := old.Tenant(tenant.Name); index >= 0 {
+			rates[i] = b.tenantRates[index]
 		}
 	}
 	b.cfg, b.tenantRates, b.shortestTarget, b.reviewNow, b.tenantOutcomes =
-		t, served, firstBackoff, true, make([]decay.Outcomes, len(t.Tenants))
-	for _, x := range t.RuleSets {
+		cfg, rates, firstBackoff, true, make([]decay.Outcomes, len(cfg.Tenants))
+	for _, x := range cfg.RuleSets {
 		b.shortestTarget = min(b.shortestTarget, x.ResponseTarget)
 	}
 	for _, r := range b.open {
 		r.tenant = b.cfg.Tenant(r.Tenant)
 	}
-	if t.LiveWeights != old.LiveWeights || t.FleetSize > 2*old.FleetSize || old.FleetSize > 2*t.FleetSize {
+	if cfg.LiveWeights != old.LiveWeights || cfg.FleetSize > 2*old.FleetSize || old.FleetSize > 2*cfg.FleetSize {
 		b.rateStart, b.answerRate, b.latencyRatio = now, decay.Counter{At: now}, 0
 		for _, s := range b.servers {
 			s.slotTime, s.latency, s.avgWeight, s.inflightCap = 0, 0, s.Share, min(s.inflightCap, newServerCap)
 		}
 	}
-	if t.ListOnRequest && !old.ListOnRequest {
-		b.askAt = now + 1 + int64(b.rng.Next()*maxAskDelay(t))
-	} else if !t.ListOnRequest {
+	if cfg.ListOnRequest && !old.ListOnRequest {
+		b.askAt = now + 1 + int64(b.rng.Next()*maxAskDelay(cfg))
+	} else if !cfg.ListOnRequest {
 		b.askAt = 0
 	}
 }
@@ -147,7 +149,7 @@
 	r.value = b.requestValue(r, now)
 	b.meanTarget.Add(float64(r.rules.ResponseTarget))
 	b.meanValue.Add(r.value)
-	if b.startClock(r, now); a.BodyPending { // time starts with Whole: it may wait for its whole target
+	if b.startClock(r, now); a.BodyPending { // time starts with BodyComplete: it may wait for its target
 		r.arrivedAt, r.giveUpAt = now+int64((1-holdShare)*float64(r.rules.ResponseTarget)), math.MaxInt64
 	}
 	if a.Key != "" {
@@ -156,8 +158,8 @@
 	if r.tenant >= 0 {
 		r.sources = append(r.sources, &b.tenantOutcomes[r.tenant])
 	}
-	if x, part := b.failingSource(r, now); b.rng.Next() < part {
-		x.Add(false, now, span)
+	if source, part := b.failingSource(r, now); b.rng.Next() < part {
+		source.Add(false, now, span)
 		r.Shed = true
 	}
 	if a.Key == "" || !b.cfg.WarmKeys {
@@ -179,7 +181,7 @@
 	r.giveUpAt -= 2 * b.cfg.Tick
 }
 
-// BodyComplete reports that a pending request body is complete. The request's and its dispatches' time start here.
+// BodyComplete reports that a pending request body is complete. The time of the request starts here.
 func (b *Balancer) BodyComplete(id uint64, now int64) {
 	if r := b.requests[id]; r != nil && r.BodyPending {
 		r.BodyPending = false
@@ -266,11 +268,11 @@
 // of them to deny. Failures that affect all sources alike, such as overload, are attributed to none.
 func (b *Balancer) failingSource(r *request, now int64) (*decay.Outcomes, float64) {
 	allTried, allDone := b.allOutcomes.Now(now, span)
-	for _, x := range r.sources {
-		tried, done := x.Now(now, span)
+	for _, source := range r.sources {
+		tried, done := source.Now(now, span)
 		share := (done + freeTries) / (tried + freeTries) // assumed for others too if there are none
 		if part := 1 - tryFactor*share*(allTried-tried+freeTries)/(allDone-done+freeTries*share); part > 0 {
-			return x, part
+			return source, part
 		}
 	}
 	return nil, 0
@@ -348,10 +350,10 @@
 }
 
 func (b *Balancer) eject(s *server, now int64) {
-	back := int64(outlier.Backoff(time.Duration(min(firstBackoff, backoffTargets*b.shortestTarget)),
+	backoff := int64(outlier.Backoff(time.Duration(min(firstBackoff, backoffTargets*b.shortestTarget)),
 		s.ejections, b.rng.Next()))
-	s.ejected, s.ejectedUntil, s.ejections = true, now+back, s.ejections+1
-	b.logf("ejected %s for %d ms: streak %d, health %.2f", s.ID, back/ms, s.streak, s.health)
+	s.ejected, s.ejectedUntil, s.ejections = true, now+backoff, s.ejections+1
+	b.logf("ejected %s for %d ms: streak %d, health %.2f", s.ID, backoff/ms, s.streak, s.health)
 }
 
 func (b *Balancer) emit(d Decision) { b.decisions = append(b.decisions, d) }
@@ -361,8 +363,8 @@
 func byID(s *server, id string) int { return cmp.Compare(s.ID, id) }
 
 // maxAskDelay spreads calls for the list, but well within AskWithin, after which the list counts as known.
-func maxAskDelay(t Config) float64 {
-	return min(0.5*float64(sec)+askDelay*float64(t.FleetSize), float64(t.AskWithin)/2)
+func maxAskDelay(cfg Config) float64 {
+	return min(0.5*float64(sec)+askDelay*float64(cfg.FleetSize), float64(cfg.AskWithin)/2)
 }
 
 // UpdateList applies a server list. If it was unavailable, it is requested again after a random delay.
@@ -384,8 +386,8 @@
 
 // applyEntry applies one entry. A new server or process starts at the mean health, without any history.
 func (b *Balancer) applyEntry(e Server, now int64) {
-	i, had := slices.BinarySearchFunc(b.servers, e.ID, byID)
-	if !had {
+	i, found := slices.BinarySearchFunc(b.servers, e.ID, byID)
+	if !found {
 		b.servers = slices.Insert(b.servers, i, &server{Server: Server{Since: -1}})
 	}
 	s := b.servers[i]
@@ -418,13 +420,12 @@
 	return d, b.deciding
 }
 
-// decide turns the current state into decisions.
 func (b *Balancer) decide(now int64) {
 	next := int64(math.MaxInt64)
 	if b.askAt > 0 {
 		if now >= b.askAt {
 			b.emit(Decision{Kind: RequestList})
-			b.askAt = now + max(b.cfg.AskWithin/2, sec) // in case no answer comes
+			b.askAt = now + max(b.cfg.AskWithin/2, sec) // in case there is no answer
 		}
 		next = b.askAt
 	}
@@ -514,7 +515,6 @@
 	return next
 }
 
-// computeWeights computes the weight of each server and the total of each placement.
 func (b *Balancer) computeWeights(now int64) {
 	all, work := 0.0, 0.0
 	for _, s := range b.servers {
@@ -568,7 +568,6 @@
 	b.weighedAt = now
 }
 
-// weightFor returns the server's weight for requests of a placement.
 func (s *server) weightFor(p *placement) float64 {
 	if p.rules.restricted() {
 		return s.weight
@@ -628,25 +627,25 @@
 }
 
 // CanDenyAfterRun reports whether a request may be denied even if it may have run.
-func (x *RuleSet) CanDenyAfterRun() bool {
-	return x.Effect == Replayable || x.Effect == Deduplicated && x.Group == GroupAll
+func (rs *RuleSet) CanDenyAfterRun() bool {
+	return rs.Effect == Replayable || rs.Effect == Deduplicated && rs.Group == GroupAll
 }
 
 func (b *Balancer) canDeny(r *request) bool {
-	return r.rules.CanDenyAfterRun() || !slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
+	return r.rules.CanDenyAfterRun() ||
+		!slices.ContainsFunc(r.dispatches, func(d *dispatch) bool { return d.maybeRan })
 }
 
 // canSend reports whether the rules allow a further dispatch to some server.
 func (b *Balancer) canSend(r *request) bool {
 	return len(r.dispatches) < r.maxDispatches && r.healthyErrors < maxServerErrors &&
-		(r.pending == 0 || b.cfg.AllowParallel) &&
-		(r.rules.Effect != NonReplayable || b.canDeny(r))
+		(r.pending == 0 || b.cfg.AllowParallel) && (r.rules.Effect != NonReplayable || b.canDeny(r))
 }
 
-// CanRepeat reports whether a request that may have run at one server may go to another without a second effect.
-func (x *RuleSet) CanRepeat(first, next Server, sent, now int64) bool {
-	same := x.Group == GroupAll || first.Zone == next.Zone && (x.Group == GroupZone || first.Cell == next.Cell)
-	return x.Effect == Replayable || x.Effect == Deduplicated && same && now < sent+x.Window
+// CanRepeat reports whether a request that may have run at one server may go to another: no effect twice.
+func (rs *RuleSet) CanRepeat(first, next Server, sent, now int64) bool {
+	same := rs.Group == GroupAll || first.Zone == next.Zone && (rs.Group == GroupZone || first.Cell == next.Cell)
+	return rs.Effect == Replayable || rs.Effect == Deduplicated && same && now < sent+rs.Window
 }
 
 // allowed reports whether the request may go to this server: inside its placement, without a second effect.
@@ -655,7 +654,8 @@
 		return false
 	}
 	for _, d := range r.dispatches {
-		if d.pending && d.server == s || d.maybeRan && !r.rules.CanRepeat(d.server.Server, s.Server, d.sentAt, now) {
+		if d.pending && d.server == s ||
+			d.maybeRan && !r.rules.CanRepeat(d.server.Server, s.Server, d.sentAt, now) {
 			return false
 		}
 	}
@@ -669,7 +669,7 @@
 		return nil
 	}
 	var ranked [maxRanks]*server
-	p, lot := r.placement, math.Mod(r.random*1e6, 1)
+	p, draw := r.placement, math.Mod(r.random*1e6, 1)
 	answered := min(1, (0.1+p.answers.Now(now, span))/(1+p.firstDispatches.Now(now, span)))
 	for _, s := range b.servers {
 		if s.weight == 0 || (s.ejected || s.silent) && !p.panicMode || !r.allowed(s, now) {
@@ -690,7 +690,7 @@
 			// With one popular key, or while others are out, all balancers together would overload it: it is drawn
 			// at random, only for first dispatches, up to its share of what is answered.
 			part := coldFactor * answered * s.weightFor(p) / p.totalWeight
-			if lot -= part; len(r.dispatches) > 0 || lot > 0 || lot <= -part {
+			if draw -= part; len(r.dispatches) > 0 || draw > 0 || draw <= -part {
 				continue
 			}
 			s.score = math.Inf(1)
@@ -717,23 +717,23 @@
 	if r.placement.panicMode {
 		healthy = len(b.servers) // all can be picked
 	}
-	apiece := minInflight / float64(max(1, b.cfg.FleetSize)) // each server may always have this in flight
+	perServer := minInflight / float64(max(1, b.cfg.FleetSize)) // each server may always have this in flight
 	share := inflightShare
 	if b.cfg.TailWeight == 0 { // if the tail counts, a deny costs less than a late answer
-		share += max(0, min(extraShare, apiece*float64(len(b.servers))-1,
+		share += max(0, min(extraShare, perServer*float64(len(b.servers))-1,
 			1-2*b.refusedShare, 2*(slowRatio-b.latencyRatio)))
 	}
-	least := apiece * float64(healthy)
-	if least < 1 {
+	minimum := perServer * float64(healthy)
+	if minimum < 1 {
 		// One dispatch for each of hundreds is several per server: while answers are late, fewer go, at random.
 		calm := max(1, calmInflight*float64(b.healthy)/float64(len(b.servers)))
-		least += (calm-least)*max(0, 1-math.Pow(b.latencyRatio/slowRatio, 6)) - r.random
+		minimum += (calm-minimum)*max(0, 1-math.Pow(b.latencyRatio/slowRatio, 6)) - r.random
 	}
-	full := least + b.answerRate.Now(now, span)*share*b.meanTarget.Value/history
+	bound := minimum + b.answerRate.Now(now, span)*share*b.meanTarget.Value/history
 	if r.value > 0 && b.meanValue.Value > 0 { // when capacity is short, less valuable requests wait
-		full *= math.Pow(min(16, max(1.0/16, r.value/b.meanValue.Value)), valueExponent)
+		bound *= math.Pow(min(16, max(1.0/16, r.value/b.meanValue.Value)), valueExponent)
 	}
-	return full
+	return bound
 }
 
 // hasRoom reports whether a server may take one more: by rate times time, and by its share of all in flight.
@@ -741,16 +741,16 @@
 	limit := min(s.inflightCap, skipFactor*s.weightFor(r.placement)/r.placement.readyWeight*
 		float64(b.inflight+1)+skipSlack)
 	// During ejections the other servers may be loaded more, unless many balancers would do so at once.
-	more := max(1, min(fewBalancers/float64(max(2, b.cfg.FleetSize)),
+	boost := max(1, min(fewBalancers/float64(max(2, b.cfg.FleetSize)),
 		float64(len(b.servers))/float64(max(1, b.healthy))))
-	limit = min(limit, max(1, more*serverShare*float64(r.rules.ResponseTarget)/s.slotTime)) // time 0: no limit
+	limit = min(limit, max(1, boost*serverShare*float64(r.rules.ResponseTarget)/s.slotTime)) // time 0: no limit
 	return now >= s.fullUntil && float64(len(s.inflight)) < limit
 }
 
 func (b *Balancer) sendTo(r *request, s *server, now int64) {
 	d := &dispatch{request: r, server: s, sentAt: now, pending: true, maybeRan: true}
-	if rest := now - s.lastOutcomeAt; s.lastOutcomeAt > 0 && rest > minIdleTime && len(s.inflight) == 0 {
-		d.idleStep = min(len(b.timeouts)-1, bits.Len64(uint64(rest/minIdleTime)))
+	if idle := now - s.lastOutcomeAt; s.lastOutcomeAt > 0 && idle > minIdleTime && len(s.inflight) == 0 {
+		d.idleStep = min(len(b.timeouts)-1, bits.Len64(uint64(idle/minIdleTime)))
 	}
 	if b.timeouts[d.idleStep].Now(now, idleLossSpan) > idleLossLimit+b.timeouts[0].Now(now, idleLossSpan) {
 		// The network may drop what comes over idle connections: they are closed while such loss is seen.
@@ -771,7 +771,7 @@
 }
 
 // dispatchDeadline is when a dispatch ends by itself. A server whose clock is ahead refuses or aborts what
-// seems overdue to it: if clocks may differ it is told the client's deadline, and a cancel ends the dispatch.
+// seems overdue to it: if clocks may differ it gets the client's deadline, and a cancel ends the dispatch.
 func (b *Balancer) dispatchDeadline(r *request) int64 {
 	if b.cfg.BudgetError > 0 && b.cfg.CanCancel {
 		return r.clientDeadline
--- a/balance/move_test.go
+++ b/balance/load_changes_test.go
@@ -21,7 +21,7 @@
 			if i%4 == 0 {
 				key = "hot"
 			}
-			b.AddRequest(Arrival{ID: i, RuleSet: "again", Key: key, Budget: 2 * sec}, now)
+			b.AddRequest(Arrival{ID: i, RuleSet: "replayable", Key: key, Budget: 2 * sec}, now)
 			r := b.requests[i]
 			b.inflight = 0
 			b.computeWeights(0)
@@ -51,11 +51,12 @@
 	for _, at := range []int64{sec, 4 * sec, 30 * sec} {
 		b := newBalancer(4, nil)
 		b.cfg.FleetSize = 4
-		r := addRequest(b, 1, "again", "k")
+		r := addRequest(b, 1, "replayable", "k")
 		for now := int64(0); now < at; now += 10 * ms {
 			b.answerRate.Add(now, span)
 		}
-		assertNear(t, fmt.Sprint("bound after ", at/sec, " s"), b.inflightBound(r, at), minInflight+100*(inflightShare+extraShare), 1)
+		assertNear(t, fmt.Sprint("bound after ", at/sec, " s"), b.inflightBound(r, at),
+			minInflight+100*(inflightShare+extraShare), 1)
 	}
 }
 
@@ -65,7 +66,7 @@
 		t.FleetSize = 4
 		t.RuleSets = append(t.RuleSets, RuleSet{Name: "short", ResponseTarget: sec / 10})
 	})
-	long, short := addRequest(b, 1, "again", "k"), addRequest(b, 2, "short", "k")
+	long, short := addRequest(b, 1, "replayable", "k"), addRequest(b, 2, "short", "k")
 	long.value, short.value = 1, 1
 	b.answerRate.Value, b.answerRate.At = 400, 100*sec
 	assertNear(t, "bounds", b.inflightBound(long, 100*sec), b.inflightBound(short, 100*sec), 1e-9)
@@ -83,7 +84,8 @@
 		rules string
 		tail  float64
 		end   int64
-	}{{"again", 0.3, sec}, {"again", 0, 2 * sec}, {"all", 0.3, sec}, {"cell", 0.3, 2 * sec}, {"once", 0.3, 2 * sec}} {
+	}{{"replayable", 0.3, sec}, {"replayable", 0, 2 * sec},
+		{"all", 0.3, sec}, {"cell", 0.3, 2 * sec}, {"once", 0.3, 2 * sec}} {
 		b := newBalancer(2, func(t *Config) {
 			t.TailWeight = c.tail
 			for i := range t.RuleSets {
@@ -156,11 +158,11 @@
 	if n := len(drain(b, 112*sec, RequestList)); n != 1 {
 		t.Errorf("requested the list %d times after the change back, want once", n)
 	}
-	// New terms that do not change the kind of deployment keep the measurements.
+	// New settings that do not change the kind of deployment keep the measurements.
 	b.servers[1].slotTime, b.answerRate.Value = 7, 5
 	next.FleetSize = 3
 	if b.Reconfigure(next, 113*sec); b.servers[1].slotTime != 7 || b.answerRate.Value != 5 {
-		t.Error("new terms of the same kind of deployment discarded measurements")
+		t.Error("new settings of the same kind of deployment discarded measurements")
 	}
 }
 
@@ -188,7 +190,8 @@
 // the budget, and a suspect server gets less.
 func TestAdvice(t *testing.T) {
 	t.Run("shed", func(t *testing.T) {
-		b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, MaxRetryAfter: sec, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: NonReplayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
+		b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, MaxRetryAfter: sec, Tick: 5 * ms,
+			RuleSets: []RuleSet{{Name: "a", Effect: NonReplayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
 		b.UpdateList(ListReplace, []Server{{ID: "s", Share: 1}}, 0)
 		b.AddRequest(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec, Shed: true, RetryAfter: 700 * ms}, 0)
 		var got []Decision
@@ -203,7 +206,8 @@
 	})
 	t.Run("further", func(t *testing.T) {
 		for further, want := range []int{1, 2} {
-			b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, Tick: 5 * ms, RuleSets: []RuleSet{{Name: "a", Effect: Replayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
+			b := New(Config{Seed: 1, FleetSize: 1, MaxDispatches: 3, Tick: 5 * ms,
+				RuleSets: []RuleSet{{Name: "a", Effect: Replayable, ResponseTarget: sec, BillingValue: 1}}}, 0)
 			b.ApplyAdvice(Advice{RetriesLimited: true, RetriesLeft: further})
 			b.UpdateList(ListReplace, []Server{{ID: "s", Share: 1}, {ID: "u", Share: 1}, {ID: "v", Share: 1}}, 0)
 			b.AddRequest(Arrival{ID: 1, RuleSet: "a", Budget: 3 * sec}, 0)
--- a/cmd/ivybank/ledger.go
+++ b/cmd/ivybank/ledger.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
+	"ivybank/keys/idempotency"
 	"ivybank/keys/ledger"
-	"ivybank/keys/once"
 )
 
 func ledgerCommand() *cobra.Command {
@@ -32,16 +32,16 @@
 }
 
 // meanings are what a repeat of a key would get.
-var meanings = map[once.State]string{
-	once.Open:   "may have been dispatched, no end recorded: a repeat at a proxy that starts now is told that it is unsure (409)",
-	once.Done:   "done: a repeat gets its answer",
-	once.Unsure: "aborted, it may have run: a repeat is told so (409) and not dispatched",
+var meanings = map[idempotency.State]string{
+	idempotency.Open:   "may have been dispatched, no end recorded: a repeat at a proxy that starts now is told that it is unsure (409)",
+	idempotency.Done:   "done: a repeat gets its answer",
+	idempotency.Unsure: "aborted, it may have run: a repeat is told so (409) and not dispatched",
 }
 
 // listLedger prints what the records come to.
 func listLedger(w io.Writer, path string, text []byte, only string) error {
-	var order []once.Key
-	last := map[once.Key]ledger.Record{}
+	var order []idempotency.Key
+	last := map[idempotency.Key]ledger.Record{}
 	rep, _, err := ledger.Read(text, func(r ledger.Record) {
 		if _, had := last[r.Entry.Key]; !had {
 			order = append(order, r.Entry.Key)
@@ -63,11 +63,11 @@
 		switch {
 		case r.Kind == ledger.Free:
 			state, meaning = "free", "provably never ran: a repeat is dispatched"
-		case r.Entry.State == once.Done && !r.Entry.Answer.Kept:
+		case r.Entry.State == idempotency.Done && !r.Entry.Response.Stored:
 			meaning = "done, its answer was too large to keep: a repeat is told so (409)"
 			fallthrough
-		case r.Entry.State == once.Done:
-			answer = fmt.Sprintf("%d, %d bytes", r.Entry.Answer.Status, len(r.Entry.Answer.Body))
+		case r.Entry.State == idempotency.Done:
+			answer = fmt.Sprintf("%d, %d bytes", r.Entry.Response.Status, len(r.Entry.Response.Body))
 		}
 		counts[state]++
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%q\t%s\t%s\n", state, time.Unix(0, r.Entry.At).UTC().Format("2006-01-02T15:04:05.000Z"),
@@ -77,11 +77,11 @@
 		return err
 	}
 	fmt.Fprintf(w, "%d records: %d keys done, %d unsure, %d open, %d free\n", rep.Records, counts["done"], counts["unsure"], counts["open"], counts["free"])
-	if rep.Torn > 0 {
-		fmt.Fprintf(w, "the last %d bytes are no whole record: a write that was cut short, it was never acted on\n", rep.Torn)
+	if rep.TornBytes > 0 {
+		fmt.Fprintf(w, "the last %d bytes are no whole record: a write that was cut short, it was never acted on\n", rep.TornBytes)
 	}
-	if rep.Damaged >= 0 {
-		fmt.Fprintf(w, "DAMAGED at byte %d: a proxy refuses keys that are not listed here until the file is taken away\n", rep.Damaged)
+	if rep.DamagedAt >= 0 {
+		fmt.Fprintf(w, "DAMAGED at byte %d: a proxy refuses keys that are not listed here until the file is taken away\n", rep.DamagedAt)
 	}
 	return nil
 }
