--- a/control/coordination/expiry_heap.go
+++ b/control/coordination/expiry_heap.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// expiryHeap has the locks that are held, the one that expires first at the front.
+// expiryHeap is a heap of the held locks, ordered by expiry: the lock that expires first is at the front.
 type expiryHeap []*lock
 
 func (d *expiryHeap) add(l *lock)    { heap.Push(d, l) }
--- a/control/coordination/history.go
+++ b/control/coordination/history.go
@@ -6,52 +6,52 @@
 	"ivybank/wire"
 )
 
-// record is a put, or one that was rejected, which has no revision.
+// record is a remembered put. A rejected put has the revision 0.
 type record struct {
-	at     time.Duration // of the group's time
+	at     time.Duration // group time of the put
 	change wire.Change
 }
 
-// recordLog has the puts and rejections of all groups that are not older than the history, by which a put that comes again
-// is recognised.
+// recordLog holds the puts and rejections of all groups that are not older than the history. It serves to recognise a
+// put that arrives again.
 type recordLog struct {
-	queue      []record            // in order of time
-	byKeyValue map[keyValue]uint64 // the revisions of those in queue, 0 for a rejection
-	bytes      int                 // of all names and values
+	queue      []record            // in order of group time
+	byKeyValue map[keyValue]uint64 // the revisions of the records in queue, 0 for a rejection
+	bytes      int                 // of the names and values of all records
 }
 
-// keyValue is a value that was put to a key.
+// keyValue is a key and a value that was put to it. It identifies a put, as the values of one key are unique.
 type keyValue struct{ key, value string }
 
 func newRecordLog() recordLog { return recordLog{byKeyValue: map[keyValue]uint64{}} }
 
-// add remembers one more. No other with its key and value is remembered.
+// add appends a record. The log must not hold another record with the same key and value.
 func (l *recordLog) add(r record) {
 	l.queue = append(l.queue, r)
 	l.byKeyValue[keyValue{r.change.Key, r.change.Value}] = r.change.Revision
 	l.bytes += textBytes(r.change.Key, r.change.Value)
 }
 
-// removeOldest forgets the one at the front.
+// removeOldest removes the oldest record and returns its change.
 func (l *recordLog) removeOldest() wire.Change {
 	oldest := l.queue[0].change
-	l.queue[0] = record{} // the array behind the queue keeps no text alive
+	l.queue[0] = record{} // lets the texts be garbage collected: the array behind the queue stays
 	l.queue = l.queue[1:]
 	delete(l.byKeyValue, keyValue{oldest.Key, oldest.Value})
 	l.bytes -= textBytes(oldest.Key, oldest.Value)
 	return oldest
 }
 
-// revisionOf gives the revision of a put that is remembered, 0 where there is none.
+// revisionOf returns the revision of a remembered put, or 0 if there is none.
 func (l *recordLog) revisionOf(key, value string) uint64 { return l.byKeyValue[keyValue{key, value}] }
 
-// wasRejected tells whether a rejection of a put is remembered.
+// wasRejected reports whether the rejection of a put is remembered.
 func (l *recordLog) wasRejected(key, value string) bool {
 	revision, ok := l.byKeyValue[keyValue{key, value}]
 	return ok && revision == 0
 }
 
-// compact drops what is older than a moment of the group's time. Watches that would need it are told so.
+// compact removes the records from before a group time. A watch that needs a removed put is answered Compacted.
 func (s *State) compact(before time.Duration) {
 	for len(s.records.queue) > 0 && s.records.queue[0].at < before {
 		oldest := s.records.removeOldest()
@@ -61,7 +61,7 @@
 	}
 }
 
-// removeOldest forgets the put at the front.
+// removeOldest removes the oldest put of the group's history.
 func (g *group) removeOldest() {
 	g.puts[0] = wire.Change{}
 	g.puts = g.puts[1:]
--- a/control/coordination/keys.go
+++ b/control/coordination/keys.go
@@ -6,30 +6,31 @@
 	"ivybank/wire"
 )
 
-// keyTable has the keys and their groups. Neither is ever deleted.
+// keyTable holds the keys and their groups. Keys and groups are never deleted.
 type keyTable struct {
 	byName map[string]keyState
 	groups map[string]*group
-	bytes  int // of all names and values
+	bytes  int // of the names and values of all keys
 }
 
-// keyState is the present value of a key.
+// keyState is the current value and revision of a key.
 type keyState struct {
 	value    string
 	revision uint64
 }
 
-// group has the keys that begin alike up to the first dot, and one rising count of revisions.
+// group is what the keys with the same prefix, up to the first dot, have in common: one increasing sequence of
+// revisions and the history of their puts.
 type group struct {
-	revision uint64        // of the newest put; 0 for none
-	puts     []wire.Change // those that are remembered: with the revisions up to the newest one, none left out
+	revision uint64        // of the newest put, 0 if there was none
+	puts     []wire.Change // the remembered puts; their revisions are contiguous and end with the newest one
 }
 
 func newKeyTable() keyTable {
 	return keyTable{byName: map[string]keyState{}, groups: map[string]*group{}}
 }
 
-// GroupOf gives the group of a key: its name up to and including the first dot, the whole name where it has none.
+// GroupOf returns the group of a key: its name up to and including the first dot, or the whole name if it has no dot.
 func GroupOf(key string) string {
 	if dot := strings.IndexByte(key, '.'); dot >= 0 {
 		return key[:dot+1]
@@ -37,7 +38,7 @@
 	return key
 }
 
-// getKey reads a key.
+// getKey returns the current value and revision of a key.
 func (s *State) getKey(key string) wire.Answer {
 	current, ok := s.keys.byName[key]
 	if !ok {
@@ -46,8 +47,8 @@
 	return wire.Answer{Outcome: wire.Done, Value: current.value, Revision: current.revision}
 }
 
-// replaceKey puts a value. Values are unique, so one that comes with the same key again is the same put again: it gets what
-// the first one got, whatever has been put since.
+// replaceKey puts a value. The values of one key are unique, so a command with the same key and value is a repetition
+// of the same put. It gets the answer of the first one, whatever has been put since.
 func (s *State) replaceKey(c *wire.Command) wire.Answer {
 	current := s.keys.byName[c.Name]
 	if revision := s.revisionOfPut(c, current); revision > 0 {
@@ -62,7 +63,7 @@
 	return s.put(c, current)
 }
 
-// revisionOfPut gives the revision that the same put got before, 0 where none is known.
+// revisionOfPut returns the revision that the same put got before, or 0 if none is remembered.
 func (s *State) revisionOfPut(c *wire.Command, current keyState) uint64 {
 	if current.revision > 0 && current.value == c.Value {
 		return current.revision
@@ -70,7 +71,7 @@
 	return s.records.revisionOf(c.Name, c.Value)
 }
 
-// put gives a key a new value and the next revision of its group.
+// put sets the value of a key and gives it the next revision of its group.
 func (s *State) put(c *wire.Command, current keyState) wire.Answer {
 	if !s.hasRoomForPut(c, current) {
 		return wire.Answer{Outcome: wire.Full}
@@ -84,8 +85,9 @@
 	return wire.Answer{Outcome: wire.Done, Revision: g.revision}
 }
 
-// reject refuses a put, and remembers that, so that it is refused when it comes again. Even after it is forgotten, a put over
-// a revision that the key has left behind finds another one there: revisions only rise, and keys are never deleted.
+// reject rejects a put and records the rejection, so that a repetition is rejected as well. After the record is
+// removed, a put over a past revision of the key is still rejected: revisions only increase, and keys are never
+// deleted.
 func (s *State) reject(c *wire.Command, current keyState) wire.Answer {
 	if !s.hasRoomForRecord(c) {
 		return wire.Answer{Outcome: wire.Full}
@@ -94,7 +96,7 @@
 	return wire.Answer{Outcome: wire.Mismatched, Revision: current.revision}
 }
 
-// hasRoomForPut tells whether a put leaves the state within its bounds.
+// hasRoomForPut reports whether the state stays within its limits with one more put.
 func (s *State) hasRoomForPut(c *wire.Command, current keyState) bool {
 	if !s.hasRoomForRecord(c) {
 		return false
@@ -108,8 +110,8 @@
 	return s.keys.groups[GroupOf(c.Name)] != nil || len(s.keys.groups) < MaxGroups
 }
 
-// hasRoomForRecord tells whether one more put or rejection can be remembered. It counts the bytes of a put twice: in the
-// history, and as the present value of its key.
+// hasRoomForRecord reports whether one more put or rejection can be remembered. It counts the bytes of a put twice: in
+// the history, and as the current value of its key.
 func (s *State) hasRoomForRecord(c *wire.Command) bool {
 	if len(s.records.queue) >= MaxRecords {
 		return false
@@ -117,7 +119,7 @@
 	return s.keys.bytes+s.records.bytes+2*textBytes(c.Name, c.Value) <= MaxTextBytes
 }
 
-// ensureGroup gives the group of a key, and makes it where there is none.
+// ensureGroup returns the group of a key, and creates it if it doesn't exist.
 func (t *keyTable) ensureGroup(key string) *group {
 	name := GroupOf(key)
 	g := t.groups[name]
@@ -128,7 +130,7 @@
 	return g
 }
 
-// set gives a key its present value.
+// set sets the current value and revision of a key.
 func (t *keyTable) set(change wire.Change) {
 	if previous, ok := t.byName[change.Key]; ok {
 		t.bytes -= textBytes(change.Key, previous.value)
@@ -137,8 +139,8 @@
 	t.bytes += textBytes(change.Key, change.Value)
 }
 
-// textBytes is what a key and a value count against MaxBytes.
+// textBytes returns how much a key and a value count towards MaxTextBytes and MaxEventBytes.
 func textBytes(key, value string) int { return len(key) + len(value) }
 
-// compactedRevision is the highest revision whose put is no longer remembered.
+// compactedRevision returns the highest revision whose put is no longer remembered.
 func (g *group) compactedRevision() uint64 { return g.revision - uint64(len(g.puts)) }
--- a/control/coordination/locks.go
+++ b/control/coordination/locks.go
@@ -6,41 +6,42 @@
 	"ivybank/wire"
 )
 
-// lock is one that is held. One that is free is in no table.
+// lock is a held lock. Free locks are not stored.
 type lock struct {
 	name   string
 	holder string
-	// firstFence is the one with which the holder took the lock while it was free, fence the newest one that it got since.
-	// Those between are of the same uninterrupted hold; any lower one is of a hold that was over before.
+	// firstFence is the fencing token with which the holder acquired the lock while it was free; fence is the newest
+	// one that it has been granted since. The tokens from firstFence to fence belong to the same uninterrupted hold; a
+	// lower token belongs to a hold that ended before.
 	firstFence uint64
 	fence      uint64
-	expires    time.Duration // of the group's time, at which the lock is free
-	heapIndex  int           // in deadlines
+	expires    time.Duration // group time at which the lock becomes free
+	heapIndex  int           // position in lockTable.byExpiry
 }
 
-// lockTable has the locks that are held, and the counter of all fences. The fences of all locks rise together, so that those
-// of one lock rise although a free lock is forgotten.
+// lockTable holds the held locks and the fence counter. One counter serves all locks, so the fences of a lock increase
+// even though nothing is stored about a free lock.
 //
-// A call may arrive late and more than once. Each Begin that is granted gets a higher fence, so a late Finish of an earlier
-// hold of the same holder never has the newest fence, and frees nothing. A late Begin leaves its caller with a fence that is
-// no longer the newest one: its Heartbeat still counts within the same uninterrupted hold, and its Finish leaves the lock to
-// expire.
+// A call may arrive late and more than once. Each granted Begin gets a higher fence, so a late Finish of an earlier
+// hold of the same holder never has the newest fence and releases nothing. After a late Begin its caller has a fence
+// that is no longer the newest one: its Heartbeat is still accepted within the same uninterrupted hold, and its Finish
+// has no effect, so the lock expires.
 type lockTable struct {
-	lastFence uint64 // the newest that was handed out
+	lastFence uint64 // the newest fence that was granted
 	byName    map[string]*lock
 	byExpiry  expiryHeap
 }
 
 func newLockTable() lockTable { return lockTable{byName: map[string]*lock{}} }
 
-// expire frees the locks whose time is over. Those that are left are held at that time.
+// expire releases the locks that have expired at a group time. All locks that remain are held at that time.
 func (t *lockTable) expire(at time.Duration) {
 	for len(t.byExpiry) > 0 && t.byExpiry[0].expires <= at {
 		t.release(t.byExpiry[0])
 	}
 }
 
-// begin takes a lock, or takes it again for its holder.
+// begin acquires a free lock, or renews the lock for its current holder with a new fence.
 func (t *lockTable) begin(c *wire.Command, at time.Duration) wire.Answer {
 	held := t.byName[c.Name]
 	switch {
@@ -57,7 +58,7 @@
 	return wire.Answer{Outcome: wire.Done, Fence: held.fence}
 }
 
-// acquire gives a free lock to a holder.
+// acquire gives a free lock to the holder that a command names.
 func (t *lockTable) acquire(c *wire.Command, at time.Duration) *lock {
 	fence := t.nextFence()
 	acquired := &lock{name: c.Name, holder: c.Holder, firstFence: fence, fence: fence, expires: at + holdDuration(c)}
@@ -65,7 +66,7 @@
 	return acquired
 }
 
-// heartbeat holds a lock for longer, never shorter. It counts with any fence of the present uninterrupted hold.
+// heartbeat extends the hold of a lock and never shortens it. It accepts any fence of the current uninterrupted hold.
 func (t *lockTable) heartbeat(c *wire.Command, at time.Duration) wire.Answer {
 	held := t.byName[c.Name]
 	if held == nil || held.holder != c.Holder || c.Fence < held.firstFence || c.Fence > held.fence {
@@ -75,7 +76,7 @@
 	return wire.Answer{Outcome: wire.Done}
 }
 
-// finish frees a lock where the caller has its newest fence, and is done in any case.
+// finish releases a lock if the caller has its newest fence. It is answered Done in any case.
 func (t *lockTable) finish(c *wire.Command) wire.Answer {
 	held := t.byName[c.Name]
 	if held != nil && held.holder == c.Holder && held.fence == c.Fence {
@@ -84,8 +85,8 @@
 	return wire.Answer{Outcome: wire.Done}
 }
 
-// heldByOther tells whether another one than the caller holds the lock at a time that may be later than the newest one that
-// was applied.
+// heldByOther reports whether a holder other than the caller holds the lock at a group time. That time may be later
+// than the newest one that was applied.
 func (t *lockTable) heldByOther(c *wire.Command, at time.Duration) bool {
 	held := t.byName[c.Name]
 	return held != nil && held.holder != c.Holder && at < held.expires
--- a/control/coordination/numbers.go
+++ b/control/coordination/numbers.go
@@ -2,7 +2,8 @@
 
 import "ivybank/wire"
 
-// nextNumber hands out the number after the last one of a name. One that comes again gets a further one: gaps are harmless.
+// nextNumber returns the number after the last one of a name. A repeated command gets another number, as gaps between
+// the numbers are harmless.
 func (s *State) nextNumber(name string) wire.Answer {
 	last, ok := s.numbers[name]
 	if !ok && len(s.numbers) >= MaxNumbers {
--- a/control/coordination/part.go
+++ b/control/coordination/part.go
@@ -6,13 +6,14 @@
 	"ivybank/wire"
 )
 
-// PartOf gives the part, from 0, that a command belongs to: all keys of a group, and its watches, to one. There is at least
-// one part.
+// PartOf returns the index of the part to which a command belongs, starting at 0. All keys of a group and its watches
+// belong to the same part. The number of parts must be at least 1.
 func PartOf(c *wire.Command, parts int) int {
 	return int(xxhash.Sum64String(partitionKey(c)) % uint64(parts))
 }
 
-// partitionKey names what isn't divided among parts: a lock, a number or a group of keys. Those with the same name can be in
+// partitionKey returns the string whose hash decides the part. Commands on the same lock, the same number or the same
+// group of keys have the same one. The prefix is part of it, so a lock and a number of the same name can be in
 // different parts.
 func partitionKey(c *wire.Command) string {
 	switch c.Kind {
--- a/control/coordination/snapshot.go
+++ b/control/coordination/snapshot.go
@@ -10,18 +10,18 @@
 	"ivybank/wire"
 )
 
-// ErrMalformedSnapshot is matched by all errors of reading a state.
+// ErrMalformedSnapshot matches every error of decoding a snapshot.
 var ErrMalformedSnapshot = errors.New("coordination: malformed snapshot")
 
-// snapshot is a whole state as it is sent and stored. Lists are sorted by name, records by time, so that one state has one
-// snapshot.
+// snapshot is a whole state in the form in which it is sent and stored. Lists are sorted by name and records by time,
+// so that equal states have equal snapshots.
 type snapshot struct {
 	GroupTime time.Duration    `cbor:"1,keyasint"`
 	Fence     uint64           `cbor:"2,keyasint,omitempty"`
 	Locks     []snapshotLock   `cbor:"3,keyasint,omitempty"`
 	Numbers   []snapshotNumber `cbor:"4,keyasint,omitempty"`
 	Groups    []snapshotGroup  `cbor:"5,keyasint,omitempty"`
-	Keys      []wire.Change    `cbor:"6,keyasint,omitempty"` // their present values
+	Keys      []wire.Change    `cbor:"6,keyasint,omitempty"` // the current value of each key
 	Records   []snapshotRecord `cbor:"7,keyasint,omitempty"`
 }
 
@@ -54,7 +54,7 @@
 	Revision uint64 // 0 for a rejection
 }
 
-// snapshot gives the whole state. It shares nothing with it that changes.
+// snapshot returns a snapshot of the state. It shares nothing with the state that changes later.
 func (s *State) snapshot() *snapshot {
 	return &snapshot{
 		GroupTime: s.groupTime,
@@ -121,10 +121,10 @@
 	return list
 }
 
-// clone gives a state that is equal and shares nothing that changes.
+// clone returns an equal state that shares nothing with this one that changes later.
 func (s *State) clone() *State { return s.snapshot().state(s.history) }
 
-// decodeState reads a snapshot; an empty one is the empty state.
+// decodeState decodes a snapshot; an empty one is the empty state. Errors match ErrMalformedSnapshot.
 func decodeState(body []byte, history time.Duration) (*State, error) {
 	if len(body) == 0 {
 		return New(history), nil
@@ -139,32 +139,32 @@
 	return decoded.state(history), nil
 }
 
-// state builds the state of an image that was checked.
-func (i *snapshot) state(history time.Duration) *State {
+// state creates the state that a validated snapshot describes.
+func (snap *snapshot) state(history time.Duration) *State {
 	s := New(history)
-	s.groupTime = i.GroupTime
-	s.locks.lastFence = i.Fence
-	for _, l := range i.Locks {
+	s.groupTime = snap.GroupTime
+	s.locks.lastFence = snap.Fence
+	for _, l := range snap.Locks {
 		s.locks.add(&lock{
 			name: l.Name, holder: l.Holder, firstFence: l.FirstFence, fence: l.Fence, expires: l.Expires,
 		})
 	}
-	for _, n := range i.Numbers {
+	for _, n := range snap.Numbers {
 		s.numbers[n.Name] = n.Last
 	}
-	for _, g := range i.Groups {
+	for _, g := range snap.Groups {
 		s.keys.groups[g.Name] = &group{revision: g.Revision}
 	}
-	for _, key := range i.Keys {
+	for _, key := range snap.Keys {
 		s.keys.set(key)
 	}
-	for _, r := range i.Records {
+	for _, r := range snap.Records {
 		s.restoreRecord(r)
 	}
 	return s
 }
 
-// restoreRecord takes a record back, and into the history of its group where it was a put.
+// restoreRecord adds a record to the log, and to the history of its group if it is a put.
 func (s *State) restoreRecord(r snapshotRecord) {
 	change := wire.Change{Key: r.Key, Value: r.Value, Revision: r.Revision}
 	s.records.add(record{at: r.At, change: change})
--- a/control/coordination/snapshot_validate.go
+++ b/control/coordination/snapshot_validate.go
@@ -5,45 +5,45 @@
 	"unicode/utf8"
 )
 
-// malformedError is what is wrong with an image.
+// malformedError is the reason why a snapshot is malformed.
 type malformedError string
 
 func (e malformedError) Error() string { return string(e) }
 
-// What can be wrong with an image.
+// The reasons why a snapshot can be malformed.
 const (
-	errBounds    malformedError = "a list or a text is beyond its bounds"
-	errOrder     malformedError = "a list is out of order"
-	errLock      malformedError = "a lock can't be held so"
-	errKey       malformedError = "a key has a revision that its group never gave"
-	errRecords   malformedError = "the puts of a group are not the last ones of its count"
-	errDuplicate malformedError = "a put is remembered twice"
+	errBounds    malformedError = "a time, list or text is out of bounds"
+	errOrder     malformedError = "a list is out of order or has an invalid or duplicate name"
+	errLock      malformedError = "a lock has an invalid fence, expiry or holder"
+	errKey       malformedError = "a key has no revision or one beyond that of its group"
+	errRecords   malformedError = "the puts of a group don't have its newest revisions without gaps"
+	errDuplicate malformedError = "a put is recorded twice"
 )
 
-// validate tells whether an image is that of a state which commands can lead to, as far as the code relies on it.
-func (i *snapshot) validate() error {
-	if i.GroupTime < 0 || !i.withinBounds() {
+// validate checks that commands can lead to the state in a snapshot, as far as the code relies on it.
+func (snap *snapshot) validate() error {
+	if snap.GroupTime < 0 || !snap.withinBounds() {
 		return errBounds
 	}
-	if !i.inOrder() {
+	if !snap.inOrder() {
 		return errOrder
 	}
-	revisions := i.revisions()
-	return firstError(i.validateLocks(), i.validateKeys(revisions), i.validateRecords(revisions))
+	revisions := snap.revisions()
+	return firstError(snap.validateLocks(), snap.validateKeys(revisions), snap.validateRecords(revisions))
 }
 
-func (i *snapshot) withinBounds() bool {
-	return len(i.Locks) <= MaxLocks && len(i.Numbers) <= MaxNumbers && len(i.Groups) <= MaxGroups &&
-		len(i.Keys) <= MaxKeys && len(i.Records) <= MaxRecords
+func (snap *snapshot) withinBounds() bool {
+	return len(snap.Locks) <= MaxLocks && len(snap.Numbers) <= MaxNumbers && len(snap.Groups) <= MaxGroups &&
+		len(snap.Keys) <= MaxKeys && len(snap.Records) <= MaxRecords
 }
 
-// inOrder tells whether no list names anything twice, and the records are in order of time.
-func (i *snapshot) inOrder() bool {
-	return strictlyAscending(i.Locks, nameOfLock) && strictlyAscending(i.Numbers, nameOfNumber) && strictlyAscending(i.Groups, nameOfGroup) &&
-		strictlyAscending(i.Keys, nameOfKey) && i.recordsInOrder()
+// inOrder reports whether all lists are sorted by name without duplicates, and the records by time.
+func (snap *snapshot) inOrder() bool {
+	return strictlyAscending(snap.Locks, nameOfLock) && strictlyAscending(snap.Numbers, nameOfNumber) &&
+		strictlyAscending(snap.Groups, nameOfGroup) && strictlyAscending(snap.Keys, nameOfKey) && snap.recordsInOrder()
 }
 
-// strictlyAscending tells whether each name of a list is valid and above the one before.
+// strictlyAscending reports whether each name of a list is valid and greater than the previous one.
 func strictlyAscending[T any](list []T, name func(T) string) bool {
 	previous := ""
 	for _, element := range list {
@@ -55,39 +55,39 @@
 	return true
 }
 
-func (i *snapshot) recordsInOrder() bool {
-	for n, r := range i.Records {
-		if r.At < 0 || r.At > i.GroupTime {
+func (snap *snapshot) recordsInOrder() bool {
+	for n, r := range snap.Records {
+		if r.At < 0 || r.At > snap.GroupTime {
 			return false
 		}
-		if n > 0 && r.At < i.Records[n-1].At {
+		if n > 0 && r.At < snap.Records[n-1].At {
 			return false
 		}
 	}
 	return true
 }
 
-// revisions gives the newest revision of each group.
-func (i *snapshot) revisions() map[string]uint64 {
-	revisions := make(map[string]uint64, len(i.Groups))
-	for _, g := range i.Groups {
+// revisions returns the newest revision of each group.
+func (snap *snapshot) revisions() map[string]uint64 {
+	revisions := make(map[string]uint64, len(snap.Groups))
+	for _, g := range snap.Groups {
 		revisions[g.Name] = g.Revision
 	}
 	return revisions
 }
 
-func (i *snapshot) validateLocks() error {
-	for _, l := range i.Locks {
-		validFences := 0 < l.FirstFence && l.FirstFence <= l.Fence && l.Fence <= i.Fence
-		if !validFences || l.Expires <= i.GroupTime || !isValidName(l.Holder, MaxHolderBytes) {
+func (snap *snapshot) validateLocks() error {
+	for _, l := range snap.Locks {
+		validFences := 0 < l.FirstFence && l.FirstFence <= l.Fence && l.Fence <= snap.Fence
+		if !validFences || l.Expires <= snap.GroupTime || !isValidName(l.Holder, MaxHolderBytes) {
 			return fmt.Errorf("%w: %q", errLock, l.Name)
 		}
 	}
 	return nil
 }
 
-func (i *snapshot) validateKeys(revisions map[string]uint64) error {
-	for _, key := range i.Keys {
+func (snap *snapshot) validateKeys(revisions map[string]uint64) error {
+	for _, key := range snap.Keys {
 		if !isValidValue(key.Value) {
 			return errBounds
 		}
@@ -98,11 +98,12 @@
 	return nil
 }
 
-// validateRecords walks back from the newest record: the puts of each group count down from its newest revision.
-func (i *snapshot) validateRecords(revisions map[string]uint64) error {
-	seen := make(map[keyValue]bool, len(i.Records))
-	for n := len(i.Records) - 1; n >= 0; n-- {
-		r := i.Records[n]
+// validateRecords goes from the newest record to the oldest: the puts of each group must have its newest revisions,
+// counting down without gaps. It changes the map.
+func (snap *snapshot) validateRecords(revisions map[string]uint64) error {
+	seen := make(map[keyValue]bool, len(snap.Records))
+	for n := len(snap.Records) - 1; n >= 0; n-- {
+		r := snap.Records[n]
 		if !isValidName(r.Key, MaxNameBytes) || !isValidValue(r.Value) {
 			return errBounds
 		}
@@ -121,5 +122,5 @@
 	return nil
 }
 
-// isValidValue tells whether a value can be kept and told.
+// isValidValue reports whether a value can be stored and sent.
 func isValidValue(value string) bool { return len(value) <= MaxValueBytes && utf8.ValidString(value) }
--- a/control/coordination/state.go
+++ b/control/coordination/state.go
@@ -1,9 +1,10 @@
-// Package coordination is the state of one part of the locks, numbers and keys that applications share. It is free of I/O
-// and of clocks: commands and the group's time are handed in, and the same commands at the same times give the same state
-// and answers on each replica.
+// Package coordination holds the state of one part of the coordination service: locks, numbers and keys that
+// applications share. It does no I/O and reads no clock: commands and the group time are passed in, and the same
+// commands at the same times must give the same state and the same answers on each replica. The group time is the time
+// that a replica group agrees on; it never decreases.
 //
-// A command may arrive late, and more than once. What each rule does about that is told beside it: locks.go, keys.go and
-// history.go.
+// A command may arrive late and more than once. The types and functions in locks.go, keys.go and history.go document
+// how they handle that.
 package coordination
 
 import (
@@ -12,17 +13,17 @@
 	"ivybank/wire"
 )
 
-// State is that of one part. It is not safe for concurrent use.
+// State is the state of one part. It is not safe for concurrent use.
 type State struct {
-	history   time.Duration
-	groupTime time.Duration // of the group's time, as far as it was handed in
+	history   time.Duration // span of group time for which puts and rejections are remembered
+	groupTime time.Duration // newest group time that was passed to Apply
 	locks     lockTable
-	numbers   map[string]uint64 // by name, the last one that was handed out
+	numbers   map[string]uint64 // last number of each name
 	keys      keyTable
 	records   recordLog
 }
 
-// New makes an empty state that keeps the history of puts for a span of the group's time.
+// New creates an empty state that keeps puts and rejections in its history for a span of group time.
 func New(history time.Duration) *State {
 	return &State{
 		history: history,
@@ -33,8 +34,8 @@
 	}
 }
 
-// Apply carries commands out, in order, at one moment of the group's time, and gives an answer to each. A time before the
-// newest one counts as the newest one.
+// Apply applies commands in order at one group time, and returns the answer to each of them. A time that is earlier
+// than the newest one counts as the newest one.
 func (s *State) Apply(commands []wire.Command, at time.Duration) []wire.Answer {
 	s.advance(at)
 	answers := make([]wire.Answer, len(commands))
@@ -44,14 +45,14 @@
 	return answers
 }
 
-// advance moves the time on: expired locks are free, and what is older than the history is forgotten.
+// advance advances the group time, releases the locks that have expired and removes records older than the history.
 func (s *State) advance(at time.Duration) {
 	s.groupTime = max(s.groupTime, at)
 	s.locks.expire(s.groupTime)
 	s.compact(s.groupTime - s.history)
 }
 
-// apply carries one command out at the newest time.
+// apply applies one command at the newest group time.
 func (s *State) apply(c *wire.Command) wire.Answer {
 	if Validate(c) != nil {
 		return wire.Answer{Outcome: wire.Invalid}
@@ -69,15 +70,15 @@
 		return s.replaceKey(c)
 	case wire.GetKey:
 		return s.getKey(c.Name)
-	default: // wire.WatchGroup, as Check has seen
+	default: // wire.WatchGroup: Validate has rejected unknown kinds
 		answer, _ := s.watchGroup(c)
 		return answer
 	}
 }
 
-// TryAnswer decides on a command without changing the state, where that can be done: a read, a lock that another one holds, a
-// call that is invalid, a watch that has something to tell. It reports false where the command has to be applied, or a watch
-// has to wait; the answer of a watch that has to wait is the one to give when its time is over.
+// TryAnswer answers a command without changing the state if that is possible: a read, a Begin of a lock that another
+// holder has, an invalid command, or a watch that needs no wait. It returns false if the command has to be applied or
+// if a watch has to wait. The answer returned for a watch that has to wait is the one to give when its wait is over.
 func (s *State) TryAnswer(c *wire.Command, at time.Duration) (wire.Answer, bool) {
 	if Validate(c) != nil {
 		return wire.Answer{Outcome: wire.Invalid}, true
@@ -95,7 +96,7 @@
 	return wire.Answer{}, false
 }
 
-// Revision gives the newest revision of a group of keys, 0 for one that was never put.
+// Revision returns the newest revision of a group of keys, or 0 if none of its keys was ever put.
 func (s *State) Revision(group string) uint64 {
 	if g := s.keys.groups[group]; g != nil {
 		return g.revision
--- a/control/coordination/validate.go
+++ b/control/coordination/validate.go
@@ -8,29 +8,30 @@
 	"ivybank/wire"
 )
 
-// ErrInvalid is matched by all that Check finds wrong with a command.
+// ErrInvalid matches every error that Validate returns.
 var ErrInvalid = errors.New("coordination: invalid command")
 
-// validationError is what is wrong with a command.
+// validationError is the reason why a command is invalid.
 type validationError string
 
 func (e validationError) Error() string { return "coordination: " + string(e) }
 
 func (e validationError) Is(target error) bool { return target == ErrInvalid }
 
-// What can be wrong with a command.
+// The reasons why a command can be invalid.
 const (
-	errKind   validationError = "unknown kind of command"
-	errName   validationError = "name is empty, too long or no UTF-8"
-	errHolder validationError = "holder is empty, too long or no UTF-8"
+	errKind   validationError = "kind of command is unknown"
+	errName   validationError = "name is empty, too long or not valid UTF-8"
+	errHolder validationError = "holder is empty, too long or not valid UTF-8"
 	errHold   validationError = "hold_ms is out of bounds"
 	errFence  validationError = "fence is missing"
-	errValue  validationError = "value is too long or no UTF-8"
-	errGroup  validationError = "a watch names a group, up to its first dot"
+	errValue  validationError = "value is too long or not valid UTF-8"
+	errGroup  validationError = "name of a watch is not a group: a group ends with its first dot"
 	errWait   validationError = "wait_ms is out of bounds"
 )
 
-// Validate tells whether a command's fields are there and within their bounds. It depends on the command alone.
+// Validate checks that the fields that a command needs are present and within their limits. The result depends on the
+// command alone. Errors match ErrInvalid.
 func Validate(c *wire.Command) error {
 	if !isValidName(c.Name, MaxNameBytes) {
 		return errName
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// isValidName tells whether a name can be kept and told. CBOR and JSON carry UTF-8 only.
+// isValidName reports whether a name can be stored and sent: CBOR and JSON carry UTF-8 text only.
 func isValidName(text string, maxBytes int) bool {
 	return text != "" && len(text) <= maxBytes && utf8.ValidString(text)
 }
@@ -105,5 +106,5 @@
 	return nil
 }
 
-// holdDuration gives for how long a command asks to hold its lock.
+// holdDuration returns for how long a command asks to hold its lock.
 func holdDuration(c *wire.Command) time.Duration { return time.Duration(c.HoldMS) * time.Millisecond }
--- a/control/coordination/watch.go
+++ b/control/coordination/watch.go
@@ -6,8 +6,8 @@
 	"ivybank/wire"
 )
 
-// watchGroup tells the puts of a group after a revision, and reports whether there is something to tell. The answer's
-// revision is the one up to which it tells all.
+// watchGroup answers a watch with the puts of its group after a revision, and reports whether the answer is ready: a
+// watch without anything to report has to wait. The answer is complete up to the revision that it names.
 func (s *State) watchGroup(c *wire.Command) (wire.Answer, bool) {
 	g := s.keys.groups[c.Name]
 	if g == nil {
@@ -25,7 +25,7 @@
 	return wire.Answer{Outcome: wire.Done, Revision: events[len(events)-1].Revision, Events: events}, true
 }
 
-// limitEvents gives as many puts, at least one, as go into one answer.
+// limitEvents returns as many of the first puts as fit into one answer, and at least one.
 func limitEvents(puts []wire.Change) []wire.Change {
 	bytes := 0
 	for i, change := range puts {
