--- a/control/coordination/limits_test.go
+++ b/control/coordination/limits_test.go
@@ -12,7 +12,7 @@
 	"ivybank/wire"
 )
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	with := func(c wire.Command, change func(*wire.Command)) wire.Command {
 		change(&c)
 		return c
@@ -62,12 +62,13 @@
 	assert.Assert(t, !errors.Is(errors.New("other"), ErrInvalid))
 }
 
-// assertSameBytes is a comparison for snapshots, which can be large.
+// assertSameBytes compares snapshots and reports only their sizes, as they can be large.
 func assertSameBytes(t assert.TestingT, got, want []byte) {
 	assert.Assert(t, bytes.Equal(got, want), "%d and %d bytes", len(got), len(want))
 }
 
-// applyUntilFull applies commands until one is answered Full, and tells how many were done. That one has changed nothing.
+// applyUntilFull applies commands until one is answered Full, and returns how many were applied before. It checks that
+// the command answered Full changes nothing.
 func applyUntilFull(t *testing.T, s *State, command func(i int) wire.Command) int {
 	t.Helper()
 	for i := range MaxRecords + 1 {
@@ -82,13 +83,13 @@
 		assertSameBytes(t, encode(s.snapshot()), before)
 		return i
 	}
-	t.Fatal("no bound")
+	t.Fatal("no command was answered Full")
 	return 0
 }
 
 func longName(i int) string { return fmt.Sprintf("%0*d", MaxNameBytes, i) }
 
-func TestBoundOfLocks(t *testing.T) {
+func TestMaxLocks(t *testing.T) {
 	s := New(testHistory)
 	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return begin(fmt.Sprint(i), "a") }), MaxLocks)
 	assert.Equal(t, applyOne(s, begin("0", "a"), 1).Outcome, wire.Done)
@@ -96,33 +97,35 @@
 	assert.Equal(t, applyOne(s, begin("new", "a"), testHold).Outcome, wire.Done)
 }
 
-func TestBoundOfNumbers(t *testing.T) {
+func TestMaxNumbers(t *testing.T) {
 	s := New(testHistory)
 	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return number(fmt.Sprint(i)) }), MaxNumbers)
 	assert.Equal(t, applyOne(s, number("0"), 0).Number, uint64(2))
 }
 
-func TestBoundOfGroups(t *testing.T) {
+func TestMaxGroups(t *testing.T) {
 	s := New(testHistory)
 	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return put(fmt.Sprint(i, "."), "v") }), MaxGroups)
 	assert.DeepEqual(t, applyOne(s, put("0.a", "v"), 0), revised(2))
 }
 
-func TestBoundOfKeys(t *testing.T) {
+func TestMaxKeys(t *testing.T) {
 	s := New(testHistory)
 	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return put(fmt.Sprint("g.", i), "v") }), MaxKeys)
 	assert.DeepEqual(t, applyOne(s, put("g.0", "w"), 0), revised(MaxKeys+1))
 }
 
-func TestBoundOfRecords(t *testing.T) {
+func TestMaxRecords(t *testing.T) {
 	s := New(testHistory)
-	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command { return putOver("g.a", fmt.Sprint(i), uint64(i%2)) }), MaxRecords)
+	assert.Equal(t, applyUntilFull(t, s, func(i int) wire.Command {
+		return putIf("g.a", fmt.Sprint(i), uint64(i%2))
+	}), MaxRecords)
 	assert.DeepEqual(t, applyOne(s, put("g.a", "0"), 0), revised(1))
-	assert.DeepEqual(t, applyOne(s, putOver("g.a", "2", 7), 0), mismatched(s.Revision("g.")))
+	assert.DeepEqual(t, applyOne(s, putIf("g.a", "2", 7), 0), mismatched(s.Revision("g.")))
 	assert.Equal(t, applyOne(s, put("g.a", "new"), testHistory+1).Outcome, wire.Done)
 }
 
-func TestBoundOfBytes(t *testing.T) {
+func TestMaxTextBytes(t *testing.T) {
 	s := New(testHistory)
 	value := strings.Repeat("v", MaxValueBytes-10)
 	done := applyUntilFull(t, s, func(i int) wire.Command { return put("g.a", fmt.Sprintf("%010d%s", i, value)) })
@@ -130,7 +133,7 @@
 	assert.Equal(t, applyOne(s, put("g.a", "new"), testHistory+1).Outcome, wire.Done)
 }
 
-func TestBoundOfBytesCountsPresentValues(t *testing.T) {
+func TestMaxTextBytesCountsCurrentValues(t *testing.T) {
 	s := New(testHistory)
 	value := strings.Repeat("v", MaxValueBytes)
 	done := applyUntilFull(t, s, func(i int) wire.Command { return put(fmt.Sprintf("g.%06d", i), value) })
@@ -138,14 +141,15 @@
 	assert.DeepEqual(t, applyOne(s, get("g.000000"), 10*testHistory).Value, value)
 }
 
-// TestFullStateFitsAFrame fills all there is: locks, numbers, keys and records, with the longest names and all bytes.
-func TestFullStateFitsAFrame(t *testing.T) {
+// TestFullStateFitsIntoOneFrame fills locks, numbers, keys and records to their limits, with the longest names and all
+// MaxTextBytes.
+func TestFullStateFitsIntoOneFrame(t *testing.T) {
 	m := NewStateMachine(testHistory)
 	holder := strings.Repeat("h", MaxHolderBytes)
 	applyUntilFull(t, m.State, func(i int) wire.Command { return begin(longName(i), holder) })
 	applyUntilFull(t, m.State, func(i int) wire.Command { return number(longName(i)) })
 	applyUntilFull(t, m.State, func(i int) wire.Command { return put(longName(i), "v") })
-	applyUntilFull(t, m.State, func(i int) wire.Command { return putOver("g.", fmt.Sprint(i), 7) })
+	applyUntilFull(t, m.State, func(i int) wire.Command { return putIf("g.", fmt.Sprint(i), 7) })
 	body := m.Snapshot()
 	assert.Assert(t, len(body) < wire.MaxFrame*7/8, "%d bytes", len(body))
 	restored := NewStateMachine(testHistory)
@@ -153,7 +157,7 @@
 	assertSameBytes(t, restored.Snapshot(), body)
 }
 
-func TestBoundOfEvents(t *testing.T) {
+func TestMaxEvents(t *testing.T) {
 	s := New(testHistory)
 	for i := range MaxEvents + 2 {
 		applyOne(s, put("g.a", fmt.Sprint(i)), 0)
@@ -166,7 +170,7 @@
 	assert.Equal(t, answer.Revision, uint64(MaxEvents+2))
 }
 
-func TestBoundOfEventBytes(t *testing.T) {
+func TestMaxEventBytes(t *testing.T) {
 	s := New(testHistory)
 	value := strings.Repeat("v", MaxValueBytes-10)
 	for i := range 100 {
--- a/control/coordination/lock_search_test.go
+++ b/control/coordination/lock_search_test.go
@@ -14,108 +14,110 @@
 	"ivybank/wire"
 )
 
-// The search goes through all that a few calls of two callers on one lock can lead to. Each call arrives once, twice or
-// never, at any later moment and in any order; each answer arrives at any later moment, or never. A caller counts its time
-// from the sending. The group's time stands still now and then, as it does where its leader changes, and never runs ahead.
+// The search is an exhaustive model check, within its bounds, of two callers that make a few calls on one lock. Each
+// call arrives once, twice or never, at any later time and in any order; each answer arrives at any later time, or
+// never. A caller counts its hold from the time of sending. The group time sometimes stands still, as it does during a
+// change of leader, and never runs ahead of real time.
 //
-// The search is exhaustive within its bounds, and the states that it has seen are values of one comparable type.
+// All states are values of one comparable type, so that a set of them tells which ones have been visited.
 const (
 	searchCallers = 2
-	searchCalls   = 3 // at most, of one caller
-	searchCopies  = 2 // of each call that may arrive
+	searchCalls   = 3 // maximum calls of one caller
+	searchCopies  = 2 // maximum arrivals of each call
 	beginHold     = 2 // ticks
-	heartbeatHold = 1 // ticks: shorter, as a caller may ask
+	heartbeatHold = 1 // ticks; shorter than beginHold, as a caller may ask for less
 	tick          = time.Millisecond
 )
 
-// searchTicks can be raised by hand: 4 takes some ten times as long as 3.
-var searchTicks = flag.Int("search.ticks", 3, "for how many ticks of time the search for two holders of a lock goes on")
+// searchTicks can be raised by hand: 4 takes about ten times as long as 3.
+var searchTicks = flag.Int("search.ticks", 3, "length, in ticks, of the search for two holders of one lock")
 
-// searchBounds is how far a search goes.
+// searchBounds limits a search.
 type searchBounds struct {
 	calls [searchCallers]int8
 	ticks int8
-	lag   int8 // for how many ticks in all the group's time may stand still
+	lag   int8 // total ticks for which the group time may stand still
 }
 
-// heldLock is the lock as the state has it; the zero value is free.
+// heldLock is the lock as the State stores it. The zero value is a free lock.
 type heldLock struct {
-	holder            int8 // caller, from 1
+	holder            int8 // number of the caller, starting at 1
 	firstFence, fence int8
-	expires           int8 // tick of the group's time
+	expires           int8 // tick of the group time
 }
 
-// searchCaller is one that wants the lock.
+// searchCaller is a caller that competes for the lock.
 type searchCaller struct {
-	sent    int8 // calls
-	awaits  int8 // the call whose answer it waits for, from 1; 0 for none
-	until   int8 // tick up to which it counts itself holder; 0 if it doesn't
-	fence   int8 // with which it does
-	granted int8 // highest fence that it was granted, told or not
+	callsSent    int8 // number of calls that it has sent
+	awaitedCall  int8 // number of the call whose answer it waits for, starting at 1; 0 for none
+	holdsUntil   int8 // tick until which it considers itself the holder; 0 if it doesn't
+	fence        int8 // fence of that hold
+	highestFence int8 // highest fence that it was granted, even if the answer never arrives
 }
 
-// searchCall is one that was sent; the zero value is one that doesn't matter any more.
+// searchCall is a call that was sent. The zero value is a call that can't have any further effect.
 type searchCall struct {
-	kind     wire.CommandKind
-	fence    int8
-	sentAt   int8
-	copies   int8
-	answer   wire.Outcome
-	answered int8 // fence in the answer
+	kind        wire.CommandKind
+	fence       int8
+	sentAt      int8
+	copies      int8 // arrivals that may still come
+	outcome     wire.Outcome
+	answerFence int8 // fence in the answer
 }
 
-// world is all that the future depends on.
-type world struct {
-	now, lag  int8 // tick of real time, and how far the group's time is behind
+// searchState is one state of the search: everything that decides what can happen next.
+type searchState struct {
+	now, lag  int8 // tick of real time, and by how many ticks the group time is behind it
 	lastFence int8
 	lock      heldLock
 	callers   [searchCallers]searchCaller
 	calls     [searchCallers][searchCalls]searchCall
 }
 
-// stepFunc applies one command to a state. Variants of it lack a guard.
+// stepFunc applies one command to a State. The variants of it each lack one check.
 type stepFunc func(s *State, c wire.Command, at time.Duration) wire.Answer
 
-// search is one search through worlds.
+// search is one search through all reachable states.
 type search struct {
 	bounds searchBounds
 	apply  stepFunc
-	seen   map[world]bool
-	// arrivals are those that were applied before.
-	arrivals map[arrivalKey]arrival
-	path     []event
+	seen   map[searchState]bool
+	// results caches the results of the calls that were applied before.
+	results map[resultKey]callResult
+	path    []step
 }
 
 var (
-	errTwoHolders = errors.New("two callers count themselves holder")
-	errLowFence   = errors.New("a caller was granted a fence that is not above one that another was granted before")
-	errOldFence   = errors.New("a heartbeat counted with a fence below one that another was granted")
+	errTwoHolders = errors.New("two callers consider themselves the holder")
+	errLowFence   = errors.New("a caller was granted a fence that is not higher than an earlier fence of the other caller")
+	errOldFence   = errors.New("a heartbeat was accepted with a lower fence than one granted to the other caller")
 )
 
-// visit goes on from a world in all ways, and returns the first violation.
-func (s *search) visit(w world) error {
-	w.rankFences()
-	if s.seen[w] {
+// visit explores everything that can follow a state, and returns the first violation.
+func (s *search) visit(st searchState) error {
+	st.normalizeFences()
+	if s.seen[st] {
 		return nil
 	}
-	s.seen[w] = true
-	if w.callers[0].until > 0 && w.callers[1].until > 0 {
+	s.seen[st] = true
+	if st.callers[0].holdsUntil > 0 && st.callers[1].holdsUntil > 0 {
 		return errTwoHolders
 	}
-	if err := s.visitTicks(w); err != nil {
+	if err := s.visitTicks(st); err != nil {
 		return err
 	}
-	for c := range w.callers {
-		if err := s.visitCaller(w, c); err != nil {
+	for c := range st.callers {
+		if err := s.visitCaller(st, c); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// rankFences renames the fences that matter by their rank, as nothing but their order does.
-func (w *world) rankFences() {
-	fences := w.fences()
+// normalizeFences replaces the fences in a state by their ranks. Only their order matters, so this merges equivalent
+// states.
+func (st *searchState) normalizeFences() {
+	fences := st.fences()
 	var ranks [128]int8
 	for _, fence := range fences {
 		ranks[*fence] = 1
@@ -131,150 +133,150 @@
 	}
 }
 
-// fences gives all places of a world that have a fence; 0 is none.
-func (w *world) fences() []*int8 {
-	fences := append(make([]*int8, 0, 32), &w.lastFence, &w.lock.firstFence, &w.lock.fence)
-	for c := range w.callers {
-		fences = append(fences, &w.callers[c].fence, &w.callers[c].granted)
-		for n := range w.calls[c] {
-			fences = append(fences, &w.calls[c][n].fence, &w.calls[c][n].answered)
+// fences returns pointers to all fences in a state; the value 0 means none.
+func (st *searchState) fences() []*int8 {
+	fences := append(make([]*int8, 0, 32), &st.lastFence, &st.lock.firstFence, &st.lock.fence)
+	for c := range st.callers {
+		fences = append(fences, &st.callers[c].fence, &st.callers[c].highestFence)
+		for n := range st.calls[c] {
+			fences = append(fences, &st.calls[c][n].fence, &st.calls[c][n].answerFence)
 		}
 	}
 	return fences
 }
 
-// event is what leads from one world to the next.
-type event struct {
+// step is a transition from one state to the next.
+type step struct {
 	what   string
 	caller int
 	call   searchCall
-	answer arrival
+	answer callResult
 }
 
-// follow visits the world that an event leads to. The events that lead to a violation are kept on the way back, the last one
-// first.
-func (s *search) follow(w world, e event) error {
-	err := s.visit(w)
+// visitNext visits the state that a step leads to. If there is a violation, it adds the step to the path, which
+// therefore begins with the last step.
+func (s *search) visitNext(st searchState, e step) error {
+	err := s.visit(st)
 	if err != nil {
 		s.path = append(s.path, e)
 	}
 	return err
 }
 
-// visitTicks lets time go on, with the group's time and without.
-func (s *search) visitTicks(w world) error {
-	if w.now == s.bounds.ticks || w == start() {
+// visitTicks advances real time by one tick, once together with the group time and once without it.
+func (s *search) visitTicks(st searchState) error {
+	if st.now == s.bounds.ticks || st == initialState() {
 		return nil // before the first call, time changes nothing
 	}
-	w.now++
-	for c := range w.callers {
-		if w.callers[c].until <= w.now {
-			w.callers[c].stop()
+	st.now++
+	for c := range st.callers {
+		if st.callers[c].holdsUntil <= st.now {
+			st.callers[c].stopHolding()
 		}
 	}
-	if err := s.follow(w, event{what: "time goes on"}); err != nil || w.lag == s.bounds.lag {
+	if err := s.visitNext(st, step{what: "time advances"}); err != nil || st.lag == s.bounds.lag {
 		return err
 	}
-	w.lag++
-	return s.follow(w, event{what: "time goes on, that of the group stands still"})
+	st.lag++
+	return s.visitNext(st, step{what: "time advances, group time stands still"})
 }
 
-// visitCaller lets a caller send, its calls arrive, and an answer reach it.
-func (s *search) visitCaller(w world, c int) error {
-	if err := s.visitSends(w, c); err != nil {
+// visitCaller explores all steps of one caller: sending a call, the arrival of a call, and receiving an answer.
+func (s *search) visitCaller(st searchState, c int) error {
+	if err := s.visitSends(st, c); err != nil {
 		return err
 	}
-	for n := range w.calls[c] {
-		if err := s.visitArrival(w, c, n); err != nil {
+	for n := range st.calls[c] {
+		if err := s.visitArrival(st, c, n); err != nil {
 			return err
 		}
 	}
-	return s.visitReceipt(w, c)
+	return s.visitReceipt(st, c)
 }
 
-// visitSends has a caller send what it may; it gives up an earlier call.
-func (s *search) visitSends(w world, c int) error {
-	if w.callers[c].sent == s.bounds.calls[c] {
+// visitSends has a caller send each kind of call that it may send. It then no longer waits for an earlier call.
+func (s *search) visitSends(st searchState, c int) error {
+	if st.callers[c].callsSent == s.bounds.calls[c] {
 		return nil
 	}
 	kinds := []wire.CommandKind{wire.BeginLock}
-	if w.callers[c].until > 0 {
+	if st.callers[c].holdsUntil > 0 {
 		kinds = append(kinds, wire.HeartbeatLock, wire.FinishLock)
 	}
 	for _, kind := range kinds {
-		next := w
+		next := st
 		next.send(c, kind)
-		sent := event{what: "sent", caller: c, call: next.calls[c][w.callers[c].sent]}
-		if err := s.follow(next, sent); err != nil {
+		sent := step{what: "sent", caller: c, call: next.calls[c][st.callers[c].callsSent]}
+		if err := s.visitNext(next, sent); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) send(c int, kind wire.CommandKind) {
-	w.giveUp(c)
-	caller := &w.callers[c]
-	w.calls[c][caller.sent] = searchCall{
-		kind: kind, fence: caller.fence, sentAt: w.now, copies: searchCopies,
+func (st *searchState) send(c int, kind wire.CommandKind) {
+	st.abandonCall(c)
+	caller := &st.callers[c]
+	st.calls[c][caller.callsSent] = searchCall{
+		kind: kind, fence: caller.fence, sentAt: st.now, copies: searchCopies,
 	}
 	if kind == wire.BeginLock {
-		w.calls[c][caller.sent].fence = 0
+		st.calls[c][caller.callsSent].fence = 0
 	}
 	if kind == wire.FinishLock {
-		caller.stop()
+		caller.stopHolding()
 	}
-	caller.sent++
-	caller.awaits = caller.sent
+	caller.callsSent++
+	caller.awaitedCall = caller.callsSent
 }
 
-// giveUp has a caller wait no longer.
-func (w *world) giveUp(c int) {
-	awaited := w.callers[c].awaits
+// abandonCall makes a caller stop waiting for an answer.
+func (st *searchState) abandonCall(c int) {
+	awaited := st.callers[c].awaitedCall
 	if awaited == 0 {
 		return
 	}
-	w.callers[c].awaits = 0
-	call := &w.calls[c][awaited-1]
-	call.sentAt, call.answer, call.answered = 0, 0, 0
+	st.callers[c].awaitedCall = 0
+	call := &st.calls[c][awaited-1]
+	call.sentAt, call.outcome, call.answerFence = 0, 0, 0
 	if call.copies == 0 {
 		*call = searchCall{}
 	}
 }
 
-func (c *searchCaller) stop() { c.until, c.fence = 0, 0 }
+func (c *searchCaller) stopHolding() { c.holdsUntil, c.fence = 0, 0 }
 
-// visitArrival has one copy of a call arrive, and its answer lost or under way.
-func (s *search) visitArrival(w world, c, n int) error {
-	call := w.calls[c][n]
+// visitArrival has one copy of a call arrive, once with its answer lost and once with the answer in flight.
+func (s *search) visitArrival(st searchState, c, n int) error {
+	call := st.calls[c][n]
 	if call.copies == 0 {
 		return nil
 	}
-	arrived := event{what: "arrived", caller: c, call: call, answer: s.arrive(&w, c, call)}
-	if err := w.take(c, call, arrived.answer); err != nil {
+	arrived := step{what: "arrived", caller: c, call: call, answer: s.applyCall(&st, c, call)}
+	if err := st.applyResult(c, call, arrived.answer); err != nil {
 		s.path = append(s.path, arrived)
 		return err
 	}
-	next := &w.calls[c][n]
+	next := &st.calls[c][n]
 	next.copies--
-	awaited := int(w.callers[c].awaits) == n+1
+	awaited := int(st.callers[c].awaitedCall) == n+1
 	if next.copies == 0 && !awaited {
 		*next = searchCall{}
 	}
-	if err := s.follow(w, arrived); err != nil {
+	if err := s.visitNext(st, arrived); err != nil {
 		return err
 	}
-	if !awaited || call.answer != 0 {
+	if !awaited || call.outcome != 0 {
 		return nil
 	}
-	arrived.what = "arrived, and will be answered"
-	next.answer, next.answered = arrived.answer.outcome, arrived.answer.fence
-	return s.follow(w, arrived)
+	arrived.what = "arrived, answer in flight"
+	next.outcome, next.answerFence = arrived.answer.outcome, arrived.answer.fence
+	return s.visitNext(st, arrived)
 }
 
-// arrivalKey is all that an arrival depends on, arrival what it leads to.
+// resultKey is everything on which the result of a call depends; callResult is the lock and the answer after the call.
 type (
-	arrivalKey struct {
+	resultKey struct {
 		lock      heldLock
 		lastFence int8
 		caller    int
@@ -282,7 +284,7 @@
 		fence     int8
 		at        int8
 	}
-	arrival struct {
+	callResult struct {
 		lock      heldLock
 		lastFence int8
 		outcome   wire.Outcome
@@ -290,35 +292,35 @@
 	}
 )
 
-// arrive applies a call to the state.
-func (s *search) arrive(w *world, c int, call searchCall) arrival {
-	key := arrivalKey{w.lock, w.lastFence, c, call.kind, call.fence, w.now - w.lag}
-	if known, ok := s.arrivals[key]; ok {
+// applyCall applies a call to the State, or returns the cached result.
+func (s *search) applyCall(st *searchState, c int, call searchCall) callResult {
+	key := resultKey{st.lock, st.lastFence, c, call.kind, call.fence, st.now - st.lag}
+	if known, ok := s.results[key]; ok {
 		return known
 	}
-	state := w.state()
+	state := st.state()
 	answer := s.apply(state, call.command(c), time.Duration(key.at)*tick)
-	result := arrival{
-		lock: lockOf(state), lastFence: int8(state.locks.lastFence), outcome: answer.Outcome, fence: int8(answer.Fence),
+	result := callResult{
+		lock: lockIn(state), lastFence: int8(state.locks.lastFence), outcome: answer.Outcome, fence: int8(answer.Fence),
 	}
-	s.arrivals[key] = result
+	s.results[key] = result
 	return result
 }
 
-// take has a world go on after an arrival.
-func (w *world) take(c int, call searchCall, result arrival) error {
-	w.lock, w.lastFence = result.lock, result.lastFence
+// applyResult changes a state by the result of a call, and checks the fence in it.
+func (st *searchState) applyResult(c int, call searchCall, result callResult) error {
+	st.lock, st.lastFence = result.lock, result.lastFence
 	if result.outcome != wire.Done {
 		return nil
 	}
-	other := w.callers[1-c].granted
+	other := st.callers[1-c].highestFence
 	switch {
 	case call.kind == wire.BeginLock && result.fence <= other:
 		return errLowFence
 	case call.kind == wire.HeartbeatLock && call.fence < other:
 		return errOldFence
 	}
-	w.callers[c].granted = max(w.callers[c].granted, result.fence)
+	st.callers[c].highestFence = max(st.callers[c].highestFence, result.fence)
 	return nil
 }
 
@@ -333,11 +335,11 @@
 	}
 }
 
-// state gives the state that a world has.
-func (w *world) state() *State {
+// state returns the State that a search state describes.
+func (st *searchState) state() *State {
 	s := New(testHistory)
-	s.locks.lastFence = uint64(w.lastFence)
-	if held := w.lock; held.holder > 0 {
+	s.locks.lastFence = uint64(st.lastFence)
+	if held := st.lock; held.holder > 0 {
 		s.locks.add(&lock{
 			name: "l", holder: fmt.Sprint(held.holder), firstFence: uint64(held.firstFence), fence: uint64(held.fence),
 			expires: time.Duration(held.expires) * tick,
@@ -346,8 +348,8 @@
 	return s
 }
 
-// lockOf gives the lock that a state has.
-func lockOf(s *State) heldLock {
+// lockIn returns the lock that a State holds.
+func lockIn(s *State) heldLock {
 	held := s.locks.byName["l"]
 	if held == nil {
 		return heldLock{}
@@ -358,42 +360,43 @@
 	}
 }
 
-// visitReceipt has the answer that is under way reach its caller.
-func (s *search) visitReceipt(w world, c int) error {
-	awaited := w.callers[c].awaits
-	if awaited == 0 || w.calls[c][awaited-1].answer == 0 {
+// visitReceipt delivers the answer that is in flight to its caller.
+func (s *search) visitReceipt(st searchState, c int) error {
+	awaited := st.callers[c].awaitedCall
+	if awaited == 0 || st.calls[c][awaited-1].outcome == 0 {
 		return nil
 	}
-	call := w.calls[c][awaited-1]
-	w.giveUp(c)
-	w.receive(c, call)
-	return s.follow(w, event{what: "answered", caller: c, call: call})
+	call := st.calls[c][awaited-1]
+	st.abandonCall(c)
+	st.receive(c, call)
+	return s.visitNext(st, step{what: "answered", caller: c, call: call})
 }
 
-// receive has a caller act on an answer.
-func (w *world) receive(c int, call searchCall) {
-	caller := &w.callers[c]
+// receive changes a caller by the answer to its call.
+func (st *searchState) receive(c int, call searchCall) {
+	caller := &st.callers[c]
 	switch {
 	case call.kind == wire.FinishLock:
-	case call.answer != wire.Done:
-		caller.stop()
+	case call.outcome != wire.Done:
+		caller.stopHolding()
 	case call.kind == wire.BeginLock:
-		caller.fence = call.answered
-		caller.holdFrom(call.sentAt, beginHold, w.now)
-	case caller.until > 0:
-		caller.holdFrom(call.sentAt, heartbeatHold, w.now)
+		caller.fence = call.answerFence
+		caller.holdFrom(call.sentAt, beginHold, st.now)
+	case caller.holdsUntil > 0:
+		caller.holdFrom(call.sentAt, heartbeatHold, st.now)
 	}
 }
 
-// holdFrom has a caller count itself holder for a span from the sending, if that isn't over.
+// holdFrom makes a caller the holder, in its own view, for a hold that counts from the sending, unless that has passed.
 func (c *searchCaller) holdFrom(sentAt, hold, now int8) {
-	c.until = sentAt + hold
-	if c.until <= now {
-		c.stop()
+	c.holdsUntil = sentAt + hold
+	if c.holdsUntil <= now {
+		c.stopHolding()
 	}
 }
 
-// String gives the events that led to a violation, a line each. Fences are named by their rank at the time.
+// String returns the steps that led to a violation, one per line. Fences are given by their rank in the state of the
+// step.
 func (s *search) String() string {
 	var lines strings.Builder
 	for _, e := range slices.Backward(s.path) {
@@ -402,14 +405,14 @@
 	return lines.String()
 }
 
-// start gives the world in which nothing has happened.
-func start() world { return world{now: 1} }
+// initialState returns the state before any call was sent.
+func initialState() searchState { return searchState{now: 1} }
 
 func newSearch(bounds searchBounds, apply stepFunc) *search {
-	return &search{bounds: bounds, apply: apply, seen: map[world]bool{}, arrivals: map[arrivalKey]arrival{}}
+	return &search{bounds: bounds, apply: apply, seen: map[searchState]bool{}, results: map[resultKey]callResult{}}
 }
 
-func boundsOf(calls [searchCallers]int8) searchBounds {
+func newBounds(calls [searchCallers]int8) searchBounds {
 	return searchBounds{calls: calls, ticks: int8(*searchTicks), lag: 1}
 }
 
@@ -417,41 +420,41 @@
 	for _, calls := range [][searchCallers]int8{{3, 1}, {2, 2}} {
 		t.Run(fmt.Sprint(calls), func(t *testing.T) {
 			t.Parallel()
-			s := newSearch(boundsOf(calls), applyOne)
-			err := s.visit(start())
+			s := newSearch(newBounds(calls), applyOne)
+			err := s.visit(initialState())
 			assert.NilError(t, err, "%s", s)
-			t.Logf("%d worlds", len(s.seen))
+			t.Logf("%d states", len(s.seen))
 		})
 	}
 }
 
-// The variants lack a guard each: they change the state or the command around the step.
+// searchVariants each remove one check, by changing the State or the command before or after the command is applied.
 var searchVariants = []struct {
 	name  string
 	apply stepFunc
 	want  error
 }{
-	{"a renewed Begin keeps its fence", beginKeepsFence, errTwoHolders},
-	{"a Heartbeat counts with the fence of an earlier hold", heartbeatOfEarlierHold, errOldFence},
-	{"a Heartbeat shortens", heartbeatShortens, errTwoHolders},
-	{"a Finish frees whatever its fence", finishOfAnyFence, errTwoHolders},
-	{"a lock is free too early", freeTooEarly, errTwoHolders},
-	{"fences begin anew with each hold", fencesBeginAnew, errLowFence},
+	{"a renewing Begin keeps the old fence", renewingBeginKeepsFence, errTwoHolders},
+	{"a Heartbeat accepts the fence of an earlier hold", heartbeatAcceptsFenceOfEarlierHold, errOldFence},
+	{"a Heartbeat shortens the hold", heartbeatShortensHold, errTwoHolders},
+	{"a Finish ignores its fence", finishIgnoresFence, errTwoHolders},
+	{"a lock expires too early", lockExpiresTooEarly, errTwoHolders},
+	{"fences restart with each hold", fencesRestart, errLowFence},
 }
 
-func TestSearchCatchesMissingGuards(t *testing.T) {
+func TestSearchFindsMissingChecks(t *testing.T) {
 	for _, variant := range searchVariants {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
-			s := newSearch(boundsOf([searchCallers]int8{3, 1}), variant.apply)
-			err := s.visit(start())
-			assert.ErrorIs(t, err, variant.want, "after %d worlds:%s", len(s.seen), s)
-			t.Logf("%v after %d worlds", err, len(s.seen))
+			s := newSearch(newBounds([searchCallers]int8{3, 1}), variant.apply)
+			err := s.visit(initialState())
+			assert.ErrorIs(t, err, variant.want, "after %d states:%s", len(s.seen), s)
+			t.Logf("%v after %d states", err, len(s.seen))
 		})
 	}
 }
 
-func beginKeepsFence(s *State, c wire.Command, at time.Duration) wire.Answer {
+func renewingBeginKeepsFence(s *State, c wire.Command, at time.Duration) wire.Answer {
 	s.Apply(nil, at)
 	held := s.locks.byName[c.Name]
 	if c.Kind != wire.BeginLock || held == nil || held.holder != c.Holder {
@@ -463,14 +466,14 @@
 	return granted(fence)
 }
 
-func heartbeatOfEarlierHold(s *State, c wire.Command, at time.Duration) wire.Answer {
+func heartbeatAcceptsFenceOfEarlierHold(s *State, c wire.Command, at time.Duration) wire.Answer {
 	if held := s.locks.byName[c.Name]; held != nil && c.Kind == wire.HeartbeatLock {
 		held.firstFence = 1
 	}
 	return applyOne(s, c, at)
 }
 
-func heartbeatShortens(s *State, c wire.Command, at time.Duration) wire.Answer {
+func heartbeatShortensHold(s *State, c wire.Command, at time.Duration) wire.Answer {
 	answer := applyOne(s, c, at)
 	if c.Kind == wire.HeartbeatLock && answer.Outcome == wire.Done {
 		s.locks.byName[c.Name].expires = at + holdDuration(&c)
@@ -478,19 +481,19 @@
 	return answer
 }
 
-func finishOfAnyFence(s *State, c wire.Command, at time.Duration) wire.Answer {
+func finishIgnoresFence(s *State, c wire.Command, at time.Duration) wire.Answer {
 	if held := s.locks.byName[c.Name]; held != nil && c.Kind == wire.FinishLock {
 		c.Fence = held.fence
 	}
 	return applyOne(s, c, at)
 }
 
-func freeTooEarly(s *State, c wire.Command, at time.Duration) wire.Answer {
+func lockExpiresTooEarly(s *State, c wire.Command, at time.Duration) wire.Answer {
 	s.locks.expire(at + tick)
 	return applyOne(s, c, at)
 }
 
-func fencesBeginAnew(s *State, c wire.Command, at time.Duration) wire.Answer {
+func fencesRestart(s *State, c wire.Command, at time.Duration) wire.Answer {
 	s.Apply(nil, at)
 	if len(s.locks.byName) == 0 {
 		s.locks.lastFence = 0
--- a/control/coordination/model_random_test.go
+++ b/control/coordination/model_random_test.go
@@ -12,17 +12,17 @@
 
 const modelHistory = 10 * time.Second
 
-// trial plays entries on two replicas and on the model. Commands come again at any later time.
-type trial struct {
+// modelTest applies random entries to two replicas and to the model. Commands may be repeated at any later time.
+type modelTest struct {
 	first, second *StateMachine
 	model         *model
 	sent          []wire.Command
-	fences        []uint64 // that were handed out
+	fences        []uint64 // the fences granted so far
 	now           time.Duration
 }
 
-func newTrial() *trial {
-	return &trial{
+func newModelTest() *modelTest {
+	return &modelTest{
 		first:  NewStateMachine(modelHistory),
 		second: NewStateMachine(modelHistory),
 		model:  newModel(modelHistory),
@@ -30,7 +30,7 @@
 	}
 }
 
-func (tr *trial) drawCommand(t *rapid.T) wire.Command {
+func (tr *modelTest) drawCommand(t *rapid.T) wire.Command {
 	if len(tr.sent) > 0 && rapid.IntRange(0, 3).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(tr.sent).Draw(t, "late")
 	}
@@ -39,7 +39,7 @@
 	return c
 }
 
-func (tr *trial) drawNew(t *rapid.T) wire.Command {
+func (tr *modelTest) drawNew(t *rapid.T) wire.Command {
 	lock := rapid.SampledFrom([]string{"l", "m", "o"})
 	holder := rapid.SampledFrom([]string{"a", "b", "c"})
 	fence := rapid.SampledFrom(tr.fences)
@@ -68,16 +68,16 @@
 	return c
 }
 
-// drawTime has the time stand still, go on, jump or fall back.
-func (tr *trial) drawTime(t *rapid.T) time.Duration {
+// drawTime returns a group time that stands still, advances, jumps or goes back.
+func (tr *modelTest) drawTime(t *rapid.T) time.Duration {
 	step := rapid.SampledFrom([]time.Duration{0, 1, time.Second, 3 * time.Second, modelHistory, -time.Second})
 	at := tr.now + step.Draw(t, "time")
 	tr.now = max(tr.now, at)
 	return at
 }
 
-// entry applies some commands, and compares the answers with the model's and the replicas with each other.
-func (tr *trial) entry(t *rapid.T) {
+// applyEntry applies some commands, and compares the answers with those of the model and the replicas with each other.
+func (tr *modelTest) applyEntry(t *rapid.T) {
 	at := tr.drawTime(t)
 	commands := make([]wire.Command, rapid.IntRange(0, 4).Draw(t, "commands"))
 	want := make([]wire.Answer, len(commands))
@@ -100,8 +100,8 @@
 	assertSameBytes(t, tr.second.Snapshot(), after)
 }
 
-// restore has the second replica begin anew from a snapshot.
-func (tr *trial) restore(t *rapid.T) {
+// restoreSecond replaces the second replica by one that is restored from a snapshot.
+func (tr *modelTest) restoreSecond(t *rapid.T) {
 	snapshot := tr.first.Snapshot()
 	tr.second = NewStateMachine(modelHistory)
 	assert.NilError(t, tr.second.Restore(snapshot))
@@ -110,8 +110,8 @@
 	assert.Equal(t, tr.second.records.bytes, tr.first.records.bytes)
 }
 
-// ask compares an answer from memory with the model's, and sees that nothing changes.
-func (tr *trial) ask(t *rapid.T) {
+// compareTryAnswer compares the answer of TryAnswer with that of the model, and checks that it changes nothing.
+func (tr *modelTest) compareTryAnswer(t *rapid.T) {
 	c := tr.drawNew(t)
 	later := rapid.SampledFrom([]time.Duration{0, time.Second, 5 * time.Second}).Draw(t, "later")
 	before := tr.first.Snapshot()
@@ -131,21 +131,21 @@
 	default:
 		assert.Assert(t, !ready)
 	}
-	assert.Equal(t, tr.first.Revision("g."), tr.model.newest("g."))
+	assert.Equal(t, tr.first.Revision("g."), tr.model.newestRevision("g."))
 }
 
-func (m *model) newest(group string) uint64 {
+func (m *model) newestRevision(group string) uint64 {
 	newest, _ := m.revision(group)
 	return newest
 }
 
-func TestStateIsThatOfTheModel(t *testing.T) {
+func TestStateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tr := newTrial()
+		tr := newModelTest()
 		t.Repeat(map[string]func(*rapid.T){
-			"entry":   tr.entry,
-			"restore": tr.restore,
-			"ask":     tr.ask,
+			"entry":   tr.applyEntry,
+			"restore": tr.restoreSecond,
+			"ask":     tr.compareTryAnswer,
 		})
 	})
 }
--- a/control/coordination/model_test.go
+++ b/control/coordination/model_test.go
@@ -6,20 +6,21 @@
 	"ivybank/wire"
 )
 
-// model is the state as the rules tell it: it keeps all that ever happened, and looks through all of it for each answer.
+// model is a simple reference implementation of State: it keeps everything that ever happened, and goes through all of
+// it for each answer.
 type model struct {
 	history time.Duration
 	now     time.Duration
 	fences  uint64
 	holds   map[string]*modelHold
 	numbers map[string]uint64
-	puts    []modelPut // rejected ones too
+	puts    []modelPut // including the rejected ones
 }
 
-// modelHold is the newest hold of a lock; it may be over.
+// modelHold is the newest hold of a lock; it may have ended.
 type modelHold struct {
 	holder   string
-	fences   []uint64 // of all its Begins
+	fences   []uint64 // one for each granted Begin
 	until    time.Duration
 	finished bool
 }
@@ -55,7 +56,7 @@
 	}
 }
 
-// held gives the hold of a lock that isn't over.
+// held returns the current hold of a lock, or nil if the lock is free.
 func (m *model) held(name string) *modelHold {
 	hold := m.holds[name]
 	if hold == nil || hold.finished || hold.until <= m.now {
@@ -99,20 +100,20 @@
 	return wire.Answer{Outcome: wire.Done}
 }
 
-// remembered tells whether the history reaches back to a put.
+// remembered reports whether the history reaches back to a put.
 func (m *model) remembered(p modelPut) bool { return p.at >= m.now-m.history }
 
-// present gives the newest put of a key.
-func (m *model) present(key string) (present wire.Change) {
+// current returns the newest put of a key.
+func (m *model) current(key string) (current wire.Change) {
 	for _, p := range m.puts {
 		if p.change.Key == key && !p.rejected {
-			present = p.change
+			current = p.change
 		}
 	}
-	return present
+	return current
 }
 
-// revision gives the newest revision of a group, and the highest one that is forgotten.
+// revision returns the newest revision of a group, and the highest one that is no longer remembered.
 func (m *model) revision(group string) (newest, forgotten uint64) {
 	for _, p := range m.puts {
 		if p.rejected || GroupOf(p.change.Key) != group {
@@ -127,24 +128,24 @@
 }
 
 func (m *model) replace(c wire.Command) wire.Answer {
-	present := m.present(c.Name)
-	if present.Revision > 0 && present.Value == c.Value {
-		return wire.Answer{Outcome: wire.Done, Revision: present.Revision}
+	current := m.current(c.Name)
+	if current.Revision > 0 && current.Value == c.Value {
+		return wire.Answer{Outcome: wire.Done, Revision: current.Revision}
 	}
 	for _, p := range m.puts {
 		if p.change.Key != c.Name || p.change.Value != c.Value || !m.remembered(p) {
 			continue
 		}
 		if p.rejected {
-			return wire.Answer{Outcome: wire.Mismatched, Revision: present.Revision}
+			return wire.Answer{Outcome: wire.Mismatched, Revision: current.Revision}
 		}
 		return wire.Answer{Outcome: wire.Done, Revision: p.change.Revision}
 	}
 	put := modelPut{at: m.now, change: wire.Change{Key: c.Name, Value: c.Value}}
-	if c.IfRevision != nil && *c.IfRevision != present.Revision {
+	if c.IfRevision != nil && *c.IfRevision != current.Revision {
 		put.rejected = true
 		m.puts = append(m.puts, put)
-		return wire.Answer{Outcome: wire.Mismatched, Revision: present.Revision}
+		return wire.Answer{Outcome: wire.Mismatched, Revision: current.Revision}
 	}
 	newest, _ := m.revision(GroupOf(c.Name))
 	put.change.Revision = newest + 1
@@ -153,11 +154,11 @@
 }
 
 func (m *model) get(c wire.Command) wire.Answer {
-	present := m.present(c.Name)
-	if present.Revision == 0 {
+	current := m.current(c.Name)
+	if current.Revision == 0 {
 		return wire.Answer{Outcome: wire.NotFound}
 	}
-	return wire.Answer{Outcome: wire.Done, Value: present.Value, Revision: present.Revision}
+	return wire.Answer{Outcome: wire.Done, Value: current.Value, Revision: current.Revision}
 }
 
 func (m *model) watch(c wire.Command) wire.Answer {
--- a/control/coordination/rules_test.go
+++ b/control/coordination/rules_test.go
@@ -35,7 +35,7 @@
 	return wire.Command{Kind: wire.ReplaceKey, Name: key, Value: value}
 }
 
-func putOver(key, value string, revision uint64) wire.Command {
+func putIf(key, value string, revision uint64) wire.Command {
 	c := put(key, value)
 	c.IfRevision = &revision
 	return c
@@ -47,7 +47,7 @@
 	return wire.Command{Kind: wire.WatchGroup, Name: group, After: after, WaitMS: 2000}
 }
 
-// applyOne applies applyOne command.
+// applyOne applies one command and returns its answer.
 func applyOne(s *State, c wire.Command, at time.Duration) wire.Answer {
 	return s.Apply([]wire.Command{c}, at)[0]
 }
@@ -62,7 +62,7 @@
 	return wire.Answer{Outcome: wire.Mismatched, Revision: revision}
 }
 
-func TestOneHolder(t *testing.T) {
+func TestLockHasOneHolder(t *testing.T) {
 	s := New(testHistory)
 	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 0), granted(1))
 	assert.DeepEqual(t, applyOne(s, begin("l", "b"), testHold-1), outcome(wire.HeldByOther))
@@ -73,7 +73,7 @@
 	assert.DeepEqual(t, applyOne(s, begin("l", "a"), testHold), outcome(wire.HeldByOther))
 }
 
-func TestOneLateFinishFreesNothing(t *testing.T) {
+func TestLateFinishReleasesNothing(t *testing.T) {
 	s := New(testHistory)
 	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 0), granted(1))
 	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 1), granted(2))
@@ -87,7 +87,7 @@
 	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2), granted(3))
 }
 
-func TestOneHeartbeatOfTheSameHoldOnly(t *testing.T) {
+func TestHeartbeatNeedsFenceOfCurrentHold(t *testing.T) {
 	s := New(testHistory)
 	applyOne(s, begin("l", "a"), 0)
 	assert.DeepEqual(t, applyOne(s, begin("l", "a"), 1), granted(2))
@@ -101,7 +101,7 @@
 	assert.DeepEqual(t, applyOne(s, heartbeat("l", "a", 4), 4), done())
 }
 
-func TestOneHeartbeatNeverShortens(t *testing.T) {
+func TestHeartbeatNeverShortensHold(t *testing.T) {
 	s := New(testHistory)
 	long := begin("l", "a")
 	long.HoldMS = 2 * testHold.Milliseconds()
@@ -113,7 +113,7 @@
 	assert.DeepEqual(t, applyOne(s, begin("l", "b"), 2*testHold), granted(3))
 }
 
-func TestOneHeldForLongerKeepsNoOtherFromExpiring(t *testing.T) {
+func TestExtendedLockDoesNotDelayExpiryOfOthers(t *testing.T) {
 	s := New(testHistory)
 	applyOne(s, begin("l", "a"), 0)
 	applyOne(s, begin("m", "a"), 1)
@@ -123,14 +123,14 @@
 	assert.DeepEqual(t, applyOne(s, begin("l", "b"), testHold+2), granted(4))
 }
 
-func TestOneTimeNeverFalls(t *testing.T) {
+func TestGroupTimeNeverDecreases(t *testing.T) {
 	s := New(testHistory)
 	applyOne(s, begin("l", "a"), testHold)
 	assert.DeepEqual(t, applyOne(s, begin("m", "a"), 0), granted(2))
 	assert.DeepEqual(t, applyOne(s, begin("m", "b"), 2*testHold-1), outcome(wire.HeldByOther))
 }
 
-func TestFreeLocksAreForgotten(t *testing.T) {
+func TestExpiredLocksAreRemoved(t *testing.T) {
 	s := New(testHistory)
 	for i := range 100 {
 		applyOne(s, begin(fmt.Sprint(i), "a"), time.Duration(i))
@@ -142,7 +142,7 @@
 	assert.Equal(t, len(s.locks.byName)+len(s.locks.byExpiry), 0)
 }
 
-func TestOrderOfNumbers(t *testing.T) {
+func TestNumbersIncrease(t *testing.T) {
 	s := New(testHistory)
 	for i := range uint64(3) {
 		assert.DeepEqual(t, applyOne(s, number("n"), 0), wire.Answer{Outcome: wire.Done, Number: i + 1})
@@ -150,21 +150,21 @@
 	assert.DeepEqual(t, applyOne(s, number("m"), 0), wire.Answer{Outcome: wire.Done, Number: 1})
 }
 
-func TestOrderOfRevisions(t *testing.T) {
+func TestRevisionsIncreaseWithinGroup(t *testing.T) {
 	s := New(testHistory)
 	assert.DeepEqual(t, applyOne(s, put("g.a", "1"), 0), revised(1))
-	assert.DeepEqual(t, applyOne(s, putOver("g.b", "2", 0), 0), revised(2))
-	assert.DeepEqual(t, applyOne(s, putOver("g.b", "3", 2), 0), revised(3))
+	assert.DeepEqual(t, applyOne(s, putIf("g.b", "2", 0), 0), revised(2))
+	assert.DeepEqual(t, applyOne(s, putIf("g.b", "3", 2), 0), revised(3))
 	assert.DeepEqual(t, applyOne(s, put("h.a", "4"), 0), revised(1))
 	assert.DeepEqual(t, applyOne(s, put("g", "5"), 0), revised(1))
-	assert.DeepEqual(t, applyOne(s, putOver("g.b", "6", 2), 0), mismatched(3))
-	assert.DeepEqual(t, applyOne(s, putOver("g.a", "7", 0), 0), mismatched(1))
-	assert.DeepEqual(t, applyOne(s, putOver("g.c", "8", 1), 0), mismatched(0))
+	assert.DeepEqual(t, applyOne(s, putIf("g.b", "6", 2), 0), mismatched(3))
+	assert.DeepEqual(t, applyOne(s, putIf("g.a", "7", 0), 0), mismatched(1))
+	assert.DeepEqual(t, applyOne(s, putIf("g.c", "8", 1), 0), mismatched(0))
 	assert.Equal(t, s.Revision("g."), uint64(3))
 	assert.Equal(t, s.Revision("nobody."), uint64(0))
 }
 
-func TestOrderOfEvents(t *testing.T) {
+func TestWatchReturnsEventsInOrder(t *testing.T) {
 	s := New(testHistory)
 	applyOne(s, put("g.a", "1"), 0)
 	applyOne(s, put("g.b", "2"), 0)
@@ -186,7 +186,7 @@
 	assert.Assert(t, !ready)
 }
 
-func TestStaleReadsAreNone(t *testing.T) {
+func TestGetReturnsNewestPut(t *testing.T) {
 	s := New(testHistory)
 	assert.DeepEqual(t, applyOne(s, get("g.a"), 0), outcome(wire.NotFound))
 	applyOne(s, put("g.a", "1"), 0)
@@ -196,30 +196,30 @@
 	assert.DeepEqual(t, answer, wire.Answer{Outcome: wire.Done, Value: "2", Revision: 2})
 }
 
-func TestMixedPutAgainKeepsItsRevision(t *testing.T) {
+func TestRepeatedPutKeepsItsRevision(t *testing.T) {
 	s := New(testHistory)
 	applyOne(s, put("g.a", "1"), 0)
-	applyOne(s, putOver("g.a", "2", 1), 0)
+	applyOne(s, putIf("g.a", "2", 1), 0)
 	applyOne(s, put("g.a", "3"), 0)
 	assert.DeepEqual(t, applyOne(s, put("g.a", "1"), testHistory), revised(1))
-	assert.DeepEqual(t, applyOne(s, putOver("g.a", "2", 1), testHistory), revised(2))
-	assert.DeepEqual(t, applyOne(s, putOver("g.a", "2", 3), testHistory), revised(2))
+	assert.DeepEqual(t, applyOne(s, putIf("g.a", "2", 1), testHistory), revised(2))
+	assert.DeepEqual(t, applyOne(s, putIf("g.a", "2", 3), testHistory), revised(2))
 	assert.DeepEqual(t, applyOne(s, put("g.a", "3"), 10*testHistory), revised(3))
 	assert.DeepEqual(t, applyOne(s, get("g.a"), 0), wire.Answer{Outcome: wire.Done, Value: "3", Revision: 3})
 	assert.Equal(t, s.Revision("g."), uint64(3))
 }
 
-func TestRefusedPutNeverSucceeds(t *testing.T) {
+func TestRejectedPutNeverSucceeds(t *testing.T) {
 	s := New(testHistory)
 	applyOne(s, put("g.a", "1"), 0)
-	assert.DeepEqual(t, applyOne(s, putOver("g.a", "x", 2), 0), mismatched(1))
+	assert.DeepEqual(t, applyOne(s, putIf("g.a", "x", 2), 0), mismatched(1))
 	applyOne(s, put("g.a", "2"), 0)
-	assert.DeepEqual(t, applyOne(s, putOver("g.a", "x", 2), testHistory), mismatched(2))
+	assert.DeepEqual(t, applyOne(s, putIf("g.a", "x", 2), testHistory), mismatched(2))
 	assert.DeepEqual(t, applyOne(s, put("g.a", "x"), testHistory), mismatched(2))
 	assert.DeepEqual(t, applyOne(s, get("g.a"), testHistory), wire.Answer{Outcome: wire.Done, Value: "2", Revision: 2})
 }
 
-func TestLostHistoryIsTold(t *testing.T) {
+func TestWatchBeyondHistoryIsCompacted(t *testing.T) {
 	s := New(testHistory)
 	for i := range 4 {
 		applyOne(s, put("g.a", fmt.Sprint(i)), time.Duration(i)*time.Second)
@@ -234,16 +234,16 @@
 	assert.Equal(t, len(s.records.queue)+len(s.records.byKeyValue)+s.records.bytes, 0)
 }
 
-func TestLostNothingByARestore(t *testing.T) {
+func TestRestoreLosesNothing(t *testing.T) {
 	m := NewStateMachine(testHistory)
 	m.Apply(Encode([]wire.Command{
-		begin("l", "a"), begin("l", "a"), number("n"), put("g.a", "1"), put("g.a", "2"), putOver("g.a", "x", 1),
+		begin("l", "a"), begin("l", "a"), number("n"), put("g.a", "1"), put("g.a", "2"), putIf("g.a", "x", 1),
 	}), 5)
 	restored := NewStateMachine(testHistory)
 	assert.NilError(t, restored.Restore(m.Snapshot()))
 	assertSameBytes(t, restored.Snapshot(), m.Snapshot())
 	again := []wire.Command{
-		heartbeat("l", "a", 1), begin("l", "b"), number("n"), put("g.a", "1"), watch("g.", 1), putOver("g.a", "x", 2),
+		heartbeat("l", "a", 1), begin("l", "b"), number("n"), put("g.a", "1"), watch("g.", 1), putIf("g.a", "x", 2),
 	}
 	m.Apply(Encode(again), 6)
 	restored.Apply(Encode(again), 6)
@@ -254,7 +254,7 @@
 	})
 }
 
-func TestAnswerFromMemory(t *testing.T) {
+func TestTryAnswer(t *testing.T) {
 	s := New(testHistory)
 	applyOne(s, begin("l", "a"), 0)
 	answer, ready := s.TryAnswer(ptr(begin("l", "b")), testHold-1)
