--- a/coordclient/client.go
+++ b/coordclient/client.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// silence is after how long an attempt counts as failed.
-	silence = time.Second
-	// firstPause and longestPause bound the pauses between attempts.
-	firstPause   = 20 * time.Millisecond
-	longestPause = 500 * time.Millisecond
+	// attemptTimeout is after how long an attempt counts as failed.
+	attemptTimeout = time.Second
+	// initialBackoff and longestPause bound the pauses between attempts.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 	// maxAnswerBytes is the largest answer that is read.
-	maxAnswerBytes = 16 << 20
-	connsOfOne     = 16 // idle connections that are kept to one address
+	maxAnswerBytes         = 16 << 20
+	maxIdleConnsPerAddress = 16 // idle connections that are kept to one address
 )
 
 // Client calls the control processes of one fleet. It is safe for concurrent use.
@@ -52,7 +52,7 @@
 	}
 	transport := options.Transport
 	if transport == nil {
-		transport = &http.Transport{MaxIdleConnsPerHost: connsOfOne, DialContext: (&net.Dialer{Timeout: silence}).DialContext}
+		transport = &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerAddress, DialContext: (&net.Dialer{Timeout: attemptTimeout}).DialContext}
 	}
 	c := &Client{addresses: append([]string{}, options.Addresses...), http: &http.Client{Transport: transport}}
 	c.preferred.Store(rand.Uint32N(uint32(len(c.addresses))))
@@ -64,14 +64,14 @@
 
 // call is one call, whichever address it goes to.
 type call struct {
-	method   string
-	path     string
-	body     any           // sent as JSON; nil for none
-	patience time.Duration // for one attempt
+	method  string
+	path    string
+	body    any           // sent as JSON; nil for none
+	timeout time.Duration // for one attempt
 }
 
 func post(path string, body any) *call {
-	return &call{method: http.MethodPost, path: path, body: body, patience: silence}
+	return &call{method: http.MethodPost, path: path, body: body, timeout: attemptTimeout}
 }
 
 // reply is a clear answer.
@@ -81,8 +81,8 @@
 	sent   time.Time // when the attempt that was answered was sent
 }
 
-// read takes a 200's body.
-func (r *reply) read(into any) error {
+// decode takes a 200's body.
+func (r *reply) decode(into any) error {
 	if r.status != http.StatusOK {
 		return &StatusError{r.status}
 	}
@@ -99,17 +99,17 @@
 		return nil, err
 	}
 	failure := &UnansweredError{}
-	at := c.preferred.Load()
-	for pause := firstPause; ctx.Err() == nil; pause = min(2*pause, longestPause) {
-		r, err := c.attempt(ctx, call, c.addresses[at], body)
+	index := c.preferred.Load()
+	for backoff := initialBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
+		r, err := c.attempt(ctx, call, c.addresses[index], body)
 		if err == nil {
-			c.preferred.Store(at)
+			c.preferred.Store(index)
 			return r, nil
 		}
 		failure.Last = err
-		failure.MayHaveTakenEffect = failure.MayHaveTakenEffect || !promisesNothing(err)
-		at = (at + 1) % uint32(len(c.addresses))
-		sleep(ctx, jittered(pause))
+		failure.MayHaveTakenEffect = failure.MayHaveTakenEffect || !hadNoEffect(err)
+		index = (index + 1) % uint32(len(c.addresses))
+		sleep(ctx, withJitter(backoff))
 	}
 	failure.Cause = context.Cause(ctx)
 	return nil, failure
@@ -124,7 +124,7 @@
 
 // attempt sends a call to one address. An error means that another attempt is due.
 func (c *Client) attempt(ctx context.Context, call *call, address string, body []byte) (*reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, call.patience)
+	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+address+call.path, bytes.NewReader(body))
 	if err != nil {
@@ -133,24 +133,24 @@
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	r := &reply{sent: time.Now()}
-	answer, err := c.http.Do(request)
+	answered := &reply{sent: time.Now()}
+	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	r.status = answer.StatusCode
-	if r.status >= http.StatusInternalServerError || r.status == http.StatusTooManyRequests {
-		_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxAnswerBytes)) // so that the connection is used again
-		return nil, &StatusError{r.status}
+	defer response.Body.Close()
+	answered.status = response.StatusCode
+	if answered.status >= http.StatusInternalServerError || answered.status == http.StatusTooManyRequests {
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswerBytes)) // so that the connection is used again
+		return nil, &StatusError{answered.status}
 	}
-	r.body, err = io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
-	return r, err
+	answered.body, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	return answered, err
 }
 
-// promisesNothing says whether a failed attempt can't have taken effect, now or later: it was never sent, or it was answered
+// hadNoEffect says whether a failed attempt can't have taken effect, now or later: it was never sent, or it was answered
 // 429 or 503.
-func promisesNothing(err error) bool {
+func hadNoEffect(err error) bool {
 	var status *StatusError
 	if errors.As(err, &status) {
 		return status.Status == http.StatusTooManyRequests || status.Status == http.StatusServiceUnavailable
@@ -159,12 +159,12 @@
 	return errors.As(err, &network) && network.Op == "dial"
 }
 
-// jittered draws a pause between half and all of the one given.
-func jittered(pause time.Duration) time.Duration { return pause/2 + rand.N(pause/2) }
+// withJitter draws a pause between half and all of the one given.
+func withJitter(backoff time.Duration) time.Duration { return backoff/2 + rand.N(backoff/2) }
 
 // sleep waits, or until the context ends.
-func sleep(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(pause)
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/coordclient/example_test.go
+++ b/coordclient/example_test.go
@@ -14,7 +14,7 @@
 
 // exampleClient stands for coordclient.New with the addresses of a fleet's control processes.
 func exampleClient() (*coordclient.Client, func()) {
-	server := httptest.NewServer(newStandIn())
+	server := httptest.NewServer(newFakeServer())
 	client, err := coordclient.New(coordclient.Options{Addresses: []string{strings.TrimPrefix(server.URL, "http://")}})
 	if err != nil {
 		log.Fatal(err)
--- a/coordclient/fake_server_test.go
+++ b/coordclient/fake_server_test.go
@@ -27,21 +27,21 @@
 	Rev   uint64 `json:"rev"`
 }
 
-// standIn serves the calls from memory, as one group of keys. All addresses of a test share it.
-type standIn struct {
-	mu        sync.Mutex
-	locks     map[string]*heldLock
-	fence     uint64
-	numbers   map[string]uint64
-	changes   []change
-	forgotten uint64 // watches after an earlier revision get 410
+// fakeServer serves the calls from memory, as one group of keys. All addresses of a test share it.
+type fakeServer struct {
+	mu                sync.Mutex
+	locks             map[string]*heldLock
+	fence             uint64
+	numbers           map[string]uint64
+	changes           []change
+	compactedRevision uint64 // watches after an earlier revision get 410
 }
 
-func newStandIn() *standIn {
-	return &standIn{locks: map[string]*heldLock{}, numbers: map[string]uint64{}}
+func newFakeServer() *fakeServer {
+	return &fakeServer{locks: map[string]*heldLock{}, numbers: map[string]uint64{}}
 }
 
-type standInRequest struct {
+type fakeRequest struct {
 	Holder     string  `json:"holder"`
 	Fence      uint64  `json:"fence"`
 	HoldMS     int64   `json:"hold_ms"`
@@ -49,13 +49,13 @@
 	IfRevision *uint64 `json:"if_revision"`
 }
 
-func (s *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	verb, id, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/v1/"), "/")
 	if verb == "watch" {
 		s.watch(w, r)
 		return
 	}
-	var q standInRequest
+	var q fakeRequest
 	if r.Method == http.MethodPost {
 		_ = json.NewDecoder(r.Body).Decode(&q)
 	}
@@ -70,10 +70,10 @@
 		if l := s.locks[id]; l != nil && l.fence == q.Fence {
 			delete(s.locks, id)
 		}
-		answer(w, http.StatusOK, nil)
+		writeAnswer(w, http.StatusOK, nil)
 	case "numbers":
 		s.numbers[id]++
-		answer(w, http.StatusOK, map[string]any{"value": s.numbers[id]})
+		writeAnswer(w, http.StatusOK, map[string]any{"value": s.numbers[id]})
 	case "Cells.Replace":
 		s.put(w, id, q)
 	case "Cells.Get":
@@ -81,34 +81,34 @@
 	}
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeAnswer(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (s *standIn) begin(w http.ResponseWriter, id string, q standInRequest) {
+func (s *fakeServer) begin(w http.ResponseWriter, id string, q fakeRequest) {
 	l := s.locks[id]
 	if l != nil && l.holder != q.Holder && time.Now().Before(l.until) {
-		answer(w, http.StatusConflict, nil)
+		writeAnswer(w, http.StatusConflict, nil)
 		return
 	}
 	s.fence++
 	s.locks[id] = &heldLock{q.Holder, s.fence, time.Now().Add(time.Duration(q.HoldMS) * time.Millisecond)}
-	answer(w, http.StatusOK, map[string]any{"fence": s.fence})
+	writeAnswer(w, http.StatusOK, map[string]any{"fence": s.fence})
 }
 
-func (s *standIn) heartbeat(w http.ResponseWriter, id string, q standInRequest) {
+func (s *fakeServer) heartbeat(w http.ResponseWriter, id string, q fakeRequest) {
 	l := s.locks[id]
 	if l == nil || l.fence != q.Fence || !time.Now().Before(l.until) {
-		answer(w, http.StatusConflict, nil)
+		writeAnswer(w, http.StatusConflict, nil)
 		return
 	}
 	l.until = time.Now().Add(time.Duration(q.HoldMS) * time.Millisecond)
-	answer(w, http.StatusOK, nil)
+	writeAnswer(w, http.StatusOK, nil)
 }
 
-// latest gives the newest change of a key.
-func (s *standIn) latest(key string) change {
+// newestChange gives the newest change of a key.
+func (s *fakeServer) newestChange(key string) change {
 	for i := len(s.changes) - 1; i >= 0; i-- {
 		if s.changes[i].Name == key {
 			return s.changes[i]
@@ -117,80 +117,82 @@
 	return change{}
 }
 
-func (s *standIn) put(w http.ResponseWriter, key string, q standInRequest) {
+func (s *fakeServer) put(w http.ResponseWriter, key string, q fakeRequest) {
 	for _, c := range s.changes {
 		if c.Name == key && c.Value == q.Value {
-			answer(w, http.StatusOK, map[string]any{"rev": c.Rev})
+			writeAnswer(w, http.StatusOK, map[string]any{"rev": c.Rev})
 			return
 		}
 	}
-	if present := s.latest(key); q.IfRevision != nil && *q.IfRevision != present.Rev {
-		answer(w, http.StatusPreconditionFailed, map[string]any{"rev": present.Rev})
+	if present := s.newestChange(key); q.IfRevision != nil && *q.IfRevision != present.Rev {
+		writeAnswer(w, http.StatusPreconditionFailed, map[string]any{"rev": present.Rev})
 		return
 	}
 	s.changes = append(s.changes, change{key, q.Value, uint64(len(s.changes) + 1)})
-	answer(w, http.StatusOK, map[string]any{"rev": len(s.changes)})
+	writeAnswer(w, http.StatusOK, map[string]any{"rev": len(s.changes)})
 }
 
-func (s *standIn) get(w http.ResponseWriter, key string) {
-	c := s.latest(key)
+func (s *fakeServer) get(w http.ResponseWriter, key string) {
+	c := s.newestChange(key)
 	if c.Rev == 0 {
-		answer(w, http.StatusNotFound, nil)
+		writeAnswer(w, http.StatusNotFound, nil)
 		return
 	}
-	answer(w, http.StatusOK, map[string]any{"value": c.Value, "rev": c.Rev})
+	writeAnswer(w, http.StatusOK, map[string]any{"value": c.Value, "rev": c.Rev})
 }
 
-const standInPoll = 10 * time.Millisecond
+const fakePollInterval = 10 * time.Millisecond
 
-func (s *standIn) watch(w http.ResponseWriter, r *http.Request) {
+func (s *fakeServer) watch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := strconv.ParseInt(r.URL.Query().Get("wait_ms"), 10, 64)
 	until := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		changes, forgotten := s.changes, s.forgotten
+		changes, forgotten := s.changes, s.compactedRevision
 		s.mu.Unlock()
 		newest := uint64(len(changes))
 		switch {
 		case after == 0:
-			answer(w, http.StatusOK, map[string]any{"events": []change{}, "rev": newest})
+			writeAnswer(w, http.StatusOK, map[string]any{"events": []change{}, "rev": newest})
 			return
 		case after < forgotten:
-			answer(w, http.StatusGone, nil)
+			writeAnswer(w, http.StatusGone, nil)
 			return
 		case after < newest || !time.Now().Before(until):
-			answer(w, http.StatusOK, map[string]any{"events": changes[after:], "rev": newest})
+			writeAnswer(w, http.StatusOK, map[string]any{"events": changes[after:], "rev": newest})
 			return
 		}
-		time.Sleep(standInPoll)
+		time.Sleep(fakePollInterval)
 	}
 }
 
 // fault is how an address treats a call instead of serving it.
 type fault func(q *http.Request, serve func() *http.Response) (*http.Response, error)
 
-// wire carries calls to the stand-in, through the faults of the addresses. It is safe for concurrent use.
-type wire struct {
-	standIn *standIn
+// fakeTransport carries calls to the stand-in, through the faults of the addresses. It is safe for concurrent use.
+type fakeTransport struct {
+	server *fakeServer
 
 	mu     sync.Mutex
 	faults map[string]fault // by address
 	calls  []string         // address and path of each
-	at     []time.Time
+	sentAt []time.Time
 }
 
-func newWire() *wire { return &wire{standIn: newStandIn(), faults: map[string]fault{}} }
+func newFakeTransport() *fakeTransport {
+	return &fakeTransport{server: newFakeServer(), faults: map[string]fault{}}
+}
 
-func (w *wire) RoundTrip(q *http.Request) (*http.Response, error) {
+func (w *fakeTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	w.mu.Lock()
 	w.calls = append(w.calls, q.URL.Host+q.URL.Path)
-	w.at = append(w.at, time.Now())
+	w.sentAt = append(w.sentAt, time.Now())
 	f := w.faults[q.URL.Host]
 	w.mu.Unlock()
 	serve := func() *http.Response {
 		recorder := httptest.NewRecorder()
-		w.standIn.ServeHTTP(recorder, q)
+		w.server.ServeHTTP(recorder, q)
 		return recorder.Result()
 	}
 	if f == nil {
@@ -199,8 +201,8 @@
 	return f(q, serve)
 }
 
-// fail has addresses treat their calls from now on; nil for serving them.
-func (w *wire) fail(f fault, addresses ...string) {
+// setFault has addresses treat their calls from now on; nil for serving them.
+func (w *fakeTransport) setFault(f fault, addresses ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range addresses {
@@ -208,8 +210,8 @@
 	}
 }
 
-// count tells how many calls have gone to where the text says.
-func (w *wire) count(text string) int {
+// countCalls tells how many calls have gone to where the text says.
+func (w *fakeTransport) countCalls(text string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -223,7 +225,7 @@
 
 // The faults.
 
-func status(code int) fault {
+func answerStatus(code int) fault {
 	return func(*http.Request, func() *http.Response) (*http.Response, error) {
 		recorder := httptest.NewRecorder()
 		recorder.WriteHeader(code)
@@ -235,23 +237,23 @@
 	return nil, &net.OpError{Op: "dial", Err: errors.New("connection refused")}
 }
 
-func broken(*http.Request, func() *http.Response) (*http.Response, error) {
+func connectionLost(*http.Request, func() *http.Response) (*http.Response, error) {
 	return nil, errors.New("connection ended")
 }
 
-func silent(q *http.Request, _ func() *http.Response) (*http.Response, error) {
+func noAnswer(q *http.Request, _ func() *http.Response) (*http.Response, error) {
 	<-q.Context().Done()
 	return nil, context.Cause(q.Context())
 }
 
-// doneUnheard carries a call out, and loses the answer.
-func doneUnheard(_ *http.Request, serve func() *http.Response) (*http.Response, error) {
+// answerLost carries a call out, and loses the answer.
+func answerLost(_ *http.Request, serve func() *http.Response) (*http.Response, error) {
 	serve()
 	return nil, errors.New("connection ended")
 }
 
-// late answers after a time.
-func late(by time.Duration) fault {
+// delayedBy answers after a time.
+func delayedBy(by time.Duration) fault {
 	return func(q *http.Request, serve func() *http.Response) (*http.Response, error) {
 		response := serve()
 		select {
--- a/coordclient/lock.go
+++ b/coordclient/lock.go
@@ -21,16 +21,16 @@
 	holder string
 	fence  uint64
 
-	ctx     context.Context
-	end     context.CancelCauseFunc
-	renewal chan struct{} // closed once renewing has ended
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	renewalDone chan struct{} // closed once renewing has ended
 
-	mu     sync.Mutex
-	tenure tenure
-	timer  *time.Timer // at the end of the tenure
+	mu    sync.Mutex
+	lease lease
+	timer *time.Timer // at the end of the tenure
 }
 
-type lockBody struct {
+type lockRequest struct {
 	Holder string `json:"holder"`
 	Fence  uint64 `json:"fence,omitempty"`
 	HoldMS int64  `json:"hold_ms,omitempty"`
@@ -39,12 +39,12 @@
 // Lock takes a lock, and waits while another one holds it, until the context ends. The hold is for how long the fleet keeps
 // the lock for a holder that is not heard any more.
 func (c *Client) Lock(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		l, err := c.TryLock(ctx, name, hold)
 		if !errors.Is(err, ErrHeld) {
 			return l, err
 		}
-		sleep(ctx, jittered(pause))
+		sleep(ctx, withJitter(backoff))
 	}
 }
 
@@ -56,7 +56,7 @@
 // TryLockAs takes a lock under a holder's name that the caller chooses. Who has the name and still holds the lock, from
 // before a crash for instance, gets it again.
 func (c *Client) TryLockAs(ctx context.Context, name, holder string, hold time.Duration) (*Lock, error) {
-	body := lockBody{Holder: holder, HoldMS: milliseconds(hold)}
+	body := lockRequest{Holder: holder, HoldMS: milliseconds(hold)}
 	r, err := c.do(ctx, post("/v1/Locks.Begin/"+url.PathEscape(name), body))
 	if err != nil {
 		return nil, err
@@ -64,18 +64,18 @@
 	if r.status == http.StatusConflict {
 		return nil, ErrHeld
 	}
-	var told struct {
+	var granted struct {
 		Fence uint64 `json:"fence"`
 	}
-	if err := r.read(&told); err != nil {
+	if err := r.decode(&granted); err != nil {
 		return nil, err
 	}
-	l := &Lock{client: c, name: name, holder: holder, fence: told.Fence, tenure: tenure{hold: hold, sent: r.sent},
-		renewal: make(chan struct{})}
-	if l.tenure.over(time.Now()) { // the answer took as long as the hold
+	l := &Lock{client: c, name: name, holder: holder, fence: granted.Fence, lease: lease{hold: hold, sent: r.sent},
+		renewalDone: make(chan struct{})}
+	if l.lease.expired(time.Now()) { // the answer took as long as the hold
 		return nil, ErrLost
 	}
-	l.begin(ctx)
+	l.start(ctx)
 	return l, nil
 }
 
@@ -84,11 +84,11 @@
 	return int64((hold + time.Millisecond - 1) / time.Millisecond)
 }
 
-// begin starts what ends the tenure in time and what renews it. The context of the acquiring doesn't bound the holding.
-func (l *Lock) begin(ctx context.Context) {
-	l.ctx, l.end = context.WithCancelCause(context.WithoutCancel(ctx))
-	l.timer = time.AfterFunc(time.Until(l.tenure.end()), l.expire)
-	go l.renew()
+// start starts what ends the tenure in time and what renews it. The context of the acquiring doesn't bound the holding.
+func (l *Lock) start(ctx context.Context) {
+	l.ctx, l.cancel = context.WithCancelCause(context.WithoutCancel(ctx))
+	l.timer = time.AfterFunc(time.Until(l.lease.end()), l.expire)
+	go l.renewUntilEnd()
 }
 
 // Fence is a number above that of every earlier holder of the lock.
@@ -103,23 +103,23 @@
 func (l *Lock) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ctx.Err() == nil && !l.tenure.over(time.Now())
+	return l.ctx.Err() == nil && !l.lease.expired(time.Now())
 }
 
 // Finish gives the lock back, so that others need not wait until the hold is over. The work under it has to have ended. Once
 // Finish is called the lock is not held any more, also where an error is returned.
 func (l *Lock) Finish(ctx context.Context) error {
 	l.stop(ErrFinished)
-	<-l.renewal
-	r, err := l.client.do(ctx, post("/v1/Locks.Finish/"+url.PathEscape(l.name), lockBody{Holder: l.holder, Fence: l.fence}))
+	<-l.renewalDone
+	r, err := l.client.do(ctx, post("/v1/Locks.Finish/"+url.PathEscape(l.name), lockRequest{Holder: l.holder, Fence: l.fence}))
 	if err != nil {
 		return err
 	}
-	return r.read(&struct{}{})
+	return r.decode(&struct{}{})
 }
 
 func (l *Lock) stop(cause error) {
-	l.end(cause)
+	l.cancel(cause)
 	l.timer.Stop()
 }
 
@@ -127,18 +127,18 @@
 func (l *Lock) expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); !l.tenure.over(now) {
-		l.timer.Reset(l.tenure.end().Sub(now))
+	if now := time.Now(); !l.lease.expired(now) {
+		l.timer.Reset(l.lease.end().Sub(now))
 		return
 	}
-	l.end(ErrLost)
+	l.cancel(ErrLost)
 }
 
-// renew renews the tenure until it has ended.
-func (l *Lock) renew() {
-	defer close(l.renewal)
+// renewUntilEnd renews the tenure until it has ended.
+func (l *Lock) renewUntilEnd() {
+	defer close(l.renewalDone)
 	for l.ctx.Err() == nil {
-		sleep(l.ctx, l.untilRenewal())
+		sleep(l.ctx, l.timeUntilRenewal())
 		r, err := l.heartbeat()
 		if err != nil {
 			continue // the context has ended
@@ -147,29 +147,29 @@
 			l.stop(ErrLost)
 			return
 		}
-		l.renewed(r.sent)
+		l.extendLease(r.sent)
 	}
 }
 
-func (l *Lock) untilRenewal() time.Duration {
+func (l *Lock) timeUntilRenewal() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Until(l.tenure.renewalDue())
+	return time.Until(l.lease.renewalDue())
 }
 
 // heartbeat asks for more time, at one address after the other, until the tenure is over.
 func (l *Lock) heartbeat() (*reply, error) {
-	body := lockBody{Holder: l.holder, Fence: l.fence, HoldMS: milliseconds(l.tenure.hold)}
+	body := lockRequest{Holder: l.holder, Fence: l.fence, HoldMS: milliseconds(l.lease.hold)}
 	return l.client.do(l.ctx, post("/v1/Locks.Heartbeat/"+url.PathEscape(l.name), body))
 }
 
-// renewed takes a good answer to a renewal.
-func (l *Lock) renewed(sent time.Time) {
+// extendLease takes a good answer to a renewal.
+func (l *Lock) extendLease(sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.tenure.renew(sent, now)
-	if !l.tenure.over(now) {
-		l.timer.Reset(l.tenure.end().Sub(now))
+	l.lease.renew(sent, now)
+	if !l.lease.expired(now) {
+		l.timer.Reset(l.lease.end().Sub(now))
 	}
 }
--- a/coordclient/lock_test.go
+++ b/coordclient/lock_test.go
@@ -14,9 +14,9 @@
 
 const hold = 3 * time.Second
 
-func lock(t *testing.T, c *coordclient.Client) *coordclient.Lock {
+func takeLock(t *testing.T, c *coordclient.Client) *coordclient.Lock {
 	t.Helper()
-	l, err := c.Lock(within(t, time.Minute), "l", hold)
+	l, err := c.Lock(withTimeout(t, time.Minute), "l", hold)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Finish(context.Background()) })
 	return l
@@ -30,19 +30,19 @@
 }
 
 func TestLockIsRenewed(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		l := lock(t, c)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		l := takeLock(t, c)
 		time.Sleep(10*hold + time.Millisecond)
 		assert.Assert(t, l.Held())
 		assert.NilError(t, l.Context().Err())
-		assert.Equal(t, w.count("Heartbeat"), 30)
-		_, err := c.TryLock(within(t, time.Minute), "l", hold)
+		assert.Equal(t, w.countCalls("Heartbeat"), 30)
+		_, err := c.TryLock(withTimeout(t, time.Minute), "l", hold)
 		assert.ErrorIs(t, err, coordclient.ErrHeld)
 	})
 }
 
 func TestLockOutlivesTheContextOfItsTaking(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
 		ctx, cancel := context.WithCancel(t.Context())
 		l, err := c.Lock(ctx, "l", hold)
 		assert.NilError(t, err)
@@ -56,18 +56,18 @@
 // However the fleet fails, the work ends before it may give the lock to another.
 func TestWorkEndsInTime(t *testing.T) {
 	for name, f := range map[string]fault{
-		"refused":             status(http.StatusServiceUnavailable),
+		"refused":             answerStatus(http.StatusServiceUnavailable),
 		"unreachable":         unreachable,
-		"broken":              broken,
-		"silent":              silent,
-		"done, never told":    doneUnheard,
-		"answered after 0.9s": late(900 * time.Millisecond),
+		"broken":              connectionLost,
+		"silent":              noAnswer,
+		"done, never told":    answerLost,
+		"answered after 0.9s": delayedBy(900 * time.Millisecond),
 	} {
 		t.Run(name, func(t *testing.T) {
-			virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-				l := lock(t, c)
+			withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+				l := takeLock(t, c)
 				time.Sleep(2*hold + time.Millisecond) // the last good call was 1 ms ago
-				w.fail(f, here, there, third)
+				w.setFault(f, firstAddress, secondAddress, thirdAddress)
 				if name == "answered after 0.9s" {
 					time.Sleep(2 * hold)
 					assert.Assert(t, l.Held(), "slow renewals are in time")
@@ -77,7 +77,7 @@
 				assert.Equal(t, took, hold-hold/10-time.Millisecond)
 				assert.ErrorIs(t, context.Cause(l.Context()), coordclient.ErrLost)
 				assert.Assert(t, !l.Held())
-				w.fail(nil, here, there, third)
+				w.setFault(nil, firstAddress, secondAddress, thirdAddress)
 			})
 		})
 	}
@@ -85,41 +85,41 @@
 
 func TestHoldCountsFromTheSendingOfSlowCalls(t *testing.T) {
 	const delay = 900 * time.Millisecond
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		w.fail(late(delay), here, there, third)
-		l := lock(t, c)
-		w.fail(silent, here, there, third)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		w.setFault(delayedBy(delay), firstAddress, secondAddress, thirdAddress)
+		l := takeLock(t, c)
+		w.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
 		assert.Equal(t, awaitEnd(l), hold-hold/10-delay, "after the taking")
 
-		w.fail(late(delay), here, there, third)
-		l = lock(t, c)
+		w.setFault(delayedBy(delay), firstAddress, secondAddress, thirdAddress)
+		l = takeLock(t, c)
 		time.Sleep(hold/3 + time.Millisecond) // the answer to a renewal has come 1 ms ago
-		w.fail(silent, here, there, third)
+		w.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
 		assert.Equal(t, awaitEnd(l), hold-hold/10-delay-time.Millisecond, "after a renewal")
-		w.fail(nil, here, there, third)
+		w.setFault(nil, firstAddress, secondAddress, thirdAddress)
 	})
 }
 
 func TestLockIsHeldWhileOneAddressAfterTheOtherIsSilent(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		l := lock(t, c)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		l := takeLock(t, c)
 		for i := range 12 {
-			address := []string{here, there, third}[i%3]
-			w.fail(silent, address)
+			address := []string{firstAddress, secondAddress, thirdAddress}[i%3]
+			w.setFault(noAnswer, address)
 			time.Sleep(5 * time.Second)
 			assert.Assert(t, l.Held())
-			w.fail(nil, address)
+			w.setFault(nil, address)
 		}
 	})
 }
 
 func TestLockIsHeldWhileAllAddressesRefuseForASecond(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		l := lock(t, c)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		l := takeLock(t, c)
 		for range 10 {
-			w.fail(status(http.StatusServiceUnavailable), here, there, third)
+			w.setFault(answerStatus(http.StatusServiceUnavailable), firstAddress, secondAddress, thirdAddress)
 			time.Sleep(time.Second)
-			w.fail(nil, here, there, third)
+			w.setFault(nil, firstAddress, secondAddress, thirdAddress)
 			time.Sleep(2 * time.Second)
 			assert.Assert(t, l.Held())
 		}
@@ -127,58 +127,58 @@
 }
 
 func TestLostLockEndsAtOnce(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		l := lock(t, c)
-		w.fail(status(http.StatusConflict), here, there, third)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		l := takeLock(t, c)
+		w.setFault(answerStatus(http.StatusConflict), firstAddress, secondAddress, thirdAddress)
 		assert.Equal(t, awaitEnd(l), hold/3)
 		assert.ErrorIs(t, context.Cause(l.Context()), coordclient.ErrLost)
-		w.fail(nil, here, there, third)
+		w.setFault(nil, firstAddress, secondAddress, thirdAddress)
 	})
 }
 
 func TestLockThatComesTooLateIsLost(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		w.fail(late(600*time.Millisecond), here, there, third)
-		_, err := c.TryLock(within(t, time.Minute), "l", 500*time.Millisecond)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		w.setFault(delayedBy(600*time.Millisecond), firstAddress, secondAddress, thirdAddress)
+		_, err := c.TryLock(withTimeout(t, time.Minute), "l", 500*time.Millisecond)
 		assert.ErrorIs(t, err, coordclient.ErrLost)
 	})
 }
 
 func TestFinish(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		l := lock(t, c)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		l := takeLock(t, c)
 		assert.NilError(t, l.Finish(t.Context()))
 		assert.ErrorIs(t, context.Cause(l.Context()), coordclient.ErrFinished)
 		assert.Assert(t, !l.Held())
-		next, err := c.TryLock(within(t, time.Minute), "l", hold)
+		next, err := c.TryLock(withTimeout(t, time.Minute), "l", hold)
 		assert.NilError(t, err)
 		assert.Assert(t, next.Fence() > l.Fence())
-		heartbeats := w.count("Heartbeat")
+		heartbeats := w.countCalls("Heartbeat")
 		assert.NilError(t, next.Finish(t.Context()))
 		time.Sleep(10 * hold)
-		assert.Equal(t, w.count("Heartbeat"), heartbeats, "nothing is renewed once it is given back")
+		assert.Equal(t, w.countCalls("Heartbeat"), heartbeats, "nothing is renewed once it is given back")
 	})
 }
 
 func TestFinishThatIsNotAnsweredEndsTheWorkAllTheSame(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		l := lock(t, c)
-		w.fail(silent, here, there, third)
-		assert.ErrorIs(t, l.Finish(within(t, time.Second)), context.DeadlineExceeded)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		l := takeLock(t, c)
+		w.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
+		assert.ErrorIs(t, l.Finish(withTimeout(t, time.Second)), context.DeadlineExceeded)
 		assert.Assert(t, !l.Held())
-		w.fail(nil, here, there, third)
+		w.setFault(nil, firstAddress, secondAddress, thirdAddress)
 	})
 }
 
 func TestLockWaitsForTheHolderBefore(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
-		first := lock(t, c)
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
+		first := takeLock(t, c)
 		go func() {
 			time.Sleep(5 * time.Second)
 			_ = first.Finish(context.Background())
 		}()
 		began := time.Now()
-		second := lock(t, c)
+		second := takeLock(t, c)
 		assert.Assert(t, time.Since(began) >= 5*time.Second)
 		assert.Assert(t, time.Since(began) <= 6*time.Second)
 		assert.Assert(t, second.Fence() > first.Fence())
@@ -187,7 +187,7 @@
 }
 
 func TestHolderGetsItsLockAgain(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
 		first, err := c.TryLockAs(t.Context(), "l", "host-7", hold)
 		assert.NilError(t, err)
 		again, err := c.TryLockAs(t.Context(), "l", "host-7", hold)
--- a/coordclient/validity_test.go
+++ b/coordclient/validity_test.go
@@ -14,16 +14,16 @@
 		{3 * time.Second, 2700 * time.Millisecond},
 		{time.Minute, 59 * time.Second}, // the margin is bounded
 	} {
-		held := tenure{hold: test.hold, sent: began}
+		held := lease{hold: test.hold, sent: began}
 		assert.Equal(t, held.end(), began.Add(test.end))
-		assert.Assert(t, !held.over(began.Add(test.end-1)))
-		assert.Assert(t, held.over(began.Add(test.end)))
+		assert.Assert(t, !held.expired(began.Add(test.end-1)))
+		assert.Assert(t, held.expired(began.Add(test.end)))
 	}
 }
 
 func TestTenureCountsFromTheSending(t *testing.T) {
 	began := time.Now()
-	held := tenure{hold: 3 * time.Second, sent: began}
+	held := lease{hold: 3 * time.Second, sent: began}
 	held.renew(began.Add(time.Second), began.Add(2*time.Second))
 	assert.Equal(t, held.end(), began.Add(3700*time.Millisecond))
 	assert.Equal(t, held.renewalDue(), began.Add(2*time.Second))
@@ -31,14 +31,14 @@
 
 func TestRenewalThatIsTooLateHasNoEffect(t *testing.T) {
 	began := time.Now()
-	held := tenure{hold: 3 * time.Second, sent: began}
+	held := lease{hold: 3 * time.Second, sent: began}
 	held.renew(began.Add(2*time.Second), began.Add(2700*time.Millisecond))
 	assert.Equal(t, held.sent, began)
 }
 
 func TestEarlierRenewalDoesNotShortenTheTenure(t *testing.T) {
 	began := time.Now()
-	held := tenure{hold: 3 * time.Second, sent: began}
+	held := lease{hold: 3 * time.Second, sent: began}
 	held.renew(began.Add(-time.Second), began.Add(time.Second))
 	assert.Equal(t, held.sent, began)
 }
--- a/coordclient/watch.go
+++ b/coordclient/watch.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// watchWait is for how long one call of a watch waits for a change.
-const watchWait = 5 * time.Second
+// pollWait is for how long one call of a watch waits for a change.
+const pollWait = 5 * time.Second
 
 // Change is one put, as a watch tells it.
 type Change struct {
@@ -46,22 +46,22 @@
 func (w *Watch) Changes(ctx context.Context) iter.Seq2[Change, error] {
 	return func(yield func(Change, error) bool) {
 		for {
-			answer, err := w.ask(ctx)
+			answer, err := w.poll(ctx)
 			if err != nil {
 				yield(Change{}, err)
 				return
 			}
-			if !w.tell(answer, yield) {
+			if !w.deliver(answer, yield) {
 				return
 			}
 			if answer.Revision == 0 { // the group has no key yet, and is not waited for
-				sleep(ctx, jittered(longestPause))
+				sleep(ctx, withJitter(maxBackoff))
 			}
 		}
 	}
 }
 
-type watchBody struct {
+type watchReply struct {
 	Events []struct {
 		Name     string `json:"name"`
 		Value    string `json:"value"`
@@ -70,23 +70,23 @@
 	Revision uint64 `json:"rev"`
 }
 
-// ask asks once for what came after the revision.
-func (w *Watch) ask(ctx context.Context) (*watchBody, error) {
-	path := fmt.Sprintf("/v1/watch/%s?after=%d&wait_ms=%d", url.PathEscape(w.group), w.Revision(), watchWait.Milliseconds())
-	r, err := w.client.do(ctx, &call{method: http.MethodGet, path: path, patience: watchWait + silence})
+// poll asks once for what came after the revision.
+func (w *Watch) poll(ctx context.Context) (*watchReply, error) {
+	path := fmt.Sprintf("/v1/watch/%s?after=%d&wait_ms=%d", url.PathEscape(w.group), w.Revision(), pollWait.Milliseconds())
+	r, err := w.client.do(ctx, &call{method: http.MethodGet, path: path, timeout: pollWait + attemptTimeout})
 	if err != nil {
 		return nil, err
 	}
 	if r.status == http.StatusGone {
 		return nil, ErrCompacted
 	}
-	body := &watchBody{}
-	return body, r.read(body)
+	body := &watchReply{}
+	return body, r.decode(body)
 }
 
-// tell gives the changes of an answer, and reports false where the caller has had enough. The revision follows each change,
+// deliver gives the changes of an answer, and reports false where the caller has had enough. The revision follows each change,
 // so that one that was not given is given again.
-func (w *Watch) tell(answer *watchBody, yield func(Change, error) bool) bool {
+func (w *Watch) deliver(answer *watchReply, yield func(Change, error) bool) bool {
 	for _, event := range answer.Events {
 		if event.Revision <= w.Revision() {
 			continue
--- a/coordclient/watch_test.go
+++ b/coordclient/watch_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestWatchTellsEachPutOnceThroughFailures(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		ctx := within(t, time.Hour)
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, time.Hour)
 		const puts = 50
 		_, err := c.Put(ctx, "g.a", "value-0")
 		assert.NilError(t, err)
@@ -25,12 +25,12 @@
 			}
 		}()
 		go func() {
-			faults := []fault{silent, broken, status(http.StatusServiceUnavailable), nil}
+			faults := []fault{noAnswer, connectionLost, answerStatus(http.StatusServiceUnavailable), nil}
 			for i := range 40 {
 				time.Sleep(900 * time.Millisecond)
-				w.fail(faults[i%len(faults)], []string{here, there, third}[i%3])
+				w.setFault(faults[i%len(faults)], []string{firstAddress, secondAddress, thirdAddress}[i%3])
 			}
-			w.fail(nil, here, there, third)
+			w.setFault(nil, firstAddress, secondAddress, thirdAddress)
 		}()
 		next := 1
 		for change, err := range c.Watch("g.", 1).Changes(ctx) {
@@ -45,8 +45,8 @@
 }
 
 func TestWatchGoesOnFromItsRevision(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
-		ctx := within(t, time.Hour)
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, time.Hour)
 		for i := range 5 {
 			_, err := c.Put(ctx, "g.a", fmt.Sprint("value-", i))
 			assert.NilError(t, err)
@@ -67,8 +67,8 @@
 }
 
 func TestWatchFromNowOn(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
-		ctx := within(t, time.Hour)
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, time.Hour)
 		go func() {
 			for i := range 2 {
 				time.Sleep(10 * time.Second)
@@ -84,17 +84,17 @@
 }
 
 func TestWatchOfForgottenChanges(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		w.standIn.forgotten = 10
-		for _, err := range c.Watch("g.", 3).Changes(within(t, time.Minute)) {
+	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+		w.server.compactedRevision = 10
+		for _, err := range c.Watch("g.", 3).Changes(withTimeout(t, time.Minute)) {
 			assert.ErrorIs(t, err, coordclient.ErrCompacted)
 		}
 	})
 }
 
 func TestWatchEndsWithItsContext(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
-		ctx := within(t, 20*time.Second)
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, 20*time.Second)
 		_, err := c.Put(ctx, "g.a", "one")
 		assert.NilError(t, err)
 		ends := 0
