--- a/coordclient/client.go
+++ b/coordclient/client.go
@@ -1,8 +1,8 @@
-// Package coordclient lets applications take locks, draw numbers, and put, read and watch small keys at the control
-// processes of a fleet.
+// Package coordclient is the client of the coordination service: with it, applications acquire locks, get
+// increasing numbers, and put, get and watch small keys at the control processes of a fleet.
 //
-// A call goes to one control process and, where that fails, is silent for a second or has no time, to the next one, with a
-// pause that grows, for as long as the caller's context lasts. All calls may be repeated without harm.
+// A call goes to one control process. If that fails, doesn't answer within a second or is overloaded, the call goes to
+// the next one after a growing backoff, until the caller's context ends. All calls can safely be repeated.
 package coordclient
 
 import (
@@ -20,14 +20,14 @@
 )
 
 const (
-	// attemptTimeout is after how long an attempt counts as failed.
+	// attemptTimeout is the time after which an attempt without an answer has failed.
 	attemptTimeout = time.Second
-	// initialBackoff and longestPause bound the pauses between attempts.
+	// initialBackoff and maxBackoff bound the backoff between attempts, before jitter.
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
-	// maxAnswerBytes is the largest answer that is read.
+	// maxAnswerBytes is how much of an answer is read at most.
 	maxAnswerBytes         = 16 << 20
-	maxIdleConnsPerAddress = 16 // idle connections that are kept to one address
+	maxIdleConnsPerAddress = 16
 )
 
 // Client calls the control processes of one fleet. It is safe for concurrent use.
@@ -37,62 +37,66 @@
 	http      *http.Client
 }
 
-// Options say how a client reaches its fleet.
+// Options configure how a client reaches its fleet.
 type Options struct {
-	// Addresses are those of the control processes, host:port.
+	// Addresses are the addresses of the control processes, as host:port.
 	Addresses []string
-	// Transport carries the calls; nil for one of the client's own.
+	// Transport sends the calls. If it is nil, the client creates its own.
 	Transport http.RoundTripper
 }
 
-// New makes a client. It sends nothing yet.
+// New creates a client. It sends nothing yet. The error is ErrNoAddresses if there are no addresses.
 func New(options Options) (*Client, error) {
 	if len(options.Addresses) == 0 {
 		return nil, ErrNoAddresses
 	}
 	transport := options.Transport
 	if transport == nil {
-		transport = &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerAddress, DialContext: (&net.Dialer{Timeout: attemptTimeout}).DialContext}
+		transport = &http.Transport{
+			MaxIdleConnsPerHost: maxIdleConnsPerAddress,
+			DialContext:         (&net.Dialer{Timeout: attemptTimeout}).DialContext,
+		}
 	}
 	c := &Client{addresses: append([]string{}, options.Addresses...), http: &http.Client{Transport: transport}}
 	c.preferred.Store(rand.Uint32N(uint32(len(c.addresses))))
 	return c, nil
 }
 
-// Close ends the connections that are not in use. Locks are not given back.
+// Close closes the idle connections. It does not release locks.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call is one call, whichever address it goes to.
+// call is one call, independent of the address that it is sent to.
 type call struct {
 	method  string
 	path    string
 	body    any           // sent as JSON; nil for none
-	timeout time.Duration // for one attempt
+	timeout time.Duration // of one attempt
 }
 
 func post(path string, body any) *call {
 	return &call{method: http.MethodPost, path: path, body: body, timeout: attemptTimeout}
 }
 
-// reply is a clear answer.
+// reply is a definite answer, after which no further attempt is needed.
 type reply struct {
 	status int
 	body   []byte
-	sent   time.Time // when the attempt that was answered was sent
+	sent   time.Time // when the answered attempt was sent
 }
 
-// decode takes a 200's body.
+// decode decodes the body of an answer with status 200. Any other status is a *StatusError.
 func (r *reply) decode(into any) error {
 	if r.status != http.StatusOK {
 		return &StatusError{r.status}
 	}
 	if err := json.Unmarshal(r.body, into); err != nil {
-		return fmt.Errorf("coordclient: answer: %w", err)
+		return fmt.Errorf("coordclient: decoding answer: %w", err)
 	}
 	return nil
 }
 
-// do sends a call to one address after the other until there is a clear answer or the context ends.
+// do sends a call to one address after the other until there is a definite answer or the context ends. In the latter
+// case the error is an *UnansweredError.
 func (c *Client) do(ctx context.Context, call *call) (*reply, error) {
 	body, err := encode(call.body)
 	if err != nil {
@@ -122,7 +126,7 @@
 	return json.Marshal(body)
 }
 
-// attempt sends a call to one address. An error means that another attempt is due.
+// attempt sends a call to one address. After any error the call is attempted again.
 func (c *Client) attempt(ctx context.Context, call *call, address string, body []byte) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.timeout)
 	defer cancel()
@@ -133,23 +137,23 @@
 	if body != nil {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	answered := &reply{sent: time.Now()}
+	result := &reply{sent: time.Now()}
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	answered.status = response.StatusCode
-	if answered.status >= http.StatusInternalServerError || answered.status == http.StatusTooManyRequests {
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswerBytes)) // so that the connection is used again
-		return nil, &StatusError{answered.status}
+	result.status = response.StatusCode
+	if result.status >= http.StatusInternalServerError || result.status == http.StatusTooManyRequests {
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxAnswerBytes)) // so that the connection can be reused
+		return nil, &StatusError{result.status}
 	}
-	answered.body, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
-	return answered, err
+	result.body, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	return result, err
 }
 
-// hadNoEffect says whether a failed attempt can't have taken effect, now or later: it was never sent, or it was answered
-// 429 or 503.
+// hadNoEffect reports whether it is certain that a failed attempt has not taken effect and never will: it was never
+// sent, or it was answered 429 or 503.
 func hadNoEffect(err error) bool {
 	var status *StatusError
 	if errors.As(err, &status) {
@@ -159,10 +163,10 @@
 	return errors.As(err, &network) && network.Op == "dial"
 }
 
-// withJitter draws a pause between half and all of the one given.
+// withJitter returns a random duration between half of the backoff and all of it.
 func withJitter(backoff time.Duration) time.Duration { return backoff/2 + rand.N(backoff/2) }
 
-// sleep waits, or until the context ends.
+// sleep waits for a duration, or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/coordclient/errors.go
+++ b/coordclient/errors.go
@@ -5,27 +5,27 @@
 	"fmt"
 )
 
-// The errors that callers decide by, with errors.Is.
+// Errors that callers can distinguish with errors.Is.
 var (
-	// ErrHeld means that another holder has the lock.
-	ErrHeld = errors.New("coordclient: lock is held by another")
-	// ErrLost means that the lock is no longer held: another one may have it.
+	// ErrHeld means that another holder holds the lock.
+	ErrHeld = errors.New("coordclient: lock is held by another holder")
+	// ErrLost means that the lock is no longer held: another holder may have it.
 	ErrLost = errors.New("coordclient: lock is lost")
-	// ErrFinished is the cause with which a lock's context ends once the lock is given back.
-	ErrFinished = errors.New("coordclient: lock is given back")
+	// ErrFinished is the cause with which the context of a lock ends when the lock is released.
+	ErrFinished = errors.New("coordclient: lock is released")
 	// ErrNotFound means that the key was never put.
-	ErrNotFound = errors.New("coordclient: no such key")
-	// ErrCompacted means that the fleet no longer keeps the changes that a watch asks for. The caller reads its keys anew,
-	// and watches from there.
+	ErrNotFound = errors.New("coordclient: key not found")
+	// ErrCompacted means that the fleet no longer keeps the changes that a watch asks for. The caller has to read its
+	// keys again and to watch from there.
 	ErrCompacted = errors.New("coordclient: changes are no longer kept")
-	// ErrNoAddresses means that a client was to be made without any address.
+	// ErrNoAddresses means that New was called without any address.
 	ErrNoAddresses = errors.New("coordclient: no addresses")
 )
 
-// MismatchError means that a put was rejected: the key has another revision than the caller named. The put has not taken
-// effect and never will.
+// MismatchError means that a put was rejected: the revision of the key is not the one that the caller gave. The put has
+// not taken effect and never will.
 type MismatchError struct {
-	Revision uint64 // of the key, 0 where it doesn't exist
+	Revision uint64 // of the key, 0 if it doesn't exist
 }
 
 // Error implements error.
@@ -33,7 +33,8 @@
 	return fmt.Sprintf("coordclient: key is at revision %d", e.Revision)
 }
 
-// StatusError is an answer that tells neither success nor a failure that passes, such as a name that is too long.
+// StatusError is an answer whose HTTP status is not a success. If a call returns it, the failure is permanent, such as
+// a name that is too long. Transient failures are retried and appear only as UnansweredError.Last.
 type StatusError struct {
 	Status int
 }
@@ -43,12 +44,13 @@
 	return fmt.Sprintf("coordclient: answer has status %d", e.Status)
 }
 
-// UnansweredError means that the caller's context ended before any clear answer had come.
+// UnansweredError means that the caller's context ended before a definite answer arrived.
 type UnansweredError struct {
-	// MayHaveTakenEffect is false where every attempt got the promise that nothing was done, or was never sent.
+	// MayHaveTakenEffect is false if each attempt was either never sent or answered with the guarantee that nothing was
+	// done.
 	MayHaveTakenEffect bool
 	Cause              error // why the context ended
-	Last               error // how the last attempt failed; nil where there was none
+	Last               error // error of the last attempt; nil if there was none
 }
 
 // Error implements error.
@@ -59,7 +61,7 @@
 	return fmt.Sprintf("coordclient: no answer: %v, last attempt: %v", e.Cause, e.Last)
 }
 
-// Unwrap lets errors.Is see why the context ended and how the last attempt failed.
+// Unwrap returns why the context ended and the error of the last attempt, if any.
 func (e *UnansweredError) Unwrap() []error {
 	if e.Last == nil {
 		return []error{e.Cause}
--- a/coordclient/keys.go
+++ b/coordclient/keys.go
@@ -6,7 +6,7 @@
 	"net/url"
 )
 
-// Value is what a key holds.
+// Value is the value of a key, with the revision of its last put.
 type Value struct {
 	Value    string
 	Revision uint64
@@ -21,7 +21,8 @@
 	Revision uint64 `json:"rev"`
 }
 
-// NextNumber gives a number that is greater than every one that was given under the name before the call. Numbers may be left out.
+// NextNumber returns a number that is greater than each number returned for the name before the call. There may be
+// gaps.
 func (c *Client) NextNumber(ctx context.Context, name string) (uint64, error) {
 	r, err := c.do(ctx, post("/v1/numbers/"+url.PathEscape(name), struct{}{}))
 	if err != nil {
@@ -33,7 +34,7 @@
 	return body.Value, zeroOnError(r.decode(&body), &body.Value)
 }
 
-// zeroOnError gives an error, and takes the value back where there is one.
+// zeroOnError returns the error, and sets the value to 0 if it is not nil.
 func zeroOnError(err error, value *uint64) error {
 	if err != nil {
 		*value = 0
@@ -41,26 +42,26 @@
 	return err
 }
 
-// Put gives a key a value, whatever it had, and returns the revision of that. The values of one key have to differ from each
-// other: the same one again counts as the same put, and gets the revision that the first one got.
+// Put sets the value of a key, whatever value it had, and returns the revision of the put. The values of one key must
+// differ from each other: the same value again counts as the same put, and gets the revision of the first one.
 func (c *Client) Put(ctx context.Context, key, value string) (uint64, error) {
 	return c.put(ctx, key, putRequest{Value: value})
 }
 
-// PutIf gives a key a value if the key has a revision, 0 meaning that it must not exist. Otherwise the error is a
-// *MismatchError. Values have to differ as with Put.
+// PutIf sets the value of a key if the key has the given revision; 0 means that the key must not exist. Otherwise the
+// error is a *MismatchError. Values must differ as with Put.
 func (c *Client) PutIf(ctx context.Context, key, value string, revision uint64) (uint64, error) {
 	return c.put(ctx, key, putRequest{Value: value, IfRevision: &revision})
 }
 
-func (c *Client) put(ctx context.Context, key string, body putRequest) (uint64, error) {
-	r, err := c.do(ctx, post("/v1/Cells.Replace/"+url.PathEscape(key), body))
+func (c *Client) put(ctx context.Context, key string, request putRequest) (uint64, error) {
+	r, err := c.do(ctx, post("/v1/Cells.Replace/"+url.PathEscape(key), request))
 	if err != nil {
 		return 0, err
 	}
 	var revision revisionReply
 	if r.status == http.StatusPreconditionFailed {
-		r.status = http.StatusOK // its body is of the same form
+		r.status = http.StatusOK // decode only accepts 200; the body has the same format
 		if err := r.decode(&revision); err != nil {
 			return 0, err
 		}
@@ -69,9 +70,11 @@
 	return revision.Revision, zeroOnError(r.decode(&revision), &revision.Revision)
 }
 
-// Get reads a key. The error is ErrNotFound where it was never put.
+// Get returns the current value of a key. The error is ErrNotFound if the key was never put.
 func (c *Client) Get(ctx context.Context, key string) (Value, error) {
-	r, err := c.do(ctx, &call{method: http.MethodGet, path: "/v1/Cells.Get/" + url.PathEscape(key), timeout: attemptTimeout})
+	r, err := c.do(ctx, &call{
+		method: http.MethodGet, path: "/v1/Cells.Get/" + url.PathEscape(key), timeout: attemptTimeout,
+	})
 	if err != nil {
 		return Value{}, err
 	}
--- a/coordclient/lock.go
+++ b/coordclient/lock.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Lock is a lock that is held. It renews itself until it is given back or lost.
+// Lock is a held lock. It is renewed in the background until it is released or lost.
 //
-// A process can stand still between any two of its steps, so a holder can't know at the moment of its work that it still
-// holds the lock. Whatever is changed under the lock should therefore carry the fence, and refuse a lower one than it has
-// seen.
+// A process can be paused between any two of its steps, so a holder can never be certain, while it works, that it still
+// holds the lock. Whatever is changed under the lock should therefore store the fence, and reject a fence that is lower
+// than the highest one it has seen.
 type Lock struct {
 	client *Client
 	name   string
@@ -23,11 +23,11 @@
 
 	ctx         context.Context
 	cancel      context.CancelCauseFunc
-	renewalDone chan struct{} // closed once renewing has ended
+	renewalDone chan struct{} // closed when the renewal goroutine ends
 
 	mu    sync.Mutex
 	lease lease
-	timer *time.Timer // at the end of the tenure
+	timer *time.Timer // fires at the end of the lease
 }
 
 type lockRequest struct {
@@ -36,8 +36,8 @@
 	HoldMS int64  `json:"hold_ms,omitempty"`
 }
 
-// Lock takes a lock, and waits while another one holds it, until the context ends. The hold is for how long the fleet keeps
-// the lock for a holder that is not heard any more.
+// Lock acquires a lock. It waits while another holder holds the lock, until the context ends. The hold is the time for
+// which the fleet keeps the lock for a holder from which it no longer hears.
 func (c *Client) Lock(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
 	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		l, err := c.TryLock(ctx, name, hold)
@@ -48,13 +48,13 @@
 	}
 }
 
-// TryLock takes a lock. The error is ErrHeld where another one holds it.
+// TryLock acquires a lock without waiting for it. The error is ErrHeld if another holder holds it.
 func (c *Client) TryLock(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
 	return c.TryLockAs(ctx, name, rand.Text(), hold)
 }
 
-// TryLockAs takes a lock under a holder's name that the caller chooses. Who has the name and still holds the lock, from
-// before a crash for instance, gets it again.
+// TryLockAs is TryLock with a holder name that the caller chooses. If that holder still holds the lock, for example
+// from before a crash, it gets the lock again.
 func (c *Client) TryLockAs(ctx context.Context, name, holder string, hold time.Duration) (*Lock, error) {
 	body := lockRequest{Holder: holder, HoldMS: milliseconds(hold)}
 	r, err := c.do(ctx, post("/v1/Locks.Begin/"+url.PathEscape(name), body))
@@ -72,46 +72,48 @@
 	}
 	l := &Lock{client: c, name: name, holder: holder, fence: granted.Fence, lease: lease{hold: hold, sent: r.sent},
 		renewalDone: make(chan struct{})}
-	if l.lease.expired(time.Now()) { // the answer took as long as the hold
+	if l.lease.expired(time.Now()) { // the answer took longer than the lease
 		return nil, ErrLost
 	}
 	l.start(ctx)
 	return l, nil
 }
 
-// milliseconds rounds up: the fleet may keep the lock for longer than its holder counts on it.
+// milliseconds converts a hold and rounds up: the fleet may keep the lock for longer than its holder relies on it.
 func milliseconds(hold time.Duration) int64 {
 	return int64((hold + time.Millisecond - 1) / time.Millisecond)
 }
 
-// start starts what ends the tenure in time and what renews it. The context of the acquiring doesn't bound the holding.
+// start starts the timer that ends the lease and the goroutine that renews it. The end of the context that acquired the
+// lock doesn't end the lock.
 func (l *Lock) start(ctx context.Context) {
 	l.ctx, l.cancel = context.WithCancelCause(context.WithoutCancel(ctx))
 	l.timer = time.AfterFunc(time.Until(l.lease.end()), l.expire)
 	go l.renewUntilEnd()
 }
 
-// Fence is a number above that of every earlier holder of the lock.
+// Fence returns the fencing token of the lock: a number higher than the fence of every earlier holder.
 func (l *Lock) Fence() uint64 { return l.fence }
 
-// Context ends before the fleet may give the lock to another holder, and when it is given back; its cause is ErrLost or
-// ErrFinished. It is for the work under the lock.
+// Context returns the context for the work under the lock. It ends before the fleet may give the lock to another
+// holder, and when the lock is released. Its cause is then ErrLost or ErrFinished.
 func (l *Lock) Context() context.Context { return l.ctx }
 
-// Held says whether the lock is held by the clock at this moment, even where the process stood still and its timers have not
-// gone off yet.
+// Held reports whether the lock is held now. It reads the clock, so it is right even if the process was paused and its
+// timers have not fired yet.
 func (l *Lock) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ctx.Err() == nil && !l.lease.expired(time.Now())
 }
 
-// Finish gives the lock back, so that others need not wait until the hold is over. The work under it has to have ended. Once
-// Finish is called the lock is not held any more, also where an error is returned.
+// Finish releases the lock, so that others need not wait until the hold ends. The work under the lock must have ended
+// before. From the call of Finish on, the lock is no longer held, even if an error is returned.
 func (l *Lock) Finish(ctx context.Context) error {
 	l.stop(ErrFinished)
 	<-l.renewalDone
-	r, err := l.client.do(ctx, post("/v1/Locks.Finish/"+url.PathEscape(l.name), lockRequest{Holder: l.holder, Fence: l.fence}))
+	r, err := l.client.do(ctx, post("/v1/Locks.Finish/"+url.PathEscape(l.name),
+		lockRequest{Holder: l.holder, Fence: l.fence}))
 	if err != nil {
 		return err
 	}
@@ -123,7 +125,7 @@
 	l.timer.Stop()
 }
 
-// expire ends the tenure, unless it was renewed meanwhile.
+// expire ends the lock as lost, unless its lease was renewed meanwhile.
 func (l *Lock) expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +136,7 @@
 	l.cancel(ErrLost)
 }
 
-// renewUntilEnd renews the tenure until it has ended.
+// renewUntilEnd renews the lease until the lock is released or lost.
 func (l *Lock) renewUntilEnd() {
 	defer close(l.renewalDone)
 	for l.ctx.Err() == nil {
@@ -157,13 +159,13 @@
 	return time.Until(l.lease.renewalDue())
 }
 
-// heartbeat asks for more time, at one address after the other, until the tenure is over.
+// heartbeat sends a renewal to one address after the other until it is answered or the lease ends.
 func (l *Lock) heartbeat() (*reply, error) {
 	body := lockRequest{Holder: l.holder, Fence: l.fence, HoldMS: milliseconds(l.lease.hold)}
 	return l.client.do(l.ctx, post("/v1/Locks.Heartbeat/"+url.PathEscape(l.name), body))
 }
 
-// extendLease takes a good answer to a renewal.
+// extendLease extends the lease after a successful renewal that was sent at the given time.
 func (l *Lock) extendLease(sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
