--- a/coordclient/client_test.go
+++ b/coordclient/client_test.go
@@ -19,20 +19,22 @@
 	thirdAddress  = "10.0.0.3:80"
 )
 
-// newTestClient makes one that reaches a stand-in at three addresses.
-func newTestClient(t *testing.T, w *fakeTransport) *coordclient.Client {
+// newTestClient creates a client that reaches the fakeServer at three addresses.
+func newTestClient(t *testing.T, transport *fakeTransport) *coordclient.Client {
 	t.Helper()
-	c, err := coordclient.New(coordclient.Options{Addresses: []string{firstAddress, secondAddress, thirdAddress}, Transport: w})
+	c, err := coordclient.New(coordclient.Options{
+		Addresses: []string{firstAddress, secondAddress, thirdAddress}, Transport: transport,
+	})
 	assert.NilError(t, err)
 	return c
 }
 
-// withFakeClock plays a test on a virtual clock.
-func withFakeClock(t *testing.T, test func(t *testing.T, w *fakeTransport, c *coordclient.Client)) {
+// withFakeClock runs a test on a fake clock.
+func withFakeClock(t *testing.T, test func(t *testing.T, transport *fakeTransport, c *coordclient.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newFakeTransport()
-		test(t, w, newTestClient(t, w))
+		transport := newFakeTransport()
+		test(t, transport, newTestClient(t, transport))
 	})
 }
 
@@ -47,104 +49,107 @@
 	assert.ErrorIs(t, err, coordclient.ErrNoAddresses)
 }
 
-func TestFailedCallGoesElsewhere(t *testing.T) {
+func TestFailedCallIsRetriedAtNextAddress(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault   fault
-		longest time.Duration // of two failures and their pauses
+		longest time.Duration // longest time for two failed attempts with their backoff
 	}{
-		"refused":     {answerStatus(http.StatusServiceUnavailable), 60 * time.Millisecond},
-		"too many":    {answerStatus(http.StatusTooManyRequests), 60 * time.Millisecond},
-		"failed":      {answerStatus(http.StatusInternalServerError), 60 * time.Millisecond},
-		"unreachable": {unreachable, 60 * time.Millisecond},
-		"broken":      {connectionLost, 60 * time.Millisecond},
-		"silent":      {noAnswer, 2060 * time.Millisecond},
+		"status 503":      {answerStatus(http.StatusServiceUnavailable), 60 * time.Millisecond},
+		"status 429":      {answerStatus(http.StatusTooManyRequests), 60 * time.Millisecond},
+		"status 500":      {answerStatus(http.StatusInternalServerError), 60 * time.Millisecond},
+		"unreachable":     {unreachable, 60 * time.Millisecond},
+		"connection lost": {connectionLost, 60 * time.Millisecond},
+		"no answer":       {noAnswer, 2060 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-				w.setFault(test.fault, firstAddress, secondAddress)
+			withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+				transport.setFault(test.fault, firstAddress, secondAddress)
 				began := time.Now()
 				number, err := c.NextNumber(withTimeout(t, time.Minute), "n")
 				assert.NilError(t, err)
 				assert.Equal(t, number, uint64(1))
 				assert.Assert(t, time.Since(began) <= test.longest, "took %v", time.Since(began))
 
-				before := w.countCalls(thirdAddress)
+				before := transport.countCalls(thirdAddress)
 				_, err = c.NextNumber(withTimeout(t, time.Minute), "n")
 				assert.NilError(t, err)
-				assert.Equal(t, w.countCalls(thirdAddress), before+1)
-				assert.Assert(t, w.countCalls("") <= 4, "the address that answered is asked first: %v", w.calls)
+				assert.Equal(t, transport.countCalls(thirdAddress), before+1)
+				assert.Assert(t, transport.countCalls("") <= 4,
+					"the address that answered last is tried first: %v", transport.calls)
 			})
 		})
 	}
 }
 
-func TestPausesGrowUntilTheContextEnds(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-		w.setFault(answerStatus(http.StatusServiceUnavailable), firstAddress, secondAddress, thirdAddress)
+func TestBackoffGrowsUntilContextEnds(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		transport.setFault(answerStatus(http.StatusServiceUnavailable), firstAddress, secondAddress, thirdAddress)
 		began := time.Now()
 		_, err := c.NextNumber(withTimeout(t, 10*time.Second), "n")
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, time.Since(began), 10*time.Second)
-		attempts := w.countCalls("")
+		attempts := transport.countCalls("")
 		assert.Assert(t, attempts > 20 && attempts < 50, "%d attempts", attempts)
-		first, last := w.sentAt[1].Sub(w.sentAt[0]), w.sentAt[attempts-1].Sub(w.sentAt[attempts-2])
-		assert.Assert(t, first <= 20*time.Millisecond && last >= 250*time.Millisecond, "pauses %v to %v", first, last)
+		first, last := transport.sentAt[1].Sub(transport.sentAt[0]),
+			transport.sentAt[attempts-1].Sub(transport.sentAt[attempts-2])
+		assert.Assert(t, first <= 20*time.Millisecond && last >= 250*time.Millisecond,
+			"backoff from %v to %v", first, last)
 	})
 }
 
-func TestUnansweredCallTellsWhetherItMayHaveHappened(t *testing.T) {
+func TestUnansweredErrorReportsMayHaveTakenEffect(t *testing.T) {
 	for name, test := range map[string]struct {
-		fault fault
-		may   bool
+		fault              fault
+		mayHaveTakenEffect bool
 	}{
-		"refused":     {answerStatus(http.StatusServiceUnavailable), false},
-		"too many":    {answerStatus(http.StatusTooManyRequests), false},
-		"unreachable": {unreachable, false},
-		"failed":      {answerStatus(http.StatusInternalServerError), true},
-		"broken":      {connectionLost, true},
-		"silent":      {noAnswer, true},
+		"status 503":      {answerStatus(http.StatusServiceUnavailable), false},
+		"status 429":      {answerStatus(http.StatusTooManyRequests), false},
+		"unreachable":     {unreachable, false},
+		"status 500":      {answerStatus(http.StatusInternalServerError), true},
+		"connection lost": {connectionLost, true},
+		"no answer":       {noAnswer, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-				w.setFault(answerStatus(http.StatusServiceUnavailable), secondAddress, thirdAddress)
-				w.setFault(test.fault, firstAddress)
+			withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+				transport.setFault(answerStatus(http.StatusServiceUnavailable), secondAddress, thirdAddress)
+				transport.setFault(test.fault, firstAddress)
 				_, err := c.NextNumber(withTimeout(t, 5*time.Second), "n")
 				var unanswered *coordclient.UnansweredError
 				assert.Assert(t, errors.As(err, &unanswered))
-				assert.Equal(t, unanswered.MayHaveTakenEffect, test.may)
+				assert.Equal(t, unanswered.MayHaveTakenEffect, test.mayHaveTakenEffect)
 			})
 		})
 	}
 }
 
 func TestEndedContextSendsNothing(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, err := c.NextNumber(ctx, "n")
 		assert.ErrorIs(t, err, context.Canceled)
-		assert.Equal(t, w.countCalls(""), 0)
+		assert.Equal(t, transport.countCalls(""), 0)
 	})
 }
 
-func TestInvalidCallIsNotRepeated(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-		w.setFault(answerStatus(http.StatusBadRequest), firstAddress, secondAddress, thirdAddress)
+func TestInvalidCallIsNotRetried(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		transport.setFault(answerStatus(http.StatusBadRequest), firstAddress, secondAddress, thirdAddress)
 		_, err := c.NextNumber(withTimeout(t, time.Minute), "n")
-		var told *coordclient.StatusError
-		assert.Assert(t, errors.As(err, &told))
-		assert.Equal(t, told.Status, http.StatusBadRequest)
-		assert.Equal(t, w.countCalls(""), 1)
+		var statusError *coordclient.StatusError
+		assert.Assert(t, errors.As(err, &statusError))
+		assert.Equal(t, statusError.Status, http.StatusBadRequest)
+		assert.Equal(t, transport.countCalls(""), 1)
 	})
 }
 
-func TestPutIsSentAgainWithItsValue(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-		w.setFault(answerLost, firstAddress, secondAddress)
+func TestRetriedPutIsAppliedOnce(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		transport.setFault(answerLost, firstAddress, secondAddress)
 		revision, err := c.PutIf(withTimeout(t, time.Minute), "g.a", "one", 0)
 		assert.NilError(t, err)
 		assert.Equal(t, revision, uint64(1))
-		assert.Equal(t, len(w.server.changes), 1)
+		assert.Equal(t, len(transport.server.changes), 1)
 	})
 }
 
--- a/coordclient/example_test.go
+++ b/coordclient/example_test.go
@@ -22,7 +22,7 @@
 	return client, func() { client.Close(); server.Close() }
 }
 
-// register is what the work under a lock changes. It refuses whoever comes with a lower fence than it has seen.
+// register is a resource that is written under a lock. It rejects fences lower than the highest one it has seen.
 type register struct {
 	fence uint64
 	text  string
@@ -30,13 +30,13 @@
 
 func (r *register) write(fence uint64, text string) error {
 	if fence < r.fence {
-		return errors.New("another holder has come since")
+		return errors.New("a later holder has written")
 	}
 	r.fence, r.text = fence, text
 	return nil
 }
 
-// A lock with its fence: the work runs under the lock's context, and what it changes checks the fence.
+// The work under a lock runs with the context of the lock, and the resource that it changes checks the fence.
 func ExampleClient_Lock() {
 	client, done := exampleClient()
 	defer done()
@@ -50,16 +50,16 @@
 	}
 	defer func() { _ = lock.Finish(ctx) }()
 	if lock.Context().Err() != nil {
-		return // the lock was lost: the work has to stop
+		return // the lock is lost: the work must stop
 	}
-	fmt.Println(certificates.write(lock.Fence(), "handed out"))
-	fmt.Println(certificates.write(lock.Fence()-1, "handed out again"))
+	fmt.Println(certificates.write(lock.Fence(), "issued"))
+	fmt.Println(certificates.write(lock.Fence()-1, "issued again"))
 	// Output:
 	// <nil>
-	// another holder has come since
+	// a later holder has written
 }
 
-// Numbers of one name rise; some may be left out.
+// The numbers of one name increase, possibly with gaps.
 func ExampleClient_NextNumber() {
 	client, done := exampleClient()
 	defer done()
@@ -77,7 +77,8 @@
 	// Output: true
 }
 
-// Compare and set: read, change, and put only if nobody has put meanwhile.
+// Compare and set: get a key, then put a new value only if the key has not been put since. The values carry
+// a counter, as the values of one key must differ.
 func ExampleClient_PutIf() {
 	client, done := exampleClient()
 	defer done()
@@ -90,7 +91,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	if _, err := client.Put(ctx, "chairs.thursday", "given to another/2"); err != nil {
+	if _, err := client.Put(ctx, "chairs.thursday", "given to someone else/2"); err != nil {
 		log.Fatal(err)
 	}
 	_, err = client.PutIf(ctx, "chairs.thursday", "given to us/3", seen.Revision)
@@ -99,7 +100,7 @@
 	// Output: true
 }
 
-// A watch gives each put in a group of keys once, and goes on where it was.
+// A watch yields each put in a group of keys once, and can be continued from its revision.
 func ExampleClient_Watch() {
 	client, done := exampleClient()
 	defer done()
--- a/coordclient/fake_server_test.go
+++ b/coordclient/fake_server_test.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// heldLock is a lock in a stand-in.
+// heldLock is a lock in a fakeServer.
 type heldLock struct {
 	holder string
 	fence  uint64
 	until  time.Time
 }
 
-// change is a put in a stand-in.
+// change is a put in a fakeServer.
 type change struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 	Rev   uint64 `json:"rev"`
 }
 
-// fakeServer serves the calls from memory, as one group of keys. All addresses of a test share it.
+// fakeServer serves calls from memory. All its keys are one group, and all addresses of a test share it.
 type fakeServer struct {
 	mu                sync.Mutex
 	locks             map[string]*heldLock
@@ -55,19 +55,19 @@
 		s.watch(w, r)
 		return
 	}
-	var q fakeRequest
+	var request fakeRequest
 	if r.Method == http.MethodPost {
-		_ = json.NewDecoder(r.Body).Decode(&q)
+		_ = json.NewDecoder(r.Body).Decode(&request)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch verb {
 	case "Locks.Begin":
-		s.begin(w, id, q)
+		s.begin(w, id, request)
 	case "Locks.Heartbeat":
-		s.heartbeat(w, id, q)
+		s.heartbeat(w, id, request)
 	case "Locks.Finish":
-		if l := s.locks[id]; l != nil && l.fence == q.Fence {
+		if l := s.locks[id]; l != nil && l.fence == request.Fence {
 			delete(s.locks, id)
 		}
 		writeAnswer(w, http.StatusOK, nil)
@@ -75,7 +75,7 @@
 		s.numbers[id]++
 		writeAnswer(w, http.StatusOK, map[string]any{"value": s.numbers[id]})
 	case "Cells.Replace":
-		s.put(w, id, q)
+		s.put(w, id, request)
 	case "Cells.Get":
 		s.get(w, id)
 	}
@@ -86,28 +86,28 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (s *fakeServer) begin(w http.ResponseWriter, id string, q fakeRequest) {
+func (s *fakeServer) begin(w http.ResponseWriter, id string, request fakeRequest) {
 	l := s.locks[id]
-	if l != nil && l.holder != q.Holder && time.Now().Before(l.until) {
+	if l != nil && l.holder != request.Holder && time.Now().Before(l.until) {
 		writeAnswer(w, http.StatusConflict, nil)
 		return
 	}
 	s.fence++
-	s.locks[id] = &heldLock{q.Holder, s.fence, time.Now().Add(time.Duration(q.HoldMS) * time.Millisecond)}
+	s.locks[id] = &heldLock{request.Holder, s.fence, time.Now().Add(time.Duration(request.HoldMS) * time.Millisecond)}
 	writeAnswer(w, http.StatusOK, map[string]any{"fence": s.fence})
 }
 
-func (s *fakeServer) heartbeat(w http.ResponseWriter, id string, q fakeRequest) {
+func (s *fakeServer) heartbeat(w http.ResponseWriter, id string, request fakeRequest) {
 	l := s.locks[id]
-	if l == nil || l.fence != q.Fence || !time.Now().Before(l.until) {
+	if l == nil || l.fence != request.Fence || !time.Now().Before(l.until) {
 		writeAnswer(w, http.StatusConflict, nil)
 		return
 	}
-	l.until = time.Now().Add(time.Duration(q.HoldMS) * time.Millisecond)
+	l.until = time.Now().Add(time.Duration(request.HoldMS) * time.Millisecond)
 	writeAnswer(w, http.StatusOK, nil)
 }
 
-// newestChange gives the newest change of a key.
+// newestChange returns the newest change of a key, or the zero value if there is none.
 func (s *fakeServer) newestChange(key string) change {
 	for i := len(s.changes) - 1; i >= 0; i-- {
 		if s.changes[i].Name == key {
@@ -117,18 +117,18 @@
 	return change{}
 }
 
-func (s *fakeServer) put(w http.ResponseWriter, key string, q fakeRequest) {
+func (s *fakeServer) put(w http.ResponseWriter, key string, request fakeRequest) {
 	for _, c := range s.changes {
-		if c.Name == key && c.Value == q.Value {
+		if c.Name == key && c.Value == request.Value {
 			writeAnswer(w, http.StatusOK, map[string]any{"rev": c.Rev})
 			return
 		}
 	}
-	if present := s.newestChange(key); q.IfRevision != nil && *q.IfRevision != present.Rev {
+	if present := s.newestChange(key); request.IfRevision != nil && *request.IfRevision != present.Rev {
 		writeAnswer(w, http.StatusPreconditionFailed, map[string]any{"rev": present.Rev})
 		return
 	}
-	s.changes = append(s.changes, change{key, q.Value, uint64(len(s.changes) + 1)})
+	s.changes = append(s.changes, change{key, request.Value, uint64(len(s.changes) + 1)})
 	writeAnswer(w, http.StatusOK, map[string]any{"rev": len(s.changes)})
 }
 
@@ -149,14 +149,14 @@
 	until := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		changes, forgotten := s.changes, s.compactedRevision
+		changes, compacted := s.changes, s.compactedRevision
 		s.mu.Unlock()
 		newest := uint64(len(changes))
 		switch {
 		case after == 0:
 			writeAnswer(w, http.StatusOK, map[string]any{"events": []change{}, "rev": newest})
 			return
-		case after < forgotten:
+		case after < compacted:
 			writeAnswer(w, http.StatusGone, nil)
 			return
 		case after < newest || !time.Now().Before(until):
@@ -167,10 +167,10 @@
 	}
 }
 
-// fault is how an address treats a call instead of serving it.
-type fault func(q *http.Request, serve func() *http.Response) (*http.Response, error)
+// fault handles a call at an address in place of the server. It may call serve to have the call served.
+type fault func(request *http.Request, serve func() *http.Response) (*http.Response, error)
 
-// fakeTransport carries calls to the stand-in, through the faults of the addresses. It is safe for concurrent use.
+// fakeTransport passes calls to the fakeServer, subject to the faults of the addresses. It is safe for concurrent use.
 type fakeTransport struct {
 	server *fakeServer
 
@@ -184,38 +184,38 @@
 	return &fakeTransport{server: newFakeServer(), faults: map[string]fault{}}
 }
 
-func (w *fakeTransport) RoundTrip(q *http.Request) (*http.Response, error) {
-	w.mu.Lock()
-	w.calls = append(w.calls, q.URL.Host+q.URL.Path)
-	w.sentAt = append(w.sentAt, time.Now())
-	f := w.faults[q.URL.Host]
-	w.mu.Unlock()
+func (t *fakeTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	t.mu.Lock()
+	t.calls = append(t.calls, request.URL.Host+request.URL.Path)
+	t.sentAt = append(t.sentAt, time.Now())
+	f := t.faults[request.URL.Host]
+	t.mu.Unlock()
 	serve := func() *http.Response {
 		recorder := httptest.NewRecorder()
-		w.server.ServeHTTP(recorder, q)
+		t.server.ServeHTTP(recorder, request)
 		return recorder.Result()
 	}
 	if f == nil {
 		return serve(), nil
 	}
-	return f(q, serve)
+	return f(request, serve)
 }
 
-// setFault has addresses treat their calls from now on; nil for serving them.
-func (w *fakeTransport) setFault(f fault, addresses ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// setFault sets the fault of some addresses; nil means that their calls are served.
+func (t *fakeTransport) setFault(f fault, addresses ...string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, a := range addresses {
-		w.faults[a] = f
+		t.faults[a] = f
 	}
 }
 
-// countCalls tells how many calls have gone to where the text says.
-func (w *fakeTransport) countCalls(text string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// countCalls returns the number of calls whose address and path contain the text.
+func (t *fakeTransport) countCalls(text string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	n := 0
-	for _, c := range w.calls {
+	for _, c := range t.calls {
 		if strings.Contains(c, text) {
 			n++
 		}
@@ -223,7 +223,7 @@
 	return n
 }
 
-// The faults.
+// The following functions are or return faults.
 
 func answerStatus(code int) fault {
 	return func(*http.Request, func() *http.Response) (*http.Response, error) {
@@ -238,29 +238,29 @@
 }
 
 func connectionLost(*http.Request, func() *http.Response) (*http.Response, error) {
-	return nil, errors.New("connection ended")
+	return nil, errors.New("connection lost")
 }
 
-func noAnswer(q *http.Request, _ func() *http.Response) (*http.Response, error) {
-	<-q.Context().Done()
-	return nil, context.Cause(q.Context())
+func noAnswer(request *http.Request, _ func() *http.Response) (*http.Response, error) {
+	<-request.Context().Done()
+	return nil, context.Cause(request.Context())
 }
 
-// answerLost carries a call out, and loses the answer.
+// answerLost has the call served and drops the answer.
 func answerLost(_ *http.Request, serve func() *http.Response) (*http.Response, error) {
 	serve()
-	return nil, errors.New("connection ended")
+	return nil, errors.New("connection lost")
 }
 
-// delayedBy answers after a time.
+// delayedBy returns a fault that has the call served and delays the answer.
 func delayedBy(by time.Duration) fault {
-	return func(q *http.Request, serve func() *http.Response) (*http.Response, error) {
+	return func(request *http.Request, serve func() *http.Response) (*http.Response, error) {
 		response := serve()
 		select {
 		case <-time.After(by):
 			return response, nil
-		case <-q.Context().Done():
-			return nil, context.Cause(q.Context())
+		case <-request.Context().Done():
+			return nil, context.Cause(request.Context())
 		}
 	}
 }
--- a/coordclient/lock_test.go
+++ b/coordclient/lock_test.go
@@ -22,7 +22,7 @@
 	return l
 }
 
-// awaitEnd waits until a lock's context ends, and gives how long that took.
+// awaitEnd waits until the context of a lock ends, and returns how long that took.
 func awaitEnd(l *coordclient.Lock) time.Duration {
 	began := time.Now()
 	<-l.Context().Done()
@@ -30,18 +30,18 @@
 }
 
 func TestLockIsRenewed(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		l := takeLock(t, c)
 		time.Sleep(10*hold + time.Millisecond)
 		assert.Assert(t, l.Held())
 		assert.NilError(t, l.Context().Err())
-		assert.Equal(t, w.countCalls("Heartbeat"), 30)
+		assert.Equal(t, transport.countCalls("Heartbeat"), 30)
 		_, err := c.TryLock(withTimeout(t, time.Minute), "l", hold)
 		assert.ErrorIs(t, err, coordclient.ErrHeld)
 	})
 }
 
-func TestLockOutlivesTheContextOfItsTaking(t *testing.T) {
+func TestLockOutlivesItsAcquiringContext(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
 		ctx, cancel := context.WithCancel(t.Context())
 		l, err := c.Lock(ctx, "l", hold)
@@ -53,73 +53,74 @@
 	})
 }
 
-// However the fleet fails, the work ends before it may give the lock to another.
-func TestWorkEndsInTime(t *testing.T) {
+// TestContextEndsBeforeHold checks that, however the fleet fails, the context of a lock ends before the fleet may give
+// the lock to another holder.
+func TestContextEndsBeforeHold(t *testing.T) {
 	for name, f := range map[string]fault{
-		"refused":             answerStatus(http.StatusServiceUnavailable),
-		"unreachable":         unreachable,
-		"broken":              connectionLost,
-		"silent":              noAnswer,
-		"done, never told":    answerLost,
-		"answered after 0.9s": delayedBy(900 * time.Millisecond),
+		"status 503":             answerStatus(http.StatusServiceUnavailable),
+		"unreachable":            unreachable,
+		"connection lost":        connectionLost,
+		"no answer":              noAnswer,
+		"answer lost":            answerLost,
+		"answer delayed by 0.9s": delayedBy(900 * time.Millisecond),
 	} {
 		t.Run(name, func(t *testing.T) {
-			withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+			withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 				l := takeLock(t, c)
-				time.Sleep(2*hold + time.Millisecond) // the last good call was 1 ms ago
-				w.setFault(f, firstAddress, secondAddress, thirdAddress)
-				if name == "answered after 0.9s" {
+				time.Sleep(2*hold + time.Millisecond) // the last successful call was 1 ms ago
+				transport.setFault(f, firstAddress, secondAddress, thirdAddress)
+				if name == "answer delayed by 0.9s" {
 					time.Sleep(2 * hold)
-					assert.Assert(t, l.Held(), "slow renewals are in time")
+					assert.Assert(t, l.Held(), "delayed renewals still arrive in time")
 					return
 				}
 				took := awaitEnd(l)
 				assert.Equal(t, took, hold-hold/10-time.Millisecond)
 				assert.ErrorIs(t, context.Cause(l.Context()), coordclient.ErrLost)
 				assert.Assert(t, !l.Held())
-				w.setFault(nil, firstAddress, secondAddress, thirdAddress)
+				transport.setFault(nil, firstAddress, secondAddress, thirdAddress)
 			})
 		})
 	}
 }
 
-func TestHoldCountsFromTheSendingOfSlowCalls(t *testing.T) {
+func TestLeaseCountsFromSendingOfSlowCalls(t *testing.T) {
 	const delay = 900 * time.Millisecond
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-		w.setFault(delayedBy(delay), firstAddress, secondAddress, thirdAddress)
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		transport.setFault(delayedBy(delay), firstAddress, secondAddress, thirdAddress)
 		l := takeLock(t, c)
-		w.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
-		assert.Equal(t, awaitEnd(l), hold-hold/10-delay, "after the taking")
+		transport.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
+		assert.Equal(t, awaitEnd(l), hold-hold/10-delay, "after acquiring")
 
-		w.setFault(delayedBy(delay), firstAddress, secondAddress, thirdAddress)
+		transport.setFault(delayedBy(delay), firstAddress, secondAddress, thirdAddress)
 		l = takeLock(t, c)
-		time.Sleep(hold/3 + time.Millisecond) // the answer to a renewal has come 1 ms ago
-		w.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
+		time.Sleep(hold/3 + time.Millisecond) // the answer to a renewal arrived 1 ms ago
+		transport.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
 		assert.Equal(t, awaitEnd(l), hold-hold/10-delay-time.Millisecond, "after a renewal")
-		w.setFault(nil, firstAddress, secondAddress, thirdAddress)
+		transport.setFault(nil, firstAddress, secondAddress, thirdAddress)
 	})
 }
 
-func TestLockIsHeldWhileOneAddressAfterTheOtherIsSilent(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+func TestLockIsHeldWhileOneAddressAfterTheOtherDoesNotAnswer(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		l := takeLock(t, c)
 		for i := range 12 {
 			address := []string{firstAddress, secondAddress, thirdAddress}[i%3]
-			w.setFault(noAnswer, address)
+			transport.setFault(noAnswer, address)
 			time.Sleep(5 * time.Second)
 			assert.Assert(t, l.Held())
-			w.setFault(nil, address)
+			transport.setFault(nil, address)
 		}
 	})
 }
 
 func TestLockIsHeldWhileAllAddressesRefuseForASecond(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		l := takeLock(t, c)
 		for range 10 {
-			w.setFault(answerStatus(http.StatusServiceUnavailable), firstAddress, secondAddress, thirdAddress)
+			transport.setFault(answerStatus(http.StatusServiceUnavailable), firstAddress, secondAddress, thirdAddress)
 			time.Sleep(time.Second)
-			w.setFault(nil, firstAddress, secondAddress, thirdAddress)
+			transport.setFault(nil, firstAddress, secondAddress, thirdAddress)
 			time.Sleep(2 * time.Second)
 			assert.Assert(t, l.Held())
 		}
@@ -127,25 +128,25 @@
 }
 
 func TestLostLockEndsAtOnce(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		l := takeLock(t, c)
-		w.setFault(answerStatus(http.StatusConflict), firstAddress, secondAddress, thirdAddress)
+		transport.setFault(answerStatus(http.StatusConflict), firstAddress, secondAddress, thirdAddress)
 		assert.Equal(t, awaitEnd(l), hold/3)
 		assert.ErrorIs(t, context.Cause(l.Context()), coordclient.ErrLost)
-		w.setFault(nil, firstAddress, secondAddress, thirdAddress)
+		transport.setFault(nil, firstAddress, secondAddress, thirdAddress)
 	})
 }
 
-func TestLockThatComesTooLateIsLost(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-		w.setFault(delayedBy(600*time.Millisecond), firstAddress, secondAddress, thirdAddress)
+func TestLockAnsweredAfterLeaseEndIsLost(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		transport.setFault(delayedBy(600*time.Millisecond), firstAddress, secondAddress, thirdAddress)
 		_, err := c.TryLock(withTimeout(t, time.Minute), "l", 500*time.Millisecond)
 		assert.ErrorIs(t, err, coordclient.ErrLost)
 	})
 }
 
 func TestFinish(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		l := takeLock(t, c)
 		assert.NilError(t, l.Finish(t.Context()))
 		assert.ErrorIs(t, context.Cause(l.Context()), coordclient.ErrFinished)
@@ -153,24 +154,24 @@
 		next, err := c.TryLock(withTimeout(t, time.Minute), "l", hold)
 		assert.NilError(t, err)
 		assert.Assert(t, next.Fence() > l.Fence())
-		heartbeats := w.countCalls("Heartbeat")
+		heartbeats := transport.countCalls("Heartbeat")
 		assert.NilError(t, next.Finish(t.Context()))
 		time.Sleep(10 * hold)
-		assert.Equal(t, w.countCalls("Heartbeat"), heartbeats, "nothing is renewed once it is given back")
+		assert.Equal(t, transport.countCalls("Heartbeat"), heartbeats, "nothing is renewed after the release")
 	})
 }
 
-func TestFinishThatIsNotAnsweredEndsTheWorkAllTheSame(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+func TestUnansweredFinishStillEndsTheLock(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		l := takeLock(t, c)
-		w.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
+		transport.setFault(noAnswer, firstAddress, secondAddress, thirdAddress)
 		assert.ErrorIs(t, l.Finish(withTimeout(t, time.Second)), context.DeadlineExceeded)
 		assert.Assert(t, !l.Held())
-		w.setFault(nil, firstAddress, secondAddress, thirdAddress)
+		transport.setFault(nil, firstAddress, secondAddress, thirdAddress)
 	})
 }
 
-func TestLockWaitsForTheHolderBefore(t *testing.T) {
+func TestLockWaitsForCurrentHolder(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
 		first := takeLock(t, c)
 		go func() {
--- a/coordclient/watch.go
+++ b/coordclient/watch.go
@@ -72,7 +72,8 @@
 
 // poll makes one call for the changes after the revision.
 func (w *Watch) poll(ctx context.Context) (*watchReply, error) {
-	path := fmt.Sprintf("/v1/watch/%s?after=%d&wait_ms=%d", url.PathEscape(w.group), w.Revision(), pollWait.Milliseconds())
+	path := fmt.Sprintf("/v1/watch/%s?after=%d&wait_ms=%d",
+		url.PathEscape(w.group), w.Revision(), pollWait.Milliseconds())
 	r, err := w.client.do(ctx, &call{method: http.MethodGet, path: path, timeout: pollWait + attemptTimeout})
 	if err != nil {
 		return nil, err
--- a/coordclient/watch_test.go
+++ b/coordclient/watch_test.go
@@ -12,8 +12,8 @@
 	"ivybank/coordclient"
 )
 
-func TestWatchTellsEachPutOnceThroughFailures(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
+func TestWatchYieldsEachPutOnceDespiteFailures(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
 		ctx := withTimeout(t, time.Hour)
 		const puts = 50
 		_, err := c.Put(ctx, "g.a", "value-0")
@@ -28,14 +28,16 @@
 			faults := []fault{noAnswer, connectionLost, answerStatus(http.StatusServiceUnavailable), nil}
 			for i := range 40 {
 				time.Sleep(900 * time.Millisecond)
-				w.setFault(faults[i%len(faults)], []string{firstAddress, secondAddress, thirdAddress}[i%3])
+				transport.setFault(faults[i%len(faults)], []string{firstAddress, secondAddress, thirdAddress}[i%3])
 			}
-			w.setFault(nil, firstAddress, secondAddress, thirdAddress)
+			transport.setFault(nil, firstAddress, secondAddress, thirdAddress)
 		}()
 		next := 1
 		for change, err := range c.Watch("g.", 1).Changes(ctx) {
 			assert.NilError(t, err)
-			assert.Equal(t, change, coordclient.Change{Key: "g.a", Value: fmt.Sprint("value-", next), Revision: uint64(next + 1)})
+			assert.Equal(t, change, coordclient.Change{
+				Key: "g.a", Value: fmt.Sprint("value-", next), Revision: uint64(next + 1),
+			})
 			if next == puts {
 				break
 			}
@@ -44,7 +46,7 @@
 	})
 }
 
-func TestWatchGoesOnFromItsRevision(t *testing.T) {
+func TestWatchContinuesFromItsRevision(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
 		ctx := withTimeout(t, time.Hour)
 		for i := range 5 {
@@ -66,7 +68,7 @@
 	})
 }
 
-func TestWatchFromNowOn(t *testing.T) {
+func TestWatchFromRevisionZero(t *testing.T) {
 	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
 		ctx := withTimeout(t, time.Hour)
 		go func() {
@@ -77,15 +79,15 @@
 		}()
 		for change, err := range c.Watch("g.", 0).Changes(ctx) {
 			assert.NilError(t, err)
-			assert.Equal(t, change.Value, "value-1", "the first put makes the group known")
+			assert.Equal(t, change.Value, "value-1", "the first put only creates the group")
 			break
 		}
 	})
 }
 
-func TestWatchOfForgottenChanges(t *testing.T) {
-	withFakeClock(t, func(t *testing.T, w *fakeTransport, c *coordclient.Client) {
-		w.server.compactedRevision = 10
+func TestWatchOfCompactedChanges(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		transport.server.compactedRevision = 10
 		for _, err := range c.Watch("g.", 3).Changes(withTimeout(t, time.Minute)) {
 			assert.ErrorIs(t, err, coordclient.ErrCompacted)
 		}
