--- a/control/coordination/snapshot.go
+++ b/control/coordination/snapshot.go
@@ -10,7 +10,7 @@
 	"ivybank/wire"
 )
 
-// ErrMalformedSnapshot matches every error of decoding a snapshot.
+// ErrMalformedSnapshot is matched by every error of decoding a snapshot.
 var ErrMalformedSnapshot = errors.New("coordination: malformed snapshot")
 
 // snapshot is a whole state in the form in which it is sent and stored. Lists are sorted by name and records by time,
--- a/control/coordination/validate.go
+++ b/control/coordination/validate.go
@@ -8,7 +8,7 @@
 	"ivybank/wire"
 )
 
-// ErrInvalid matches every error that Validate returns.
+// ErrInvalid is matched by every error that Validate returns.
 var ErrInvalid = errors.New("coordination: invalid command")
 
 // validationError is the reason why a command is invalid.
@@ -26,7 +26,7 @@
 	errHold   validationError = "hold_ms is out of bounds"
 	errFence  validationError = "fence is missing"
 	errValue  validationError = "value is too long or not valid UTF-8"
-	errGroup  validationError = "name of a watch is not a group: a group ends with its first dot"
+	errGroup  validationError = "name of a watch is not a group: it continues after its first dot"
 	errWait   validationError = "wait_ms is out of bounds"
 )
 
