--- a/control/applications.go
+++ b/control/applications.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	maxCallBytes   = 32 << 10 // bytes of a request body
-	retryCallAfter = "0.05"   // Retry-After in seconds
+	maxCallBodyBytes      = 32 << 10 // bytes of a request body
+	callRetryAfterSeconds = "0.05"   // Retry-After in seconds
 )
 
 // applicationCall describes one HTTP call of the application API.
@@ -90,29 +90,29 @@
 
 // serve submits a call to the node's event loop and writes the response. If the outcome is unknown, it closes the
 // connection without a response.
-func (h *applicationHandler) serve(w http.ResponseWriter, r *http.Request, kind *applicationCall) {
-	since := h.node.env.Now()
-	command, ok := readCommand(w, r, kind.kind)
+func (h *applicationHandler) serve(w http.ResponseWriter, r *http.Request, call *applicationCall) {
+	receivedAt := h.node.env.Now()
+	command, ok := readCommand(w, r, call.kind)
 	if !ok {
-		h.write(w, kind, wire.Answer{Outcome: wire.Invalid})
+		h.write(w, call, wire.Answer{Outcome: wire.Invalid})
 		return
 	}
-	if kind.kind == wire.WatchGroup {
+	if call.kind == wire.WatchGroup {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{}) // a watch may wait longer than the server's read timeout
 	}
 	answers := make(chan wire.Answer, 1)
-	taken := make(chan *partCall, 1)
+	submitted := make(chan *partCall, 1)
 	h.node.env.Do(func() {
-		taken <- h.node.takeCall(command, since, func(a wire.Answer) { answers <- a })
+		submitted <- h.node.submitCall(command, receivedAt, func(a wire.Answer) { answers <- a })
 	})
 	select {
 	case a := <-answers:
-		if kind.kind != wire.WatchGroup {
-			h.node.counts.partWait.Update((h.node.env.Now() - since).Seconds())
+		if call.kind != wire.WatchGroup {
+			h.node.counters.partCallSeconds.Update((h.node.env.Now() - receivedAt).Seconds())
 		}
-		h.write(w, kind, a)
+		h.write(w, call, a)
 	case <-r.Context().Done():
-		h.node.env.Do(func() { h.node.callerLeft(<-taken) })
+		h.node.env.Do(func() { h.node.callerDisconnected(<-submitted) })
 		panic(http.ErrAbortHandler) // returning without a response would make net/http send 200
 	}
 }
@@ -123,7 +123,7 @@
 	if r.Method == http.MethodGet {
 		return command, kind != wire.WatchGroup || readWatch(r, &command)
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBytes))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCallBodyBytes))
 	if err != nil {
 		return command, false
 	}
@@ -131,12 +131,12 @@
 	if err := json.Unmarshal(text, &body); err != nil || !(body.HoldMS >= 0 && body.HoldMS < math.MaxInt32) {
 		return command, false
 	}
-	body.into(&command)
+	body.fillCommand(&command)
 	return command, true
 }
 
 // fillCommand copies only the fields that the command's kind uses, so that log entries carry no others.
-func (b *requestBody) into(c *wire.Command) {
+func (b *requestBody) fillCommand(c *wire.Command) {
 	switch c.Kind {
 	case wire.BeginLock:
 		c.Holder, c.HoldMS = b.Holder, int64(math.Ceil(b.HoldMS))
@@ -170,19 +170,19 @@
 }
 
 // write writes the response for an answer.
-func (h *applicationHandler) write(w http.ResponseWriter, kind *applicationCall, a wire.Answer) {
-	status := statusOf(a.Outcome)
-	h.node.counts.answered(kind.name, status)
+func (h *applicationHandler) write(w http.ResponseWriter, call *applicationCall, a wire.Answer) {
+	status := httpStatus(a.Outcome)
+	h.node.counters.countResponse(call.name, status)
 	if status == 0 {
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		w.Header().Set("Retry-After", retryCallAfter)
+		w.Header().Set("Retry-After", callRetryAfterSeconds)
 	}
 	body := emptyBody(&a)
 	switch status {
 	case http.StatusOK:
-		body = kind.success(&a)
+		body = call.success(&a)
 	case http.StatusPreconditionFailed:
 		body = revisionBody{a.Revision}
 	}
@@ -196,7 +196,7 @@
 }
 
 // httpStatus returns the HTTP status for an outcome, or 0 if the connection has to be closed without a response.
-func statusOf(o wire.Outcome) int {
+func httpStatus(o wire.Outcome) int {
 	switch o {
 	case wire.Done:
 		return http.StatusOK
--- a/control/applications_test.go
+++ b/control/applications_test.go
@@ -60,7 +60,7 @@
 		{"POST", "/v1/Locks.Begin/l", `{"holder":"a","hold_ms":-1}`},
 		{"POST", "/v1/Locks.Begin/l", `{"holder":"a","hold_ms":1e12}`},
 		{"POST", "/v1/Locks.Finish/l", `{"holder":"a","fence":-1}`},
-		{"POST", "/v1/Locks.Begin/l", `{"holder":"` + strings.Repeat("a", maxCallBytes) + `","hold_ms":1}`},
+		{"POST", "/v1/Locks.Begin/l", `{"holder":"` + strings.Repeat("a", maxCallBodyBytes) + `","hold_ms":1}`},
 		{"POST", "/v1/Cells.Replace/k", `{"value":"v","if_revision":1.5}`},
 		{"GET", "/v1/watch/g.?after=x", ""},
 		{"GET", "/v1/watch/g.?wait_ms=1s", ""},
@@ -73,7 +73,7 @@
 
 // answerOf returns the HTTP response for an answer, or false if the connection is closed instead.
 func answerOf(path string, a wire.Answer) (r *httptest.ResponseRecorder, answered bool) {
-	h := &applicationHandler{&Node{counts: newNodeCounts()}}
+	h := &applicationHandler{&Node{counters: newNodeCounters()}}
 	r = httptest.NewRecorder()
 	defer func() { answered = recover() == nil }()
 	for _, call := range applicationCalls {
@@ -129,7 +129,7 @@
 // pendingNode has a part without a leader whose queue is never processed, so calls stay in flight.
 func pendingNode() *Node {
 	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.GroupConfig{TargetSize: 3}, replica.PersistentState{}, rand.New(rand.NewPCG(1, 2)), 0)}
-	return &Node{counts: newNodeCounts(), env: &directEnvironment{}, replica: p.replica, parts: []*part{p}}
+	return &Node{counters: newNodeCounters(), env: &directEnvironment{}, replica: p.replica, parts: []*part{p}}
 }
 
 // directEnvironment runs events immediately, with a clock that is always 0.
@@ -174,7 +174,7 @@
 
 func TestOrderLeftUnderWayGetsNoImplicitOK(t *testing.T) {
 	h := newOperatorHandler(pendingNode())
-	never := func(http.ResponseWriter, *http.Request, func(verdict)) {}
+	never := func(http.ResponseWriter, *http.Request, func(response)) {}
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h.await(w, r, callReplace, never) })
 	assert.Equal(t, readAfterHalfClose(t, handler, "POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"), "")
 }
--- a/control/calls.go
+++ b/control/calls.go
@@ -11,58 +11,58 @@
 
 const (
 	// callerTimeout is how long a caller waits for a response before it retries elsewhere; older calls are dropped.
-	callerPatience = time.Second
+	callerTimeout = time.Second
 	// queueTimeout is how long a call may wait in the leader's queue before it is refused. It is shorter than
 	// callerTimeout, so that the refusal still reaches the caller.
-	queuePatience = 600 * time.Millisecond
+	queueTimeout = 600 * time.Millisecond
 	// leaderWaitTimeout is how long a call waits for a leader to become known: about the duration of a planned change
 	// of leader.
-	leaderPatience = 150 * time.Millisecond
-	rerouteEvery   = 50 * time.Millisecond // between attempts to forward the same call
-	watchInterval  = 25 * time.Millisecond // between checks for watches that have expired
-	maxBatch       = 256                   // commands in one log entry
-	maxQueuedCalls = 2048
-	maxWatches     = 4096
+	leaderWaitTimeout     = 150 * time.Millisecond
+	rerouteInterval       = 50 * time.Millisecond // between attempts to forward the same call
+	watchCheckInterval    = 25 * time.Millisecond // between checks for watches that have expired
+	maxBatchCommands      = 256                   // commands in one log entry
+	maxQueuedCallsPerPart = 2048
+	maxWatchesPerPart     = 4096
 )
 
 // partCall is one application call, received from the caller or forwarded by another control process.
 type partCall struct {
-	command wire.Command
-	part    *part
-	since   time.Duration // when it was received from the caller
-	until   time.Duration // deadline of a watch
-	passed  bool          // forwarded by another process, which retries by itself if necessary
-	retryAt time.Duration // the earliest time of the next attempt to forward it
-	answer  func(wire.Answer)
+	command    wire.Command
+	part       *part
+	receivedAt time.Duration // when it was received from the caller
+	deadline   time.Duration // deadline of a watch
+	forwarded  bool          // forwarded by another process, which retries by itself if necessary
+	retryAt    time.Duration // the earliest time of the next attempt to forward it
+	respond    func(wire.Answer)
 }
 
 // finish sends the answer to the caller. Later calls are ignored.
 func (c *partCall) finish(a wire.Answer) {
-	if answer := c.answer; answer != nil {
-		c.answer = nil
-		answer(a)
+	if respond := c.respond; respond != nil {
+		c.respond = nil
+		respond(a)
 	}
 }
 
 func (c *partCall) finishWith(o wire.Outcome) { c.finish(wire.Answer{Outcome: o}) }
 
 // refuse answers that the call was not executed.
-func (n *Node) refuse(c *partCall, why refusal) {
+func (n *Node) refuse(c *partCall, reason refusalReason) {
 	if !c.finished() {
-		n.counts.refused(why)
+		n.counters.countRefused(reason)
 		c.finishWith(wire.NotServed)
 	}
 }
 
 // closeUnanswered ends a call whose outcome is unknown; the caller gets no answer.
-func (n *Node) leaveUnanswered(c *partCall, why silence) {
+func (n *Node) closeUnanswered(c *partCall, reason unansweredReason) {
 	if !c.finished() {
-		n.counts.unanswered(why)
+		n.counters.countUnanswered(reason)
 		c.finishWith(wire.OutcomeUnknown)
 	}
 }
 
-func (c *partCall) finished() bool { return c.answer == nil }
+func (c *partCall) finished() bool { return c.respond == nil }
 
 func (c *partCall) isWatch() bool { return c.command.Kind == wire.WatchGroup }
 
@@ -74,24 +74,24 @@
 func (c *partCall) refusalDue(now time.Duration, leading bool) bool {
 	switch {
 	case c.isWatch():
-		return now >= max(c.until, c.since+leaderPatience)
+		return now >= max(c.deadline, c.receivedAt+leaderWaitTimeout)
 	case leading:
-		return now > c.since+queuePatience
+		return now > c.receivedAt+queueTimeout
 	default:
-		return now > c.since+leaderPatience
+		return now > c.receivedAt+leaderWaitTimeout
 	}
 }
 
 // submitCall starts an application call that was received at the given time of the monotonic clock. respond is called
 // at most once, in the event loop; with OutcomeUnknown the caller gets no response.
-func (n *Node) takeCall(command wire.Command, since time.Duration, answer func(wire.Answer)) *partCall {
-	c := &partCall{command: command, since: since, answer: answer}
-	n.accept(c)
+func (n *Node) submitCall(command wire.Command, receivedAt time.Duration, respond func(wire.Answer)) *partCall {
+	c := &partCall{command: command, receivedAt: receivedAt, respond: respond}
+	n.admit(c)
 	return c
 }
 
 // admit validates a call and serves it.
-func (n *Node) accept(c *partCall) {
+func (n *Node) admit(c *partCall) {
 	now := n.now()
 	switch {
 	case len(n.parts) == 0:
@@ -102,18 +102,18 @@
 		return
 	}
 	if c.isWatch() {
-		c.until = c.since + time.Duration(c.command.WaitMS)*time.Millisecond
+		c.deadline = c.receivedAt + time.Duration(c.command.WaitMS)*time.Millisecond
 	}
 	c.part = n.parts[coordination.PartOf(&c.command, len(n.parts))]
-	if now > c.since+callerPatience {
-		n.leaveUnanswered(c, silentLate)
+	if now > c.receivedAt+callerTimeout {
+		n.closeUnanswered(c, unansweredLate)
 		return
 	}
 	n.serveCall(c, now)
 }
 
 // callerDisconnected drops the call if it is still queued.
-func (n *Node) callerLeft(c *partCall) { c.answer = nil }
+func (n *Node) callerDisconnected(c *partCall) { c.respond = nil }
 
 // serveCall answers a call from memory, queues it for the next log entry, or forwards it to the leader.
 func (n *Node) serveCall(c *partCall, now time.Duration) {
@@ -124,11 +124,11 @@
 		}
 		return
 	}
-	if c.passed {
+	if c.forwarded {
 		n.refuse(c, refusedNotLeader)
 		return
 	}
-	if now < c.retryAt || !n.passOn(c, now) {
+	if now < c.retryAt || !n.forward(c, now) {
 		n.enqueue(c)
 	}
 }
@@ -136,7 +136,7 @@
 // enqueue adds a call to its part's queue, or refuses it if the queue is full.
 func (n *Node) enqueue(c *partCall) {
 	p := c.part
-	if len(p.queue) >= maxQueuedCalls {
+	if len(p.queue) >= maxQueuedCallsPerPart {
 		n.refuse(c, refusedQueueFull)
 		return
 	}
@@ -158,9 +158,9 @@
 		return false
 	}
 	switch {
-	case now >= c.until:
+	case now >= c.deadline:
 		c.finish(wire.Answer{Outcome: wire.Done, Revision: p.machine.Revision(c.command.Name)})
-	case len(p.watches) >= maxWatches:
+	case len(p.watches) >= maxWatchesPerPart:
 		c.finishWith(wire.Full)
 	default:
 		p.watches = append(p.watches, c)
@@ -172,7 +172,7 @@
 func (n *Node) serveParts() {
 	now := n.now()
 	for _, p := range n.parts {
-		n.deliver(p)
+		n.answerProposed(p)
 		n.serveWatches(p, now)
 		n.serveQueue(p, now)
 		n.proposeCalls(p, now)
@@ -181,18 +181,18 @@
 
 // answerProposed answers the calls of the proposed entry once its outcome is known. If this node has lost the
 // leadership, the next leader may or may not commit the entry, so the callers get no answer.
-func (n *Node) deliver(p *part) {
+func (n *Node) answerProposed(p *part) {
 	if p.proposed == nil {
 		return
 	}
 	stillLeads := p.replica.Role() == replica.Leader && p.replica.Term() == p.proposedAt.Term
 	switch {
 	case stillLeads && p.replica.Committed().Position() != p.proposedAt:
-		n.leaveLateUnanswered(p)
+		n.closeLateCalls(p)
 		return
 	case !stillLeads || len(p.machine.Answers) != len(p.proposed):
 		for _, c := range p.proposed {
-			n.leaveUnanswered(c, silentLeaderLost)
+			n.closeUnanswered(c, unansweredLeaderLost)
 		}
 	default:
 		for i, c := range p.proposed {
@@ -203,11 +203,11 @@
 }
 
 // closeLateCalls ends the calls of the proposed entry whose callers have timed out.
-func (n *Node) leaveLateUnanswered(p *part) {
+func (n *Node) closeLateCalls(p *part) {
 	now := n.now()
 	for _, c := range p.proposed {
-		if now > c.since+callerPatience {
-			n.leaveUnanswered(c, silentLate)
+		if now > c.receivedAt+callerTimeout {
+			n.closeUnanswered(c, unansweredLate)
 		}
 	}
 }
@@ -239,7 +239,7 @@
 	if n.stopping || p.proposed != nil || len(p.queue) == 0 || !p.replica.Leading(now) || p.replica.HasUncommitted() {
 		return
 	}
-	count := min(len(p.queue), maxBatch)
+	count := min(len(p.queue), maxBatchCommands)
 	calls := p.queue[:count:count]
 	commands := make([]wire.Command, 0, count)
 	for _, c := range calls {
@@ -262,10 +262,10 @@
 	if leads && !p.replica.Leading(now) {
 		return // wait until the lease is renewed or the leadership is lost
 	}
-	if at := p.replica.Committed().Position(); leads && at == p.watchedAt && now < p.watchAgain {
+	if at := p.replica.Committed().Position(); leads && at == p.watchesCheckedAt && now < p.nextWatchCheck {
 		return
 	}
-	p.watchedAt, p.watchAgain = p.replica.Committed().Position(), now+watchInterval
+	p.watchesCheckedAt, p.nextWatchCheck = p.replica.Committed().Position(), now+watchCheckInterval
 	waiting := p.watches
 	p.watches = nil
 	for _, c := range waiting {
@@ -276,7 +276,7 @@
 }
 
 // callsInFlight counts the calls that are not answered yet, without watches.
-func (n *Node) callsUnderWay() int {
+func (n *Node) callsInFlight() int {
 	count := 0
 	for _, p := range n.parts {
 		for _, c := range slices.Concat(p.queue, p.proposed) {
@@ -285,7 +285,7 @@
 			}
 		}
 	}
-	for _, passed := range n.passed {
+	for _, passed := range n.forwarded {
 		if !passed.call.finished() && !passed.call.isWatch() {
 			count++
 		}
--- a/control/environment.go
+++ b/control/environment.go
@@ -29,7 +29,7 @@
 	// ReadHosts starts a read of the platform's host list; Node.HostsRead is called with the result.
 	ReadHosts()
 	// KnownControlIPs returns the addresses of the control processes that were learned from peers.
-	KnownControls() []string
+	KnownControlIPs() []string
 	// UnreadableDatagrams counts the datagrams from peers that could not be decoded.
-	SpoiltDatagrams() int64
+	UnreadableDatagrams() int64
 }
--- a/control/feed.go
+++ b/control/feed.go
@@ -24,7 +24,7 @@
 	case m.QuotaRequest != nil:
 		n.onQuotaRequest(s, m.QuotaRequest)
 	case m.EventIntervals != nil:
-		n.onPaces(m.EventIntervals)
+		n.onEventIntervals(m.EventIntervals)
 	}
 }
 
@@ -36,42 +36,42 @@
 	if group := n.currentGroup(); group != nil {
 		s.conn.Send(&wire.Message{Group: group})
 	}
-	if n.feed != nil {
+	if n.publishedConfig != nil {
 		s.conn.Send(n.configMessage(q.Config))
 	}
 	now := n.now()
 	for _, shard := range n.shards {
-		have := q.Hosts[shard.number]
-		shard.holder.RaiseTermFloor(have.Term)
+		known := q.Hosts[shard.number]
+		shard.holder.RaiseTermFloor(known.Term)
 		if !shard.holder.Holds(now) || shard.table == nil {
 			continue
 		}
-		for _, change := range shard.table.Since(have) {
+		for _, change := range shard.table.Since(known) {
 			s.conn.Send(shard.message(change))
 		}
 	}
 }
 
 // configFor returns the configuration for one agent, without the body if the agent already has this revision.
-func (n *Node) configFor(held int64) *wire.Config {
-	c := *n.feed
-	c.Current, c.At = n.replica.Leading(n.now()), n.stateAt
-	if held >= c.Revision {
+func (n *Node) configFor(knownRevision int64) *wire.Config {
+	c := *n.publishedConfig
+	c.Current, c.At = n.replica.Leading(n.now()), n.statePosition
+	if knownRevision >= c.Revision {
 		c.Body = nil
 	}
 	return &c
 }
 
 // configMessage returns configFor as a message. The message with the body is encoded once and reused until it changes.
-func (n *Node) configMessage(held int64) *wire.Message {
-	c := n.configFor(held)
+func (n *Node) configMessage(knownRevision int64) *wire.Message {
+	c := n.configFor(knownRevision)
 	if len(c.Body) == 0 {
 		return &wire.Message{Config: c}
 	}
-	if n.feedMessage == nil || n.feedMessage.Config.At != c.At || n.feedMessage.Config.Current != c.Current {
-		n.feedMessage = (&wire.Message{Config: c}).Prepare()
+	if n.publishedConfigMessage == nil || n.publishedConfigMessage.Config.At != c.At || n.publishedConfigMessage.Config.Current != c.Current {
+		n.publishedConfigMessage = (&wire.Message{Config: c}).Prepare()
 	}
-	return n.feedMessage
+	return n.publishedConfigMessage
 }
 
 func (n *Node) publish(m *wire.Message) {
@@ -83,10 +83,10 @@
 
 // publishConfig sends the committed configuration to the subscribers if its revision is new.
 func (n *Node) publishConfig() {
-	if n.state.Revision == 0 || n.feed != nil && n.feed.Revision == n.state.Revision {
+	if n.state.Revision == 0 || n.publishedConfig != nil && n.publishedConfig.Revision == n.state.Revision {
 		return
 	}
-	n.feed = &wire.Config{Revision: n.state.Revision, Body: wire.Deflate(n.state.Body)}
+	n.publishedConfig = &wire.Config{Revision: n.state.Revision, Body: wire.Deflate(n.state.Body)}
 	n.publish(n.configMessage(0))
 }
 
@@ -107,7 +107,7 @@
 		return
 	}
 	n.publish(&wire.Message{Group: group})
-	if n.feed != nil && n.replica.Leading(n.now()) {
-		n.publish(&wire.Message{Config: n.configFor(n.feed.Revision)})
+	if n.publishedConfig != nil && n.replica.Leading(n.now()) {
+		n.publish(&wire.Message{Config: n.configFor(n.publishedConfig.Revision)})
 	}
 }
--- a/control/identity.go
+++ b/control/identity.go
@@ -18,7 +18,7 @@
 // was complete before is damaged, the whole disk counts as lost, since its content can't be determined: the process
 // takes a new identity. machines are the state machines of the coordination parts; each is replayed up to its newest
 // entry. There are none if the fleet runs without coordination.
-func loadDisk(s *settings.Settings, folder *store.DataDir, machines []replica.StateMachine, random *rand.Rand, log hclog.Logger) (stored, error) {
+func loadDisk(s *settings.Settings, folder *store.DataDir, machines []replica.StateMachine, random *rand.Rand, log hclog.Logger) (storedState, error) {
 	bootstrap := s.Bootstrap
 	disk, err := readDisk(folder, machines)
 	if errors.Is(err, store.ErrCorrupt) {
@@ -58,25 +58,25 @@
 }
 
 // storedState is what a control process finds on its disk.
-type stored struct {
+type storedState struct {
 	identity store.Identity
 	replica  replica.PersistentState
 	parts    []replica.PersistentState // of the coordination parts, by part number
 	tenures  []string
 }
 
-func readDisk(folder *store.DataDir, machines []replica.StateMachine) (disk stored, err error) {
+func readDisk(folder *store.DataDir, machines []replica.StateMachine) (disk storedState, err error) {
 	if disk.identity, _, err = folder.Identity(); err != nil {
-		return stored{}, err
+		return storedState{}, err
 	}
 	if disk.replica, err = folder.Load(); err != nil {
-		return stored{}, err
+		return storedState{}, err
 	}
 	if disk.parts, err = folder.LoadParts(machines, foundingEntry(disk.identity)); err != nil {
-		return stored{}, err
+		return storedState{}, err
 	}
 	if disk.tenures, err = folder.LongTenures(); err != nil {
-		return stored{}, err
+		return storedState{}, err
 	}
 	return disk, nil
 }
--- a/control/identity_test.go
+++ b/control/identity_test.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func load(t *testing.T, s *settings.Settings, path string, machines []replica.StateMachine) (stored, *store.DataDir) {
+func load(t *testing.T, s *settings.Settings, path string, machines []replica.StateMachine) (storedState, *store.DataDir) {
 	t.Helper()
 	folder, err := store.Open(path)
 	assert.NilError(t, err)
--- a/control/lease_members_test.go
+++ b/control/lease_members_test.go
@@ -19,12 +19,12 @@
 	owner := w.ownerMachine()
 	holder := owner.node.node.shards[0].holder
 	request := &wire.LeaseRequest{Resource: holder.Resource(), Holder: owner.disk.identity.ID, Term: holder.Term(),
-		Members: digestOfMembers(owner.node.node.replica.Members()), At: owner.node.node.replica.Newest().Position()}
+		Members: membersDigest(owner.node.node.replica.Members()), At: owner.node.node.replica.Newest().Position()}
 	granter := owner.node.node
 	assert.Assert(t, granter.answerLease(request, granter.now()).Granted)
 
 	behind := *request
-	behind.Members = digestOfMembers(granter.replica.Members()[1:])
+	behind.Members = membersDigest(granter.replica.Members()[1:])
 	behind.At.Index--
 	assert.Assert(t, !granter.answerLease(&behind, granter.now()).Granted)
 
--- a/control/members.go
+++ b/control/members.go
@@ -10,23 +10,23 @@
 // syncLinks keeps a link to each other member and to each control process that is connected to this one, which may be a
 // learner. While this node needs to join a group, it also tries the seeds and the addresses learned from peers.
 func (n *Node) syncLinks() {
-	want := []string{}
+	addresses := []string{}
 	for _, m := range n.allMembers() {
-		want = append(want, m.IP)
+		addresses = append(addresses, m.IP)
 	}
-	for ip := range n.callers {
-		want = append(want, ip)
+	for ip := range n.inboundPeers {
+		addresses = append(addresses, ip)
 	}
 	if n.needsToJoin(n.now()) {
-		want = append(want, n.settings.SeedIPs()...)
-		want = append(want, n.env.KnownControls()...)
+		addresses = append(addresses, n.settings.SeedIPs()...)
+		addresses = append(addresses, n.env.KnownControlIPs()...)
 	}
-	slices.Sort(want)
-	for _, ip := range slices.Compact(want) {
+	slices.Sort(addresses)
+	for _, ip := range slices.Compact(addresses) {
 		n.openLink(ip)
 	}
-	for _, ip := range n.linked() {
-		if !slices.Contains(want, ip) && n.replica.IsMember() {
+	for _, ip := range n.linkedIPs() {
+		if !slices.Contains(addresses, ip) && n.replica.IsMember() {
 			n.links[ip].Close()
 			delete(n.links, ip)
 		}
@@ -39,14 +39,14 @@
 	}
 	self := n.replica.Self()
 	hello := wire.Hello{Role: wire.RoleControl, Node: self.ID, IP: self.IP, Fleet: n.replica.Fleet()}
-	events := wire.LinkEvents{Received: n.onGroup, Connected: func() { n.followReach(ip) }}
+	events := wire.LinkEvents{Received: n.onGroup, Connected: func() { n.updateReachability(ip) }}
 	n.links[ip] = n.env.OpenLink(ip, hello, events)
 }
 
 // updateReachability tells the replicas once this node and a peer are connected in both directions, so that requests
 // can be answered.
-func (n *Node) followReach(ip string) {
-	if link := n.links[ip]; link != nil && link.Up() && n.callers[ip] > 0 {
+func (n *Node) updateReachability(ip string) {
+	if link := n.links[ip]; link != nil && link.Up() && n.inboundPeers[ip] > 0 {
 		for _, r := range n.replicas {
 			r.PeerReachable(ip, n.now())
 		}
@@ -63,23 +63,23 @@
 	}
 }
 
-func (n *Node) toAllLinks(m *wire.Message) {
-	for _, ip := range n.linked() {
+func (n *Node) sendToAllLinks(m *wire.Message) {
+	for _, ip := range n.linkedIPs() {
 		n.links[ip].Send(m)
 	}
 }
 
 // linkedIPs returns the addresses that have a link, sorted, so that a simulated run is reproducible.
-func (n *Node) linked() []string { return slices.Sorted(maps.Keys(n.links)) }
+func (n *Node) linkedIPs() []string { return slices.Sorted(maps.Keys(n.links)) }
 
 // syncMembers updates links, leases and subscribers when the newest entry changes the members.
-func (n *Node) followMembers() {
+func (n *Node) syncMembers() {
 	entry := n.replica.Newest()
-	if entry == nil || entry.Position() == n.memberSince {
+	if entry == nil || entry.Position() == n.membersPosition {
 		return
 	}
 	changed := !slices.Equal(n.members, entry.Members)
-	n.memberSince, n.members = entry.Position(), entry.Members
+	n.membersPosition, n.members = entry.Position(), entry.Members
 	if changed {
 		n.granter.Pause(n.now())
 		n.log.Info("members changed", "entry", entry.Index, "members", entry.Members)
@@ -89,23 +89,23 @@
 }
 
 // FromOtherFleet reports whether a connecting process belongs to another fleet, which once used this machine's address.
-func (n *Node) IsStranger(hello wire.Hello) bool {
+func (n *Node) FromOtherFleet(hello wire.Hello) bool {
 	own := n.replica.Fleet()
-	strange := hello.Fleet != 0 && own != 0 && hello.Fleet != own
-	if strange {
+	foreign := hello.Fleet != 0 && own != 0 && hello.Fleet != own
+	if foreign {
 		n.dropped.OtherFleet++
 	}
-	return strange
+	return foreign
 }
 
 // PeerConnected handles a connection from another control process. back sends messages over that connection.
 func (n *Node) PeerConnected(from wire.Member, back wire.Sender) {
-	n.callers[from.IP]++
+	n.inboundPeers[from.IP]++
 	n.syncLinks()
 	if link := n.links[from.IP]; link != nil {
 		link.Redial()
 	}
-	n.followReach(from.IP)
+	n.updateReachability(from.IP)
 	if group := n.currentGroup(); group != nil {
 		back.Send(&wire.Message{Group: group})
 	}
@@ -113,9 +113,9 @@
 
 // PeerDisconnected handles the end of a connection from another control process.
 func (n *Node) PeerDisconnected(from wire.Member) {
-	if n.callers[from.IP]--; n.callers[from.IP] == 0 {
-		delete(n.callers, from.IP)
-		n.givePassedUp(n.now())
+	if n.inboundPeers[from.IP]--; n.inboundPeers[from.IP] == 0 {
+		delete(n.inboundPeers, from.IP)
+		n.expireForwarded(n.now())
 	}
 }
 
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -10,60 +10,60 @@
 
 // nodeCounters holds the counters of a control process that its status doesn't include. They are safe for concurrent
 // use.
-type nodeCounts struct {
-	set          *metrics.Set
-	roleChanges  *metrics.Counter
-	unknownCalls *metrics.Counter             // requests without a matching route
-	partWait     *metrics.PrometheusHistogram // from receipt to answer of an application call, without watches
+type nodeCounters struct {
+	set             *metrics.Set
+	roleChanges     *metrics.Counter
+	unknownCalls    *metrics.Counter             // requests without a matching route
+	partCallSeconds *metrics.PrometheusHistogram // from receipt to answer of an application call, without watches
 }
 
 // refusalReason is why an application call was answered 503.
-type refusal string
+type refusalReason string
 
 // unansweredReason is why an application call got no answer.
-type silence string
+type unansweredReason string
 
 // Values of the reason labels.
 const (
-	refusedNoLeader  refusal = "no_leader"      // no leader was known or reachable
-	refusedNotLeader refusal = "not_leader"     // another process forwarded the call to this one, which isn't the leader
-	refusedWaited    refusal = "waited_long"    // the call waited too long in the leader's queue
-	refusedQueueFull refusal = "queue_full"     // the part's queue was full
-	silentLate       silence = "late"           // the call was or became older than callerTimeout
-	silentLeaderLost silence = "leader_lost"    // this process lost the leadership while the entry was in flight
-	silentPassed     silence = "reply_not_come" // the call was forwarded, and no reply can arrive any more
+	refusedNoLeader      refusalReason    = "no_leader"      // no leader was known or reachable
+	refusedNotLeader     refusalReason    = "not_leader"     // another process forwarded the call to this one, which isn't the leader
+	refusedWaited        refusalReason    = "waited_long"    // the call waited too long in the leader's queue
+	refusedQueueFull     refusalReason    = "queue_full"     // the part's queue was full
+	unansweredLate       unansweredReason = "late"           // the call was or became older than callerTimeout
+	unansweredLeaderLost unansweredReason = "leader_lost"    // this process lost the leadership while the entry was in flight
+	unansweredForwarded  unansweredReason = "reply_not_come" // the call was forwarded, and no reply can arrive any more
 )
 
-func newNodeCounts() nodeCounts {
+func newNodeCounters() nodeCounters {
 	set := metrics.NewSet()
-	return nodeCounts{set: set, roleChanges: set.NewCounter("ivybank_control_role_changes_total"),
-		unknownCalls: set.NewCounter("ivybank_control_unknown_calls_total"),
-		partWait:     set.NewPrometheusHistogram("ivybank_control_part_call_seconds")}
+	return nodeCounters{set: set, roleChanges: set.NewCounter("ivybank_control_role_changes_total"),
+		unknownCalls:    set.NewCounter("ivybank_control_unknown_calls_total"),
+		partCallSeconds: set.NewPrometheusHistogram("ivybank_control_part_call_seconds")}
 }
 
 // countRefused counts an application call that was answered 503.
-func (c *nodeCounts) refused(why refusal) {
-	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_part_refused_total{reason=%q}", why)).Inc()
+func (c *nodeCounters) countRefused(reason refusalReason) {
+	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_part_refused_total{reason=%q}", reason)).Inc()
 }
 
 // countUnanswered counts an application call that got no answer.
-func (c *nodeCounts) unanswered(why silence) {
-	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_part_unanswered_total{reason=%q}", why)).Inc()
+func (c *nodeCounters) countUnanswered(reason unansweredReason) {
+	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_part_unanswered_total{reason=%q}", reason)).Inc()
 }
 
 // countResponse counts a call by its kind and HTTP status.
-func (c *nodeCounts) answered(call operatorCall, status int) {
+func (c *nodeCounters) countResponse(call operatorCall, status int) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("ivybank_control_calls_total{call=%q,status=\"%d\"}", call, status)).Inc()
 }
 
 // writeMetrics writes the metrics of the process in the Prometheus text format.
-func (n *Node) writeFigures(ctx context.Context, w io.Writer) {
-	answer := make(chan Status, 1)
-	n.env.Do(func() { answer <- n.status() })
+func (n *Node) writeMetrics(ctx context.Context, w io.Writer) {
+	statuses := make(chan Status, 1)
+	n.env.Do(func() { statuses <- n.status() })
 	select {
-	case s := <-answer:
+	case s := <-statuses:
 		s.write(w)
-		n.counts.set.WritePrometheus(w)
+		n.counters.set.WritePrometheus(w)
 	case <-ctx.Done():
 	}
 }
@@ -74,21 +74,21 @@
 		name  string
 		value uint64
 	}{
-		{"ivybank_control_leading", number(s.Leading)},
-		{"ivybank_control_leader_known", number(s.Leader != "")},
+		{"ivybank_control_leading", boolGauge(s.Leading)},
+		{"ivybank_control_leader_known", boolGauge(s.Leader != "")},
 		{"ivybank_control_term", s.Term},
 		{"ivybank_control_entry", s.Entry},
 		{"ivybank_control_committed_entry", s.Commit},
 		{"ivybank_control_revision", uint64(s.Revision)},
 		{"ivybank_control_members", uint64(len(s.Members))},
-		{"ivybank_control_members_changing", number(s.Changing)},
-		{"ivybank_control_losses_borne", uint64(s.Borne)},
+		{"ivybank_control_members_changing", boolGauge(s.Changing)},
+		{"ivybank_control_losses_borne", uint64(s.LossesTolerated)},
 		{"ivybank_control_agents", uint64(s.Agents)},
 	} {
 		metrics.WriteGaugeUint64(w, gauge.name, gauge.value)
 	}
 	for _, shard := range s.Shards {
-		metrics.WriteGaugeUint64(w, fmt.Sprintf("ivybank_control_shard_owned{shard=\"%d\"}", shard.Number), number(shard.Owned))
+		metrics.WriteGaugeUint64(w, fmt.Sprintf("ivybank_control_shard_owned{shard=\"%d\"}", shard.Number), boolGauge(shard.Owned))
 	}
 	for _, p := range s.Parts {
 		p.write(w)
@@ -97,7 +97,7 @@
 		cause string
 		count int64
 	}{
-		{"earlier_life", s.Dropped.EarlierLife},
+		{"earlier_life", s.Dropped.EarlierIncarnation},
 		{"not_member", s.Dropped.NotMember},
 		{"quota_not_owned", s.Dropped.QuotaNotOwned},
 		{"unknown_part", s.Dropped.UnknownPart},
@@ -106,7 +106,7 @@
 		{"unknown_kind", s.Dropped.UnknownKind},
 		{"no_greeting", s.Dropped.NoGreeting},
 		{"malformed", s.Dropped.Malformed},
-		{"spoilt_datagram", s.Spoilt},
+		{"spoilt_datagram", s.UnreadableDatagrams},
 	} {
 		metrics.WriteCounterUint64(w, fmt.Sprintf("ivybank_control_dropped_total{cause=%q}", dropped.cause), uint64(dropped.count))
 	}
@@ -118,8 +118,8 @@
 		name  string
 		value uint64
 	}{
-		{"leading", number(p.Leading)},
-		{"leader_known", number(p.Leader != "")},
+		{"leading", boolGauge(p.Leading)},
+		{"leader_known", boolGauge(p.Leader != "")},
 		{"term", p.Term},
 		{"entry", p.Entry},
 		{"committed_entry", p.Commit},
@@ -132,8 +132,8 @@
 }
 
 // boolGauge returns 1 for true and 0 for false.
-func number(yes bool) uint64 {
-	if yes {
+func boolGauge(value bool) uint64 {
+	if value {
 		return 1
 	}
 	return 0
--- a/control/metrics_test.go
+++ b/control/metrics_test.go
@@ -17,7 +17,7 @@
 func figuresOf(t *testing.T, p *nodeProcess) map[string]bool {
 	t.Helper()
 	var text bytes.Buffer
-	p.node.writeFigures(t.Context(), &text)
+	p.node.writeMetrics(t.Context(), &text)
 	lines := map[string]bool{}
 	for _, line := range strings.Split(text.String(), "\n") {
 		lines[line] = true
@@ -51,9 +51,9 @@
 	w, _ := newRestartWorld(t, 0)
 	p := w.machines[0].node
 	w.playUntilLed(5 * time.Second)
-	p.node.counts.answered(callReplace, http.StatusOK)
-	p.node.counts.answered(callReplace, http.StatusOK)
-	p.node.counts.answered(callGet, http.StatusServiceUnavailable)
+	p.node.counters.countResponse(callReplace, http.StatusOK)
+	p.node.counters.countResponse(callReplace, http.StatusOK)
+	p.node.counters.countResponse(callGet, http.StatusServiceUnavailable)
 	lines := figuresOf(t, p)
 	assert.Assert(t, lines[`ivybank_control_calls_total{call="replace",status="200"} 2`], "%v", lines)
 	assert.Assert(t, lines[`ivybank_control_calls_total{call="get",status="503"} 1`], "%v", lines)
@@ -62,21 +62,21 @@
 
 // Requests to unknown paths, answered 404, calls answered 503 and calls without an answer were once not counted at all.
 func TestCallsWithoutServiceAreCounted(t *testing.T) {
-	n := &Node{counts: newNodeCounts(), env: stillEnvironment{}}
-	n.countUnknown(http.NewServeMux()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/Locks.Begin/l", nil))
+	n := &Node{counters: newNodeCounters(), env: stillEnvironment{}}
+	n.countUnknownCalls(http.NewServeMux()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/Locks.Begin/l", nil))
 	answers := 0
-	n.takeCall(wire.Command{Kind: wire.NextNumber, Name: "n"}, 0, func(a wire.Answer) {
+	n.submitCall(wire.Command{Kind: wire.NextNumber, Name: "n"}, 0, func(a wire.Answer) {
 		answers++
 		assert.Equal(t, a.Outcome, wire.NotServed)
 	})
 	n.parts = []*part{{}}
-	n.takeCall(wire.Command{Kind: wire.NextNumber, Name: "n"}, -callerPatience-1, func(a wire.Answer) {
+	n.submitCall(wire.Command{Kind: wire.NextNumber, Name: "n"}, -callerTimeout-1, func(a wire.Answer) {
 		answers++
 		assert.Equal(t, a.Outcome, wire.OutcomeUnknown)
 	})
 	assert.Equal(t, answers, 2)
 	var text bytes.Buffer
-	n.counts.set.WritePrometheus(&text)
+	n.counters.set.WritePrometheus(&text)
 	for _, line := range []string{"ivybank_control_unknown_calls_total 1", `ivybank_control_part_refused_total{reason="no_leader"} 1`,
 		`ivybank_control_part_unanswered_total{reason="late"} 1`} {
 		assert.Assert(t, strings.Contains(text.String(), line+"\n"), "%s is not in %s", line, text.String())
--- a/control/node.go
+++ b/control/node.go
@@ -29,95 +29,95 @@
 	// memberTimeoutShare is the share of sync_s for which a member may be silent before another machine replaces it.
 	// The replacement has sync_s from its own start, which is no earlier than the silence; the rest is for the change
 	// of members.
-	silenceShare    = 0.5
-	shortestSilence = 1200 * time.Millisecond
-	tenurePause     = 500 * time.Millisecond // after a failed write
+	memberTimeoutShare = 0.5
+	minMemberTimeout   = 1200 * time.Millisecond
+	tenureRetryDelay   = 500 * time.Millisecond // after a failed write
 )
 
 // configParser parses and validates an operator's configuration.
-type parser interface {
+type configParser interface {
 	Parse(body []byte) (*config.Config, error)
 }
 
 // Node is one incarnation of a control process. Its methods must be called in its event loop.
 type Node struct {
-	settings *settings.Settings
-	log      hclog.Logger
-	env      Environment
-	life     uint64
-	dropped  Dropped
-	counts   nodeCounts
+	settings    *settings.Settings
+	log         hclog.Logger
+	env         Environment
+	incarnation uint64
+	dropped     Dropped
+	counters    nodeCounters
 
-	replica *replica.Replica
-	saving  bool
-	wasRole replica.Role
-	links   map[string]wire.LinkHandle
-	callers map[string]int // number of connections from other control processes, by IP
-	joinAt  time.Duration
+	replica      *replica.Replica
+	saving       bool
+	lastRole     replica.Role
+	links        map[string]wire.LinkHandle
+	inboundPeers map[string]int // number of connections from other control processes, by IP
+	nextJoinAt   time.Duration
 
-	state       *store.State // decoded from the committed entry
-	stateAt     replica.Position
-	tenants     map[string]*config.Tenant // of the committed configuration, by name
-	services    map[string]bool           // names of the services in the committed configuration
-	memberSince replica.Position          // the entry whose members were applied last
-	members     []wire.Member             // of that entry
-	groupAt     time.Duration
-	subscribers []*subscriber
-	feed        *wire.Config // the committed configuration as it is published
-	feedMessage *wire.Message
+	state                  *store.State // decoded from the committed entry
+	statePosition          replica.Position
+	tenants                map[string]*config.Tenant // of the committed configuration, by name
+	services               map[string]bool           // names of the services in the committed configuration
+	membersPosition        replica.Position          // the entry whose members were applied last
+	members                []wire.Member             // of that entry
+	nextGroupAt            time.Duration
+	subscribers            []*subscriber
+	publishedConfig        *wire.Config // the committed configuration as it is published
+	publishedConfigMessage *wire.Message
 
-	replicas    []*replica.Replica // the configuration's group, then those of the parts; each is a separate replica group
-	parts       []*part            // of the coordination state; empty without coordination
-	savingParts bool
-	wholeParts  bool                   // the next write of the parts has to be a full one
-	passed      map[uint64]*passedCall // by number of the request
-	nextPassed  uint64
+	replicas          []*replica.Replica // the configuration's group, then those of the parts; each is a separate replica group
+	parts             []*part            // of the coordination state; empty without coordination
+	savingParts       bool
+	nextPartsSaveFull bool                      // the next write of the parts has to be a full one
+	forwarded         map[uint64]*forwardedCall // by number of the request
+	nextForwardNumber uint64
 
-	granter   *lease.Granter
-	tenuresOn bool          // a write of the granter's tenures is in progress
-	tenuresAt time.Duration // the earliest time of the next write
-	shards    [hostlist.ShardCount]*shard
-	reading   bool
-	readAt    time.Duration
-	readSince time.Duration // when the current read began
-	resumed   bool          // lease grants have resumed early, since all members had restarted
-	resumedAt time.Duration
+	granter         *lease.Granter
+	savingTenures   bool          // a write of the granter's tenures is in progress
+	tenuresRetryAt  time.Duration // the earliest time of the next write
+	shards          [hostlist.ShardCount]*shard
+	readingHosts    bool
+	nextReadAt      time.Duration
+	readStartedAt   time.Duration // when the current read began
+	leasesResumed   bool          // lease grants have resumed early, since all members had restarted
+	leasesResumedAt time.Duration
 
-	validator parser
-	proposal  *proposal
-	queue     []*proposal
-	queued    int // size of the queued bodies in bytes
-	stopping  bool
-	releases  []*wire.Message // of leases that have been given up; sent at releaseAt
-	releaseAt time.Duration
+	validator       configParser
+	proposal        *proposal
+	proposalQueue   []*proposal
+	queuedBytes     int // size of the queued bodies in bytes
+	stopping        bool
+	pendingReleases []*wire.Message // of leases that have been given up; sent at releaseAt
+	releaseAt       time.Duration
 }
 
 // StartState is what a node starts from.
-type Start struct {
-	Settings *settings.Settings
-	Log      hclog.Logger
-	Identity store.Identity
-	Disk     replica.PersistentState
-	Tenures  []string // resources whose owner has held them for long
-	Parts    []PartStart
-	Random   *rand.Rand
+type StartState struct {
+	Settings   *settings.Settings
+	Log        hclog.Logger
+	Identity   store.Identity
+	Persistent replica.PersistentState
+	Tenures    []string // resources whose owner has held them for long
+	Parts      []PartStart
+	Random     *rand.Rand
 }
 
 // Dropped counts rejected messages, by cause.
 type Dropped struct {
-	EarlierLife   int64 `json:"earlier_life"`    // replies to requests of an earlier incarnation of this process
-	NotMember     int64 `json:"not_member"`      // lease requests from processes that are not members
-	QuotaNotOwned int64 `json:"quota_not_owned"` // quota requests for limits of other owners or unknown tenants
-	UnknownPart   int64 `json:"unknown_part"`    // messages for parts that this process doesn't have
-	OtherFleet    int64 `json:"other_fleet"`     // connections from processes of other fleets
-	Oversized     int64 `json:"oversized"`       // frames over the size limit; the connection is closed
-	UnknownKind   int64 `json:"unknown_kind"`    // frames with an unknown kind of message; the connection is closed
-	NoGreeting    int64 `json:"no_greeting"`     // the first frame was not a Hello; the connection is closed
-	Malformed     int64 `json:"malformed"`       // frames that can't be decoded; the connection is closed
+	EarlierIncarnation int64 `json:"earlier_life"`    // replies to requests of an earlier incarnation of this process
+	NotMember          int64 `json:"not_member"`      // lease requests from processes that are not members
+	QuotaNotOwned      int64 `json:"quota_not_owned"` // quota requests for limits of other owners or unknown tenants
+	UnknownPart        int64 `json:"unknown_part"`    // messages for parts that this process doesn't have
+	OtherFleet         int64 `json:"other_fleet"`     // connections from processes of other fleets
+	Oversized          int64 `json:"oversized"`       // frames over the size limit; the connection is closed
+	UnknownKind        int64 `json:"unknown_kind"`    // frames with an unknown kind of message; the connection is closed
+	NoGreeting         int64 `json:"no_greeting"`     // the first frame was not a Hello; the connection is closed
+	Malformed          int64 `json:"malformed"`       // frames that can't be decoded; the connection is closed
 }
 
 // CountInvalidFrame counts an invalid frame that ended its connection. Other errors are ignored.
-func (n *Node) FrameSpoilt(err error) {
+func (n *Node) CountInvalidFrame(err error) {
 	switch {
 	case errors.Is(err, wire.ErrOversized):
 		n.dropped.Oversized++
@@ -131,26 +131,26 @@
 }
 
 // NewNode creates a node from the stored state.
-func NewNode(from Start, env Environment) *Node {
+func NewNode(from StartState, env Environment) *Node {
 	s := from.Settings
-	n := &Node{settings: s, log: from.Log, env: env, life: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
-		callers: map[string]int{}, passed: map[uint64]*passedCall{}, counts: newNodeCounts(), validator: &validate.Validator{}}
+	n := &Node{settings: s, log: from.Log, env: env, incarnation: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
+		inboundPeers: map[string]int{}, forwarded: map[uint64]*forwardedCall{}, counters: newNodeCounters(), validator: &validate.Validator{}}
 	self := wire.Member{ID: from.Identity.ID, IP: s.IP}
-	group := replica.GroupConfig{TargetSize: 2*s.Tolerate.Machines + 1, MemberTimeout: memberSilence(s)}
-	n.replica = replica.New(self, group, from.Disk, from.Random, n.now())
+	group := replica.GroupConfig{TargetSize: 2*s.Tolerate.Machines + 1, MemberTimeout: memberTimeout(s)}
+	n.replica = replica.New(self, group, from.Persistent, from.Random, n.now())
 	n.newParts(from)
 	n.granter = lease.NewGranter(longTenure(s), from.Tenures, n.now())
 	for i := range n.shards {
-		n.shards[i] = newShard(uint32(i), self.ID, n.life, n.now())
+		n.shards[i] = newShard(uint32(i), self.ID, n.incarnation, n.now())
 	}
-	n.log.Info("starting replica", "id", self.ID, "founder", from.Identity.Founder, "term", from.Disk.Term,
-		"entry", from.Disk.Entry.Position())
+	n.log.Info("starting replica", "id", self.ID, "founder", from.Identity.Founder, "term", from.Persistent.Term,
+		"entry", from.Persistent.Entry.Position())
 	n.syncLinks()
 	return n
 }
 
-func memberSilence(s *settings.Settings) time.Duration {
-	return max(shortestSilence, time.Duration(silenceShare*s.Bounds.SyncS*float64(time.Second)))
+func memberTimeout(s *settings.Settings) time.Duration {
+	return max(minMemberTimeout, time.Duration(memberTimeoutShare*s.Bounds.SyncS*float64(time.Second)))
 }
 
 func (n *Node) now() time.Duration { return n.env.Now() }
@@ -166,26 +166,26 @@
 	now := n.now()
 	n.replica.Tick(now)
 	n.tickParts(now)
-	if now >= n.joinAt && n.needsToJoin(now) {
-		n.joinAt = now + joinInterval
+	if now >= n.nextJoinAt && n.needsToJoin(now) {
+		n.nextJoinAt = now + joinInterval
 		n.syncLinks()
-		n.askForPlaces(now)
+		n.requestJoin(now)
 	}
 	n.tickShards(now)
-	n.tellReleases(now)
+	n.announceReleases(now)
 	n.tickProposals(now)
-	if now >= n.groupAt {
-		n.groupAt = now + groupInterval
+	if now >= n.nextGroupAt {
+		n.nextGroupAt = now + groupInterval
 		n.publishGroup()
 	}
 }
 
 // Flush performs the sends and writes that the replicas have requested. It is called after each event.
 func (n *Node) Flush() {
-	if role := n.replica.Role(); role != n.wasRole {
+	if role := n.replica.Role(); role != n.lastRole {
 		n.log.Info("role changed", "role", role.String(), "term", n.replica.Term())
-		n.wasRole = role
-		n.counts.roleChanges.Inc()
+		n.lastRole = role
+		n.counters.roleChanges.Inc()
 	}
 	n.sendMessages()
 	if !n.saving {
@@ -196,10 +196,10 @@
 	}
 	n.flushParts()
 	n.saveTenures()
-	n.followMembers()
-	n.followCommit()
+	n.syncMembers()
+	n.applyCommitted()
 	n.sendMessages() // messages of proposals that the commit has started
-	n.followRestart()
+	n.resumeLeases()
 }
 
 // Saved handles a completed write.
@@ -210,20 +210,20 @@
 
 // saveTenures writes the granter's tenures if they have changed since the last write.
 func (n *Node) saveTenures() {
-	if n.tenuresOn || n.now() < n.tenuresAt {
+	if n.savingTenures || n.now() < n.tenuresRetryAt {
 		return
 	}
 	if t, unsaved := n.granter.UnsavedTenures(); unsaved {
-		n.tenuresOn = true
+		n.savingTenures = true
 		n.env.SaveTenures(t)
 	}
 }
 
 // TenuresSaved handles the result of that write. A failed write is retried after tenureRetryDelay.
 func (n *Node) TenuresSaved(t lease.LongTenures, err error) {
-	n.tenuresOn = false
+	n.savingTenures = false
 	if err != nil {
-		n.tenuresAt = n.now() + tenurePause
+		n.tenuresRetryAt = n.now() + tenureRetryDelay
 		return
 	}
 	n.granter.TenuresSaved(t)
@@ -242,9 +242,9 @@
 }
 
 // applyCommitted decodes a newly committed state and publishes it.
-func (n *Node) followCommit() {
+func (n *Node) applyCommitted() {
 	committed := n.replica.Committed()
-	if committed == nil || committed.Position() == n.stateAt {
+	if committed == nil || committed.Position() == n.statePosition {
 		return
 	}
 	state, err := store.Decode(committed.Value)
@@ -256,7 +256,7 @@
 	if before != nil && state.Revision < before.Revision {
 		panic(fmt.Sprintf("control: revision %d was committed after revision %d", state.Revision, before.Revision))
 	}
-	n.state, n.stateAt = state, committed.Position()
+	n.state, n.statePosition = state, committed.Position()
 	if before == nil || before.Revision != state.Revision {
 		n.log.Info("configuration committed", "revision", state.Revision, "entry", committed.Index)
 		n.readLimits(state.Body)
@@ -285,12 +285,12 @@
 }
 
 // resumeLeases grants leases without delay if all members have just restarted.
-func (n *Node) followRestart() {
-	if n.resumed || !n.replica.AllRestarted() {
+func (n *Node) resumeLeases() {
+	if n.leasesResumed || !n.replica.AllRestarted() {
 		return
 	}
 	now := n.now()
-	n.resumed, n.resumedAt = true, now
+	n.leasesResumed, n.leasesResumedAt = true, now
 	n.granter.Resume(now)
 	for _, s := range n.shards {
 		s.holder.RetryNow(now)
@@ -304,9 +304,9 @@
 	now := n.now()
 	for _, s := range n.shards {
 		if q := s.holder.Release(now); q != nil {
-			n.releases = append(n.releases, &wire.Message{LeaseRequest: q})
+			n.pendingReleases = append(n.pendingReleases, &wire.Message{LeaseRequest: q})
 		}
-		n.followOwnership(s, now)
+		n.updateOwnership(s, now)
 	}
 	n.releaseAt = now + quota.MaxDelay // by then all delayed grants have become valid
 	for _, r := range n.replicas {
@@ -316,22 +316,22 @@
 }
 
 // CanStop reports whether the other processes have everything that this node was responsible for.
-func (n *Node) MayStop() bool {
+func (n *Node) CanStop() bool {
 	for _, r := range n.replicas {
 		if !r.LeaveDone() {
 			return false
 		}
 	}
-	return len(n.releases) == 0 && n.callsUnderWay() == 0
+	return len(n.pendingReleases) == 0 && n.callsInFlight() == 0
 }
 
 // announceReleases tells the other members that this node's leases are free.
-func (n *Node) tellReleases(now time.Duration) {
-	if len(n.releases) == 0 || now < n.releaseAt {
+func (n *Node) announceReleases(now time.Duration) {
+	if len(n.pendingReleases) == 0 || now < n.releaseAt {
 		return
 	}
-	for _, m := range n.releases {
-		n.toAllLinks(m)
+	for _, m := range n.pendingReleases {
+		n.sendToAllLinks(m)
 	}
-	n.releases = nil
+	n.pendingReleases = nil
 }
--- a/control/operator.go
+++ b/control/operator.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	pathReplace      = "/v1/Config.Replace"
-	pathGet          = "/v1/Config.Get"
-	baseHeader       = "Base-Version"
-	maxOrderBytes    = 8 << 20 // leaves room in wire.MaxFrame for what the state adds to an entry
-	maxOrdersRead    = 16      // request bodies that are read at the same time
-	operatorHeaders  = 3 * time.Second
-	operatorIdle     = 15 * time.Second
-	operatorRead     = 10 * time.Second
-	retryAfterSecond = "0.2"
+	pathReplace               = "/v1/Config.Replace"
+	pathGet                   = "/v1/Config.Get"
+	baseVersionHeader         = "Base-Version"
+	maxConfigBytes            = 8 << 20 // leaves room in wire.MaxFrame for what the state adds to an entry
+	maxConcurrentBodyReads    = 16      // request bodies that are read at the same time
+	operatorHeaderTimeout     = 3 * time.Second
+	operatorIdleTimeout       = 15 * time.Second
+	operatorReadTimeout       = 10 * time.Second
+	operatorRetryAfterSeconds = "0.2"
 )
 
 // operatorCall is the label of a kind of call in the metrics.
@@ -34,12 +34,12 @@
 
 // operatorHandler serves the operators' calls of a node. It is safe for concurrent use.
 type operatorHandler struct {
-	node    *Node
-	reading chan struct{} // holds one element for each body that is being read
+	node      *Node
+	readSlots chan struct{} // holds one element for each body that is being read
 }
 
 func newOperatorHandler(n *Node) *operatorHandler {
-	return &operatorHandler{node: n, reading: make(chan struct{}, maxOrdersRead)}
+	return &operatorHandler{node: n, readSlots: make(chan struct{}, maxConcurrentBodyReads)}
 }
 
 func (h *operatorHandler) serve(listener net.Listener) {
@@ -50,15 +50,15 @@
 	if len(h.node.parts) > 0 {
 		(&applicationHandler{h.node}).register(mux)
 	}
-	server := &http.Server{Handler: h.node.countUnknown(mux), ReadHeaderTimeout: operatorHeaders, IdleTimeout: operatorIdle, ReadTimeout: operatorRead}
+	server := &http.Server{Handler: h.node.countUnknownCalls(mux), ReadHeaderTimeout: operatorHeaderTimeout, IdleTimeout: operatorIdleTimeout, ReadTimeout: operatorReadTimeout}
 	_ = server.Serve(listener) // runs until the process ends
 }
 
 // countUnknownCalls counts the requests without a matching route, which are answered 404 or 405.
-func (n *Node) countUnknown(mux *http.ServeMux) http.Handler {
+func (n *Node) countUnknownCalls(mux *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, pattern := mux.Handler(r); pattern == "" {
-			n.counts.unknownCalls.Inc()
+			n.counters.unknownCalls.Inc()
 		}
 		mux.ServeHTTP(w, r)
 	})
@@ -66,35 +66,35 @@
 
 // await runs a handler and writes its response.
 func (h *operatorHandler) await(w http.ResponseWriter, r *http.Request, call operatorCall,
-	carryOut func(http.ResponseWriter, *http.Request, func(verdict))) {
-	answer := make(chan verdict, 1)
-	carryOut(w, r, func(v verdict) { answer <- v })
+	handle func(http.ResponseWriter, *http.Request, func(response))) {
+	answer := make(chan response, 1)
+	handle(w, r, func(resp response) { answer <- resp })
 	select {
-	case v := <-answer:
-		h.node.counts.answered(call, v.status)
-		writeVerdict(w, v)
+	case resp := <-answer:
+		h.node.counters.countResponse(call, resp.status)
+		writeResponse(w, resp)
 	case <-r.Context().Done():
 		panic(http.ErrAbortHandler) // returning without a response would make net/http send 200
 	}
 }
 
 // replace reads a new configuration and submits it to the event loop. answer is called once.
-func (h *operatorHandler) replace(w http.ResponseWriter, r *http.Request, answer func(verdict)) {
-	base, err := strconv.ParseInt(r.Header.Get(baseHeader), 10, 64)
+func (h *operatorHandler) replace(w http.ResponseWriter, r *http.Request, answer func(response)) {
+	base, err := strconv.ParseInt(r.Header.Get(baseVersionHeader), 10, 64)
 	if err != nil {
-		answer(problem(http.StatusBadRequest, baseHeader+" is missing or no number"))
+		answer(errorResponse(http.StatusBadRequest, baseVersionHeader+" is missing or no number"))
 		return
 	}
 	select {
-	case h.reading <- struct{}{}:
-		defer func() { <-h.reading }()
+	case h.readSlots <- struct{}{}:
+		defer func() { <-h.readSlots }()
 	default:
-		answer(problem(http.StatusServiceUnavailable, "too many orders under way"))
+		answer(errorResponse(http.StatusServiceUnavailable, "too many orders under way"))
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
-		answer(unreadable(err))
+		answer(bodyReadError(err))
 		return
 	}
 	p := &proposal{base: base, body: body, digest: store.DigestOf(base, body)}
@@ -103,30 +103,30 @@
 	} else {
 		p.revision = c.Revision
 	}
-	h.node.env.Do(func() { h.node.takeOrder(p, answer) })
+	h.node.env.Do(func() { h.node.submitProposal(p, answer) })
 }
 
-func unreadable(err error) verdict {
+func bodyReadError(err error) response {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return problem(http.StatusRequestEntityTooLarge, "configuration too large")
+		return errorResponse(http.StatusRequestEntityTooLarge, "configuration too large")
 	}
-	return problem(http.StatusBadRequest, "body not read whole")
+	return errorResponse(http.StatusBadRequest, "body not read whole")
 }
 
 // get reads the configuration in the event loop. answer is called once.
-func (h *operatorHandler) get(_ http.ResponseWriter, _ *http.Request, answer func(verdict)) {
+func (h *operatorHandler) get(_ http.ResponseWriter, _ *http.Request, answer func(response)) {
 	h.node.env.Do(func() { answer(h.node.readConfig()) })
 }
 
-func writeVerdict(w http.ResponseWriter, v verdict) {
-	if v.location != "" {
-		w.Header().Set("Location", v.location)
+func writeResponse(w http.ResponseWriter, resp response) {
+	if resp.location != "" {
+		w.Header().Set("Location", resp.location)
 	}
-	if v.status == http.StatusServiceUnavailable {
-		w.Header().Set("Retry-After", retryAfterSecond)
+	if resp.status == http.StatusServiceUnavailable {
+		w.Header().Set("Retry-After", operatorRetryAfterSeconds)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(v.status)
-	_, _ = w.Write(v.body) // a write error means that the client has disconnected
+	w.WriteHeader(resp.status)
+	_, _ = w.Write(resp.body) // a write error means that the client has disconnected
 }
--- a/control/parts.go
+++ b/control/parts.go
@@ -18,8 +18,8 @@
 	coordinationParts = 4
 	// historyFactor times history_s is how long the history of puts is kept. The history serves to resume watches and
 	// also to recognise a repeated put, which a frozen machine may send much later.
-	historyFactor   = 6
-	shortestHistory = 2 * time.Minute
+	historyFactor = 6
+	minHistory    = 2 * time.Minute
 )
 
 // part is one partition of the coordination state, with this node's replica of it.
@@ -29,26 +29,26 @@
 	machine *coordination.StateMachine
 	members []wire.Member // the members to which the links were adjusted last
 
-	queue      []*partCall // not yet in a log entry
-	proposed   []*partCall // of the entry in flight; nil if there is none
-	proposedAt replica.Position
-	watches    []*partCall      // watches that wait for a put; only at a leader
-	watchedAt  replica.Position // the committed entry at the last check of the watches
-	watchAgain time.Duration
+	queue            []*partCall // not yet in a log entry
+	proposed         []*partCall // of the entry in flight; nil if there is none
+	proposedAt       replica.Position
+	watches          []*partCall      // watches that wait for a put; only at a leader
+	watchesCheckedAt replica.Position // the committed entry at the last check of the watches
+	nextWatchCheck   time.Duration
 }
 
 // PartStart is what a part starts from: its stored state, and the state machine replayed to it.
 type PartStart struct {
-	Disk    replica.PersistentState
-	Machine *coordination.StateMachine
+	Persistent replica.PersistentState
+	Machine    *coordination.StateMachine
 }
 
 // newPartMachines creates the empty state machine of each part, or none if the fleet runs without coordination.
-func partMachines(s *settings.Settings) []*coordination.StateMachine {
+func newPartMachines(s *settings.Settings) []*coordination.StateMachine {
 	if !s.CoordinationEnabled() {
 		return nil
 	}
-	history := max(shortestHistory, time.Duration(historyFactor*s.Bounds.HistoryS*float64(time.Second)))
+	history := max(minHistory, time.Duration(historyFactor*s.Bounds.HistoryS*float64(time.Second)))
 	machines := make([]*coordination.StateMachine, coordinationParts)
 	for i := range machines {
 		machines[i] = coordination.NewStateMachine(history)
@@ -57,7 +57,7 @@
 }
 
 // asStateMachines converts machines to the interface of package replica.
-func replicated(machines []*coordination.StateMachine) []replica.StateMachine {
+func asStateMachines(machines []*coordination.StateMachine) []replica.StateMachine {
 	all := make([]replica.StateMachine, len(machines))
 	for i, m := range machines {
 		all[i] = m
@@ -69,19 +69,19 @@
 func partStarts(disks []replica.PersistentState, machines []*coordination.StateMachine) []PartStart {
 	starts := make([]PartStart, len(machines))
 	for i := range starts {
-		starts[i] = PartStart{Disk: disks[i], Machine: machines[i]}
+		starts[i] = PartStart{Persistent: disks[i], Machine: machines[i]}
 	}
 	return starts
 }
 
 // newParts creates this node's replicas of the parts.
-func (n *Node) newParts(from Start) {
+func (n *Node) newParts(from StartState) {
 	n.replicas = []*replica.Replica{n.replica}
 	for i, start := range from.Parts {
-		group := replica.GroupConfig{TargetSize: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberSilence(n.settings),
+		group := replica.GroupConfig{TargetSize: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberTimeout(n.settings),
 			Name: "part-" + strconv.Itoa(i)}
 		p := &part{number: i, machine: start.Machine}
-		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Disk, start.Machine, from.Random, n.now())
+		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Persistent, start.Machine, from.Random, n.now())
 		n.parts = append(n.parts, p)
 		n.replicas = append(n.replicas, p.replica)
 	}
@@ -106,14 +106,14 @@
 	for _, p := range n.parts {
 		p.replica.Tick(now)
 	}
-	n.givePassedUp(now)
+	n.expireForwarded(now)
 }
 
 // requestJoin asks the leaders of all groups that this node needs to join.
-func (n *Node) askForPlaces(now time.Duration) {
+func (n *Node) requestJoin(now time.Duration) {
 	for group, r := range n.replicas {
 		if r.NeedsToJoin(now) {
-			n.toAllLinks(&wire.Message{Part: uint32(group), JoinRequest: &wire.JoinRequest{Member: r.Self()}})
+			n.sendToAllLinks(&wire.Message{Part: uint32(group), JoinRequest: &wire.JoinRequest{Member: r.Self()}})
 		}
 	}
 }
@@ -144,25 +144,25 @@
 	if len(b.Saves) == 0 {
 		return
 	}
-	if n.wholeParts {
-		b = n.wholeBatch()
+	if n.nextPartsSaveFull {
+		b = n.fullBatch()
 	}
 	n.savingParts = true
 	n.env.SaveParts(b)
 }
 
 // fullBatch returns a batch with the complete stored state of every part.
-func (n *Node) wholeBatch() *store.PartsBatch {
-	whole := &store.PartsBatch{Full: true}
+func (n *Node) fullBatch() *store.PartsBatch {
+	full := &store.PartsBatch{Full: true}
 	for _, p := range n.parts {
-		whole.Saves = append(whole.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeFullSave()})
+		full.Saves = append(full.Saves, store.PartSave{Part: p.number, Save: p.replica.TakeFullSave()})
 	}
-	return whole
+	return full
 }
 
 // PartsSaved handles a completed write. wantsFull makes the next write a full one.
-func (n *Node) PartsSaved(b *store.PartsBatch, wantsWhole bool) {
-	n.savingParts, n.wholeParts = false, wantsWhole
+func (n *Node) PartsSaved(b *store.PartsBatch, wantsFull bool) {
+	n.savingParts, n.nextPartsSaveFull = false, wantsFull
 	for _, s := range b.Saves {
 		n.parts[s.Part].replica.Saved(s.Save, n.now())
 	}
--- a/control/process.go
+++ b/control/process.go
@@ -23,52 +23,52 @@
 
 const (
 	tickInterval   = 25 * time.Millisecond
-	eventQueue     = 1024
-	writeQueue     = 3 // one for each kind of write
-	saveRetryPause = 100 * time.Millisecond
+	eventQueueSize = 1024
+	writeQueueSize = 3 // one for each kind of write
+	saveRetryDelay = 100 * time.Millisecond
 	// leaveShare is the share of grace_s, the time until the platform sends SIGKILL, for which a stopping process
 	// waits until the others have everything that was acknowledged.
 	leaveShare = 0.3
 )
 
 // ErrNoDataDir is returned if a control process is started without data_dir.
-var ErrNoDisk = errors.New("data_dir is not set: a control process needs a data folder")
+var ErrNoDataDir = errors.New("data_dir is not set: a control process needs a data folder")
 
 // Process is a node with its sockets and files. It implements Environment.
 type Process struct {
-	settings *settings.Settings
-	log      hclog.Logger
-	start    time.Time
-	events   chan func()
-	folder   *store.DataDir
-	writes   chan func() // disk writes, run one at a time
-	reader   *hostlist.Reader
-	from     Start
-	node     *Node
-	peers    *membership.Service
-	ctx      context.Context // of all goroutines beside the event loop
+	settings   *settings.Settings
+	log        hclog.Logger
+	start      time.Time
+	events     chan func()
+	folder     *store.DataDir
+	writes     chan func() // disk writes, run one at a time
+	reader     *hostlist.Reader
+	startState StartState
+	node       *Node
+	peers      *membership.Service
+	ctx        context.Context // of all goroutines beside the event loop
 }
 
 // New reads the stored state. It opens no sockets yet.
 func New(s *settings.Settings, log hclog.Logger) (*Process, error) {
 	if s.DataDir == "" {
-		return nil, ErrNoDisk
+		return nil, ErrNoDataDir
 	}
 	folder, err := store.Open(s.DataDir)
 	if err != nil {
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	machines := partMachines(s)
-	disk, err := loadDisk(s, folder, replicated(machines), random, log)
+	machines := newPartMachines(s)
+	disk, err := loadDisk(s, folder, asStateMachines(machines), random, log)
 	if err != nil {
 		return nil, err
 	}
-	from := Start{Settings: s, Log: log, Identity: disk.identity, Disk: disk.replica, Tenures: disk.tenures,
+	startState := StartState{Settings: s, Log: log, Identity: disk.identity, Persistent: disk.replica, Tenures: disk.tenures,
 		Parts: partStarts(disk.parts, machines), Random: random}
-	return &Process{settings: s, log: log, start: time.Now(), events: make(chan func(), eventQueue), folder: folder,
-		writes: make(chan func(), writeQueue), reader: hostlist.NewReader(s.Cloud.Address),
-		from: from}, nil
+	return &Process{settings: s, log: log, start: time.Now(), events: make(chan func(), eventQueueSize), folder: folder,
+		writes: make(chan func(), writeQueueSize), reader: hostlist.NewReader(s.Cloud.Address),
+		startState: startState}, nil
 }
 
 // Run serves until stopped is done, then hands over what it owns. Settings from reloads replace the current ones.
@@ -91,15 +91,15 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stopped))
 	defer cancel()
 	p.ctx = ctx
-	p.node = NewNode(p.from, p)
-	served, err := metrics.Serve(p.settings.IP, p.settings.Metrics, p.node.writeFigures)
+	p.node = NewNode(p.startState, p)
+	metricsServer, err := metrics.Serve(p.settings.IP, p.settings.Metrics, p.node.writeMetrics)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	defer served.Close()
+	defer metricsServer.Close()
 	p.peers.AddPeers(true, p.settings.SeedIPs()...)
 	go p.peers.Run(ctx)
-	go wire.Serve(ctx, internal, p.accept, p.spoilt)
+	go wire.Serve(ctx, internal, p.accept, p.countInvalidFrame)
 	go newOperatorHandler(p.node).serve(operator)
 	go p.writeToDisk(ctx)
 	p.loop(stopped, reloads)
@@ -112,14 +112,14 @@
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	stopping := stopped.Done()
-	var lastMoment <-chan time.Time
+	var stopDeadline <-chan time.Time
 	for {
 		select {
 		case <-stopping:
 			stopping = nil
-			lastMoment = time.After(time.Duration(leaveShare * p.settings.Bounds.GraceS * float64(time.Second)))
+			stopDeadline = time.After(time.Duration(leaveShare * p.settings.Bounds.GraceS * float64(time.Second)))
 			p.node.StartLeaving()
-		case <-lastMoment:
+		case <-stopDeadline:
 			return
 		case event := <-p.events:
 			event()
@@ -130,7 +130,7 @@
 			p.node.Tick()
 		}
 		p.node.Flush()
-		if lastMoment != nil && p.node.MayStop() {
+		if stopDeadline != nil && p.node.CanStop() {
 			time.Sleep(tickInterval) // lets the links send what is pending
 			return
 		}
@@ -154,12 +154,12 @@
 // SaveParts queues a write of the parts.
 func (p *Process) SaveParts(b *store.PartsBatch) {
 	p.writes <- func() {
-		wantsWhole := false
+		wantsFull := false
 		p.writeUntilDone(func() (err error) {
-			wantsWhole, err = p.folder.SaveParts(b)
+			wantsFull, err = p.folder.SaveParts(b)
 			return err
 		})
-		p.Do(func() { p.node.PartsSaved(b, wantsWhole) })
+		p.Do(func() { p.node.PartsSaved(b, wantsFull) })
 	}
 }
 
@@ -172,10 +172,10 @@
 }
 
 // KnownControlIPs returns the addresses of the control processes that were learned from peers.
-func (p *Process) KnownControls() []string { return p.peers.ControlIPs() }
+func (p *Process) KnownControlIPs() []string { return p.peers.ControlIPs() }
 
 // UnreadableDatagrams counts the datagrams that could not be decoded.
-func (p *Process) SpoiltDatagrams() int64 { return p.peers.Malformed.Load() }
+func (p *Process) UnreadableDatagrams() int64 { return p.peers.Malformed.Load() }
 
 // OpenLink maintains a connection to a control process.
 func (p *Process) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
@@ -211,15 +211,15 @@
 		if !warned {
 			p.log.Warn("cannot write state; retrying", "error", err)
 		}
-		time.Sleep(saveRetryPause)
+		time.Sleep(saveRetryDelay)
 	}
 }
 
 // accept serves an incoming connection, unless it comes from another fleet.
 func (p *Process) accept(conn *wire.Conn, hello wire.Hello) {
-	strange := make(chan bool, 1)
-	p.Do(func() { strange <- p.node.IsStranger(hello) })
-	if <-strange {
+	foreign := make(chan bool, 1)
+	p.Do(func() { foreign <- p.node.FromOtherFleet(hello) })
+	if <-foreign {
 		return
 	}
 	if hello.Role == wire.RoleControl {
@@ -236,21 +236,21 @@
 }
 
 func (p *Process) acceptAgent(conn *wire.Conn) {
-	s := &subscriber{conn: conn}
-	defer p.Do(func() { p.node.AgentDisconnected(s) })
-	p.receive(conn, func(m *wire.Message) { p.node.OnAgentMessage(s, m) })
+	agent := &subscriber{conn: conn}
+	defer p.Do(func() { p.node.AgentDisconnected(agent) })
+	p.receive(conn, func(m *wire.Message) { p.node.OnAgentMessage(agent, m) })
 }
 
 // receive passes a connection's messages to the event loop until the connection ends.
-func (p *Process) receive(conn *wire.Conn, take func(*wire.Message)) {
+func (p *Process) receive(conn *wire.Conn, handle func(*wire.Message)) {
 	for {
 		m, err := conn.Receive()
 		if err != nil {
-			p.spoilt(err)
+			p.countInvalidFrame(err)
 			return
 		}
-		p.Do(func() { take(m) })
+		p.Do(func() { handle(m) })
 	}
 }
 
-func (p *Process) spoilt(err error) { p.Do(func() { p.node.FrameSpoilt(err) }) }
+func (p *Process) countInvalidFrame(err error) { p.Do(func() { p.node.CountInvalidFrame(err) }) }
--- a/control/scenarios_test.go
+++ b/control/scenarios_test.go
@@ -35,27 +35,27 @@
 }
 
 // ask makes a call at a machine, beside the operators, and returns its answer if there is one within operatorTimeout.
-func (w *world) ask(m *machine, base int64, body string) (verdict, bool) {
-	var answer *verdict
-	take := func(v verdict) { answer = &v }
+func (w *world) ask(m *machine, base int64, body string) (response, bool) {
+	var answer *response
+	take := func(resp response) { answer = &resp }
 	if body == "" {
 		m.node.handler.get(nil, nil, take)
 	} else {
 		r := httptest.NewRequest(http.MethodPost, pathReplace, strings.NewReader(body))
-		r.Header.Set(baseHeader, fmt.Sprint(base))
+		r.Header.Set(baseVersionHeader, fmt.Sprint(base))
 		m.node.handler.replace(httptest.NewRecorder(), r, take)
 	}
 	for end := w.now + callPatience; answer == nil && w.now < end; {
 		w.step()
 	}
 	if answer == nil {
-		return verdict{}, false
+		return response{}, false
 	}
 	return *answer, true
 }
 
-func isUnsure(v verdict) bool {
-	return v.status == http.StatusServiceUnavailable || v.status == http.StatusTemporaryRedirect
+func isUnsure(resp response) bool {
+	return resp.status == http.StatusServiceUnavailable || resp.status == http.StatusTemporaryRedirect
 }
 
 // A control machine that is partitioned from the others for twenty seconds, while agents and operators still reach it,
@@ -108,11 +108,11 @@
 			assert.Assert(t, !s.holder.Holds(now) && s.table == nil && s.limits == nil)
 		}
 		known := m.node.node.state.Revision
-		if v, ok := w.ask(m, known, configText(known+1, "late")); ok {
-			assert.Assert(t, isUnsure(v), "an update was answered %d", v.status)
+		if resp, ok := w.ask(m, known, configText(known+1, "late")); ok {
+			assert.Assert(t, isUnsure(resp), "an update was answered %d", resp.status)
 		}
-		if v, ok := w.ask(m, 0, ""); ok {
-			assert.Assert(t, isUnsure(v), "a read was answered %d", v.status)
+		if resp, ok := w.ask(m, 0, ""); ok {
+			assert.Assert(t, isUnsure(resp), "a read was answered %d", resp.status)
 		}
 		if fresh.agent != nil {
 			assert.Equal(t, fresh.agent.router.revision, int64(0), "the agent applied a configuration from a partitioned machine")
@@ -182,9 +182,9 @@
 					sent[body] = w.anyCore()
 					continue
 				}
-				v, ok := w.ask(m, base, body)
-				if ok && !isUnsure(v) && w.random.IntN(3) > 0 { // otherwise the answer is lost
-					status[body] = v.status
+				resp, ok := w.ask(m, base, body)
+				if ok && !isUnsure(resp) && w.random.IntN(3) > 0 { // otherwise the answer is lost
+					status[body] = resp.status
 				}
 				sent[body] = w.anyCore()
 			}
@@ -234,11 +234,11 @@
 					w.step()
 					continue
 				}
-				v, ok := w.ask(m, first.base, body)
-				if ok && v.status == http.StatusOK {
+				resp, ok := w.ask(m, first.base, body)
+				if ok && resp.status == http.StatusOK {
 					confirmed++
 				} else if ok {
-					assert.Assert(t, isUnsure(v), "seed %d, fault %d: answered %d", seed, i, v.status)
+					assert.Assert(t, isUnsure(resp), "seed %d, fault %d: answered %d", seed, i, resp.status)
 				}
 				w.playUntil(w.now + 50*time.Millisecond)
 			}
@@ -306,8 +306,8 @@
 	most := uint64(0)
 	for i := range orders {
 		base := leader.node.node.state.Revision
-		v, ok := w.ask(leader, base, configText(base+1, fmt.Sprint(i))+padding)
-		assert.Assert(t, ok && v.status == http.StatusOK, "update %d: %d", i, v.status)
+		resp, ok := w.ask(leader, base, configText(base+1, fmt.Sprint(i))+padding)
+		assert.Assert(t, ok && resp.status == http.StatusOK, "update %d: %d", i, resp.status)
 		clear(w.bodies) // kept by the test itself
 		if i%10 == 9 {
 			most = max(most, heapInUse())
@@ -322,8 +322,8 @@
 		w.step()
 		assert.Assert(t, w.now < healed+1200*time.Millisecond, "the partitioned machine has not caught up")
 	}
-	v, ok := w.ask(leader, 0, strings.Repeat(" ", maxOrderBytes+1))
-	assert.Assert(t, ok && v.status == http.StatusRequestEntityTooLarge)
+	resp, ok := w.ask(leader, 0, strings.Repeat(" ", maxConfigBytes+1))
+	assert.Assert(t, ok && resp.status == http.StatusRequestEntityTooLarge)
 }
 
 func heapInUse() uint64 {
@@ -336,7 +336,7 @@
 // The largest configuration in the largest state must fit in a frame; otherwise neither it nor any later entry would
 // ever be replicated.
 func TestLargestOrderFitsInAFrame(t *testing.T) {
-	state := &store.State{Revision: 1 << 60, Body: make([]byte, maxOrderBytes), AcceptedUpdates: make([]store.Digest, 4096)}
+	state := &store.State{Revision: 1 << 60, Body: make([]byte, maxConfigBytes), AcceptedUpdates: make([]store.Digest, 4096)}
 	value, err := state.Encode()
 	assert.NilError(t, err)
 	members := make([]wire.Member, 16)
@@ -372,12 +372,12 @@
 		"future base":     {next, configText(next+1, "x"), http.StatusPreconditionFailed},
 		"unknown service": {before.Revision, strings.Replace(configText(next, "x"), `"backend":"service-0"`, `"backend":"other"`, 1), http.StatusBadRequest},
 	} {
-		v, ok := w.ask(leader, one.base, one.body)
-		assert.Assert(t, ok && v.status == one.status, "%s: %d", name, v.status)
+		resp, ok := w.ask(leader, one.base, one.body)
+		assert.Assert(t, ok && resp.status == one.status, "%s: %d", name, resp.status)
 		for _, m := range w.machines {
 			if m.core && m != leader {
-				v, ok := w.ask(m, one.base, one.body)
-				assert.Assert(t, ok && isUnsure(v), "%s: %d from a machine that isn't the leader", name, v.status)
+				resp, ok := w.ask(m, one.base, one.body)
+				assert.Assert(t, ok && isUnsure(resp), "%s: %d from a machine that isn't the leader", name, resp.status)
 			}
 		}
 	}
@@ -390,12 +390,12 @@
 	w := settledWorld(t, 4, 1)
 	node := w.leaderMachine().node.node
 	stranger := wire.Hello{Role: wire.RoleControl, Node: "10.7.0.1/founder", IP: "10.7.0.1", Fleet: node.replica.Fleet() + 2}
-	assert.Assert(t, node.IsStranger(stranger))
+	assert.Assert(t, node.FromOtherFleet(stranger))
 	assert.Equal(t, node.dropped.OtherFleet, int64(1))
 	stranger.Fleet = 0 // a process with an empty disk knows of no fleet
-	assert.Assert(t, !node.IsStranger(stranger))
+	assert.Assert(t, !node.FromOtherFleet(stranger))
 	stranger.Fleet = node.replica.Fleet()
-	assert.Assert(t, !node.IsStranger(stranger))
+	assert.Assert(t, !node.FromOtherFleet(stranger))
 	w.playUntil(w.now + 5*time.Second)
 	assert.Equal(t, w.leaderMachine().node.node.replica.Fleet(), stranger.Fleet, "the fleet number must not change")
 }
--- a/control/shards.go
+++ b/control/shards.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	readsPerDrain  = 4.5 // reads of the host list within drain_ms, the time within which a drain has to be noticed
-	shortestPeriod = 250 * time.Millisecond
-	longestPeriod  = time.Second
+	readsPerDrain = 4.5 // reads of the host list within drain_ms, the time within which a drain has to be noticed
+	minReadPeriod = 250 * time.Millisecond
+	maxReadPeriod = time.Second
 	// startAmountWindow is how soon after acquiring a shard an owner has to know that the previous owner's tenure was
 	// long, so that its limits may get their start amounts.
-	startWithin = time.Second
+	startAmountWindow = time.Second
 	// tenureMargin is how much longer than a window of limits a long tenure lasts. It covers the time from a member's
 	// first grant to an owner until the last moment at which that owner's buckets get their start amount, and grants
 	// that are made and used late.
 	tenureMargin = 3 * time.Second
-	longestRead  = 2 * time.Second // a host list that took longer to read is discarded
+	maxReadAge   = 2 * time.Second // a host list that took longer to read is discarded
 )
 
 // shard is a subset of the services and tenants, with this node's claim to own it.
 type shard struct {
-	number uint32
-	holder *lease.Holder
-	term   uint64 // fencing number of the lease under which table is maintained
-	table  *hostlist.Table
-	limits *quota.Owner
-	paces  paces         // of the shard's hosts
-	since  time.Duration // when this node acquired the shard
-	lostAt time.Duration // when this node noticed that it had lost the shard
-	began  bool          // the limits have got their start amounts
-	whole  *wire.Message // the full table as it was last encoded
+	number       uint32
+	holder       *lease.Holder
+	term         uint64 // fencing number of the lease under which table is maintained
+	table        *hostlist.Table
+	limits       *quota.Owner
+	slowHosts    slowHosts     // of the shard's hosts
+	acquiredAt   time.Duration // when this node acquired the shard
+	lostAt       time.Duration // when this node noticed that it had lost the shard
+	startGranted bool          // the limits have got their start amounts
+	fullMessage  *wire.Message // the full table as it was last encoded
 }
 
 // message returns a message with a change. The full table, which each new subscriber gets, is encoded once per offset.
@@ -50,14 +50,14 @@
 	if !change.Full {
 		return &wire.Message{Hosts: change}
 	}
-	if s.whole == nil || s.whole.Hosts.At != change.At {
-		s.whole = (&wire.Message{Hosts: change}).Prepare()
+	if s.fullMessage == nil || s.fullMessage.Hosts.At != change.At {
+		s.fullMessage = (&wire.Message{Hosts: change}).Prepare()
 	}
-	return s.whole
+	return s.fullMessage
 }
 
-func newShard(number uint32, self string, life uint64, now time.Duration) *shard {
-	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, life, now), lostAt: -quota.MaxDelay}
+func newShard(number uint32, self string, incarnation uint64, now time.Duration) *shard {
+	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, incarnation, now), lostAt: -quota.MaxDelay}
 }
 
 // rank returns this node's position in the shard's order of candidates.
@@ -77,13 +77,13 @@
 				n.requestLease(q, now)
 			}
 		}
-		n.followOwnership(s, now)
-		n.publishSlow(s, now)
+		n.updateOwnership(s, now)
+		n.publishSlowHosts(s, now)
 		owns = owns || s.holder.Holds(now)
 	}
-	if owns && !n.reading && now >= n.readAt {
-		n.reading, n.readSince = true, now
-		n.readAt = now + n.readPeriod()
+	if owns && !n.readingHosts && now >= n.nextReadAt {
+		n.readingHosts, n.readStartedAt = true, now
+		n.nextReadAt = now + n.readPeriod()
 		n.env.ReadHosts()
 	}
 }
@@ -93,7 +93,7 @@
 // it again at once after losing it or restarting, and any node may if all processes have restarted.
 func (n *Node) newLimits(s *shard, now time.Duration) *quota.Owner {
 	since := max(now, quota.MaxDelay, s.lostAt+quota.MaxDelay)
-	if n.resumed && now < n.resumedAt+lease.Duration {
+	if n.leasesResumed && now < n.leasesResumedAt+lease.Duration {
 		since = max(since, now+quota.MaxDelay)
 	}
 	return quota.NewOwner(since)
@@ -107,12 +107,12 @@
 
 func (n *Node) readPeriod() time.Duration {
 	period := time.Duration(n.settings.Bounds.DrainMS / readsPerDrain * float64(time.Millisecond))
-	return min(max(period, shortestPeriod), longestPeriod)
+	return min(max(period, minReadPeriod), maxReadPeriod)
 }
 
 func (n *Node) requestLease(q *wire.LeaseRequest, now time.Duration) {
-	q.Members, q.At = digestOfMembers(n.replica.Members()), n.replica.Newest().Position()
-	n.toAllLinks(&wire.Message{LeaseRequest: q})
+	q.Members, q.At = membersDigest(n.replica.Members()), n.replica.Newest().Position()
+	n.sendToAllLinks(&wire.Message{LeaseRequest: q})
 	n.onLeaseReply(n.replica.Self().ID, n.grantLease(q, now), now)
 }
 
@@ -131,7 +131,7 @@
 // lease under those members therefore ends no later than the pause after that change; by then a second change may have
 // produced a majority of members that never heard of the lease.
 func (n *Node) answerLease(q *wire.LeaseRequest, now time.Duration) *wire.LeaseReply {
-	behind := q.Members != 0 && q.At.Less(n.replica.Newest().Position()) && q.Members != digestOfMembers(n.replica.Members())
+	behind := q.Members != 0 && q.At.Less(n.replica.Newest().Position()) && q.Members != membersDigest(n.replica.Members())
 	if behind && !q.Release {
 		return n.granter.Refuse(q)
 	}
@@ -139,7 +139,7 @@
 }
 
 // membersDigest returns a hash that identifies a set of members.
-func digestOfMembers(members []wire.Member) uint64 {
+func membersDigest(members []wire.Member) uint64 {
 	ids := make([]string, 0, len(members))
 	for _, m := range members {
 		ids = append(ids, m.ID)
@@ -161,42 +161,42 @@
 }
 
 func (n *Node) onLeaseReply(from string, p *wire.LeaseReply, now time.Duration) {
-	enough := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
+	hasQuorum := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
 	for _, s := range n.shards {
 		if s.resource() != p.Resource {
 			continue
 		}
-		if !s.holder.HandleReply(from, p, enough, now) {
-			n.dropped.EarlierLife++
+		if !s.holder.HandleReply(from, p, hasQuorum, now) {
+			n.dropped.EarlierIncarnation++
 		}
-		n.followOwnership(s, now)
+		n.updateOwnership(s, now)
 	}
 }
 
 func (s *shard) resource() string { return s.holder.Resource() }
 
 // updateOwnership creates an empty table for each new lease, and drops it when the lease ends.
-func (n *Node) followOwnership(s *shard, now time.Duration) {
+func (n *Node) updateOwnership(s *shard, now time.Duration) {
 	holds := s.holder.Holds(now)
 	switch {
 	case holds && s.term != s.holder.Term():
 		n.replica.NoteLeaseParticipation()
-		s.since = now
+		s.acquiredAt = now
 		s.term, s.table = s.holder.Term(), hostlist.NewTable(s.number, s.holder.Term())
-		s.paces = paces{table: slowhost.NewDetector()}
+		s.slowHosts = slowHosts{detector: slowhost.NewDetector()}
 		if s.limits == nil { // otherwise the shard is kept under a higher term
-			s.limits, s.began = n.newLimits(s, now), false
+			s.limits, s.startGranted = n.newLimits(s, now), false
 		}
-		n.readAt = now
+		n.nextReadAt = now
 		n.log.Info("acquired shard", "shard", s.number, "term", s.term)
 	case !holds && s.table != nil:
-		s.term, s.table, s.limits, s.whole = 0, nil, nil, nil
+		s.term, s.table, s.limits, s.fullMessage = 0, nil, nil, nil
 		s.lostAt = now
 		n.log.Info("lost shard", "shard", s.number)
 	}
-	enough := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
-	if holds && !s.began && now <= s.since+startWithin && s.holder.FollowsLongTenure(enough) {
-		s.began = true
+	hasQuorum := func(has func(string) bool) bool { return replica.HasQuorum(n.replica.Members(), has) }
+	if holds && !s.startGranted && now <= s.acquiredAt+startAmountWindow && s.holder.FollowsLongTenure(hasQuorum) {
+		s.startGranted = true
 		s.limits.AddStartAmount(now)
 	}
 }
@@ -204,17 +204,17 @@
 // HostsRead handles the result of a read of the host list. The result is discarded if the read began before the shard
 // was acquired or took too long, since it may be older than what the previous owner has published.
 func (n *Node) HostsRead(hosts []wire.Host, err error) {
-	n.reading = false
+	n.readingHosts = false
 	if err != nil {
 		n.log.Debug("cannot read host list", "error", err)
 		return
 	}
 	now := n.now()
-	if now > n.readSince+longestRead {
+	if now > n.readStartedAt+maxReadAge {
 		return
 	}
 	for _, s := range n.shards {
-		if s.table == nil || !s.holder.Holds(now) || n.readSince < s.since {
+		if s.table == nil || !s.holder.Holds(now) || n.readStartedAt < s.acquiredAt {
 			continue
 		}
 		var own []wire.Host
--- a/control/simulation_applications_test.go
+++ b/control/simulation_applications_test.go
@@ -243,7 +243,7 @@
 		a.onReply(f)
 	case f.gone && !f.told && w.now >= f.leftAt:
 		f.told = true
-		node.callerLeft(f.handle)
+		node.callerDisconnected(f.handle)
 		node.Flush()
 		f.over = f.reply == nil
 	}
@@ -255,7 +255,7 @@
 	if f.gone {
 		a.counts.late++
 	}
-	f.handle = f.life.node.takeCall(f.errand.command, f.since, func(answer wire.Answer) {
+	f.handle = f.life.node.submitCall(f.errand.command, f.since, func(answer wire.Answer) {
 		if f.reply != nil {
 			a.world.fail("%+v was answered twice", f.errand.command)
 		}
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -47,8 +47,8 @@
 	p.reading = p.world.now + time.Duration(2+p.world.random.IntN(20))*time.Millisecond
 }
 
-func (p *nodeProcess) KnownControls() []string { return p.world.coreIPs() }
-func (p *nodeProcess) SpoiltDatagrams() int64  { return 0 }
+func (p *nodeProcess) KnownControlIPs() []string  { return p.world.coreIPs() }
+func (p *nodeProcess) UnreadableDatagrams() int64 { return 0 }
 
 // The environment of an agent.
 
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -65,7 +65,7 @@
 	to        *machine
 	arrives   time.Duration
 	asked     bool
-	answer    *verdict
+	answer    *response
 	answerAt  time.Duration
 	redirects int
 	givenUp   bool
@@ -175,10 +175,10 @@
 // ask passes a call to the operator handler of a control process.
 func (o *operator) ask(f *flight) {
 	w, node := o.world, f.to.node
-	answer := func(v verdict) {
+	answer := func(resp response) {
 		lost := node.dead || w.random.Float64() < w.ackLoss
 		if !lost && f.answer == nil {
-			f.answer, f.answerAt = &v, w.now+time.Duration(w.random.IntN(8))*time.Millisecond
+			f.answer, f.answerAt = &resp, w.now+time.Duration(w.random.IntN(8))*time.Millisecond
 		}
 	}
 	if f.request.call.kind == readCall {
@@ -186,7 +186,7 @@
 		return
 	}
 	r := httptest.NewRequest(http.MethodPost, pathReplace, strings.NewReader(f.request.body))
-	r.Header.Set(baseHeader, fmt.Sprint(f.request.call.base))
+	r.Header.Set(baseVersionHeader, fmt.Sprint(f.request.call.base))
 	node.handler.replace(httptest.NewRecorder(), r, answer)
 }
 
@@ -231,40 +231,40 @@
 	f.givenUp = true
 	one := &w.calls[f.index]
 	one.done = w.now
-	v := *f.answer
+	resp := *f.answer
 	switch {
-	case v.status == http.StatusOK && one.kind == readCall:
+	case resp.status == http.StatusOK && one.kind == readCall:
 		one.outcome = accept
-		o.readBack(one, v)
-	case v.status == http.StatusOK:
+		o.readBack(one, resp)
+	case resp.status == http.StatusOK:
 		one.outcome = accept
 		w.counts.acked++
 		w.ackedRevision = max(w.ackedRevision, one.order.revision)
 		w.noteBody(one.order.revision, f.request.body)
 		o.known = max(o.known, one.order.revision)
 		o.finish()
-	case v.status == http.StatusNotFound && one.kind == readCall:
+	case resp.status == http.StatusNotFound && one.kind == readCall:
 		one.outcome = accept
 		o.finish()
-	case v.status == http.StatusPreconditionFailed, v.status == http.StatusBadRequest:
+	case resp.status == http.StatusPreconditionFailed, resp.status == http.StatusBadRequest:
 		one.outcome = conflict
-		if v.status == http.StatusBadRequest {
+		if resp.status == http.StatusBadRequest {
 			one.outcome = invalid
 		}
 		w.counts.refused++
 		o.finish()
-	case v.status == http.StatusTemporaryRedirect:
+	case resp.status == http.StatusTemporaryRedirect:
 		one.outcome = nothing
 		w.counts.redirected++
-		o.redirected(f, v)
+		o.redirected(f, resp)
 	default:
 		one.done = endless
 		o.again(f)
 	}
 }
 
-func (o *operator) redirected(f *flight, v verdict) {
-	ip := strings.TrimPrefix(v.location, "http://")
+func (o *operator) redirected(f *flight, resp response) {
+	ip := strings.TrimPrefix(resp.location, "http://")
 	ip, _, _ = strings.Cut(ip, ":")
 	if to := o.world.machineAt(ip); to != nil && f.redirects < 2 {
 		o.send(f.request, to, f.redirects+1)
@@ -274,18 +274,18 @@
 }
 
 // readBack checks a configuration that was read, and finds the update that made it by its body.
-func (o *operator) readBack(one *call, v verdict) {
+func (o *operator) readBack(one *call, resp response) {
 	w := o.world
 	w.counts.reads++
-	c, err := config.Decode(v.body)
+	c, err := config.Decode(resp.body)
 	if err != nil {
-		w.fail("a read returned %q", v.body)
+		w.fail("a read returned %q", resp.body)
 	}
 	o.known = c.Revision
-	w.noteBody(c.Revision, string(v.body))
+	w.noteBody(c.Revision, string(resp.body))
 	found := false
 	for _, sent := range w.calls {
-		if sent.kind == replaceCall && sent.order.revision == c.Revision && store.DigestOf(sent.base, v.body) == sent.order.digest {
+		if sent.kind == replaceCall && sent.order.revision == c.Revision && store.DigestOf(sent.base, resp.body) == sent.order.digest {
 			one.read, found = sent.order, true
 			break
 		}
--- a/control/simulation_parts_test.go
+++ b/control/simulation_parts_test.go
@@ -61,7 +61,7 @@
 // startParts replays each part's state machine to what the disk has stored.
 func (m *machine) startParts(w *world) []PartStart {
 	var parts []PartStart
-	for i, empty := range partMachines(w.settingsOf(m, false)) {
+	for i, empty := range newPartMachines(w.settingsOf(m, false)) {
 		start := PartStart{Machine: empty}
 		var entries []*wire.Entry
 		if founded := foundingEntry(m.disk.identity); founded != nil {
@@ -70,13 +70,13 @@
 		if m.disk.parts != nil {
 			kept := m.disk.parts[i]
 			entries = append(entries, kept.entries...)
-			start.Disk.Term, start.Disk.VotedFor = kept.term, kept.votedFor
+			start.Persistent.Term, start.Persistent.VotedFor = kept.term, kept.votedFor
 		}
 		newest, err := replica.Replay(empty, entries)
 		if err != nil {
 			w.fail("%s: part %d: %v", m.ip, i, err)
 		}
-		start.Disk.Entry = newest
+		start.Persistent.Entry = newest
 		parts = append(parts, start)
 	}
 	return parts
--- a/control/simulation_races_test.go
+++ b/control/simulation_races_test.go
@@ -62,7 +62,7 @@
 		w.applications.rules.group(c.Name).sendingPut(&c, w.now)
 	}
 	answer := new(*wire.Answer)
-	m.node.node.takeCall(c, m.node.Now(), func(a wire.Answer) { *answer = &a })
+	m.node.node.submitCall(c, m.node.Now(), func(a wire.Answer) { *answer = &a })
 	m.node.node.Flush()
 	return answer
 }
@@ -139,11 +139,11 @@
 		m.stalled = w.now + 4*time.Second
 	}
 	answer := w.tell(leader, putCommand("first"))
-	w.playUntil(w.now + callerPatience/2)
+	w.playUntil(w.now + callerTimeout/2)
 	assert.Assert(t, *answer == nil)
-	w.playUntil(w.now + callerPatience)
+	w.playUntil(w.now + callerTimeout)
 	assert.Assert(t, *answer != nil && (*answer).Outcome == wire.OutcomeUnknown)
-	assert.Equal(t, leader.node.node.callsUnderWay(), 0)
+	assert.Equal(t, leader.node.node.callsInFlight(), 0)
 	w.playUntil(w.now + 5*time.Second)
 	assert.Equal(t, w.do(getCommand()).Value, "first")
 }
@@ -184,7 +184,7 @@
 		since := m.node.Now()
 		w.playUntil(w.now + callSilence + 10*time.Millisecond)
 		var answer *wire.Answer
-		m.node.node.takeCall(putCommand("late at "+m.ip), since, func(a wire.Answer) { answer = &a })
+		m.node.node.submitCall(putCommand("late at "+m.ip), since, func(a wire.Answer) { answer = &a })
 		m.node.node.Flush()
 		w.playUntil(w.now + 500*time.Millisecond)
 		assert.Assert(t, answer != nil && answer.Outcome == wire.OutcomeUnknown, "%+v", answer)
@@ -199,11 +199,11 @@
 	node := follower.node.node
 	since := follower.node.Now()
 	w.playUntil(w.now + 950*time.Millisecond)
-	passed := node.nextPassed
+	passed := node.nextForwardNumber
 	var answer *wire.Answer
-	node.takeCall(putCommand("late"), since, func(a wire.Answer) { answer = &a })
+	node.submitCall(putCommand("late"), since, func(a wire.Answer) { answer = &a })
 	node.Flush()
-	assert.Equal(t, node.nextPassed, passed+1)
+	assert.Equal(t, node.nextForwardNumber, passed+1)
 	w.playUntil(w.now + time.Second)
 	assert.Assert(t, answer != nil && answer.Outcome != wire.Done, "%+v", answer)
 	assert.Equal(t, w.do(getCommand()).Outcome, wire.NotFound)
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -246,7 +246,7 @@
 	}
 	p := &nodeProcess{process: life, world: w}
 	m.node = p
-	p.node = NewNode(Start{Settings: s, Log: hclog.NewNullLogger(), Identity: m.disk.identity, Disk: state, Tenures: m.disk.tenures,
+	p.node = NewNode(StartState{Settings: s, Log: hclog.NewNullLogger(), Identity: m.disk.identity, Persistent: state, Tenures: m.disk.tenures,
 		Parts: m.startParts(w), Random: random}, p)
 	p.node.validator = plainParser{}
 	p.handler = newOperatorHandler(p.node)
@@ -386,7 +386,7 @@
 
 func (p *nodeProcess) step() {
 	w, m := p.world, p.machine
-	if p.leaveBy != 0 && (p.node.MayStop() || w.now >= p.leaveBy) {
+	if p.leaveBy != 0 && (p.node.CanStop() || w.now >= p.leaveBy) {
 		w.kill(m, false)
 		return
 	}
--- a/control/slow_hosts_test.go
+++ b/control/slow_hosts_test.go
@@ -57,8 +57,8 @@
 			continue
 		}
 		n := m.node.node
-		n.onPaces(&wire.EventIntervals{Shard: 99})
-		n.onPaces(&wire.EventIntervals{Shard: 0, Service: "service-0", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 1}}})
-		assert.Equal(t, n.shards[0].paces.table != nil, n.shards[0].holder.Holds(m.node.Now()))
+		n.onEventIntervals(&wire.EventIntervals{Shard: 99})
+		n.onEventIntervals(&wire.EventIntervals{Shard: 0, Service: "service-0", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 1}}})
+		assert.Equal(t, n.shards[0].slowHosts.detector != nil, n.shards[0].holder.Holds(m.node.Now()))
 	}
 }
--- a/control/status.go
+++ b/control/status.go
@@ -12,22 +12,22 @@
 
 // Status is the state that a control process reports.
 type Status struct {
-	ID       string        `json:"id"`
-	Role     string        `json:"role"`
-	Term     uint64        `json:"term"`
-	Leader   string        `json:"leader"`
-	Leading  bool          `json:"leading"` // it is the leader and its lease holds
-	Entry    uint64        `json:"entry"`   // index of the newest entry
-	Commit   uint64        `json:"commit"`  // index of the newest entry that is known to be committed
-	Revision int64         `json:"revision"`
-	Members  []wire.Member `json:"members"`
-	Changing bool          `json:"changing"`     // a change of members is in progress, or a member is missing
-	Borne    int           `json:"losses_borne"` // number of members that may lose their disks now while a majority remains
-	Shards   []ShardStatus `json:"shards"`
-	Parts    []PartStatus  `json:"parts,omitempty"` // of the coordination state
-	Agents   int           `json:"agents"`
-	Spoilt   int64         `json:"spoilt_datagrams"`
-	Dropped  Dropped       `json:"dropped"`
+	ID                  string        `json:"id"`
+	Role                string        `json:"role"`
+	Term                uint64        `json:"term"`
+	Leader              string        `json:"leader"`
+	Leading             bool          `json:"leading"` // it is the leader and its lease holds
+	Entry               uint64        `json:"entry"`   // index of the newest entry
+	Commit              uint64        `json:"commit"`  // index of the newest entry that is known to be committed
+	Revision            int64         `json:"revision"`
+	Members             []wire.Member `json:"members"`
+	Changing            bool          `json:"changing"`     // a change of members is in progress, or a member is missing
+	LossesTolerated     int           `json:"losses_borne"` // number of members that may lose their disks now while a majority remains
+	Shards              []ShardStatus `json:"shards"`
+	Parts               []PartStatus  `json:"parts,omitempty"` // of the coordination state
+	Agents              int           `json:"agents"`
+	UnreadableDatagrams int64         `json:"spoilt_datagrams"`
+	Dropped             Dropped       `json:"dropped"`
 }
 
 // ShardStatus is the status of one shard.
@@ -65,22 +65,22 @@
 func (n *Node) status() Status {
 	now := n.now()
 	s := Status{ID: n.replica.Self().ID, Role: n.replica.Role().String(), Term: n.replica.Term(), Leader: n.replica.Leader(now).ID,
-		Leading: n.replica.Leading(now), Commit: n.stateAt.Index, Members: n.replica.Members(), Agents: len(n.subscribers),
-		Spoilt: n.env.SpoiltDatagrams(), Dropped: n.dropped}
+		Leading: n.replica.Leading(now), Commit: n.statePosition.Index, Members: n.replica.Members(), Agents: len(n.subscribers),
+		UnreadableDatagrams: n.env.UnreadableDatagrams(), Dropped: n.dropped}
 	if entry := n.replica.Newest(); entry != nil {
 		s.Entry = entry.Index
 		s.Changing = n.replica.HasUncommitted() || len(entry.Members) < n.replica.TargetSize()
-		s.Borne = (len(entry.Members) - 1) / 2
+		s.LossesTolerated = (len(entry.Members) - 1) / 2
 	}
 	if n.state != nil {
 		s.Revision = n.state.Revision
 	}
 	for _, shard := range n.shards {
-		told := ShardStatus{Number: shard.number, Owned: shard.holder.Holds(now)}
+		status := ShardStatus{Number: shard.number, Owned: shard.holder.Holds(now)}
 		if shard.table != nil {
-			told.Term, told.Offset = shard.table.At().Term, shard.table.At().Offset
+			status.Term, status.Offset = shard.table.At().Term, shard.table.At().Offset
 		}
-		s.Shards = append(s.Shards, told)
+		s.Shards = append(s.Shards, status)
 	}
 	for _, p := range n.parts {
 		s.Parts = append(s.Parts, p.status(now))
@@ -89,10 +89,10 @@
 }
 
 func (n *Node) handleStatus(w http.ResponseWriter, r *http.Request) {
-	answer := make(chan Status, 1)
-	n.env.Do(func() { answer <- n.status() })
+	statuses := make(chan Status, 1)
+	n.env.Do(func() { statuses <- n.status() })
 	select {
-	case s := <-answer:
+	case s := <-statuses:
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(s) // an encoding error means that the client has disconnected
 	case <-r.Context().Done():
