--- a/control/applications_test.go
+++ b/control/applications_test.go
@@ -164,7 +164,7 @@
 
 // A call whose request context ended before its outcome was known was once answered with an empty 200, so that a
 // heartbeat, a finish or an update that was never acknowledged counted as successful.
-func TestCallLeftUnderWayGetsNoImplicitOK(t *testing.T) {
+func TestAbandonedCallGetsNoImplicitOK(t *testing.T) {
 	mux := http.NewServeMux()
 	(&applicationHandler{pendingNode()}).register(mux)
 	body := `{"holder":"a","fence":1,"hold_ms":3000}`
@@ -172,7 +172,7 @@
 	assert.Equal(t, readAfterHalfClose(t, mux, request), "")
 }
 
-func TestOrderLeftUnderWayGetsNoImplicitOK(t *testing.T) {
+func TestAbandonedUpdateGetsNoImplicitOK(t *testing.T) {
 	h := newOperatorHandler(pendingNode())
 	never := func(http.ResponseWriter, *http.Request, func(response)) {}
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h.await(w, r, callReplace, never) })
--- a/control/identity_test.go
+++ b/control/identity_test.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func load(t *testing.T, s *settings.Settings, path string, machines []replica.StateMachine) (storedState, *store.DataDir) {
+func loadStoredState(t *testing.T, s *settings.Settings, path string, machines []replica.StateMachine) (storedState, *store.DataDir) {
 	t.Helper()
 	folder, err := store.Open(path)
 	assert.NilError(t, err)
@@ -47,7 +47,7 @@
 	s := &settings.Settings{IP: "10.0.0.1", Seeds: []string{"10.0.0.1:8665", "10.0.0.2:8665"}, Bootstrap: true}
 	path := t.TempDir()
 	machines := []replica.StateMachine{&appendingMachine{}, &appendingMachine{}}
-	disk, folder := load(t, s, path, machines)
+	disk, folder := loadStoredState(t, s, path, machines)
 	assert.Equal(t, len(disk.parts), len(machines))
 	for _, part := range disk.parts {
 		assert.DeepEqual(t, part.Entry, disk.replica.Entry)
@@ -58,7 +58,7 @@
 	_, err := folder.SaveParts(&store.PartsBatch{Saves: []store.PartSave{{Part: 1, Save: save}}})
 	assert.NilError(t, err)
 
-	again, _ := load(t, s, path, machines)
+	again, _ := loadStoredState(t, s, path, machines)
 	assert.Equal(t, again.identity.ID, disk.identity.ID)
 	assert.Equal(t, again.parts[0].Entry.Position(), founded.Position())
 	assert.Equal(t, again.parts[1].Entry.Position(), step.Position())
@@ -68,7 +68,7 @@
 	names, err := filepath.Glob(filepath.Join(path, "parts-*"))
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(names[0], []byte("spoilt"), 0o600))
-	lost, _ := load(t, s, path, machines)
+	lost, _ := loadStoredState(t, s, path, machines)
 	assert.Assert(t, lost.identity.ID != disk.identity.ID && !lost.identity.Founder)
 	assert.Assert(t, lost.replica.Entry == nil && lost.parts[1].Entry == nil)
 	assert.Equal(t, len(machines[1].Snapshot()), 0)
@@ -76,6 +76,6 @@
 
 func TestProcessWithoutCoordinationLoadsNoParts(t *testing.T) {
 	s := &settings.Settings{IP: "10.0.0.1", Seeds: []string{"10.0.0.1:8665"}, Bootstrap: true}
-	disk, _ := load(t, s, t.TempDir(), nil)
+	disk, _ := loadStoredState(t, s, t.TempDir(), nil)
 	assert.Equal(t, len(disk.parts), 0)
 }
--- a/control/lease_members_test.go
+++ b/control/lease_members_test.go
@@ -12,11 +12,11 @@
 
 // A member must not renew a lease for a holder that counts by the members of before a change that the member knows:
 // after one more change, a majority may never have heard of that lease.
-func TestLeaseIsNotRenewedForOneThatIsBehindAChangeOfMembers(t *testing.T) {
-	w, _ := newRestartWorld(t, 1)
-	w.playUntilLed(5 * time.Second)
-	w.playUntil(w.now + 2*time.Second)
-	owner := w.ownerMachine()
+func TestLeaseIsNotRenewedForHolderWithOutdatedMembers(t *testing.T) {
+	sim, _ := newRestartSimulation(t, 1)
+	sim.runUntilLed(5 * time.Second)
+	sim.runUntil(sim.now + 2*time.Second)
+	owner := sim.ownerMachine()
 	holder := owner.node.node.shards[0].holder
 	request := &wire.LeaseRequest{Resource: holder.Resource(), Holder: owner.disk.identity.ID, Term: holder.Term(),
 		Members: membersDigest(owner.node.node.replica.Members()), At: owner.node.node.replica.Newest().Position()}
--- a/control/metrics_test.go
+++ b/control/metrics_test.go
@@ -14,7 +14,7 @@
 )
 
 // metricsOf returns the set of metric lines of a control process.
-func figuresOf(t *testing.T, p *nodeProcess) map[string]bool {
+func metricsOf(t *testing.T, p *nodeProcess) map[string]bool {
 	t.Helper()
 	var text bytes.Buffer
 	p.node.writeMetrics(t.Context(), &text)
@@ -25,12 +25,12 @@
 	return lines
 }
 
-func TestControlTellsItsFigures(t *testing.T) {
-	w, _ := newRestartWorld(t, 0)
-	w.playUntilLed(5 * time.Second)
+func TestMetricsOfControlProcess(t *testing.T) {
+	sim, _ := newRestartSimulation(t, 0)
+	sim.runUntilLed(5 * time.Second)
 	leaders, owned := 0, 0
-	for _, m := range w.machines {
-		lines := figuresOf(t, m.node)
+	for _, m := range sim.machines {
+		lines := metricsOf(t, m.node)
 		for _, line := range []string{"ivybank_control_members 3", "ivybank_control_losses_borne 1", "ivybank_control_leader_known 1",
 			`ivybank_control_dropped_total{cause="malformed"} 0`} {
 			assert.Assert(t, lines[line], "%s is not in %v", line, lines)
@@ -47,21 +47,21 @@
 	assert.Assert(t, owned <= 1)
 }
 
-func TestAnswersToOperatorsAndChangesOfRoleAreCounted(t *testing.T) {
-	w, _ := newRestartWorld(t, 0)
-	p := w.machines[0].node
-	w.playUntilLed(5 * time.Second)
+func TestOperatorResponsesAndRoleChangesAreCounted(t *testing.T) {
+	sim, _ := newRestartSimulation(t, 0)
+	p := sim.machines[0].node
+	sim.runUntilLed(5 * time.Second)
 	p.node.counters.countResponse(callReplace, http.StatusOK)
 	p.node.counters.countResponse(callReplace, http.StatusOK)
 	p.node.counters.countResponse(callGet, http.StatusServiceUnavailable)
-	lines := figuresOf(t, p)
+	lines := metricsOf(t, p)
 	assert.Assert(t, lines[`ivybank_control_calls_total{call="replace",status="200"} 2`], "%v", lines)
 	assert.Assert(t, lines[`ivybank_control_calls_total{call="get",status="503"} 1`], "%v", lines)
 	assert.Assert(t, !lines["ivybank_control_role_changes_total 0"], "%v", lines)
 }
 
 // Requests to unknown paths, answered 404, calls answered 503 and calls without an answer were once not counted at all.
-func TestCallsWithoutServiceAreCounted(t *testing.T) {
+func TestUnservedCallsAreCounted(t *testing.T) {
 	n := &Node{counters: newNodeCounters(), env: stillEnvironment{}}
 	n.countUnknownCalls(http.NewServeMux()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/Locks.Begin/l", nil))
 	answers := 0
--- a/control/simulation_applications_test.go
+++ b/control/simulation_applications_test.go
@@ -8,88 +8,88 @@
 )
 
 const (
-	callWay           = 8 // one-way delay in ms at most between a caller and a control address
-	callSilence       = time.Second
-	shortestCallPause = 10 * time.Millisecond // before a call is retried elsewhere; doubled for each attempt
-	longestCallPause  = 400 * time.Millisecond
-	longestHeldUp     = 8 * time.Second // for which a call may wait in a socket
+	maxCallDelayMS = 8 // one-way delay in ms at most between a caller and a control address
+	callTimeout    = time.Second
+	minRetryPause  = 10 * time.Millisecond // before a call is retried elsewhere; doubled for each attempt
+	maxRetryPause  = 400 * time.Millisecond
+	maxSocketDelay = 8 * time.Second // for which a call may wait in a socket
 )
 
 // applications holds the simulated callers, the calls in flight, and the rules that the answers must satisfy.
 type applications struct {
-	world   *world
-	actors  []actor
-	flying  []*attempt
-	rules   *rules
-	counts  applicationCounts
-	quiet   bool // nothing new is started
-	onReply func(*attempt)
+	sim      *simulation
+	callers  []caller
+	inFlight []*attempt
+	rules    *rules
+	counts   applicationCounts
+	stopping bool // nothing new is started
+	onReply  func(*attempt)
 }
 
 // caller is one simulated caller. It has at most one task in progress.
-type actor interface {
+type caller interface {
 	step(a *applications)
 }
 
 // task is one call, retried until it has a definite answer or its caller gives up.
-type errand struct {
-	command  wire.Command
-	began    time.Duration // when its first attempt was sent; 0 before
-	giveUp   time.Duration // when the caller stops retrying
-	tries    int
-	nextAt   time.Duration
-	current  *attempt // the attempt that the caller waits for
-	unclear  bool     // some attempt may have taken effect
-	done     bool
-	answer   wire.Answer   // if it is definite
-	sent     time.Duration // of the attempt that was answered
-	answered time.Duration
+type task struct {
+	command       wire.Command
+	firstSent     time.Duration // when its first attempt was sent; 0 before
+	retryUntil    time.Duration // when the caller stops retrying
+	attempts      int
+	nextAt        time.Duration
+	current       *attempt // the attempt that the caller waits for
+	mayHaveEffect bool     // some attempt may have taken effect
+	done          bool
+	answer        wire.Answer   // if it is definite
+	sent          time.Duration // of the attempt that was answered
+	answered      time.Duration
 }
 
 // hasAnswer reports whether the task ended with an answer.
-func (e *errand) clear() bool { return e.done && e.answer.Outcome != 0 }
+func (t *task) hasAnswer() bool { return t.done && t.answer.Outcome != 0 }
 
 // attempt is one HTTP call. It may be executed long after the caller has given it up.
 type attempt struct {
-	errand   *errand
-	before   any // what the rules recorded when it was sent
-	to       *machine
-	sent     time.Duration
-	arrives  time.Duration
-	life     *nodeProcess // that has accepted the connection
-	since    time.Duration
-	entersAt time.Duration // when it reaches the event loop
-	taken    bool
-	handle   *partCall
-	reply    *wire.Answer
-	left     bool // the answer is in transit
-	replyAt  time.Duration
-	gone     bool // the caller doesn't wait for it any more
-	leftAt   time.Duration
-	told     bool // the process has noticed that
-	over     bool
+	task           *task
+	expected       any // what the rules recorded when it was sent
+	to             *machine
+	sent           time.Duration
+	arrives        time.Duration
+	process        *nodeProcess // that has accepted the connection
+	receivedAt     time.Duration
+	entersLoopAt   time.Duration // when it reaches the event loop
+	submitted      bool
+	handle         *partCall
+	reply          *wire.Answer
+	replySent      bool // the answer is in transit
+	replyArrivesAt time.Duration
+	abandoned      bool // the caller doesn't wait for it any more
+	closeSeenAt    time.Duration
+	closeHandled   bool // the process has noticed that
+	finished       bool
 }
 
 // applicationCounts counts what the applications have done.
 type applicationCounts struct {
-	errands, attempts, unclear, notServed, silent, ended, late, lateDone, grants, renewals, lost, refusedLocks, overtime, finishes, numbers, puts,
-	mismatches, reads, watches, events, resumed, ownAgain, killedAfterAck, twoWiped, refusedPuts int
+	tasks, attempts, undecided, notServed, timedOut, disconnected, lateCalls, lateSuccesses, grants, renewals, lostLocks, refusedLocks, lateGrants, finishes, numbers, puts,
+	mismatches, reads, watches, events, resumed, begunAgain, killedAfterAck, doubleWipes, refusedPuts int
 }
 
 func (c *applicationCounts) add(o applicationCounts) {
-	c.errands += o.errands
+	c.tasks += o.tasks
 	c.attempts += o.attempts
-	c.unclear += o.unclear
+	c.undecided += o.undecided
 	c.notServed += o.notServed
-	c.silent += o.silent
-	c.ended += o.ended
-	c.late += o.late
-	c.lateDone += o.lateDone
+	c.timedOut += o.timedOut
+	c.disconnected += o.disconnected
+	c.lateCalls += o.lateCalls
+	c.lateSuccesses += o.lateSuccesses
 	c.grants += o.grants
 	c.renewals += o.renewals
-	c.lost += o.lost
+	c.lostLocks += o.lostLocks
 	c.refusedLocks += o.refusedLocks
-	c.overtime += o.overtime
+	c.lateGrants += o.lateGrants
 	c.finishes += o.finishes
 	c.numbers += o.numbers
 	c.puts += o.puts
@@ -98,236 +98,236 @@
 	c.watches += o.watches
 	c.events += o.events
 	c.resumed += o.resumed
-	c.ownAgain += o.ownAgain
+	c.begunAgain += o.begunAgain
 	c.killedAfterAck += o.killedAfterAck
-	c.twoWiped += o.twoWiped
+	c.doubleWipes += o.doubleWipes
 	c.refusedPuts += o.refusedPuts
 }
 
-func newApplications(w *world) *applications {
-	return &applications{world: w, rules: newRules(w), onReply: func(*attempt) {}}
+func newApplications(sim *simulation) *applications {
+	return &applications{sim: sim, rules: newRules(sim), onReply: func(*attempt) {}}
 }
 
 // step advances all callers and attempts.
 func (a *applications) step() {
-	for _, one := range a.actors {
+	for _, one := range a.callers {
 		one.step(a)
 	}
-	kept := a.flying[:0]
-	for _, f := range a.flying {
-		a.stepAttempt(f)
-		if !f.over || !f.gone {
-			kept = append(kept, f)
+	kept := a.inFlight[:0]
+	for _, att := range a.inFlight {
+		a.stepAttempt(att)
+		if !att.finished || !att.abandoned {
+			kept = append(kept, att)
 		}
 	}
-	clear(a.flying[len(kept):])
-	a.flying = kept
+	clear(a.inFlight[len(kept):])
+	a.inFlight = kept
 }
 
 // newTask creates a task that its caller retries for retryFor.
-func (a *applications) begin(command wire.Command, patience time.Duration) *errand {
-	a.counts.errands++
-	return &errand{command: command, giveUp: a.world.now + patience, nextAt: a.world.now}
+func (a *applications) newTask(command wire.Command, retryFor time.Duration) *task {
+	a.counts.tasks++
+	return &task{command: command, retryUntil: a.sim.now + retryFor, nextAt: a.sim.now}
 }
 
 // advance sends or retries a task if that is due. It returns true once the task has ended.
-func (a *applications) pursue(e *errand) bool {
-	now := a.world.now
+func (a *applications) advance(t *task) bool {
+	now := a.sim.now
 	switch {
-	case e.done:
-	case e.current != nil || now < e.nextAt:
-	case e.tries > 0 && now >= e.giveUp:
-		e.done = true
-		a.counts.unclear++
-		a.rules.abandoned(e)
+	case t.done:
+	case t.current != nil || now < t.nextAt:
+	case t.attempts > 0 && now >= t.retryUntil:
+		t.done = true
+		a.counts.undecided++
+		a.rules.abandoned(t)
 	default:
-		a.send(e, a.anyAddress())
+		a.send(t, a.anyAddress())
 	}
-	return e.done
+	return t.done
 }
 
 // anyAddress returns a control address that callers may choose; a removed machine stays listed for listLag.
 func (a *applications) anyAddress() *machine {
-	w := a.world
+	sim := a.sim
 	for {
-		if m := w.machines[w.random.IntN(len(w.machines))]; m.core && (!m.gone || w.now <= m.goneAt+listLag) {
+		if m := sim.machines[sim.random.IntN(len(sim.machines))]; m.control && (!m.removed || sim.now <= m.removedAt+listLag) {
 			return m
 		}
 	}
 }
 
 // send makes one attempt at a machine. A few attempts wait in a socket for long.
-func (a *applications) send(e *errand, to *machine) *attempt {
-	w := a.world
-	if e.tries == 0 {
-		e.began = w.now
+func (a *applications) send(t *task, to *machine) *attempt {
+	sim := a.sim
+	if t.attempts == 0 {
+		t.firstSent = sim.now
 	}
-	e.tries++
+	t.attempts++
 	a.counts.attempts++
-	f := &attempt{errand: e, to: to, sent: w.now, arrives: w.now + a.way(), before: a.rules.sending(e)}
-	if !w.calm && w.random.IntN(30) == 0 {
-		f.arrives += w.randomSpan(longestHeldUp)
+	att := &attempt{task: t, to: to, sent: sim.now, arrives: sim.now + a.delay(), expected: a.rules.sending(t)}
+	if !sim.noFaults && sim.random.IntN(30) == 0 {
+		att.arrives += sim.randomSpan(maxSocketDelay)
 	}
-	e.current = f
-	a.flying = append(a.flying, f)
-	return f
+	t.current = att
+	a.inFlight = append(a.inFlight, att)
+	return att
 }
 
-func (a *applications) way() time.Duration {
-	return time.Duration(a.world.random.IntN(callWay)) * time.Millisecond
+func (a *applications) delay() time.Duration {
+	return time.Duration(a.sim.random.IntN(maxCallDelayMS)) * time.Millisecond
 }
 
 // timeout is how long a caller waits for an answer.
-func (e *errand) patience() time.Duration {
-	if e.command.Kind == wire.WatchGroup {
-		return callSilence + time.Duration(e.command.WaitMS)*time.Millisecond
+func (t *task) timeout() time.Duration {
+	if t.command.Kind == wire.WatchGroup {
+		return callTimeout + time.Duration(t.command.WaitMS)*time.Millisecond
 	}
-	return callSilence
+	return callTimeout
 }
 
 // stepAttempt advances an attempt: to the machine, into its event loop, and back.
-func (a *applications) stepAttempt(f *attempt) {
-	w := a.world
-	if !f.over && f.life == nil && w.now >= f.arrives {
-		a.arrive(f)
+func (a *applications) stepAttempt(att *attempt) {
+	sim := a.sim
+	if !att.finished && att.process == nil && sim.now >= att.arrives {
+		a.arrive(att)
 	}
-	if !f.over && f.life != nil && f.life.dead {
-		a.connectionLost(f)
+	if !att.finished && att.process != nil && att.process.dead {
+		a.connectionLost(att)
 	}
-	if !f.over && f.life != nil && f.to.running(w.now) {
-		a.stepAtProcess(f)
+	if !att.finished && att.process != nil && att.to.running(sim.now) {
+		a.stepAtProcess(att)
 	}
-	if !f.over && f.left && w.now >= f.replyAt {
-		f.over = true
-		a.deliver(f)
+	if !att.finished && att.replySent && sim.now >= att.replyArrivesAt {
+		att.finished = true
+		a.deliver(att)
 	}
-	if !f.gone && w.now > f.sent+f.errand.patience() {
-		a.counts.silent++
-		a.goElsewhere(f)
+	if !att.abandoned && sim.now > att.sent+att.task.timeout() {
+		a.counts.timedOut++
+		a.abandon(att)
 	}
 }
 
 // arrive delivers an attempt to a machine's socket.
-func (a *applications) arrive(f *attempt) {
-	m, w := f.to, a.world
+func (a *applications) arrive(att *attempt) {
+	m, sim := att.to, a.sim
 	switch {
 	case m.node != nil:
-		f.life = m.node
-	case w.now > f.sent+callSilence:
-		f.over = true
-	case !m.gone && w.random.IntN(2) == 0: // refused at once; otherwise the caller gets no reaction
-		f.over = true
-		a.ended(f)
+		att.process = m.node
+	case sim.now > att.sent+callTimeout:
+		att.finished = true
+	case !m.removed && sim.random.IntN(2) == 0: // refused at once; otherwise the caller gets no reaction
+		att.finished = true
+		a.connectionClosed(att)
 	default:
-		f.arrives = w.now + 50*time.Millisecond
+		att.arrives = sim.now + 50*time.Millisecond
 	}
 }
 
 // stepAtProcess has a running process receive a call, send an answer, or notice that the caller has disconnected.
-func (a *applications) stepAtProcess(f *attempt) {
-	w, node := a.world, f.life.node
+func (a *applications) stepAtProcess(att *attempt) {
+	sim, node := a.sim, att.process.node
 	switch {
-	case f.entersAt == 0:
-		f.since, f.entersAt = f.life.Now(), w.now
-		if w.random.IntN(4) == 0 {
-			f.entersAt += time.Duration(w.random.IntN(4)) * worldStep
+	case att.entersLoopAt == 0:
+		att.receivedAt, att.entersLoopAt = att.process.Now(), sim.now
+		if sim.random.IntN(4) == 0 {
+			att.entersLoopAt += time.Duration(sim.random.IntN(4)) * simulationStep
 		}
 		fallthrough
-	case !f.taken:
-		if w.now < f.entersAt {
+	case !att.submitted:
+		if sim.now < att.entersLoopAt {
 			return
 		}
-		a.enter(f)
-	case f.reply != nil && !f.left:
-		f.left, f.replyAt = true, w.now+a.way()
-		a.onReply(f)
-	case f.gone && !f.told && w.now >= f.leftAt:
-		f.told = true
-		node.callerDisconnected(f.handle)
+		a.enter(att)
+	case att.reply != nil && !att.replySent:
+		att.replySent, att.replyArrivesAt = true, sim.now+a.delay()
+		a.onReply(att)
+	case att.abandoned && !att.closeHandled && sim.now >= att.closeSeenAt:
+		att.closeHandled = true
+		node.callerDisconnected(att.handle)
 		node.Flush()
-		f.over = f.reply == nil
+		att.finished = att.reply == nil
 	}
 }
 
 // enter submits an attempt to the event loop.
-func (a *applications) enter(f *attempt) {
-	f.taken = true
-	if f.gone {
-		a.counts.late++
+func (a *applications) enter(att *attempt) {
+	att.submitted = true
+	if att.abandoned {
+		a.counts.lateCalls++
 	}
-	f.handle = f.life.node.submitCall(f.errand.command, f.since, func(answer wire.Answer) {
-		if f.reply != nil {
-			a.world.fail("%+v was answered twice", f.errand.command)
+	att.handle = att.process.node.submitCall(att.task.command, att.receivedAt, func(answer wire.Answer) {
+		if att.reply != nil {
+			a.sim.fail("%+v was answered twice", att.task.command)
 		}
-		f.reply = &answer
+		att.reply = &answer
 	})
-	f.life.node.Flush()
+	att.process.node.Flush()
 }
 
 // connectionLost ends an attempt whose process has ended. An answer in transit still arrives.
-func (a *applications) connectionLost(f *attempt) {
-	if f.left {
+func (a *applications) connectionLost(att *attempt) {
+	if att.replySent {
 		return
 	}
-	f.over = true
-	if a.world.random.IntN(2) == 0 { // otherwise the caller gets no reaction
-		a.ended(f)
+	att.finished = true
+	if a.sim.random.IntN(2) == 0 { // otherwise the caller gets no reaction
+		a.connectionClosed(att)
 	}
 }
 
 // deliver brings an answer to the caller, if it still waits.
-func (a *applications) deliver(f *attempt) {
-	outcome := f.reply.Outcome
-	if f.gone {
+func (a *applications) deliver(att *attempt) {
+	outcome := att.reply.Outcome
+	if att.abandoned {
 		if outcome == wire.Done {
-			a.counts.lateDone++
+			a.counts.lateSuccesses++
 		}
 		return
 	}
 	switch outcome {
 	case wire.OutcomeUnknown:
-		a.ended(f)
+		a.connectionClosed(att)
 		return
 	case wire.NotServed, wire.Full:
 		a.counts.notServed++
-		f.gone, f.told = true, true
-		a.again(f.errand)
+		att.abandoned, att.closeHandled = true, true
+		a.retryLater(att.task)
 		return
 	case wire.Invalid:
-		a.world.fail("%+v was rejected as invalid", f.errand.command)
+		a.sim.fail("%+v was rejected as invalid", att.task.command)
 	}
-	f.gone, f.told = true, true
-	e := f.errand
-	e.current, e.done, e.answer, e.sent, e.answered = nil, true, *f.reply, f.sent, a.world.now
-	a.rules.answeredCall(e, f)
+	att.abandoned, att.closeHandled = true, true
+	t := att.task
+	t.current, t.done, t.answer, t.sent, t.answered = nil, true, *att.reply, att.sent, a.sim.now
+	a.rules.answeredCall(t, att)
 }
 
 // connectionClosed tells the caller that its connection has ended.
-func (a *applications) ended(f *attempt) {
-	if !f.gone {
-		a.counts.ended++
-		f.told = true
-		a.goElsewhere(f)
+func (a *applications) connectionClosed(att *attempt) {
+	if !att.abandoned {
+		a.counts.disconnected++
+		att.closeHandled = true
+		a.abandon(att)
 	}
 }
 
 // abandon has the caller give up an attempt with unknown outcome. The process may never notice.
-func (a *applications) goElsewhere(f *attempt) {
-	f.gone = true
-	f.leftAt = a.world.now + a.way()
-	if a.world.random.IntN(3) == 0 {
-		f.leftAt = endless
+func (a *applications) abandon(att *attempt) {
+	att.abandoned = true
+	att.closeSeenAt = a.sim.now + a.delay()
+	if a.sim.random.IntN(3) == 0 {
+		att.closeSeenAt = endless
 	}
-	f.errand.unclear = true
-	a.again(f.errand)
+	att.task.mayHaveEffect = true
+	a.retryLater(att.task)
 }
 
 // retryLater has a task sent once more, after a pause that grows.
-func (a *applications) again(e *errand) {
-	w := a.world
-	e.current = nil
-	pause := min(longestCallPause, shortestCallPause<<min(e.tries, 10))
-	e.nextAt = w.now + pause/2 + w.randomSpan(pause/2)
+func (a *applications) retryLater(t *task) {
+	sim := a.sim
+	t.current = nil
+	pause := min(maxRetryPause, minRetryPause<<min(t.attempts, 10))
+	t.nextAt = sim.now + pause/2 + sim.randomSpan(pause/2)
 }
 
 func (c *applicationCounts) String() string { return fmt.Sprintf("%+v", *c) }
--- a/control/simulation_coordination_faults_test.go
+++ b/control/simulation_coordination_faults_test.go
@@ -7,59 +7,59 @@
 )
 
 // injectCoordinationFault injects one random fault: a general one, or one aimed at application calls.
-func (w *world) harmCoordination() {
-	switch w.random.IntN(15) {
+func (sim *simulation) injectCoordinationFault() {
+	switch sim.random.IntN(15) {
 	case 0: // a leader freezes for long while it has calls
-		w.partLeader(w.random.IntN(coordinationParts)).frozen = w.now + time.Second + w.randomSpan(6*time.Second)
+		sim.partLeader(sim.random.IntN(coordinationParts)).frozenUntil = sim.now + time.Second + sim.randomSpan(6*time.Second)
 	case 1: // a power loss right after an acknowledgement
-		w.killAfterAck()
+		sim.killAfterAck()
 	case 2: // two disks are lost at once, while all others lose power
-		w.loseTwoDisks()
+		sim.loseTwoDisks()
 	case 3: // a disk that accepts no writes for seconds
-		w.someCore().stalled = w.now + 2*time.Second + w.randomSpan(5*time.Second)
+		sim.faultTarget().diskStalledUntil = sim.now + 2*time.Second + sim.randomSpan(5*time.Second)
 	case 4: // a leader that can only receive or only send
-		in := w.random.IntN(2) == 0
-		w.isolate(w.partLeader(w.random.IntN(coordinationParts)), time.Second+w.randomSpan(3*time.Second), in, !in, false)
+		in := sim.random.IntN(2) == 0
+		sim.isolate(sim.partLeader(sim.random.IntN(coordinationParts)), time.Second+sim.randomSpan(3*time.Second), in, !in, false)
 	case 5: // a planned stop
-		w.leave(w.partLeader(w.random.IntN(coordinationParts)))
+		sim.stopGracefully(sim.partLeader(sim.random.IntN(coordinationParts)))
 	case 6: // frames from or to a leader are delayed by seconds
-		w.holdFrames(w.partLeader(w.random.IntN(coordinationParts)))
+		sim.holdFrames(sim.partLeader(sim.random.IntN(coordinationParts)))
 	default:
-		w.harm()
+		sim.injectFault()
 	}
 }
 
 // killAfterAck cuts the power of the machine that acknowledges the next call, sometimes of all machines.
-func (w *world) killAfterAck() {
-	a := w.applications
-	all := w.random.IntN(3) == 0
-	a.onReply = func(f *attempt) {
-		if f.reply.Outcome != wire.Done || f.errand.command.Kind == wire.WatchGroup || f.errand.command.Kind == wire.GetKey {
+func (sim *simulation) killAfterAck() {
+	a := sim.applications
+	all := sim.random.IntN(3) == 0
+	a.onReply = func(att *attempt) {
+		if att.reply.Outcome != wire.Done || att.task.command.Kind == wire.WatchGroup || att.task.command.Kind == wire.GetKey {
 			return
 		}
 		a.onReply = func(*attempt) {}
-		w.later(0, func() {
+		sim.schedule(0, func() {
 			a.counts.killedAfterAck++
 			if all {
-				w.killAll(true)
+				sim.killAll(true)
 				return
 			}
-			w.kill(f.to, true)
+			sim.kill(att.to, true)
 		})
 	}
 }
 
 // loseTwoDisks wipes two disks and cuts the power of all machines at the same moment, if the groups tolerate that.
-func (w *world) loseTwoDisks() {
-	first, second := w.someCore(), w.someCore()
-	if first == second || !w.bearsLossOf(first) {
+func (sim *simulation) loseTwoDisks() {
+	first, second := sim.faultTarget(), sim.faultTarget()
+	if first == second || !sim.toleratesLossOf(first) {
 		return
 	}
-	w.killAll(true)
-	w.wipe(first)
-	if w.bearsLossOf(second) {
-		w.wipe(second)
-		w.applications.counts.twoWiped++
+	sim.killAll(true)
+	sim.wipeDisk(first)
+	if sim.toleratesLossOf(second) {
+		sim.wipeDisk(second)
+		sim.applications.counts.doubleWipes++
 	}
 }
 
@@ -67,34 +67,34 @@
 const longestFrameHeld = 3 * time.Second
 
 // holdFrames delays frames from a machine to some others, or from them to it.
-func (w *world) holdFrames(m *machine) {
-	until := w.now + 500*time.Millisecond + w.randomSpan(2*time.Second)
-	outward := w.random.IntN(2) == 0
-	for _, other := range w.machines {
-		if other == m || w.random.IntN(3) == 0 {
+func (sim *simulation) holdFrames(m *machine) {
+	until := sim.now + 500*time.Millisecond + sim.randomSpan(2*time.Second)
+	outward := sim.random.IntN(2) == 0
+	for _, other := range sim.machines {
+		if other == m || sim.random.IntN(3) == 0 {
 			continue
 		}
 		if outward {
-			w.held[[2]string{m.ip, other.ip}] = until
+			sim.delayedLinks[[2]string{m.ip, other.ip}] = until
 		} else {
-			w.held[[2]string{other.ip, m.ip}] = until
+			sim.delayedLinks[[2]string{other.ip, m.ip}] = until
 		}
 	}
 }
 
 // releaseFrames makes all delayed frames due.
-func (w *world) releaseFrames() {
-	if len(w.held) == 0 {
+func (sim *simulation) releaseFrames() {
+	if len(sim.delayedLinks) == 0 {
 		return
 	}
-	clear(w.held)
-	for _, l := range w.links {
+	clear(sim.delayedLinks)
+	for _, l := range sim.links {
 		if l.conn == nil {
 			continue
 		}
 		for _, queue := range l.conn.queue {
 			for i := range queue {
-				queue[i].due = min(queue[i].due, w.now)
+				queue[i].due = min(queue[i].due, sim.now)
 			}
 		}
 	}
--- a/control/simulation_coordination_test.go
+++ b/control/simulation_coordination_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	coordinationSeedTime = 2 * time.Second // before the first fault
-	coordinationTroubles = 14 * time.Second
+	coordinationWarmUp    = 2 * time.Second // before the first fault
+	coordinationFaultTime = 14 * time.Second
 	// answeredWithin is how long after the last fault all calls have their answers: well within recovery_s, 15 s.
 	answeredWithin = 8 * time.Second
 	// grantedWithin is how long after the last fault every lock can be acquired: once the longest hold is over.
@@ -22,11 +22,11 @@
 )
 
 // startApplications puts one key into each group, then adds the callers of a run.
-func (w *world) startApplications() {
-	a := w.applications
-	for group := range groupsOfWorld {
+func (sim *simulation) startApplications() {
+	a := sim.applications
+	for group := range groupCount {
 		command := wire.Command{Kind: wire.ReplaceKey, Name: keyName(group, 0), Value: "first-" + groupName(group)}
-		w.pursueUntilClear(a.begin(command, answeredWithin))
+		sim.runUntilDone(a.newTask(command, answeredWithin))
 	}
 	a.addHolders(6)
 	a.addNumberCallers(2)
@@ -36,56 +36,56 @@
 }
 
 // runUntilDone runs the simulation until a task has a definite answer.
-func (w *world) pursueUntilClear(e *errand) *errand {
-	w.t.Helper()
-	for began := w.now; !w.applications.pursue(e); {
-		w.stepDelayed()
-		if w.step(); w.now > began+answeredWithin+callSilence {
-			w.fail("no answer after %v: %+v", w.now-began, e.command)
+func (sim *simulation) runUntilDone(t *task) *task {
+	sim.t.Helper()
+	for began := sim.now; !sim.applications.advance(t); {
+		sim.runScheduled()
+		if sim.step(); sim.now > began+answeredWithin+callTimeout {
+			sim.fail("no answer after %v: %+v", sim.now-began, t.command)
 		}
 	}
-	if !e.clear() {
-		w.fail("no definite answer: %+v", e.command)
+	if !t.hasAnswer() {
+		sim.fail("no definite answer: %+v", t.command)
 	}
-	return e
+	return t
 }
 
 // askAtEnd reads every key, draws every kind of number and requests every lock, and returns how long it took until all
 // calls had a definite answer. For a lock, HeldByOther is such an answer; takeAllLocks acquires them later.
-func (w *world) askAtEnd() time.Duration {
-	a, began := w.applications, w.now
-	a.quiet = true
-	var errands []*errand
-	ask := func(command wire.Command) { errands = append(errands, a.begin(command, answeredWithin)) }
-	for group := range groupsOfWorld {
-		for key := range keysOfGroup {
+func (sim *simulation) askAtEnd() time.Duration {
+	a, began := sim.applications, sim.now
+	a.stopping = true
+	var errands []*task
+	ask := func(command wire.Command) { errands = append(errands, a.newTask(command, answeredWithin)) }
+	for group := range groupCount {
+		for key := range keysPerGroup {
 			ask(wire.Command{Kind: wire.GetKey, Name: keyName(group, key)})
 		}
 	}
-	for i := range numberNames {
+	for i := range numberCount {
 		ask(wire.Command{Kind: wire.NextNumber, Name: numberName(i)})
 	}
-	for name := range w.sortedLocks() {
+	for name := range sim.sortedLocks() {
 		ask(wire.Command{Kind: wire.BeginLock, Name: name, Holder: "last", HoldMS: shortestHold.Milliseconds()})
 	}
-	for _, e := range errands {
-		a.pursue(e) // all at once
+	for _, t := range errands {
+		a.advance(t) // all at once
 	}
-	for _, e := range errands {
-		w.pursueUntilClear(e)
+	for _, t := range errands {
+		sim.runUntilDone(t)
 	}
-	w.watchAllFromTheBeginning()
-	return w.now - began
+	sim.watchAllFromTheBeginning()
+	return sim.now - began
 }
 
 // watchAllFromTheBeginning checks that each group returns all its puts, which it keeps for longer than a run.
-func (w *world) watchAllFromTheBeginning() {
-	for group := range groupsOfWorld {
+func (sim *simulation) watchAllFromTheBeginning() {
+	for group := range groupCount {
 		for after := uint64(1); ; {
 			c := wire.Command{Kind: wire.WatchGroup, Name: groupName(group), After: after}
-			answer := w.pursueUntilClear(w.applications.begin(c, answeredWithin)).answer
+			answer := sim.runUntilDone(sim.applications.newTask(c, answeredWithin)).answer
 			if answer.Outcome == wire.Compacted {
-				w.fail("the history of %s has been compacted", c.Name)
+				sim.fail("the history of %s has been compacted", c.Name)
 			}
 			if len(answer.Events) == 0 {
 				break
@@ -96,110 +96,110 @@
 }
 
 // takeAllLocks acquires each lock once it is free, with the same holder.
-func (w *world) takeAllLocks() time.Duration {
-	began := w.now
-	for name := range w.sortedLocks() {
+func (sim *simulation) takeAllLocks() time.Duration {
+	began := sim.now
+	for name := range sim.sortedLocks() {
 		for {
 			c := wire.Command{Kind: wire.BeginLock, Name: name, Holder: "last", HoldMS: shortestHold.Milliseconds()}
-			if w.pursueUntilClear(w.applications.begin(c, answeredWithin)).answer.Outcome == wire.Done {
+			if sim.runUntilDone(sim.applications.newTask(c, answeredWithin)).answer.Outcome == wire.Done {
 				break
 			}
-			if w.now > began+grantedWithin {
-				w.fail("lock %s can't be acquired", name)
+			if sim.now > began+grantedWithin {
+				sim.fail("lock %s can't be acquired", name)
 			}
-			w.playUntil(w.now + finalPause)
+			sim.runUntil(sim.now + finalPause)
 		}
 	}
-	return w.now - began
+	return sim.now - began
 }
 
 // finishCoordination ends all faults and checks the whole run. It returns how long it took until all calls were
 // answered.
-func (w *world) finishCoordination() time.Duration {
-	w.settle()
-	settled := w.now
-	took := w.askAtEnd()
-	w.takeAllLocks()
-	w.playUntil(max(w.now, settled+wholeWithin))
-	w.watchAllFromTheBeginning()
-	w.checkPartsEnd()
-	w.applications.rules.checkHistories()
+func (sim *simulation) finishCoordination() time.Duration {
+	sim.endFaults()
+	ended := sim.now
+	took := sim.askAtEnd()
+	sim.takeAllLocks()
+	sim.runUntil(max(sim.now, ended+wholeWithin))
+	sim.watchAllFromTheBeginning()
+	sim.checkPartsEnd()
+	sim.applications.rules.checkHistories()
 	return took
 }
 
 // coordinationRun is the result of one schedule.
 type coordinationRun struct {
-	world    worldCounts
-	calls    applicationCounts
-	changes  int // leader changes of parts
-	answered time.Duration
+	simulation    simulationCounts
+	calls         applicationCounts
+	leaderChanges int // leader changes of parts
+	answered      time.Duration
 }
 
-func playCoordination(t *testing.T, seed uint64) coordinationRun {
-	w := newCoordinationWorld(t, seed, 1+int(seed/3%2))
-	w.playUntilServed(5 * time.Second)
-	w.startApplications()
-	w.playUntil(w.now + coordinationSeedTime)
-	pace := []time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}[seed/6%3]
-	nextHarm := w.now
-	for end := w.now + coordinationTroubles; w.now < end; {
-		if w.now >= nextHarm {
-			w.harmCoordination()
-			nextHarm = w.now + w.randomSpan(pace)
+func runCoordination(t *testing.T, seed uint64) coordinationRun {
+	sim := newCoordinationSimulation(t, seed, 1+int(seed/3%2))
+	sim.runUntilServed(5 * time.Second)
+	sim.startApplications()
+	sim.runUntil(sim.now + coordinationWarmUp)
+	faultInterval := []time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}[seed/6%3]
+	nextFault := sim.now
+	for end := sim.now + coordinationFaultTime; sim.now < end; {
+		if sim.now >= nextFault {
+			sim.injectCoordinationFault()
+			nextFault = sim.now + sim.randomSpan(faultInterval)
 		}
-		w.stepDelayed()
-		w.step()
+		sim.runScheduled()
+		sim.step()
 	}
-	run := coordinationRun{answered: w.finishCoordination(), calls: w.applications.counts}
-	w.counts.schedules = 1
-	run.world = w.counts
-	for _, g := range w.groups {
-		run.changes += g.changes
+	run := coordinationRun{answered: sim.finishCoordination(), calls: sim.applications.counts}
+	sim.counts.schedules = 1
+	run.simulation = sim.counts
+	for _, g := range sim.partGroups {
+		run.leaderChanges += g.leaderChanges
 	}
 	return run
 }
 
 // TestCoordinationUnderRandomFaults runs schedules on all processors. A failed schedule is repeated with -seed and
 // -schedules 1.
-func TestCoordinationUnderRandomTroubles(t *testing.T) {
-	schedules := max(1, *worldSchedules/coordinationShare)
+func TestCoordinationUnderRandomFaults(t *testing.T) {
+	schedules := max(1, *scheduleCount/coordinationShare)
 	if testing.Short() {
 		schedules = max(1, schedules/10)
 	}
 	var played coordinationRun
-	for r := range playSchedules(t, schedules, playCoordination) {
-		played.world.add(r.world)
+	for r := range runSchedules(t, schedules, runCoordination) {
+		played.simulation.add(r.simulation)
 		played.calls.add(r.calls)
-		played.changes += r.changes
+		played.leaderChanges += r.leaderChanges
 		played.answered = max(played.answered, r.answered)
 	}
-	t.Logf("ran %+v; %d leader changes; all calls answered within %v of the last fault", played.world, played.changes, played.answered)
+	t.Logf("ran %+v; %d leader changes; all calls answered within %v of the last fault", played.simulation, played.leaderChanges, played.answered)
 	t.Logf("calls %v", &played.calls)
-	played.assertMuch(t)
+	played.assertCoverage(t)
 }
 
 // coordinationShare is how many schedules without applications take as long as one with applications.
 const coordinationShare = 2
 
 // assertCoverage fails if the schedules have exercised too little of what they are meant to test.
-func (r *coordinationRun) assertMuch(t *testing.T) {
-	n, w, c := r.world.schedules, &r.world, &r.calls
+func (r *coordinationRun) assertCoverage(t *testing.T) {
+	n, w, c := r.simulation.schedules, &r.simulation, &r.calls
 	if n < 20 {
 		return
 	}
-	for what, played := range map[string]struct{ count, least int }{
-		"disks lost":                        {w.wipes, 2 * n},
-		"disks replaced":                    {w.repaired, n},
-		"two disks lost at once":            {c.twoWiped, n / 8},
+	for what, exercised := range map[string]struct{ count, least int }{
+		"disks lost":                        {w.wipedDisks, 2 * n},
+		"disks replaced":                    {w.rejoined, n},
+		"two disks lost at once":            {c.doubleWipes, n / 8},
 		"restarts":                          {w.restarts, 10 * n},
-		"changes of leaders":                {r.changes, 5 * n},
+		"changes of leaders":                {r.leaderChanges, 5 * n},
 		"power lost after acknowledgements": {c.killedAfterAck, n / 4},
 		"locks granted":                     {c.grants, 10 * n},
 		"locks held by others":              {c.refusedLocks, 30 * n},
 		"renewals":                          {c.renewals, 4 * n},
-		"renewals that were refused":        {c.lost, n / 2},
-		"locks begun again by their holder": {c.ownAgain, n},
-		"grants that arrived too late":      {c.overtime, n / 4},
+		"renewals that were refused":        {c.lostLocks, n / 2},
+		"locks begun again by their holder": {c.begunAgain, n},
+		"grants that arrived too late":      {c.lateGrants, n / 4},
 		"numbers":                           {c.numbers, 15 * n},
 		"puts":                              {c.puts, 20 * n},
 		"puts that were rejected":           {c.mismatches, 15 * n},
@@ -208,19 +208,19 @@
 		"watches":                           {c.watches, 25 * n},
 		"resumed watches":                   {c.resumed, 2 * n},
 		"calls not served":                  {c.notServed, 50 * n},
-		"calls without an answer":           {c.silent + c.ended, 50 * n},
-		"calls executed late":               {c.late, 10 * n},
+		"calls without an answer":           {c.timedOut + c.disconnected, 50 * n},
+		"calls executed late":               {c.lateCalls, 10 * n},
 	} {
-		if played.count < played.least {
-			t.Errorf("%d schedules exercised too few %s: %d", n, what, played.count)
+		if exercised.count < exercised.least {
+			t.Errorf("%d schedules exercised too few %s: %d", n, what, exercised.count)
 		}
 	}
 }
 
 // Two runs with the same seed are identical.
-func TestACoordinationRunRepeats(t *testing.T) {
+func TestCoordinationSimulationIsReproducible(t *testing.T) {
 	for seed := range uint64(6) {
-		one, other := playCoordination(t, seed), playCoordination(t, seed)
+		one, other := runCoordination(t, seed), runCoordination(t, seed)
 		assert.Equal(t, one, other)
 	}
 }
--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -13,240 +13,240 @@
 )
 
 var (
-	worldSchedules = flag.Int("schedules", 160, "schedules that the simulation of the control side plays")
-	worldSeed      = flag.Uint64("seed", 0, "seed of the first schedule")
+	scheduleCount = flag.Int("schedules", 160, "schedules that the simulation of the control side plays")
+	firstSeed     = flag.Uint64("seed", 0, "seed of the first schedule")
 )
 
 const (
-	worldLength = 26 * time.Second
-	worldCalm   = 12 * time.Second // without faults, at the end
-	quotaWindow = 8 * time.Second
+	simulationLength   = 26 * time.Second
+	simulationRecovery = 12 * time.Second // without faults, at the end
+	quotaWindow        = 8 * time.Second
 )
 
-func (w *world) randomSpan(longest time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(longest)))
+func (sim *simulation) randomSpan(longest time.Duration) time.Duration {
+	return time.Duration(sim.random.Int64N(int64(longest)))
 }
 
-func (w *world) anyCore() *machine {
+func (sim *simulation) anyControlMachine() *machine {
 	for {
-		if m := w.machines[w.random.IntN(len(w.machines))]; m.core && !m.gone {
+		if m := sim.machines[sim.random.IntN(len(sim.machines))]; m.control && !m.removed {
 			return m
 		}
 	}
 }
 
-func (w *world) leaderMachine() *machine {
-	for _, m := range w.machines {
+func (sim *simulation) leaderMachine() *machine {
+	for _, m := range sim.machines {
 		if m.node != nil && m.node.node.replica.Role() == replica.Leader {
 			return m
 		}
 	}
-	return w.anyCore()
+	return sim.anyControlMachine()
 }
 
 // ownerMachine returns the machine that owns shard 0, or a random one.
-func (w *world) ownerMachine() *machine {
-	for _, m := range w.machines {
+func (sim *simulation) ownerMachine() *machine {
+	for _, m := range sim.machines {
 		if m.node != nil && m.node.node.shards[0].holder.Holds(m.node.Now()) {
 			return m
 		}
 	}
-	return w.anyCore()
+	return sim.anyControlMachine()
 }
 
-func (w *world) someCore() *machine {
-	if w.applications != nil && w.random.IntN(2) == 0 {
-		return w.partLeader(w.random.IntN(coordinationParts))
+func (sim *simulation) faultTarget() *machine {
+	if sim.applications != nil && sim.random.IntN(2) == 0 {
+		return sim.partLeader(sim.random.IntN(coordinationParts))
 	}
-	switch w.random.IntN(4) {
+	switch sim.random.IntN(4) {
 	case 0, 1:
-		return w.leaderMachine()
+		return sim.leaderMachine()
 	case 2:
-		return w.ownerMachine()
+		return sim.ownerMachine()
 	default:
-		return w.anyCore()
+		return sim.anyControlMachine()
 	}
 }
 
 // injectFault injects one random fault.
-func (w *world) harm() {
-	m := w.someCore()
-	switch w.random.IntN(23) {
+func (sim *simulation) injectFault() {
+	m := sim.faultTarget()
+	switch sim.random.IntN(23) {
 	case 0: // a long partition from the control machines or from all
-		span := 3*time.Second + w.randomSpan(9*time.Second)
-		w.isolate(m, span, true, true, w.random.IntN(2) == 0)
+		span := 3*time.Second + sim.randomSpan(9*time.Second)
+		sim.isolate(m, span, true, true, sim.random.IntN(2) == 0)
 	case 1: // a one-way partition
-		in := w.random.IntN(2) == 0
-		w.isolate(m, time.Second+w.randomSpan(6*time.Second), in, !in, w.random.IntN(2) == 0)
+		in := sim.random.IntN(2) == 0
+		sim.isolate(m, time.Second+sim.randomSpan(6*time.Second), in, !in, sim.random.IntN(2) == 0)
 	case 2:
-		w.split(w.randomSpan(6 * time.Second))
+		sim.split(sim.randomSpan(6 * time.Second))
 	case 3: // all others are killed as a partition ends; they have seen changes that m has not
-		w.isolate(m, 2*time.Second, true, true, false)
-		w.later(2*time.Second, func() { w.killOthers(m) })
+		sim.isolate(m, 2*time.Second, true, true, false)
+		sim.schedule(2*time.Second, func() { sim.killOthers(m) })
 	case 4: // a minority misses changes, then one of the others loses its disk and the rest are down for a while
-		w.behind(m)
+		sim.leaveBehind(m)
 	case 5, 6:
-		w.kill(m, w.random.IntN(2) == 0)
+		sim.kill(m, sim.random.IntN(2) == 0)
 	case 7:
-		if w.bearsLossOf(m) {
-			w.wipe(m)
+		if sim.toleratesLossOf(m) {
+			sim.wipeDisk(m)
 		}
 	case 8: // a second loss right after or during the repair of the first
-		if w.bearsLossOf(m) {
-			w.wipe(m)
-			w.later(w.randomSpan(4*time.Second), func() {
-				if other := w.someCore(); w.bearsLossOf(other) {
-					w.wipe(other)
+		if sim.toleratesLossOf(m) {
+			sim.wipeDisk(m)
+			sim.schedule(sim.randomSpan(4*time.Second), func() {
+				if other := sim.faultTarget(); sim.toleratesLossOf(other) {
+					sim.wipeDisk(other)
 				}
 			})
 		}
 	case 9:
-		w.killAll(w.random.IntN(2) == 0)
+		sim.killAll(sim.random.IntN(2) == 0)
 	case 10: // all lose power, and one its disk
-		if w.bearsLossOf(m) {
-			w.killAll(true)
-			w.wipe(m)
+		if sim.toleratesLossOf(m) {
+			sim.killAll(true)
+			sim.wipeDisk(m)
 		}
 	case 11, 12:
-		m.stalled = w.now + w.randomSpan(4*time.Second)
+		m.diskStalledUntil = sim.now + sim.randomSpan(4*time.Second)
 	case 13, 14:
-		m.frozen = w.now + w.randomSpan(4*time.Second)
+		m.frozenUntil = sim.now + sim.randomSpan(4*time.Second)
 	case 15:
-		w.replace(m)
+		sim.replace(m)
 	case 16: // a planned stop
-		w.leave(m)
+		sim.stopGracefully(m)
 	case 17: // agents are killed, partitioned or frozen, or a router restarts alone
-		w.harmAgent()
+		sim.injectAgentFaults()
 	case 18:
-		w.ackLoss = w.random.Float64() * 0.9
-		w.later(3*time.Second, func() { w.ackLoss = 0 })
+		sim.ackLoss = sim.random.Float64() * 0.9
+		sim.schedule(3*time.Second, func() { sim.ackLoss = 0 })
 	case 19:
-		w.resetConnections()
+		sim.resetConnections()
 	case 20, 21: // a partition between two machines, both ways or one way
-		other := w.anyCore()
-		w.cut[[2]string{m.ip, other.ip}] = w.now + w.randomSpan(6*time.Second)
-		if w.random.IntN(2) == 0 {
-			w.cut[[2]string{other.ip, m.ip}] = w.cut[[2]string{m.ip, other.ip}]
+		other := sim.anyControlMachine()
+		sim.blocked[[2]string{m.ip, other.ip}] = sim.now + sim.randomSpan(6*time.Second)
+		if sim.random.IntN(2) == 0 {
+			sim.blocked[[2]string{other.ip, m.ip}] = sim.blocked[[2]string{m.ip, other.ip}]
 		}
 	case 22: // a link takes as long for one entry as for several to be made
-		w.slow[[2]string{m.ip, w.anyCore().ip}] = w.now + w.randomSpan(6*time.Second)
+		sim.slowLinks[[2]string{m.ip, sim.anyControlMachine().ip}] = sim.now + sim.randomSpan(6*time.Second)
 	}
 }
 
-type delayed struct {
+type scheduledEvent struct {
 	at     time.Duration
 	act    func()
 	always bool // runs even after all faults have ended
 }
 
-func (w *world) leave(m *machine) {
-	if m.node != nil && m.node.leaveBy == 0 {
-		m.node.leaveBy = w.now + 2400*time.Millisecond
+func (sim *simulation) stopGracefully(m *machine) {
+	if m.node != nil && m.node.stopBy == 0 {
+		m.node.stopBy = sim.now + 2400*time.Millisecond
 		m.node.node.StartLeaving()
 	}
 }
 
-func (w *world) split(span time.Duration) {
+func (sim *simulation) split(span time.Duration) {
 	var core []*machine
-	for _, m := range w.machines {
-		if m.core && !m.gone {
+	for _, m := range sim.machines {
+		if m.control && !m.removed {
 			core = append(core, m)
 		}
 	}
-	w.random.Shuffle(len(core), func(i, j int) { core[i], core[j] = core[j], core[i] })
+	sim.random.Shuffle(len(core), func(i, j int) { core[i], core[j] = core[j], core[i] })
 	for i, one := range core {
 		for j, other := range core {
 			if (i < len(core)/2) != (j < len(core)/2) {
-				w.cut[[2]string{one.ip, other.ip}] = w.now + span
+				sim.blocked[[2]string{one.ip, other.ip}] = sim.now + span
 			}
 		}
 	}
 }
 
-func (w *world) killOthers(spared *machine) {
-	for _, m := range w.machines {
-		if m.core && !m.gone && m != spared {
-			w.kill(m, false)
+func (sim *simulation) killOthers(spared *machine) {
+	for _, m := range sim.machines {
+		if m.control && !m.removed && m != spared {
+			sim.kill(m, false)
 		}
 	}
 }
 
-func (w *world) killAll(power bool) {
-	for _, m := range w.machines {
-		if m.core && !m.gone || power && w.random.IntN(2) == 0 && !m.gone {
-			w.kill(m, power)
+func (sim *simulation) killAll(powerLoss bool) {
+	for _, m := range sim.machines {
+		if m.control && !m.removed || powerLoss && sim.random.IntN(2) == 0 && !m.removed {
+			sim.kill(m, powerLoss)
 		}
 	}
 }
 
-func (w *world) behind(m *machine) {
-	span := time.Second + w.randomSpan(3*time.Second)
-	w.isolate(m, span, true, true, false)
-	w.later(span, func() {
-		lost := w.leaderMachine()
-		if lost == m || !w.bearsLossOf(lost) {
+func (sim *simulation) leaveBehind(m *machine) {
+	span := time.Second + sim.randomSpan(3*time.Second)
+	sim.isolate(m, span, true, true, false)
+	sim.schedule(span, func() {
+		lost := sim.leaderMachine()
+		if lost == m || !sim.toleratesLossOf(lost) {
 			return
 		}
-		w.wipe(lost)
-		for _, other := range w.machines {
-			if other.core && !other.gone && other != m && other != lost {
-				w.kill(other, true)
-				other.downTill = w.now + 3*time.Second
+		sim.wipeDisk(lost)
+		for _, other := range sim.machines {
+			if other.control && !other.removed && other != m && other != lost {
+				sim.kill(other, true)
+				other.downUntil = sim.now + 3*time.Second
 			}
 		}
 	})
 }
 
 // replace removes a machine for good; an empty one at another address takes its place, before or after.
-func (w *world) replace(m *machine) {
-	if !w.bearsLossOf(m) || w.counts.replaced > 3*w.counts.schedules+6 {
+func (sim *simulation) replace(m *machine) {
+	if !sim.toleratesLossOf(m) || sim.counts.replaced > 3*sim.counts.schedules+6 {
 		return
 	}
-	w.counts.replaced++
-	if w.random.IntN(2) == 0 { // planned: the new one comes first
-		w.arrive(m)
-		w.later(time.Second+w.randomSpan(2*time.Second), func() {
-			w.leave(m)
-			w.later(2500*time.Millisecond, func() {
-				if w.bearsLossOf(m) {
-					w.remove(m)
+	sim.counts.replaced++
+	if sim.random.IntN(2) == 0 { // planned: the new one comes first
+		sim.addReplacement(m)
+		sim.schedule(time.Second+sim.randomSpan(2*time.Second), func() {
+			sim.stopGracefully(m)
+			sim.schedule(2500*time.Millisecond, func() {
+				if sim.toleratesLossOf(m) {
+					sim.remove(m)
 				}
 			})
 		})
 		return
 	}
-	w.remove(m)
-	w.delayed = append(w.delayed, delayed{w.now + w.randomSpan(2*time.Second), func() { w.arrive(m) }, true})
+	sim.remove(m)
+	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + sim.randomSpan(2*time.Second), func() { sim.addReplacement(m) }, true})
 }
 
-func (w *world) remove(m *machine) {
-	w.kill(m, true)
-	m.gone, m.goneAt, m.wiped = true, w.now, false
+func (sim *simulation) remove(m *machine) {
+	sim.kill(m, true)
+	m.removed, m.removedAt, m.awaitingMembership = true, sim.now, false
 }
 
-func (w *world) arrive(old *machine) {
-	m := w.addMachine(true)
-	m.downTill, m.wiped = w.now, true
-	w.counts.wipes++
-	for i, ip := range w.seeds {
+func (sim *simulation) addReplacement(old *machine) {
+	m := sim.addMachine(true)
+	m.downUntil, m.awaitingMembership = sim.now, true
+	sim.counts.wipedDisks++
+	for i, ip := range sim.seeds {
 		if ip == old.ip {
-			w.seeds[i] = m.ip
+			sim.seeds[i] = m.ip
 		}
 	}
 }
 
-func (w *world) harmAgent() {
-	for _, m := range w.machines {
-		if m.core || w.random.IntN(2) == 0 {
+func (sim *simulation) injectAgentFaults() {
+	for _, m := range sim.machines {
+		if m.control || sim.random.IntN(2) == 0 {
 			continue
 		}
-		switch w.random.IntN(4) {
+		switch sim.random.IntN(4) {
 		case 0:
-			w.kill(m, true)
+			sim.kill(m, true)
 		case 1:
-			w.isolate(m, w.randomSpan(6*time.Second), true, true, true)
+			sim.isolate(m, sim.randomSpan(6*time.Second), true, true, true)
 		case 2:
-			m.frozen = w.now + w.randomSpan(4*time.Second)
+			m.frozenUntil = sim.now + sim.randomSpan(4*time.Second)
 		case 3:
 			if m.agent != nil {
 				m.agent.router.restart()
@@ -255,138 +255,138 @@
 	}
 }
 
-func (w *world) resetConnections() {
-	for _, l := range w.links {
-		if l.conn != nil && w.random.IntN(2) == 0 {
+func (sim *simulation) resetConnections() {
+	for _, l := range sim.links {
+		if l.conn != nil && sim.random.IntN(2) == 0 {
 			l.conn.queue = [2][]frame{}
-			l.conn.end(w.random.IntN(2))
+			l.conn.end(sim.random.IntN(2))
 		}
 	}
 }
 
-func (w *world) later(after time.Duration, act func()) {
-	w.delayed = append(w.delayed, delayed{w.now + after, act, false})
+func (sim *simulation) schedule(after time.Duration, act func()) {
+	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + after, act, false})
 }
 
-func (w *world) stepDelayed() {
-	due := w.delayed
-	w.delayed = nil
+func (sim *simulation) runScheduled() {
+	due := sim.scheduled
+	sim.scheduled = nil
 	for _, d := range due {
-		if d.at > w.now {
-			w.delayed = append(w.delayed, d)
-		} else if !w.calm || d.always {
+		if d.at > sim.now {
+			sim.scheduled = append(sim.scheduled, d)
+		} else if !sim.noFaults || d.always {
 			d.act()
 		}
 	}
 }
 
 // endFaults ends all faults.
-func (w *world) settle() {
-	w.calm, w.ackLoss = true, 0
-	clear(w.cut)
-	clear(w.slow)
-	w.releaseFrames()
-	for _, m := range w.machines {
-		m.stalled, m.frozen = 0, 0
-		m.downTill = min(m.downTill, w.now+time.Second)
+func (sim *simulation) endFaults() {
+	sim.noFaults, sim.ackLoss = true, 0
+	clear(sim.blocked)
+	clear(sim.slowLinks)
+	sim.releaseFrames()
+	for _, m := range sim.machines {
+		m.diskStalledUntil, m.frozenUntil = 0, 0
+		m.downUntil = min(m.downUntil, sim.now+time.Second)
 	}
 }
 
 // checkEnd checks what must hold some time after all faults have ended.
-func (w *world) checkEnd() {
-	if len(w.members) != 2*w.tolerate+1 {
-		w.fail("wrong number of members at the end: %s", describeMembers(w.members))
+func (sim *simulation) checkEnd() {
+	if len(sim.members) != 2*sim.tolerate+1 {
+		sim.fail("wrong number of members at the end: %s", describeMembers(sim.members))
 	}
-	for _, member := range w.members {
-		if m := w.machineAt(member.IP); m == nil || m.gone || m.disk.identity.ID != member.ID {
-			w.fail("%s is a member at the end, but no longer exists", member.ID)
+	for _, member := range sim.members {
+		if m := sim.machineAt(member.IP); m == nil || m.removed || m.disk.identity.ID != member.ID {
+			sim.fail("%s is a member at the end, but no longer exists", member.ID)
 		}
 	}
-	for _, o := range w.opers {
-		if o.order != nil {
-			w.fail("an operator has no definite answer at the end: %+v, %d attempts in progress", o.order, len(o.flying))
+	for _, o := range sim.operators {
+		if o.current != nil {
+			sim.fail("an operator has no definite answer at the end: %+v, %d attempts in progress", o.current, len(o.inFlight))
 		}
 	}
-	leader := w.leaderMachine().node.node
-	for _, m := range w.machines {
+	leader := sim.leaderMachine().node.node
+	for _, m := range sim.machines {
 		if m.agent != nil && m.agent.router.revision != leader.state.Revision {
-			w.fail("agent %s has revision %d; the current one is %d", m.ip, m.agent.router.revision, leader.state.Revision)
+			sim.fail("agent %s has revision %d; the current one is %d", m.ip, m.agent.router.revision, leader.state.Revision)
 		}
 	}
 	for i := range hostlist.ShardCount {
 		owned := 0
-		for _, m := range w.machines {
+		for _, m := range sim.machines {
 			if m.node != nil && m.node.node.shards[i].holder.Holds(m.node.Now()) {
 				owned++
 			}
 		}
 		if owned != 1 {
-			w.fail("shard %d has %d owners at the end", i, owned)
+			sim.fail("shard %d has %d owners at the end", i, owned)
 		}
 	}
-	w.checkGrants()
-	ok, err := linearizable(w.calls)
+	sim.checkGrants()
+	ok, err := linearizable(sim.operatorCalls)
 	if err != nil || !ok {
-		w.fail("the operators' %d calls are not linearizable: %v\n%s", len(w.calls), err, w.printCalls())
+		sim.fail("the operators' %d calls are not linearizable: %v\n%s", len(sim.operatorCalls), err, sim.printCalls())
 	}
 }
 
 // checkGrants checks the tenant's limit in every window, also across changes of its owner.
-func (w *world) checkGrants() {
-	bounds := w.settingsOf(w.machines[0], false).Bounds
-	most := (tenantRate*quotaWindow.Seconds() + tenantBurst) * (1 + bounds.QuotaOverage)
-	most += bounds.QuotaSlack
+func (sim *simulation) checkGrants() {
+	bounds := sim.settingsOf(sim.machines[0], false).Bounds
+	allowed := (tenantRate*quotaWindow.Seconds() + tenantBurst) * (1 + bounds.QuotaOverage)
+	allowed += bounds.QuotaSlack
 	sum, first := 0.0, 0
-	for _, g := range w.grants {
+	for _, g := range sim.grants {
 		sum += g.amount
-		for w.grants[first].at <= g.at-quotaWindow {
-			sum -= w.grants[first].amount
+		for sim.grants[first].at <= g.at-quotaWindow {
+			sum -= sim.grants[first].amount
 			first++
 		}
-		if sum > most {
-			w.fail("%.0f granted within %v; %.0f are allowed", sum, quotaWindow, most)
+		if sum > allowed {
+			sim.fail("%.0f granted within %v; %.0f are allowed", sum, quotaWindow, allowed)
 		}
 	}
 }
 
-func (w *world) printCalls() string {
+func (sim *simulation) printCalls() string {
 	text := ""
-	for _, c := range w.calls {
-		if c.outcome != nothing {
-			text += fmt.Sprintf("%v-%v kind %d base %d order %d/%x outcome %d read %d/%x\n", c.sent, c.done, c.kind, c.base, c.order.revision,
-				c.order.digest[:2], c.outcome, c.read.revision, c.read.digest[:2])
+	for _, c := range sim.operatorCalls {
+		if c.outcome != outcomeNoEffect {
+			text += fmt.Sprintf("%v-%v kind %d base %d order %d/%x outcome %d read %d/%x\n", c.sent, c.done, c.kind, c.base, c.version.revision,
+				c.version.digest[:2], c.outcome, c.read.revision, c.read.digest[:2])
 		}
 	}
 	return text
 }
 
-func playWorld(t *testing.T, seed uint64) worldCounts {
-	w := newWorld(t, seed, 1+int(seed/3%2))
-	nextHarm := 2 * time.Second
-	pace := []time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}[seed/6%3]
-	for w.now < worldLength {
-		if w.now >= nextHarm && w.now < worldLength-worldCalm {
-			w.harm()
-			nextHarm = w.now + w.randomSpan(pace)
+func runSimulation(t *testing.T, seed uint64) simulationCounts {
+	sim := newSimulation(t, seed, 1+int(seed/3%2))
+	nextFault := 2 * time.Second
+	faultInterval := []time.Duration{400 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second}[seed/6%3]
+	for sim.now < simulationLength {
+		if sim.now >= nextFault && sim.now < simulationLength-simulationRecovery {
+			sim.injectFault()
+			nextFault = sim.now + sim.randomSpan(faultInterval)
 		}
-		if !w.calm && w.now >= worldLength-worldCalm {
-			w.settle()
+		if !sim.noFaults && sim.now >= simulationLength-simulationRecovery {
+			sim.endFaults()
 		}
-		if w.now >= worldLength-5*time.Second {
-			for _, o := range w.opers {
-				o.quiet, o.follow = true, w.now < worldLength-3*time.Second
+		if sim.now >= simulationLength-5*time.Second {
+			for _, o := range sim.operators {
+				o.noUpdates, o.onlyReads = true, sim.now < simulationLength-3*time.Second
 			}
 		}
-		w.stepDelayed()
-		w.step()
+		sim.runScheduled()
+		sim.step()
 	}
-	w.checkEnd()
-	w.counts.schedules = 1
-	return w.counts
+	sim.checkEnd()
+	sim.counts.schedules = 1
+	return sim.counts
 }
 
 // runSchedules runs schedules with seeds from firstSeed on, on all processors, and returns their results.
-func playSchedules[T any](t *testing.T, schedules int, play func(t *testing.T, seed uint64) T) <-chan T {
+func runSchedules[T any](t *testing.T, schedules int, run func(t *testing.T, seed uint64) T) <-chan T {
 	results := make(chan T, schedules)
 	t.Run("run", func(t *testing.T) {
 		parts := min(schedules, 2*runtime.GOMAXPROCS(0))
@@ -394,7 +394,7 @@
 			t.Run(fmt.Sprint(part), func(t *testing.T) {
 				t.Parallel()
 				for i := part; i < schedules; i += parts {
-					results <- play(t, *worldSeed+uint64(i))
+					results <- run(t, *firstSeed+uint64(i))
 				}
 			})
 		}
@@ -405,13 +405,13 @@
 
 // TestControlUnderRandomFaults runs schedules on all processors. A failed schedule is repeated with -seed and
 // -schedules 1.
-func TestControlSideUnderRandomTroubles(t *testing.T) {
-	schedules := *worldSchedules
+func TestControlUnderRandomFaults(t *testing.T) {
+	schedules := *scheduleCount
 	if testing.Short() {
 		schedules = max(1, schedules/10)
 	}
-	var played worldCounts
-	for c := range playSchedules(t, schedules, playWorld) {
+	var played simulationCounts
+	for c := range runSchedules(t, schedules, runSimulation) {
 		played.add(c)
 	}
 	t.Logf("ran %+v", played)
@@ -419,7 +419,7 @@
 	if n < 50 {
 		return
 	}
-	if played.wipes < n/2 || played.repaired < n/4 || played.leaderChanges < 2*n || played.acked < 10*n || played.reads < 10*n ||
+	if played.wipedDisks < n/2 || played.rejoined < n/4 || played.leaderChanges < 2*n || played.acked < 10*n || played.reads < 10*n ||
 		played.refused < n || played.unknown < n/4 || played.firstConfigs < 3*n || played.grants < 20*n || played.replaced < n/8 {
 		t.Errorf("the simulation exercised too little: %+v", played)
 	}
--- a/control/simulation_history_test.go
+++ b/control/simulation_history_test.go
@@ -12,22 +12,22 @@
 // one moment between its sending and its answer.
 
 // historyTimeout is how long a history is checked at most, in real time.
-const historyPatience = 20 * time.Second
+const historyTimeout = 20 * time.Second
 
 // lockCall is a successful call on a lock, or a Finish that was sent.
 type lockCall struct {
-	kind   wire.CommandKind
-	holder string
-	fence  uint64
-	until  time.Duration // the caller considers itself the holder until then
-	done   time.Duration
+	kind      wire.CommandKind
+	holder    string
+	fence     uint64
+	heldUntil time.Duration // the caller considers itself the holder until then
+	done      time.Duration
 }
 
 // lockState is the state of a lock in the model: who considers itself the holder, and until when.
 type lockState struct {
-	holder string
-	fence  uint64
-	until  time.Duration
+	holder    string
+	fence     uint64
+	heldUntil time.Duration
 }
 
 // lockModel gives a lock to another holder only once the previous one no longer considers itself the holder. Calls
@@ -40,14 +40,14 @@
 		switch c.kind {
 		case wire.BeginLock:
 			if !same {
-				return c.fence > s.fence && c.done >= s.until, lockState{c.holder, c.fence, c.until}
+				return c.fence > s.fence && c.done >= s.heldUntil, lockState{c.holder, c.fence, c.heldUntil}
 			}
-			return c.fence >= s.fence, lockState{c.holder, c.fence, c.until}
+			return c.fence >= s.fence, lockState{c.holder, c.fence, c.heldUntil}
 		case wire.HeartbeatLock:
-			return same && c.fence <= s.fence, lockState{s.holder, s.fence, max(s.until, c.until)}
+			return same && c.fence <= s.fence, lockState{s.holder, s.fence, max(s.heldUntil, c.heldUntil)}
 		default: // Finish
 			if same && c.fence == s.fence {
-				s.until = 0
+				s.heldUntil = 0
 			}
 			return true, s
 		}
@@ -78,7 +78,7 @@
 // groupState is the newest revision of a group, and of each of its keys.
 type groupState struct {
 	revision uint64
-	keys     [keysOfGroup]uint64
+	keys     [keysPerGroup]uint64
 }
 
 // groupModel is a compare-and-set register for each key, with one revision counter for all.
@@ -117,7 +117,7 @@
 		if p.ackedAt != 0 {
 			done = min(done, p.ackedAt)
 		}
-		all = append(all, operation(keyPut{p.key, p.revision, p.ifRevision}, p.sent, done))
+		all = append(all, newOperation(keyPut{p.key, p.revision, p.ifRevision}, p.sent, done))
 	}
 	return all
 }
@@ -137,7 +137,7 @@
 }
 
 func (r *rules) checkHistory(name string, model porcupine.Model, history []porcupine.Operation) {
-	if verdict := porcupine.CheckOperationsTimeout(model, history, historyPatience); verdict != porcupine.Ok {
-		r.world.fail("checking the history of %s, of %d calls: %s", name, len(history), verdict)
+	if verdict := porcupine.CheckOperationsTimeout(model, history, historyTimeout); verdict != porcupine.Ok {
+		r.sim.fail("checking the history of %s, of %d calls: %s", name, len(history), verdict)
 	}
 }
--- a/control/simulation_keys_test.go
+++ b/control/simulation_keys_test.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	groupsOfWorld = 3
-	keysOfGroup   = 3
-	numberNames   = 2
-	putPatience   = 4 * time.Second // for which a put is retried
-	readPatience  = 3 * time.Second
-	watchPatience = 10 * time.Second
+	groupCount     = 3
+	keysPerGroup   = 3
+	numberCount    = 2
+	putRetryTime   = 4 * time.Second // for which a put is retried
+	readRetryTime  = 3 * time.Second
+	watchRetryTime = 10 * time.Second
 )
 
 func groupName(i int) string        { return fmt.Sprintf("g%d.", i) }
@@ -26,42 +26,42 @@
 func keyNumber(key string) int { return int(key[strings.IndexByte(key, '.')+1] - '0') }
 
 // sequentialCaller makes one call after the other.
-type caller struct {
-	next   func() *errand
-	took   func(*errand)
-	errand *errand
-	nextAt time.Duration
-	pause  time.Duration // the longest pause between two calls
-	goesOn bool          // continues even when nothing new should be started
+type sequentialCaller struct {
+	next     func() *task
+	handle   func(*task)
+	task     *task
+	nextAt   time.Duration
+	maxPause time.Duration // the longest pause between two calls
+	always   bool          // continues even when nothing new should be started
 }
 
-func (c *caller) step(a *applications) {
-	w := a.world
-	if c.errand == nil {
-		if w.now < c.nextAt || a.quiet && !c.goesOn {
+func (c *sequentialCaller) step(a *applications) {
+	sim := a.sim
+	if c.task == nil {
+		if sim.now < c.nextAt || a.stopping && !c.always {
 			return
 		}
-		c.errand = c.next()
+		c.task = c.next()
 	}
-	if !a.pursue(c.errand) {
+	if !a.advance(c.task) {
 		return
 	}
-	e := c.errand
-	c.errand = nil
-	c.nextAt = w.now + w.randomSpan(c.pause)
-	c.took(e)
+	t := c.task
+	c.task = nil
+	c.nextAt = sim.now + sim.randomSpan(c.maxPause)
+	c.handle(t)
 }
 
 // addNumberCallers adds callers that request numbers.
 func (a *applications) addNumberCallers(count int) {
 	for range count {
-		a.actors = append(a.actors, &caller{pause: 200 * time.Millisecond,
-			next: func() *errand {
-				name := numberName(a.world.random.IntN(numberNames))
-				return a.begin(wire.Command{Kind: wire.NextNumber, Name: name}, readPatience)
+		a.callers = append(a.callers, &sequentialCaller{maxPause: 200 * time.Millisecond,
+			next: func() *task {
+				name := numberName(a.sim.random.IntN(numberCount))
+				return a.newTask(wire.Command{Kind: wire.NextNumber, Name: name}, readRetryTime)
 			},
-			took: func(e *errand) {
-				if e.clear() {
+			handle: func(t *task) {
+				if t.hasAnswer() {
 					a.counts.numbers++
 				}
 			}})
@@ -69,17 +69,17 @@
 }
 
 func (a *applications) anyKey() string {
-	w := a.world
-	return keyName(w.random.IntN(groupsOfWorld), w.random.IntN(keysOfGroup))
+	sim := a.sim
+	return keyName(sim.random.IntN(groupCount), sim.random.IntN(keysPerGroup))
 }
 
 // addReaders adds callers that read keys.
 func (a *applications) addReaders(count int) {
 	for range count {
-		a.actors = append(a.actors, &caller{pause: 150 * time.Millisecond,
-			next: func() *errand { return a.begin(wire.Command{Kind: wire.GetKey, Name: a.anyKey()}, readPatience) },
-			took: func(e *errand) {
-				if e.clear() {
+		a.callers = append(a.callers, &sequentialCaller{maxPause: 150 * time.Millisecond,
+			next: func() *task { return a.newTask(wire.Command{Kind: wire.GetKey, Name: a.anyKey()}, readRetryTime) },
+			handle: func(t *task) {
+				if t.hasAnswer() {
 					a.counts.reads++
 				}
 			}})
@@ -97,9 +97,9 @@
 func (a *applications) addPutters(count int) {
 	for i := range count {
 		p := &putter{number: i, known: map[string]uint64{}}
-		a.actors = append(a.actors, &caller{pause: 120 * time.Millisecond,
-			next: func() *errand { return a.begin(p.next(a), p.patience(a)) },
-			took: func(e *errand) { p.took(a, e) }})
+		a.callers = append(a.callers, &sequentialCaller{maxPause: 120 * time.Millisecond,
+			next:   func() *task { return a.newTask(p.next(a), p.retryFor(a)) },
+			handle: func(t *task) { p.handle(a, t) }})
 	}
 }
 
@@ -108,7 +108,7 @@
 	p.made++
 	key := a.anyKey()
 	c := wire.Command{Kind: wire.ReplaceKey, Name: key, Value: fmt.Sprintf("v%d-%d", p.number, p.made)}
-	switch a.world.random.IntN(10) {
+	switch a.sim.random.IntN(10) {
 	case 0, 1, 2, 3:
 	case 4:
 		c.IfRevision = new(uint64)
@@ -120,19 +120,19 @@
 }
 
 // retryFor returns how long a put is retried. A put that is sent only once and answered 503 must never become visible.
-func (p *putter) patience(a *applications) time.Duration {
-	if a.world.random.IntN(4) == 0 {
+func (p *putter) retryFor(a *applications) time.Duration {
+	if a.sim.random.IntN(4) == 0 {
 		return 0
 	}
-	return putPatience
+	return putRetryTime
 }
 
-func (p *putter) took(a *applications, e *errand) {
-	if !e.clear() {
+func (p *putter) handle(a *applications, t *task) {
+	if !t.hasAnswer() {
 		return
 	}
-	p.known[e.command.Name] = e.answer.Revision
-	if e.answer.Outcome == wire.Mismatched {
+	p.known[t.command.Name] = t.answer.Revision
+	if t.answer.Outcome == wire.Mismatched {
 		a.counts.mismatches++
 	} else {
 		a.counts.puts++
@@ -140,60 +140,60 @@
 }
 
 // watchedRevision is a revision that a watcher has received.
-type saved struct {
-	revision uint64
-	at       time.Duration
+type watchedRevision struct {
+	revision   uint64
+	receivedAt time.Duration
 }
 
 // watcher watches a group, and resumes the watch from revisions that it has received.
 type watcher struct {
-	world *world
+	sim   *simulation
 	group string
-	told  []saved
-	from  saved // where the current watch starts
+	known []watchedRevision
+	from  watchedRevision // where the current watch starts
 }
 
 // addWatchers adds watchers for each group.
 func (a *applications) addWatchers(each int) {
-	for i := range each * groupsOfWorld {
-		x := &watcher{world: a.world, group: groupName(i % groupsOfWorld)}
-		a.actors = append(a.actors, &caller{pause: 20 * time.Millisecond,
-			next: func() *errand { return x.next(a) },
-			took: func(e *errand) { x.took(a, e) }})
+	for i := range each * groupCount {
+		w := &watcher{sim: a.sim, group: groupName(i % groupCount)}
+		a.callers = append(a.callers, &sequentialCaller{maxPause: 20 * time.Millisecond,
+			next:   func() *task { return w.next(a) },
+			handle: func(t *task) { w.handle(a, t) }})
 	}
 }
 
 // next continues from the newest revision, or at random from an older one or the beginning.
-func (x *watcher) next(a *applications) *errand {
-	w := a.world
-	x.from = saved{}
-	if n := len(x.told); n > 0 && w.random.IntN(40) > 0 {
-		x.from = x.told[n-1]
-		if w.random.IntN(10) == 0 {
-			x.from = x.told[w.random.IntN(n)]
+func (w *watcher) next(a *applications) *task {
+	sim := a.sim
+	w.from = watchedRevision{}
+	if n := len(w.known); n > 0 && sim.random.IntN(40) > 0 {
+		w.from = w.known[n-1]
+		if sim.random.IntN(10) == 0 {
+			w.from = w.known[sim.random.IntN(n)]
 			a.counts.resumed++
 		}
 	}
-	wait := int64(100 + w.random.IntN(1900))
-	return a.begin(wire.Command{Kind: wire.WatchGroup, Name: x.group, After: x.from.revision, WaitMS: wait}, watchPatience)
+	wait := int64(100 + sim.random.IntN(1900))
+	return a.newTask(wire.Command{Kind: wire.WatchGroup, Name: w.group, After: w.from.revision, WaitMS: wait}, watchRetryTime)
 }
 
-func (x *watcher) took(a *applications, e *errand) {
-	w := a.world
-	if !e.clear() {
+func (w *watcher) handle(a *applications, t *task) {
+	sim := a.sim
+	if !t.hasAnswer() {
 		return
 	}
-	if e.answer.Outcome == wire.Compacted {
-		if w.now-x.from.at < coordinationHistory {
-			w.fail("LOST: a watch of %s can't continue after revision %d, which was answered at %v", x.group, x.from.revision, x.from.at)
+	if t.answer.Outcome == wire.Compacted {
+		if sim.now-w.from.receivedAt < coordinationHistory {
+			sim.fail("LOST: a watch of %s can't continue after revision %d, which was answered at %v", w.group, w.from.revision, w.from.receivedAt)
 		}
-		x.told = nil
+		w.known = nil
 		return
 	}
 	a.counts.watches++
-	a.counts.events += len(e.answer.Events)
-	if e.answer.Revision > 0 {
-		x.told = append(x.told, saved{e.answer.Revision, w.now})
+	a.counts.events += len(t.answer.Events)
+	if t.answer.Revision > 0 {
+		w.known = append(w.known, watchedRevision{t.answer.Revision, sim.now})
 	}
-	x.told = slices.DeleteFunc(x.told, func(s saved) bool { return w.now-s.at > coordinationHistory })
+	w.known = slices.DeleteFunc(w.known, func(s watchedRevision) bool { return sim.now-s.receivedAt > coordinationHistory })
 }
--- a/control/simulation_network_test.go
+++ b/control/simulation_network_test.go
@@ -9,19 +9,19 @@
 
 // link is a connection that its owner wants to maintain.
 type link struct {
-	world  *world
-	owner  *process
-	to     string
-	hello  wire.Hello
-	events wire.LinkEvents
-	closed bool
-	conn   *connection
-	redial time.Duration
+	sim      *simulation
+	owner    *process
+	to       string
+	hello    wire.Hello
+	events   wire.LinkEvents
+	closed   bool
+	conn     *connection
+	redialAt time.Duration
 }
 
 func (l *link) Send(m *wire.Message) bool { return l.conn != nil && l.conn.send(true, m) }
 func (l *link) Up() bool                  { return l.conn != nil && l.conn.open[0] }
-func (l *link) Redial()                   { l.redial = 0 }
+func (l *link) Redial()                   { l.redialAt = 0 }
 func (l *link) Close() {
 	l.closed = true
 	if l.conn != nil {
@@ -31,13 +31,13 @@
 
 // connection carries frames in both directions, in order. End 0 belongs to the link's owner.
 type connection struct {
-	world  *world
-	link   *link
-	server *nodeProcess
-	open   [2]bool
-	heard  [2]time.Duration // when an end last received a byte from the other
-	queue  [2][]frame       // frames to each end
-	agent  *subscriber
+	sim       *simulation
+	link      *link
+	server    *nodeProcess
+	open      [2]bool
+	lastHeard [2]time.Duration // when an end last received a byte from the other
+	queue     [2][]frame       // frames to each end
+	agent     *subscriber
 }
 
 type frame struct {
@@ -69,12 +69,12 @@
 		c.server.checkFeed(m)
 	}
 	ips := [2]string{c.link.owner.machine.ip, c.server.machine.ip}
-	due := c.world.now + c.world.pace.frame(ips[from], ips[to])
-	if m.Append != nil && m.Append.Entry != nil && c.world.slow[[2]string{ips[from], ips[to]}] > c.world.now {
+	due := c.sim.now + c.sim.timing.frame(ips[from], ips[to])
+	if m.Append != nil && m.Append.Entry != nil && c.sim.slowLinks[[2]string{ips[from], ips[to]}] > c.sim.now {
 		due += slowEntry
 	}
-	if c.world.held[[2]string{ips[from], ips[to]}] > c.world.now {
-		due += c.world.randomSpan(longestFrameHeld)
+	if c.sim.delayedLinks[[2]string{ips[from], ips[to]}] > c.sim.now {
+		due += c.sim.randomSpan(longestFrameHeld)
 	}
 	if n := len(c.queue[to]); n > 0 {
 		due = max(due, c.queue[to][n-1].due)
@@ -89,11 +89,11 @@
 	now := p.Now()
 	switch {
 	case m.Hosts != nil && !p.node.shards[m.Hosts.Shard].holder.Holds(now):
-		p.world.fail("%s sends hosts without the lease", p.machine.ip)
+		p.sim.fail("%s sends hosts without the lease", p.machine.ip)
 	case m.QuotaGrant != nil && !p.node.shards[hostlist.ShardOf("t")].holder.Holds(now):
-		p.world.fail("%s grants from a limit without the lease", p.machine.ip)
+		p.sim.fail("%s grants from a limit without the lease", p.machine.ip)
 	case m.Config != nil && m.Config.Current && !p.node.replica.Leading(now):
-		p.world.fail("%s confirms a configuration as current without being the leader", p.machine.ip)
+		p.sim.fail("%s confirms a configuration as current without being the leader", p.machine.ip)
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	c.open[end] = false
 	c.queue[end] = nil
-	if c.world.random.IntN(2) == 0 {
+	if c.sim.random.IntN(2) == 0 {
 		c.queue[1-end] = nil
 	}
 	if end == 1 && !c.server.dead {
@@ -118,19 +118,19 @@
 }
 
 // connect tries to establish a link.
-func (w *world) connect(l *link) {
-	m := w.machineAt(l.to)
-	if l.owner.dead || l.closed || w.now < l.redial || !l.owner.machine.running(w.now) {
+func (sim *simulation) connect(l *link) {
+	m := sim.machineAt(l.to)
+	if l.owner.dead || l.closed || sim.now < l.redialAt || !l.owner.machine.running(sim.now) {
 		return
 	}
-	l.redial = w.now + w.pace.firstRedial + w.randomSpan(w.pace.longestRedial-w.pace.firstRedial)
+	l.redialAt = sim.now + sim.timing.firstRedial + sim.randomSpan(sim.timing.longestRedial-sim.timing.firstRedial)
 	from := l.owner.machine.ip
-	if m == nil || m.node == nil || !m.running(w.now) || w.isCut(from, l.to) || w.isCut(l.to, from) {
+	if m == nil || m.node == nil || !m.running(sim.now) || sim.isBlocked(from, l.to) || sim.isBlocked(l.to, from) {
 		return
 	}
-	c := &connection{world: w, link: l, server: m.node, open: [2]bool{true, true}, heard: [2]time.Duration{w.now, w.now}}
+	c := &connection{sim: sim, link: l, server: m.node, open: [2]bool{true, true}, lastHeard: [2]time.Duration{sim.now, sim.now}}
 	l.conn = c
-	m.node.parts = append(m.node.parts, c)
+	m.node.inbound = append(m.node.inbound, c)
 	if l.hello.Role == wire.RoleControl {
 		m.node.node.PeerConnected(wire.Member{ID: l.hello.Node, IP: l.hello.IP}, serverEnd{c})
 	} else {
@@ -147,26 +147,26 @@
 }
 
 // carry delivers the frames that are due, and closes an end that has heard nothing for silenceLimit.
-func (w *world) carry(c *connection) {
+func (sim *simulation) carry(c *connection) {
 	ips := [2]string{c.link.owner.machine.ip, c.server.machine.ip}
 	for end := range 2 {
 		receiver := c.processOf(end)
-		if !c.open[end] || receiver.dead || !receiver.machine.running(w.now) {
+		if !c.open[end] || receiver.dead || !receiver.machine.running(sim.now) {
 			continue
 		}
-		cut := w.isCut(ips[1-end], ips[end])
-		for !cut && c.open[end] && len(c.queue[end]) > 0 && c.queue[end][0].due <= w.now {
+		cut := sim.isBlocked(ips[1-end], ips[end])
+		for !cut && c.open[end] && len(c.queue[end]) > 0 && c.queue[end][0].due <= sim.now {
 			m := c.queue[end][0].message
 			c.queue[end] = c.queue[end][1:]
-			c.heard[end] = w.now
+			c.lastHeard[end] = sim.now
 			c.deliver(end, m)
 		}
 		sender := c.processOf(1 - end)
-		if !cut && c.open[1-end] && !sender.dead && sender.machine.running(w.now) {
-			c.heard[end] = w.now // heartbeats
+		if !cut && c.open[1-end] && !sender.dead && sender.machine.running(sim.now) {
+			c.lastHeard[end] = sim.now // heartbeats
 		}
 		closedByPeer := !cut && (!c.open[1-end] || sender.dead) && len(c.queue[end]) == 0
-		if closedByPeer || w.now > c.heard[end]+silenceLimit {
+		if closedByPeer || sim.now > c.lastHeard[end]+silenceLimit {
 			c.end(end)
 		}
 	}
--- a/control/simulation_part_groups_test.go
+++ b/control/simulation_part_groups_test.go
@@ -15,43 +15,43 @@
 
 // partGroup is what a simulation has recorded about the replica group of one coordination part.
 type partGroup struct {
-	members    []wire.Member // of the newest entry that a leader with a valid lease had committed
-	at         replica.Position
-	lastLeader string
-	changes    int // number of leader changes
+	members       []wire.Member // of the newest entry that a leader with a valid lease had committed
+	position      replica.Position
+	lastLeader    string
+	leaderChanges int // number of leader changes
 }
 
 // newCoordinationSimulation creates a simulation of control processes only, with coordination enabled.
-func newCoordinationWorld(t *testing.T, seed uint64, tolerate int) *world {
-	w := newWorld(t, seed, tolerate, "coord")
-	w.machines, w.opers = w.machines[:2*tolerate+1], nil
-	w.links = slices.DeleteFunc(w.links, func(l *link) bool { return !l.owner.machine.core })
-	w.groups = make([]partGroup, coordinationParts)
-	w.applications = newApplications(w)
-	return w
+func newCoordinationSimulation(t *testing.T, seed uint64, tolerate int) *simulation {
+	sim := newSimulation(t, seed, tolerate, "coord")
+	sim.machines, sim.operators = sim.machines[:2*tolerate+1], nil
+	sim.links = slices.DeleteFunc(sim.links, func(l *link) bool { return !l.owner.machine.control })
+	sim.partGroups = make([]partGroup, coordinationParts)
+	sim.applications = newApplications(sim)
+	return sim
 }
 
 // partLeader returns the machine that leads a part, or a random one.
-func (w *world) partLeader(number int) *machine {
-	for _, m := range w.machines {
+func (sim *simulation) partLeader(number int) *machine {
+	for _, m := range sim.machines {
 		if m.node != nil && m.node.node.parts[number].replica.Role() == replica.Leader {
 			return m
 		}
 	}
-	return w.anyCore()
+	return sim.anyControlMachine()
 }
 
 // servesPart reports whether some process may answer for a part from memory.
-func (w *world) servesPart(number int) bool {
-	return slices.ContainsFunc(w.machines, func(m *machine) bool {
-		return m.node != nil && m.running(w.now) && m.node.node.parts[number].replica.Leading(m.node.Now())
+func (sim *simulation) servesPart(number int) bool {
+	return slices.ContainsFunc(sim.machines, func(m *machine) bool {
+		return m.node != nil && m.running(sim.now) && m.node.node.parts[number].replica.Leading(m.node.Now())
 	})
 }
 
 // servesAllParts reports whether every part has a process that may answer from memory.
-func (w *world) servesAllParts() bool {
-	for number := range w.groups {
-		if !w.servesPart(number) {
+func (sim *simulation) servesAllParts() bool {
+	for number := range sim.partGroups {
+		if !sim.servesPart(number) {
 			return false
 		}
 	}
@@ -59,39 +59,39 @@
 }
 
 // checkParts checks for each part what checkInvariants checks for the configuration's group.
-func (w *world) checkParts() {
-	for number := range w.groups {
+func (sim *simulation) checkParts() {
+	for number := range sim.partGroups {
 		leading := ""
-		for _, m := range w.machines {
+		for _, m := range sim.machines {
 			if m.node == nil || !m.node.node.parts[number].replica.Leading(m.node.Now()) {
 				continue
 			}
 			r := m.node.node.parts[number].replica
 			if leading != "" {
-				w.fail("%s and %s are both leaders of part %d", leading, r.Self().ID, number)
+				sim.fail("%s and %s are both leaders of part %d", leading, r.Self().ID, number)
 			}
 			leading = r.Self().ID
-			w.notePartLeader(number, r)
+			sim.recordPartLeader(number, r)
 		}
 	}
 }
 
-func (w *world) notePartLeader(number int, r *replica.Replica) {
-	g, committed := &w.groups[number], r.Committed()
+func (sim *simulation) recordPartLeader(number int, r *replica.Replica) {
+	g, committed := &sim.partGroups[number], r.Committed()
 	if id := r.Self().ID; id != g.lastLeader {
 		g.lastLeader = id
-		g.changes++
+		g.leaderChanges++
 	}
-	if committed.Position().Less(g.at) {
-		w.fail("leader %s of part %d has %v committed after %v", r.Self().ID, number, committed.Position(), g.at)
+	if committed.Position().Less(g.position) {
+		sim.fail("leader %s of part %d has %v committed after %v", r.Self().ID, number, committed.Position(), g.position)
 	}
-	g.members, g.at = committed.Members, committed.Position()
+	g.members, g.position = committed.Members, committed.Position()
 }
 
 // partsTolerateLoss reports whether each part keeps a quorum if only the members accepted by kept keep their disks.
-func (w *world) partsBearLoss(kept func(id string) bool) bool {
-	for number := range w.groups {
-		for _, members := range w.partMembersUnderWay(number) {
+func (sim *simulation) partsTolerateLoss(kept func(id string) bool) bool {
+	for number := range sim.partGroups {
+		for _, members := range sim.partMembersInProgress(number) {
 			if !replica.HasQuorum(members, kept) {
 				return false
 			}
@@ -101,18 +101,18 @@
 }
 
 // partMembersInProgress returns a part's members, and all sets of members that changes in progress may lead to.
-func (w *world) partMembersUnderWay(number int) [][]wire.Member {
-	g := &w.groups[number]
+func (sim *simulation) partMembersInProgress(number int) [][]wire.Member {
+	g := &sim.partGroups[number]
 	all := [][]wire.Member{g.members}
 	take := func(e *wire.Entry) {
-		if e != nil && e.Members != nil && !e.Position().Less(g.at) {
+		if e != nil && e.Members != nil && !e.Position().Less(g.position) {
 			all = append(all, e.Members)
 		}
 	}
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		if m.disk.parts != nil {
 			kept := m.disk.parts[number]
-			if n := len(kept.entries); n > 0 && kept.members != nil && !kept.entries[n-1].Position().Less(g.at) {
+			if n := len(kept.entries); n > 0 && kept.members != nil && !kept.entries[n-1].Position().Less(g.position) {
 				all = append(all, kept.members)
 			}
 		}
@@ -125,7 +125,7 @@
 			all = append(all, append(slices.Clone(g.members), learner))
 		}
 	}
-	for _, a := range w.appendsUnderWay(uint32(number + 1)) {
+	for _, a := range sim.appendsInTransit(uint32(number + 1)) {
 		take(a.Entry)
 		for _, step := range a.Steps {
 			take(step)
@@ -136,23 +136,23 @@
 
 // checkPartsEnd checks what must hold for the parts some time after all faults have ended: groups are complete, with
 // existing machines only, and there is one state at each position.
-func (w *world) checkPartsEnd() {
-	for number, g := range w.groups {
-		if len(g.members) != 2*w.tolerate+1 {
-			w.fail("wrong number of members of part %d at the end: %s", number, describeMembers(g.members))
+func (sim *simulation) checkPartsEnd() {
+	for number, g := range sim.partGroups {
+		if len(g.members) != 2*sim.tolerate+1 {
+			sim.fail("wrong number of members of part %d at the end: %s", number, describeMembers(g.members))
 		}
 		for _, member := range g.members {
-			if m := w.machineAt(member.IP); m == nil || m.gone || m.disk.identity.ID != member.ID {
-				w.fail("%s is a member of part %d at the end, but no longer exists", member.ID, number)
+			if m := sim.machineAt(member.IP); m == nil || m.removed || m.disk.identity.ID != member.ID {
+				sim.fail("%s is a member of part %d at the end, but no longer exists", member.ID, number)
 			}
 		}
-		w.checkStatesAlike(number)
+		sim.checkStatesEqual(number)
 	}
 }
 
-func (w *world) checkStatesAlike(number int) {
+func (sim *simulation) checkStatesEqual(number int) {
 	states := map[replica.Position][]byte{}
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		if m.node == nil {
 			continue
 		}
@@ -162,7 +162,7 @@
 		}
 		at, state := p.replica.Newest().Position(), p.machine.Snapshot()
 		if other, seen := states[at]; seen && !bytes.Equal(other, state) {
-			w.fail("part %d has two states at %v", number, at)
+			sim.fail("part %d has two states at %v", number, at)
 		}
 		states[at] = state
 	}
@@ -179,19 +179,19 @@
 }
 
 // runUntilServed runs the simulation until all parts are served, and returns how long that took.
-func (w *world) playUntilServed(longest time.Duration) time.Duration {
-	w.t.Helper()
-	began := w.now
-	for !w.servesAllParts() {
-		w.stepDelayed()
-		if w.step(); w.now > began+longest {
-			w.fail("not all parts are served after %v", longest)
+func (sim *simulation) runUntilServed(longest time.Duration) time.Duration {
+	sim.t.Helper()
+	began := sim.now
+	for !sim.servesAllParts() {
+		sim.runScheduled()
+		if sim.step(); sim.now > began+longest {
+			sim.fail("not all parts are served after %v", longest)
 		}
 	}
-	return w.now - began
+	return sim.now - began
 }
 
 // sortedLocks returns the names of all locks that were requested.
-func (w *world) sortedLocks() iter.Seq[string] {
-	return slices.Values(slices.Sorted(maps.Keys(w.applications.rules.locks)))
+func (sim *simulation) sortedLocks() iter.Seq[string] {
+	return slices.Values(slices.Sorted(maps.Keys(sim.applications.rules.locks)))
 }
--- a/control/simulation_parts_test.go
+++ b/control/simulation_parts_test.go
@@ -27,11 +27,11 @@
 
 // SaveParts stores a batch on the simulated disk after a while.
 func (p *nodeProcess) SaveParts(b *store.PartsBatch) {
-	p.writingParts = &partsWrite{b, p.world.now + p.world.pace.write()}
+	p.writingParts = &partsWrite{b, p.sim.now + p.sim.timing.write()}
 }
 
 // storeParts stores a batch on a disk.
-func (d *coreDisk) keepParts(b *store.PartsBatch) {
+func (d *controlDisk) storeParts(b *store.PartsBatch) {
 	for _, s := range b.Saves {
 		if d.parts == nil {
 			d.parts = make([]partDisk, coordinationParts)
@@ -52,16 +52,16 @@
 
 // cutPartsShort leaves either all or nothing of an interrupted write of parts on the disk, since the frame of a write
 // has a checksum.
-func (w *world) cutPartsShort(m *machine, b *store.PartsBatch) {
-	if w.random.IntN(2) == 0 {
-		m.disk.keepParts(b)
+func (sim *simulation) cutPartsShort(m *machine, b *store.PartsBatch) {
+	if sim.random.IntN(2) == 0 {
+		m.disk.storeParts(b)
 	}
 }
 
 // startParts replays each part's state machine to what the disk has stored.
-func (m *machine) startParts(w *world) []PartStart {
+func (m *machine) startParts(sim *simulation) []PartStart {
 	var parts []PartStart
-	for i, empty := range newPartMachines(w.settingsOf(m, false)) {
+	for i, empty := range newPartMachines(sim.settingsOf(m, false)) {
 		start := PartStart{Machine: empty}
 		var entries []*wire.Entry
 		if founded := foundingEntry(m.disk.identity); founded != nil {
@@ -74,7 +74,7 @@
 		}
 		newest, err := replica.Replay(empty, entries)
 		if err != nil {
-			w.fail("%s: part %d: %v", m.ip, i, err)
+			sim.fail("%s: part %d: %v", m.ip, i, err)
 		}
 		start.Persistent.Entry = newest
 		parts = append(parts, start)
@@ -84,14 +84,14 @@
 
 // stepParts completes a write of parts that is due.
 func (p *nodeProcess) stepParts() {
-	w, m := p.world, p.machine
-	if p.writingParts == nil || w.now < max(p.writingParts.doneAt, m.stalled) {
+	sim, m := p.sim, p.machine
+	if p.writingParts == nil || sim.now < max(p.writingParts.doneAt, m.diskStalledUntil) {
 		return
 	}
 	b := p.writingParts.batch
 	p.writingParts = nil
-	m.disk.keepParts(b)
-	p.node.PartsSaved(b, w.random.IntN(partsRotation) == 0)
+	m.disk.storeParts(b)
+	p.node.PartsSaved(b, sim.random.IntN(partsRotation) == 0)
 	p.node.Flush()
 }
 
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -23,36 +23,36 @@
 // recovered, and that the operators' calls are linearizable.
 
 const (
-	worldStep     = 5 * time.Millisecond
-	nodeTick      = 25 * time.Millisecond
-	agentTick     = 200 * time.Millisecond
-	silenceLimit  = 1200 * time.Millisecond // as in wire.Conn
-	frameDelay    = 12                      // in ms, at most, one way
-	callPatience  = time.Second             // of an operator
-	internalPort  = "7000"
-	controlPort   = 8080
-	listedHosts   = 6
-	agentsOfWorld = 3
-	slowEntry     = 250 * time.Millisecond
+	simulationStep  = 5 * time.Millisecond
+	nodeTick        = 25 * time.Millisecond
+	agentTick       = 200 * time.Millisecond
+	silenceLimit    = 1200 * time.Millisecond // as in wire.Conn
+	maxFrameDelayMS = 12                      // in ms, at most, one way
+	operatorTimeout = time.Second             // of an operator
+	internalPort    = "7000"
+	controlPort     = 8080
+	listedHosts     = 6
+	agentCount      = 3
+	slowEntry       = 250 * time.Millisecond
 )
 
 // machine is one machine of a simulation, with its disk.
 type machine struct {
-	ip       string
-	core     bool
-	gone     bool // permanently
-	goneAt   time.Duration
-	disk     coreDisk
-	stalled  time.Duration // writes complete no earlier
-	downTill time.Duration
-	frozen   time.Duration // the process is suspended until then
-	wiped    bool          // and not a member again yet
-	node     *nodeProcess
-	agent    *agentProcess
+	ip                 string
+	control            bool
+	removed            bool // permanently
+	removedAt          time.Duration
+	disk               controlDisk
+	diskStalledUntil   time.Duration // writes complete no earlier
+	downUntil          time.Duration
+	frozenUntil        time.Duration // the process is suspended until then
+	awaitingMembership bool          // and not a member again yet
+	node               *nodeProcess
+	agent              *agentProcess
 }
 
 // controlDisk is what a control machine's disk has stored.
-type coreDisk struct {
+type controlDisk struct {
 	identity store.Identity
 	state    replica.PersistentState
 	tenures  []string
@@ -60,79 +60,79 @@
 }
 
 func (m *machine) running(now time.Duration) bool {
-	return (m.node != nil || m.agent != nil) && now >= m.frozen
+	return (m.node != nil || m.agent != nil) && now >= m.frozenUntil
 }
 
 // process is the process that a connection belongs to.
 type process struct {
-	machine *machine
-	born    time.Duration
-	dead    bool
+	machine   *machine
+	startedAt time.Duration
+	dead      bool
 }
 
 // nodeProcess is one incarnation of a control process.
 type nodeProcess struct {
 	process
-	world   *world
+	sim     *simulation
 	node    *Node
 	handler *operatorHandler
 	links   []*link
 	writing *replica.Save
 	// writingParts is the write of parts in progress, or nil.
 	writingParts *partsWrite
-	doneAt       time.Duration
-	reading      time.Duration // when the host list read in progress ends; 0 for none
-	ticked       time.Duration
-	leaveBy      time.Duration
-	parts        []*connection // connections that others have opened
+	writeDoneAt  time.Duration
+	hostsReadAt  time.Duration // when the host list read in progress ends; 0 for none
+	lastTick     time.Duration
+	stopBy       time.Duration
+	inbound      []*connection // connections that others have opened
 }
 
 // agentProcess is one incarnation of an agent, with a router beside it.
 type agentProcess struct {
 	process
-	world  *world
-	agent  *agent.Agent
-	links  []*link
-	ticked time.Duration
-	router *routerStub
+	sim      *simulation
+	agent    *agent.Agent
+	links    []*link
+	lastTick time.Duration
+	router   *routerStub
 }
 
 // simulation is one simulated deployment.
-type world struct {
+type simulation struct {
 	t        *testing.T
 	seed     uint64
 	random   *rand.Rand
 	now      time.Duration
 	tolerate int
 	// guarantees is the setting of that name: with "coord", applications use locks, numbers and keys.
-	guarantees []string
-	seeds      []string
-	machines   []*machine
-	links      []*link
-	cut        map[[2]string]time.Duration // one way; until when
-	slow       map[[2]string]time.Duration // links that take slowEntry for each entry; until when
-	held       map[[2]string]time.Duration // one way, links whose frames may be delayed by seconds; until when
-	ackLoss    float64
-	opers      []*operator
-	calls      []call
-	calm       bool
-	delayed    []delayed
+	guarantees    []string
+	seeds         []string
+	machines      []*machine
+	links         []*link
+	blocked       map[[2]string]time.Duration // one way; until when
+	slowLinks     map[[2]string]time.Duration // links that take slowEntry for each entry; until when
+	delayedLinks  map[[2]string]time.Duration // one way, links whose frames may be delayed by seconds; until when
+	ackLoss       float64
+	operators     []*operator
+	operatorCalls []callRecord
+	noFaults      bool
+	scheduled     []scheduledEvent
 
-	ackedRevision int64 // the newest that was acknowledged to an operator
-	bodies        map[int64]string
-	members       []wire.Member // of the newest entry that a leader with a valid lease had committed
-	membersAt     replica.Position
-	lastLeader    string
-	grants        []grantTaken
-	counts        worldCounts
-	groups        []partGroup   // of the coordination parts; nil without them
-	applications  *applications // that use locks, numbers and keys; nil for none
-	trace         func(format string, args ...any)
-	pace          worldPace
+	ackedRevision   int64 // the newest that was acknowledged to an operator
+	bodies          map[int64]string
+	members         []wire.Member // of the newest entry that a leader with a valid lease had committed
+	membersPosition replica.Position
+	lastLeader      string
+	grants          []grantReceived
+	counts          simulationCounts
+	partGroups      []partGroup   // of the coordination parts; nil without them
+	applications    *applications // that use locks, numbers and keys; nil for none
+	trace           func(format string, args ...any)
+	timing          simulationTiming
 }
 
 // simulationTiming is how long the operations of a simulation take.
-type worldPace struct {
+type simulationTiming struct {
 	step          time.Duration
 	frame         func(from, to string) time.Duration // latency of a frame
 	write         func() time.Duration
@@ -141,18 +141,18 @@
 }
 
 // randomTiming draws the durations of frames, writes and reconnects from wide ranges.
-func (w *world) roughPace() worldPace {
-	return worldPace{
-		step: worldStep,
+func (sim *simulation) randomTiming() simulationTiming {
+	return simulationTiming{
+		step: simulationStep,
 		frame: func(string, string) time.Duration {
-			return time.Duration(1+w.random.IntN(frameDelay)) * time.Millisecond
+			return time.Duration(1+sim.random.IntN(maxFrameDelayMS)) * time.Millisecond
 		},
 		write: func() time.Duration {
 			longest := 30
-			if !w.calm && w.random.IntN(15) == 0 {
+			if !sim.noFaults && sim.random.IntN(15) == 0 {
 				longest = 1000
 			}
-			return time.Duration(1+w.random.IntN(longest)) * time.Millisecond
+			return time.Duration(1+sim.random.IntN(longest)) * time.Millisecond
 		},
 		firstRedial:   30 * time.Millisecond,
 		longestRedial: 230 * time.Millisecond,
@@ -160,15 +160,15 @@
 }
 
 // simulationCounts counts what a run has exercised.
-type worldCounts struct {
-	steps, schedules, wipes, repaired, replaced, restarts, leaderChanges, acked, refused, unknown, reads, redirected, grants, crossed, firstConfigs, datagrams, relayed int
+type simulationCounts struct {
+	steps, schedules, wipedDisks, rejoined, replaced, restarts, leaderChanges, acked, refused, unknown, reads, redirected, grants, staleGrants, firstConfigs, datagrams, relayed int
 }
 
-func (c *worldCounts) add(o worldCounts) {
+func (c *simulationCounts) add(o simulationCounts) {
 	c.steps += o.steps
 	c.schedules += o.schedules
-	c.wipes += o.wipes
-	c.repaired += o.repaired
+	c.wipedDisks += o.wipedDisks
+	c.rejoined += o.rejoined
 	c.replaced += o.replaced
 	c.restarts += o.restarts
 	c.leaderChanges += o.leaderChanges
@@ -178,65 +178,65 @@
 	c.reads += o.reads
 	c.redirected += o.redirected
 	c.grants += o.grants
-	c.crossed += o.crossed
+	c.staleGrants += o.staleGrants
 	c.firstConfigs += o.firstConfigs
 	c.datagrams += o.datagrams
 	c.relayed += o.relayed
 }
 
-func newWorld(t *testing.T, seed uint64, tolerate int, guarantees ...string) *world {
-	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), tolerate: tolerate, guarantees: guarantees,
-		cut: map[[2]string]time.Duration{}, slow: map[[2]string]time.Duration{}, held: map[[2]string]time.Duration{}, bodies: map[int64]string{}, trace: func(string, ...any) {}}
-	w.pace = w.roughPace()
+func newSimulation(t *testing.T, seed uint64, tolerate int, guarantees ...string) *simulation {
+	sim := &simulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), tolerate: tolerate, guarantees: guarantees,
+		blocked: map[[2]string]time.Duration{}, slowLinks: map[[2]string]time.Duration{}, delayedLinks: map[[2]string]time.Duration{}, bodies: map[int64]string{}, trace: func(string, ...any) {}}
+	sim.timing = sim.randomTiming()
 	size := 2*tolerate + 1
 	for i := range size {
-		w.addMachine(true)
+		sim.addMachine(true)
 		if i < 3 {
-			w.seeds = append(w.seeds, w.machines[i].ip)
+			sim.seeds = append(sim.seeds, sim.machines[i].ip)
 		}
 	}
-	for range agentsOfWorld {
-		w.addMachine(false)
+	for range agentCount {
+		sim.addMachine(false)
 	}
 	for range 2 {
-		w.opers = append(w.opers, &operator{world: w, number: len(w.opers)})
+		sim.operators = append(sim.operators, &operator{sim: sim, number: len(sim.operators)})
 	}
-	for _, m := range w.machines {
-		w.boot(m, true)
+	for _, m := range sim.machines {
+		sim.boot(m, true)
 	}
-	return w
+	return sim
 }
 
-func (w *world) addMachine(core bool) *machine {
-	m := &machine{ip: fmt.Sprintf("10.0.%d.%d", len(w.machines)/200, len(w.machines)%200+1), core: core}
-	w.machines = append(w.machines, m)
+func (sim *simulation) addMachine(control bool) *machine {
+	m := &machine{ip: fmt.Sprintf("10.0.%d.%d", len(sim.machines)/200, len(sim.machines)%200+1), control: control}
+	sim.machines = append(sim.machines, m)
 	return m
 }
 
-func (w *world) settingsOf(m *machine, bootstrap bool) *settings.Settings {
+func (sim *simulation) settingsOf(m *machine, bootstrap bool) *settings.Settings {
 	s := &settings.Settings{NodeName: m.ip, IP: m.ip, PortRange: [2]int{7000, 7001}, Bootstrap: bootstrap, DataDir: "simulated"}
-	for _, ip := range w.seeds {
+	for _, ip := range sim.seeds {
 		s.Seeds = append(s.Seeds, net.JoinHostPort(ip, fmt.Sprint(controlPort)))
 	}
 	s.Listen.Control = net.JoinHostPort(m.ip, fmt.Sprint(controlPort))
-	s.Tolerate.Machines = w.tolerate
+	s.Tolerate.Machines = sim.tolerate
 	s.Bounds = settings.Bounds{DrainMS: 3000, GraceS: 8, ConfigMS: 2000, SyncS: 4, QuotaWindowS: 8, QuotaOverage: 0.1, QuotaSlack: 50,
 		HistoryS: coordinationHistory.Seconds()}
-	s.Guarantees = w.guarantees
+	s.Guarantees = sim.guarantees
 	return s
 }
 
 // boot starts a machine's process.
-func (w *world) boot(m *machine, first bool) {
-	life := process{machine: m, born: w.now}
-	if !m.core {
-		m.agent = &agentProcess{process: life, world: w}
-		m.agent.agent = agent.NewAgent(w.settingsOf(m, false), hclog.NewNullLogger(), m.agent)
+func (sim *simulation) boot(m *machine, first bool) {
+	base := process{machine: m, startedAt: sim.now}
+	if !m.control {
+		m.agent = &agentProcess{process: base, sim: sim}
+		m.agent.agent = agent.NewAgent(sim.settingsOf(m, false), hclog.NewNullLogger(), m.agent)
 		m.agent.router = newRouterStub(m.agent)
 		return
 	}
-	s := w.settingsOf(m, first)
-	random := rand.New(rand.NewPCG(w.random.Uint64(), w.random.Uint64()))
+	s := sim.settingsOf(m, first)
+	random := rand.New(rand.NewPCG(sim.random.Uint64(), sim.random.Uint64()))
 	if m.disk.identity.ID == "" {
 		m.disk.identity = newIdentity(s, first, random)
 	}
@@ -244,30 +244,32 @@
 	if state.Entry == nil && len(m.disk.identity.Founders) > 0 {
 		state.Entry = replica.FoundingEntry(m.disk.identity.Founders, nil)
 	}
-	p := &nodeProcess{process: life, world: w}
+	p := &nodeProcess{process: base, sim: sim}
 	m.node = p
 	p.node = NewNode(StartState{Settings: s, Log: hclog.NewNullLogger(), Identity: m.disk.identity, Persistent: state, Tenures: m.disk.tenures,
-		Parts: m.startParts(w), Random: random}, p)
+		Parts: m.startParts(sim), Random: random}, p)
 	p.node.validator = plainParser{}
 	p.handler = newOperatorHandler(p.node)
 }
 
-func (w *world) isCut(from, to string) bool { return w.cut[[2]string{from, to}] > w.now }
+func (sim *simulation) isBlocked(from, to string) bool {
+	return sim.blocked[[2]string{from, to}] > sim.now
+}
 
 // kill ends a machine's process. What it has sent is still delivered, unless the machine loses power too. A write in
 // progress is lost or stored; the vote is stored before the entry.
-func (w *world) kill(m *machine, power bool) {
+func (sim *simulation) kill(m *machine, powerLoss bool) {
 	if p := m.node; p != nil {
 		p.dead = true
 		if s := p.writing; s != nil {
-			w.cutShort(m, s)
+			sim.cutShort(m, s)
 		}
 		if s := p.writingParts; s != nil {
-			w.cutPartsShort(m, s.batch)
+			sim.cutPartsShort(m, s.batch)
 		}
-		w.dropLinks(&p.process, p.links, power)
-		for _, c := range p.parts {
-			if power {
+		sim.dropLinks(&p.process, p.links, powerLoss)
+		for _, c := range p.inbound {
+			if powerLoss {
 				c.queue[0] = nil
 			}
 			c.open[1] = false
@@ -276,56 +278,56 @@
 	}
 	if p := m.agent; p != nil {
 		p.dead = true
-		w.dropLinks(&p.process, p.links, power)
+		sim.dropLinks(&p.process, p.links, powerLoss)
 		m.agent = nil
 	}
-	m.frozen = 0
-	m.downTill = w.now + time.Duration(30+w.random.IntN(900))*time.Millisecond
-	w.counts.restarts++
+	m.frozenUntil = 0
+	m.downUntil = sim.now + time.Duration(30+sim.random.IntN(900))*time.Millisecond
+	sim.counts.restarts++
 }
 
 // cutShort leaves on the disk what an interrupted write has stored.
-func (w *world) cutShort(m *machine, s *replica.Save) {
-	kept := w.random.IntN(3)
-	if kept > 0 {
+func (sim *simulation) cutShort(m *machine, s *replica.Save) {
+	stage := sim.random.IntN(3)
+	if stage > 0 {
 		m.disk.state.Term, m.disk.state.VotedFor = s.State.Term, s.State.VotedFor
 	}
-	if kept > 1 {
+	if stage > 1 {
 		m.disk.state = s.State
 	}
 }
 
-func (w *world) dropLinks(owner *process, links []*link, power bool) {
+func (sim *simulation) dropLinks(owner *process, links []*link, powerLoss bool) {
 	for _, l := range links {
 		if l.conn != nil {
 			l.conn.open[0] = false
 			l.conn.queue[0] = nil
-			if power {
+			if powerLoss {
 				l.conn.queue[1] = nil
 			}
 		}
 	}
-	w.links = slices.DeleteFunc(w.links, func(l *link) bool {
+	sim.links = slices.DeleteFunc(sim.links, func(l *link) bool {
 		return l.owner == owner && (l.conn == nil || len(l.conn.queue[1]) == 0)
 	})
 }
 
-func (w *world) wipe(m *machine) {
-	w.kill(m, true)
-	m.disk = coreDisk{}
-	m.wiped = true
-	w.counts.wipes++
+func (sim *simulation) wipeDisk(m *machine) {
+	sim.kill(m, true)
+	m.disk = controlDisk{}
+	m.awaitingMembership = true
+	sim.counts.wipedDisks++
 }
 
 // step advances the simulation by one step.
-func (w *world) step() {
-	w.now += w.pace.step
-	w.counts.steps++
-	for _, m := range w.machines {
-		w.stepMachine(m)
+func (sim *simulation) step() {
+	sim.now += sim.timing.step
+	sim.counts.steps++
+	for _, m := range sim.machines {
+		sim.stepMachine(m)
 	}
-	kept := w.links[:0]
-	for _, l := range w.links {
+	kept := sim.links[:0]
+	for _, l := range sim.links {
 		if l.conn != nil && !l.conn.open[0] && !l.conn.open[1] {
 			l.conn = nil
 		}
@@ -334,41 +336,41 @@
 		}
 		kept = append(kept, l)
 	}
-	clear(w.links[len(kept):])
-	w.links = kept
-	for _, l := range slices.Clone(w.links) {
+	clear(sim.links[len(kept):])
+	sim.links = kept
+	for _, l := range slices.Clone(sim.links) {
 		if l.conn == nil {
-			w.connect(l)
+			sim.connect(l)
 		} else {
-			w.carry(l.conn)
+			sim.carry(l.conn)
 			if l.conn != nil && !l.conn.open[0] && len(l.conn.queue[1]) == 0 {
 				l.conn.end(1)
 				l.conn = nil
 			}
 		}
 	}
-	for _, o := range w.opers {
+	for _, o := range sim.operators {
 		o.step()
 	}
-	if w.applications != nil {
-		w.applications.step()
+	if sim.applications != nil {
+		sim.applications.step()
 	}
-	w.check()
+	sim.checkInvariants()
 }
 
-func (w *world) stepMachine(m *machine) {
-	if m.gone {
+func (sim *simulation) stepMachine(m *machine) {
+	if m.removed {
 		return
 	}
 	if m.node == nil && m.agent == nil {
-		if w.now >= m.downTill {
-			w.boot(m, false)
+		if sim.now >= m.downUntil {
+			sim.boot(m, false)
 		}
 		return
 	}
-	if w.now < m.frozen {
+	if sim.now < m.frozenUntil {
 		if m.node != nil {
-			m.node.ticked = w.now // process what has arrived meanwhile before the next tick
+			m.node.lastTick = sim.now // process what has arrived meanwhile before the next tick
 		}
 		return
 	}
@@ -376,8 +378,8 @@
 		p.step()
 	}
 	if p := m.agent; p != nil {
-		if w.now >= p.ticked+agentTick {
-			p.ticked = w.now
+		if sim.now >= p.lastTick+agentTick {
+			p.lastTick = sim.now
 			p.agent.Tick()
 		}
 		p.router.step()
@@ -385,12 +387,12 @@
 }
 
 func (p *nodeProcess) step() {
-	w, m := p.world, p.machine
-	if p.leaveBy != 0 && (p.node.CanStop() || w.now >= p.leaveBy) {
-		w.kill(m, false)
+	sim, m := p.sim, p.machine
+	if p.stopBy != 0 && (p.node.CanStop() || sim.now >= p.stopBy) {
+		sim.kill(m, false)
 		return
 	}
-	if p.writing != nil && w.now >= max(p.doneAt, m.stalled) {
+	if p.writing != nil && sim.now >= max(p.writeDoneAt, m.diskStalledUntil) {
 		s := p.writing
 		p.writing = nil
 		m.disk.state = s.State
@@ -398,22 +400,22 @@
 		p.node.Flush()
 	}
 	p.stepParts()
-	if p.reading != 0 && w.now >= p.reading {
-		p.reading = 0
-		p.node.HostsRead(w.hosts(), nil)
+	if p.hostsReadAt != 0 && sim.now >= p.hostsReadAt {
+		p.hostsReadAt = 0
+		p.node.HostsRead(sim.hosts(), nil)
 		p.node.Flush()
 	}
-	if w.now >= p.ticked+nodeTick {
-		p.ticked = w.now
+	if sim.now >= p.lastTick+nodeTick {
+		p.lastTick = sim.now
 		p.node.Tick()
 		p.node.Flush()
 	}
 }
 
 // hosts returns the platform's host list; over time its hosts are replaced.
-func (w *world) hosts() []wire.Host {
+func (sim *simulation) hosts() []wire.Host {
 	var hosts []wire.Host
-	generation := int(w.now / (2 * time.Second))
+	generation := int(sim.now / (2 * time.Second))
 	for i := range listedHosts {
 		id := fmt.Sprintf("h%d-%d", i, (generation+i)/listedHosts)
 		hosts = append(hosts, wire.Host{ID: id, Service: fmt.Sprintf("service-%d", i%2), Address: "10.9.0.1:80"})
