--- a/control/applications_test.go
+++ b/control/applications_test.go
@@ -22,7 +22,9 @@
 func commandOf(method, target, body string) (command wire.Command, ok bool) {
 	mux := http.NewServeMux()
 	for _, call := range applicationCalls {
-		mux.HandleFunc(call.pattern, func(w http.ResponseWriter, r *http.Request) { command, ok = readCommand(w, r, call.kind) })
+		mux.HandleFunc(call.pattern, func(w http.ResponseWriter, r *http.Request) {
+			command, ok = readCommand(w, r, call.kind)
+		})
 	}
 	mux.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(method, target, strings.NewReader(body)))
 	return command, ok
@@ -128,7 +130,8 @@
 
 // pendingNode has a part without a leader whose queue is never processed, so calls stay in flight.
 func pendingNode() *Node {
-	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.GroupConfig{TargetSize: 3}, replica.PersistentState{}, rand.New(rand.NewPCG(1, 2)), 0)}
+	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.GroupConfig{TargetSize: 3},
+		replica.PersistentState{}, rand.New(rand.NewPCG(1, 2)), 0)}
 	return &Node{counters: newNodeCounters(), env: &directEnvironment{}, replica: p.replica, parts: []*part{p}}
 }
 
@@ -168,7 +171,8 @@
 	mux := http.NewServeMux()
 	(&applicationHandler{pendingNode()}).register(mux)
 	body := `{"holder":"a","fence":1,"hold_ms":3000}`
-	request := fmt.Sprintf("POST /v1/Locks.Heartbeat/l HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	request := fmt.Sprintf("POST /v1/Locks.Heartbeat/l HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body),
+		body)
 	assert.Equal(t, readAfterHalfClose(t, mux, request), "")
 }
 
@@ -176,7 +180,8 @@
 	h := newOperatorHandler(pendingNode())
 	never := func(http.ResponseWriter, *http.Request, func(response)) {}
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h.await(w, r, callReplace, never) })
-	assert.Equal(t, readAfterHalfClose(t, handler, "POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"), "")
+	assert.Equal(t, readAfterHalfClose(t, handler,
+		"POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"), "")
 }
 
 // Log entries are stored by all members, so they must not carry fields that the command doesn't use.
--- a/control/feed.go
+++ b/control/feed.go
@@ -68,7 +68,8 @@
 	if len(c.Body) == 0 {
 		return &wire.Message{Config: c}
 	}
-	if n.publishedConfigMessage == nil || n.publishedConfigMessage.Config.At != c.At || n.publishedConfigMessage.Config.Current != c.Current {
+	if n.publishedConfigMessage == nil || n.publishedConfigMessage.Config.At != c.At ||
+		n.publishedConfigMessage.Config.Current != c.Current {
 		n.publishedConfigMessage = (&wire.Message{Config: c}).Prepare()
 	}
 	return n.publishedConfigMessage
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -161,7 +161,8 @@
 	case outcomeConflict:
 		return current, false, !alreadyAccepted && record.base != current.revision
 	default:
-		return current, false, !alreadyAccepted && (!record.valid || record.base == current.revision && record.version.revision <= current.revision)
+		return current, false, !alreadyAccepted && (!record.valid || record.base == current.revision &&
+			record.version.revision <= current.revision)
 	}
 }
 
@@ -173,10 +174,12 @@
 	a, b := versionOf(0, 3, "a"), versionOf(0, 3, "b")
 	after := versionOf(3, 5, "c")
 	replace := func(base int64, v version, sent, done int, o callOutcome) callRecord {
-		return callRecord{kind: replaceKind, base: base, version: v, valid: true, sent: time.Duration(sent), done: time.Duration(done), outcome: o}
+		return callRecord{kind: replaceKind, base: base, version: v, valid: true, sent: time.Duration(sent),
+			done: time.Duration(done), outcome: o}
 	}
 	read := func(v version, sent, done int) callRecord {
-		return callRecord{kind: readKind, sent: time.Duration(sent), done: time.Duration(done), outcome: outcomeAccepted, read: v}
+		return callRecord{kind: readKind, sent: time.Duration(sent), done: time.Duration(done), outcome: outcomeAccepted,
+			read: v}
 	}
 	lost := func(base int64, v version, sent int) callRecord {
 		c := replace(base, v, sent, 0, outcomeUnknown)
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -21,7 +21,8 @@
 	limit := quota.Limit{Rate: 1000, Capacity: 1000, Validity: time.Second}
 	filled := func(n *Node, s *shard, now time.Duration) float64 {
 		for need := limit.Rate; need > 0; need-- { // the amount available half a second later
-			if grant := n.newLimits(s, now).Take("t", limit, quota.Request{Need: need, Want: need}, now+500*time.Millisecond); grant.Amount > 0 && grant.Delay == 0 {
+			if grant := n.newLimits(s, now).Take("t", limit, quota.Request{Need: need, Want: need},
+				now+500*time.Millisecond); grant.Amount > 0 && grant.Delay == 0 {
 				return need
 			}
 		}
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -88,7 +88,8 @@
 		metrics.WriteGaugeUint64(w, gauge.name, gauge.value)
 	}
 	for _, shard := range s.Shards {
-		metrics.WriteGaugeUint64(w, fmt.Sprintf("ivybank_control_shard_owned{shard=\"%d\"}", shard.Number), boolGauge(shard.Owned))
+		metrics.WriteGaugeUint64(w, fmt.Sprintf("ivybank_control_shard_owned{shard=\"%d\"}", shard.Number),
+			boolGauge(shard.Owned))
 	}
 	for _, p := range s.Parts {
 		p.write(w)
@@ -108,7 +109,8 @@
 		{"malformed", s.Dropped.Malformed},
 		{"spoilt_datagram", s.UnreadableDatagrams},
 	} {
-		metrics.WriteCounterUint64(w, fmt.Sprintf("ivybank_control_dropped_total{cause=%q}", dropped.cause), uint64(dropped.count))
+		metrics.WriteCounterUint64(w, fmt.Sprintf("ivybank_control_dropped_total{cause=%q}", dropped.cause),
+			uint64(dropped.count))
 	}
 }
 
--- a/control/metrics_test.go
+++ b/control/metrics_test.go
@@ -31,8 +31,8 @@
 	leaders, owned := 0, 0
 	for _, m := range sim.machines {
 		lines := metricsOf(t, m.node)
-		for _, line := range []string{"ivybank_control_members 3", "ivybank_control_losses_borne 1", "ivybank_control_leader_known 1",
-			`ivybank_control_dropped_total{cause="malformed"} 0`} {
+		for _, line := range []string{"ivybank_control_members 3", "ivybank_control_losses_borne 1",
+			"ivybank_control_leader_known 1", `ivybank_control_dropped_total{cause="malformed"} 0`} {
 			assert.Assert(t, lines[line], "%s is not in %v", line, lines)
 		}
 		if lines["ivybank_control_leading 1"] {
@@ -63,7 +63,8 @@
 // Requests to unknown paths, answered 404, calls answered 503 and calls without an answer were once not counted at all.
 func TestUnservedCallsAreCounted(t *testing.T) {
 	n := &Node{counters: newNodeCounters(), env: stillEnvironment{}}
-	n.countUnknownCalls(http.NewServeMux()).ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/v1/Locks.Begin/l", nil))
+	n.countUnknownCalls(http.NewServeMux()).ServeHTTP(httptest.NewRecorder(),
+		httptest.NewRequest("POST", "/v1/Locks.Begin/l", nil))
 	answers := 0
 	n.submitCall(wire.Command{Kind: wire.NextNumber, Name: "n"}, 0, func(a wire.Answer) {
 		answers++
@@ -77,7 +78,8 @@
 	assert.Equal(t, answers, 2)
 	var text bytes.Buffer
 	n.counters.set.WritePrometheus(&text)
-	for _, line := range []string{"ivybank_control_unknown_calls_total 1", `ivybank_control_part_refused_total{reason="no_leader"} 1`,
+	for _, line := range []string{"ivybank_control_unknown_calls_total 1",
+		`ivybank_control_part_refused_total{reason="no_leader"} 1`,
 		`ivybank_control_part_unanswered_total{reason="late"} 1`} {
 		assert.Assert(t, strings.Contains(text.String(), line+"\n"), "%s is not in %s", line, text.String())
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -133,8 +133,10 @@
 // NewNode creates a node from the stored state.
 func NewNode(from StartState, env Environment) *Node {
 	s := from.Settings
-	n := &Node{settings: s, log: from.Log, env: env, incarnation: from.Random.Uint64() | 1, links: map[string]wire.LinkHandle{},
-		inboundPeers: map[string]int{}, forwarded: map[uint64]*forwardedCall{}, counters: newNodeCounters(), validator: &validate.Validator{}}
+	n := &Node{settings: s, log: from.Log, env: env, incarnation: from.Random.Uint64() | 1,
+		links:        map[string]wire.LinkHandle{},
+		inboundPeers: map[string]int{}, forwarded: map[uint64]*forwardedCall{}, counters: newNodeCounters(),
+		validator: &validate.Validator{}}
 	self := wire.Member{ID: from.Identity.ID, IP: s.IP}
 	group := replica.GroupConfig{TargetSize: 2*s.Tolerate.Machines + 1, MemberTimeout: memberTimeout(s)}
 	n.replica = replica.New(self, group, from.Persistent, from.Random, n.now())
--- a/control/operator.go
+++ b/control/operator.go
@@ -44,13 +44,16 @@
 
 func (h *operatorHandler) serve(listener net.Listener) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathReplace, func(w http.ResponseWriter, r *http.Request) { h.await(w, r, callReplace, h.replace) })
+	mux.HandleFunc("POST "+pathReplace, func(w http.ResponseWriter, r *http.Request) {
+		h.await(w, r, callReplace, h.replace)
+	})
 	mux.HandleFunc("GET "+pathGet, func(w http.ResponseWriter, r *http.Request) { h.await(w, r, callGet, h.get) })
 	mux.HandleFunc("GET "+pathStatus, h.node.handleStatus)
 	if len(h.node.parts) > 0 {
 		(&applicationHandler{h.node}).register(mux)
 	}
-	server := &http.Server{Handler: h.node.countUnknownCalls(mux), ReadHeaderTimeout: operatorHeaderTimeout, IdleTimeout: operatorIdleTimeout, ReadTimeout: operatorReadTimeout}
+	server := &http.Server{Handler: h.node.countUnknownCalls(mux), ReadHeaderTimeout: operatorHeaderTimeout,
+		IdleTimeout: operatorIdleTimeout, ReadTimeout: operatorReadTimeout}
 	_ = server.Serve(listener) // runs until the process ends
 }
 
--- a/control/parts.go
+++ b/control/parts.go
@@ -81,7 +81,8 @@
 		group := replica.GroupConfig{TargetSize: 2*n.settings.Tolerate.Machines + 1, MemberTimeout: memberTimeout(n.settings),
 			Name: "part-" + strconv.Itoa(i)}
 		p := &part{number: i, machine: start.Machine}
-		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Persistent, start.Machine, from.Random, n.now())
+		p.replica = replica.NewWithStateMachine(n.replica.Self(), group, start.Persistent, start.Machine, from.Random,
+			n.now())
 		n.parts = append(n.parts, p)
 		n.replicas = append(n.replicas, p.replica)
 	}
--- a/control/process.go
+++ b/control/process.go
@@ -64,8 +64,8 @@
 	if err != nil {
 		return nil, err
 	}
-	startState := StartState{Settings: s, Log: log, Identity: disk.identity, Persistent: disk.replica, Tenures: disk.tenures,
-		Parts: partStarts(disk.parts, machines), Random: random}
+	startState := StartState{Settings: s, Log: log, Identity: disk.identity, Persistent: disk.replica,
+		Tenures: disk.tenures, Parts: partStarts(disk.parts, machines), Random: random}
 	return &Process{settings: s, log: log, start: time.Now(), events: make(chan func(), eventQueueSize), folder: folder,
 		writes: make(chan func(), writeQueueSize), reader: hostlist.NewReader(s.Cloud.Address),
 		startState: startState}, nil
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -52,12 +52,14 @@
 }
 
 func (r restartOfAll) String() string {
-	return fmt.Sprintf("%v: seed %d, %d members, sync %v, started within %v, regions %v%s", r.duration, r.seed, r.members, r.sync, r.span, r.regions, r.roles)
+	return fmt.Sprintf("%v: seed %d, %d members, sync %v, started within %v, regions %v%s", r.duration, r.seed,
+		r.members, r.sync, r.span, r.regions, r.roles)
 }
 
 // newRestartSimulation creates a simulation of control processes only, whose latencies depend on the seed.
 func newRestartSimulation(t *testing.T, seed uint64, guarantees ...string) (*simulation, restartOfAll) {
-	kind := restartOfAll{seed: seed, members: 3 + 2*int(seed%2), sync: restartSyncs[seed/2%3], span: restartSpans[seed/6%3], regions: seed/18%2 == 1}
+	kind := restartOfAll{seed: seed, members: 3 + 2*int(seed%2), sync: restartSyncs[seed/2%3],
+		span: restartSpans[seed/6%3], regions: seed/18%2 == 1}
 	links := restartLinks[seed%3]
 	sim := newSimulation(t, seed, kind.members/2, guarantees...)
 	sim.machines, sim.operators = sim.machines[:kind.members], nil
@@ -89,7 +91,9 @@
 
 // hasLeader reports whether some process may act as the leader.
 func (sim *simulation) hasLeader() bool {
-	return slices.ContainsFunc(sim.machines, func(m *machine) bool { return m.node != nil && m.node.node.replica.Leading(m.node.Now()) })
+	return slices.ContainsFunc(sim.machines, func(m *machine) bool {
+		return m.node != nil && m.node.node.replica.Leading(m.node.Now())
+	})
 }
 
 // restartAll cuts the power of all machines, starts them again within kind.span, and returns how long after the last
--- a/control/scenarios_test.go
+++ b/control/scenarios_test.go
@@ -76,7 +76,8 @@
 		},
 	}
 	for role, pick := range roles {
-		for direction, way := range map[string][2]bool{"both ways": {true, true}, "receives nothing": {true, false}, "sends nothing": {false, true}} {
+		for direction, way := range map[string][2]bool{"both ways": {true, true}, "receives nothing": {true, false},
+			"sends nothing": {false, true}} {
 			for _, replaced := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s %s, replaced %v", role, direction, replaced), func(t *testing.T) {
 					t.Parallel()
@@ -115,7 +116,8 @@
 			assert.Assert(t, notDecided(resp), "a read was answered %d", resp.status)
 		}
 		if newAgent.agent != nil {
-			assert.Equal(t, newAgent.agent.router.revision, int64(0), "the agent applied a configuration from a partitioned machine")
+			assert.Equal(t, newAgent.agent.router.revision, int64(0),
+				"the agent applied a configuration from a partitioned machine")
 		}
 		sim.runUntil(sim.now + 300*time.Millisecond)
 	}
@@ -336,7 +338,8 @@
 // The largest configuration in the largest state must fit in a frame; otherwise neither it nor any later entry would
 // ever be replicated.
 func TestLargestConfigurationFitsInAFrame(t *testing.T) {
-	state := &store.State{Revision: 1 << 60, Body: make([]byte, maxConfigBytes), AcceptedUpdates: make([]store.Digest, 4096)}
+	state := &store.State{Revision: 1 << 60, Body: make([]byte, maxConfigBytes),
+		AcceptedUpdates: make([]store.Digest, 4096)}
 	value, err := state.Encode()
 	assert.NilError(t, err)
 	members := make([]wire.Member, 16)
@@ -389,7 +392,8 @@
 func TestProcessOfAnotherFleetIsRejected(t *testing.T) {
 	sim := newSettledSimulation(t, 4, 1)
 	node := sim.leaderMachine().node.node
-	stranger := wire.Hello{Role: wire.RoleControl, Node: "10.7.0.1/founder", IP: "10.7.0.1", Fleet: node.replica.Fleet() + 2}
+	stranger := wire.Hello{Role: wire.RoleControl, Node: "10.7.0.1/founder", IP: "10.7.0.1",
+		Fleet: node.replica.Fleet() + 2}
 	assert.Assert(t, node.FromOtherFleet(stranger))
 	assert.Equal(t, node.dropped.OtherFleet, int64(1))
 	stranger.Fleet = 0 // a process with an empty disk knows of no fleet
--- a/control/shards.go
+++ b/control/shards.go
@@ -57,13 +57,16 @@
 }
 
 func newShard(number uint32, self string, incarnation uint64, now time.Duration) *shard {
-	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, incarnation, now), lostAt: -quota.MaxDelay}
+	return &shard{number: number, holder: lease.NewHolder("shard-"+string(rune('0'+number)), self, incarnation, now),
+		lostAt: -quota.MaxDelay}
 }
 
 // rank returns this node's position in the shard's order of candidates.
 func (s *shard) rank(members []wire.Member, self string) int {
 	weight := func(id string) uint64 { return xxhash.Sum64String(string(rune('0'+s.number)) + id) }
-	order := slices.SortedFunc(slices.Values(members), func(a, b wire.Member) int { return cmp.Compare(weight(a.ID), weight(b.ID)) })
+	order := slices.SortedFunc(slices.Values(members), func(a, b wire.Member) int {
+		return cmp.Compare(weight(a.ID), weight(b.ID))
+	})
 	return slices.IndexFunc(order, func(m wire.Member) bool { return m.ID == self })
 }
 
@@ -243,7 +246,8 @@
 		return
 	}
 	grant := s.limits.Take(name, limit, quota.Request{Need: q.Need, Want: q.Want}, now)
-	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number, Incarnation: q.Incarnation, ReplyTo: q.ReplyTo,
+	from.conn.Send(&wire.Message{QuotaGrant: &wire.QuotaGrant{Router: q.Router, Number: q.Number,
+		Incarnation: q.Incarnation, ReplyTo: q.ReplyTo,
 		Granted: grant.Amount, Spare: grant.Spare, ValidMS: grant.Valid.Milliseconds(),
 		DelayMS: wire.CeilMS(grant.Delay), RetryAfterMS: grant.RetryAfter.Milliseconds()}})
 }
--- a/control/simulation_applications_test.go
+++ b/control/simulation_applications_test.go
@@ -72,7 +72,8 @@
 
 // applicationCounts counts what the applications have done.
 type applicationCounts struct {
-	tasks, attempts, undecided, notServed, timedOut, disconnected, lateCalls, lateSuccesses, grants, renewals, lostLocks, refusedLocks, lateGrants, finishes, numbers, puts,
+	tasks, attempts, undecided, notServed, timedOut, disconnected, lateCalls, lateSuccesses, grants, renewals, lostLocks,
+	refusedLocks, lateGrants, finishes, numbers, puts,
 	mismatches, reads, watches, events, resumed, begunAgain, killedAfterAck, doubleWipes, refusedPuts int
 }
 
@@ -150,7 +151,8 @@
 func (a *applications) anyAddress() *machine {
 	sim := a.sim
 	for {
-		if m := sim.machines[sim.random.IntN(len(sim.machines))]; m.control && (!m.removed || sim.now <= m.removedAt+listLag) {
+		if m := sim.machines[sim.random.IntN(len(sim.machines))]; m.control &&
+			(!m.removed || sim.now <= m.removedAt+listLag) {
 			return m
 		}
 	}
--- a/control/simulation_checks_test.go
+++ b/control/simulation_checks_test.go
@@ -23,10 +23,12 @@
 
 func (sim *simulation) describe(m *machine) string {
 	if m.node == nil || m.node.node == nil {
-		return fmt.Sprintf("%s down until %v, gone %v, disk %s %v", m.ip, m.downUntil, m.removed, m.disk.identity.ID, m.disk.state.Entry.Position())
+		return fmt.Sprintf("%s down until %v, gone %v, disk %s %v", m.ip, m.downUntil, m.removed, m.disk.identity.ID,
+			m.disk.state.Entry.Position())
 	}
 	r := m.node.node.replica
-	return fmt.Sprintf("%s %v term %d entry %v committed %v members %v frozen %v stalled %v%s", r.Self().ID, r.Role(), r.Term(), r.Newest().Position(),
+	return fmt.Sprintf("%s %v term %d entry %v committed %v members %v frozen %v stalled %v%s", r.Self().ID, r.Role(),
+		r.Term(), r.Newest().Position(),
 		r.Committed().Position(), r.Members(), m.frozenUntil, m.diskStalledUntil, describeParts(m.node.node))
 }
 
@@ -86,7 +88,9 @@
 // those of changes in progress, and those that a leader may change to with a learner that is ready.
 func (sim *simulation) toleratesLossOf(lost *machine) bool {
 	kept := func(id string) bool {
-		return slices.ContainsFunc(sim.machines, func(m *machine) bool { return m != lost && !m.removed && m.disk.identity.ID == id })
+		return slices.ContainsFunc(sim.machines, func(m *machine) bool {
+			return m != lost && !m.removed && m.disk.identity.ID == id
+		})
 	}
 	tolerated := replica.HasQuorum(sim.members, kept)
 	for _, e := range sim.entriesInProgress() {
--- a/control/simulation_coordination_faults_test.go
+++ b/control/simulation_coordination_faults_test.go
@@ -19,7 +19,8 @@
 		sim.faultTarget().diskStalledUntil = sim.now + 2*time.Second + sim.randomSpan(5*time.Second)
 	case 4: // a leader that can only receive or only send
 		in := sim.random.IntN(2) == 0
-		sim.isolate(sim.partLeader(sim.random.IntN(coordinationParts)), time.Second+sim.randomSpan(3*time.Second), in, !in, false)
+		sim.isolate(sim.partLeader(sim.random.IntN(coordinationParts)), time.Second+sim.randomSpan(3*time.Second), in, !in,
+			false)
 	case 5: // a planned stop
 		sim.stopGracefully(sim.partLeader(sim.random.IntN(coordinationParts)))
 	case 6: // frames from or to a leader are delayed by seconds
@@ -34,7 +35,8 @@
 	a := sim.applications
 	all := sim.random.IntN(3) == 0
 	a.onReply = func(att *attempt) {
-		if att.reply.Outcome != wire.Done || att.task.command.Kind == wire.WatchGroup || att.task.command.Kind == wire.GetKey {
+		if att.reply.Outcome != wire.Done || att.task.command.Kind == wire.WatchGroup ||
+			att.task.command.Kind == wire.GetKey {
 			return
 		}
 		a.onReply = func(*attempt) {}
--- a/control/simulation_coordination_test.go
+++ b/control/simulation_coordination_test.go
@@ -173,7 +173,8 @@
 		played.leaderChanges += r.leaderChanges
 		played.answered = max(played.answered, r.answered)
 	}
-	t.Logf("ran %+v; %d leader changes; all calls answered within %v of the last fault", played.simulation, played.leaderChanges, played.answered)
+	t.Logf("ran %+v; %d leader changes; all calls answered within %v of the last fault", played.simulation,
+		played.leaderChanges, played.answered)
 	t.Logf("calls %v", &played.calls)
 	played.assertCoverage(t)
 }
--- a/control/simulation_environment_test.go
+++ b/control/simulation_environment_test.go
@@ -26,14 +26,15 @@
 func (p *nodeProcess) SaveTenures(t lease.LongTenures) {
 	sim, m := p.sim, p.machine
 	long := slices.Clone(t.Resources)
-	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + time.Duration(1+sim.random.IntN(30))*time.Millisecond, func() {
-		if m.node != p {
-			return
-		}
-		m.disk.tenures = long
-		p.node.TenuresSaved(t, nil)
-		p.node.Flush()
-	}, true})
+	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + time.Duration(1+sim.random.IntN(30))*time.Millisecond,
+		func() {
+			if m.node != p {
+				return
+			}
+			m.disk.tenures = long
+			p.node.TenuresSaved(t, nil)
+			p.node.Flush()
+		}, true})
 }
 
 func (p *nodeProcess) OpenLink(ip string, hello wire.Hello, events wire.LinkEvents) wire.LinkHandle {
--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -216,7 +216,9 @@
 		return
 	}
 	sim.remove(m)
-	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + sim.randomSpan(2*time.Second), func() { sim.addReplacement(m) }, true})
+	sim.scheduled = append(sim.scheduled, scheduledEvent{sim.now + sim.randomSpan(2*time.Second), func() {
+		sim.addReplacement(m)
+	}, true})
 }
 
 func (sim *simulation) remove(m *machine) {
@@ -353,8 +355,8 @@
 	text := ""
 	for _, c := range sim.operatorCalls {
 		if c.outcome != outcomeNoEffect {
-			text += fmt.Sprintf("%v-%v kind %d base %d order %d/%x outcome %d read %d/%x\n", c.sent, c.done, c.kind, c.base, c.version.revision,
-				c.version.digest[:2], c.outcome, c.read.revision, c.read.digest[:2])
+			text += fmt.Sprintf("%v-%v kind %d base %d order %d/%x outcome %d read %d/%x\n", c.sent, c.done, c.kind, c.base,
+				c.version.revision, c.version.digest[:2], c.outcome, c.read.revision, c.read.digest[:2])
 		}
 	}
 	return text
@@ -419,8 +421,10 @@
 	if n < 50 {
 		return
 	}
-	if played.wipedDisks < n/2 || played.rejoined < n/4 || played.leaderChanges < 2*n || played.acked < 10*n || played.reads < 10*n ||
-		played.refused < n || played.unknown < n/4 || played.firstConfigs < 3*n || played.grants < 20*n || played.replaced < n/8 {
+	if played.wipedDisks < n/2 || played.rejoined < n/4 || played.leaderChanges < 2*n || played.acked < 10*n ||
+		played.reads < 10*n ||
+		played.refused < n || played.unknown < n/4 || played.firstConfigs < 3*n || played.grants < 20*n ||
+		played.replaced < n/8 {
 		t.Errorf("the simulation exercised too little: %+v", played)
 	}
 }
--- a/control/simulation_group_rules_test.go
+++ b/control/simulation_group_rules_test.go
@@ -44,8 +44,8 @@
 }
 
 func newGroupRules(sim *simulation, name string) *groupRules {
-	return &groupRules{sim: sim, name: name, puts: map[string]*putSent{}, shown: map[uint64]putShown{}, covered: map[uint64]bool{},
-		acked: map[string]uint64{}}
+	return &groupRules{sim: sim, name: name, puts: map[string]*putSent{}, shown: map[uint64]putShown{},
+		covered: map[uint64]bool{}, acked: map[string]uint64{}}
 }
 
 func (g *groupRules) sendingPut(c *wire.Command, now time.Duration) {
@@ -77,7 +77,8 @@
 	case p.refusedBecause != "":
 		sim.fail("REFUSED: %s=%s was %s, and is visible at revision %d", key, value, p.refusedBecause, revision)
 	case revision <= p.newestBefore:
-		sim.fail("ORDER: %s=%s got revision %d; %d had been answered before it was sent", key, value, revision, p.newestBefore)
+		sim.fail("ORDER: %s=%s got revision %d; %d had been answered before it was sent", key, value, revision,
+			p.newestBefore)
 	case !had && g.covered[revision] && !byWatch:
 		sim.fail("ORDER: a watch skipped revision %d: %s=%s", revision, key, value)
 	}
@@ -180,7 +181,8 @@
 			continue
 		}
 		if p := g.puts[shown.value]; p.ifRevision != nil && *p.ifRevision != newest[shown.key] {
-			g.sim.fail("ORDER: %s=%s has revision %d after %d; its condition was %d", shown.key, shown.value, revision, newest[shown.key], *p.ifRevision)
+			g.sim.fail("ORDER: %s=%s has revision %d after %d; its condition was %d", shown.key, shown.value, revision,
+				newest[shown.key], *p.ifRevision)
 		}
 		newest[shown.key] = revision
 	}
--- a/control/simulation_keys_test.go
+++ b/control/simulation_keys_test.go
@@ -175,7 +175,8 @@
 		}
 	}
 	wait := int64(100 + sim.random.IntN(1900))
-	return a.newTask(wire.Command{Kind: wire.WatchGroup, Name: w.group, After: w.from.revision, WaitMS: wait}, watchRetryTime)
+	return a.newTask(wire.Command{Kind: wire.WatchGroup, Name: w.group, After: w.from.revision, WaitMS: wait},
+		watchRetryTime)
 }
 
 func (w *watcher) handle(a *applications, t *task) {
@@ -185,7 +186,8 @@
 	}
 	if t.answer.Outcome == wire.Compacted {
 		if sim.now-w.from.receivedAt < coordinationHistory {
-			sim.fail("LOST: a watch of %s can't continue after revision %d, which was answered at %v", w.group, w.from.revision, w.from.receivedAt)
+			sim.fail("LOST: a watch of %s can't continue after revision %d, which was answered at %v", w.group,
+				w.from.revision, w.from.receivedAt)
 		}
 		w.known = nil
 		return
@@ -195,5 +197,7 @@
 	if t.answer.Revision > 0 {
 		w.known = append(w.known, watchedRevision{t.answer.Revision, sim.now})
 	}
-	w.known = slices.DeleteFunc(w.known, func(s watchedRevision) bool { return sim.now-s.receivedAt > coordinationHistory })
+	w.known = slices.DeleteFunc(w.known, func(s watchedRevision) bool {
+		return sim.now-s.receivedAt > coordinationHistory
+	})
 }
--- a/control/simulation_network_test.go
+++ b/control/simulation_network_test.go
@@ -128,7 +128,8 @@
 	if m == nil || m.node == nil || !m.running(sim.now) || sim.isBlocked(from, l.to) || sim.isBlocked(l.to, from) {
 		return
 	}
-	c := &connection{sim: sim, link: l, server: m.node, open: [2]bool{true, true}, lastHeard: [2]time.Duration{sim.now, sim.now}}
+	c := &connection{sim: sim, link: l, server: m.node, open: [2]bool{true, true},
+		lastHeard: [2]time.Duration{sim.now, sim.now}}
 	l.conn = c
 	m.node.inbound = append(m.node.inbound, c)
 	if l.hello.Role == wire.RoleControl {
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -285,7 +285,8 @@
 	sim.recordBody(c.Revision, string(resp.body))
 	found := false
 	for _, sent := range sim.operatorCalls {
-		if sent.kind == replaceKind && sent.version.revision == c.Revision && store.DigestOf(sent.base, resp.body) == sent.version.digest {
+		if sent.kind == replaceKind && sent.version.revision == c.Revision &&
+			store.DigestOf(sent.base, resp.body) == sent.version.digest {
 			record.read, found = sent.version, true
 			break
 		}
@@ -324,7 +325,8 @@
 }
 
 func newRouterStub(p *agentProcess) *routerStub {
-	r := &routerStub{agent: p, requested: map[uint64]time.Duration{}, ackedAt: p.sim.ackedRevision, incarnation: p.sim.random.Uint64()}
+	r := &routerStub{agent: p, requested: map[uint64]time.Duration{}, ackedAt: p.sim.ackedRevision,
+		incarnation: p.sim.random.Uint64()}
 	p.agent.OnRouterMessage(r, &wire.Message{Subscribe: &wire.Subscribe{}})
 	return r
 }
@@ -332,8 +334,8 @@
 // restart replaces the router by a new one beside the same agent.
 func (r *routerStub) restart() {
 	r.agent.agent.RouterDisconnected(r)
-	next := &routerStub{agent: r.agent, requested: map[uint64]time.Duration{}, incarnation: r.agent.sim.random.Uint64(), revision: r.revision,
-		hosts: r.hosts, ackedAt: r.ackedAt}
+	next := &routerStub{agent: r.agent, requested: map[uint64]time.Duration{}, incarnation: r.agent.sim.random.Uint64(),
+		revision: r.revision, hosts: r.hosts, ackedAt: r.ackedAt}
 	r.agent.router = next
 	r.agent.agent.OnRouterMessage(next, &wire.Message{Subscribe: &wire.Subscribe{}})
 }
@@ -347,8 +349,8 @@
 	r.nextRequestAt = sim.now + time.Duration(20+sim.random.IntN(120))*time.Millisecond
 	r.number++
 	r.requested[r.number] = sim.now
-	ask := &wire.QuotaRequest{Router: r.agent.machine.ip, Shard: hostlist.ShardOf("t"), Number: r.number, Tenant: "t", Need: 5, Want: 20, Incarnation: r.incarnation,
-		Relay: sim.random.IntN(4) == 0}
+	ask := &wire.QuotaRequest{Router: r.agent.machine.ip, Shard: hostlist.ShardOf("t"), Number: r.number, Tenant: "t",
+		Need: 5, Want: 20, Incarnation: r.incarnation, Relay: sim.random.IntN(4) == 0}
 	r.agent.agent.OnRouterMessage(r, &wire.Message{QuotaRequest: ask})
 }
 
@@ -382,7 +384,8 @@
 	if r.revision == 0 {
 		sim.counts.firstConfigs++
 		if c.Revision < r.ackedAt {
-			sim.fail("%s received %d as its first revision; %d had been acknowledged when it started", r.agent.machine.ip, c.Revision, r.ackedAt)
+			sim.fail("%s received %d as its first revision; %d had been acknowledged when it started", r.agent.machine.ip,
+				c.Revision, r.ackedAt)
 		}
 	}
 	r.revision = c.Revision
--- a/control/simulation_part_groups_test.go
+++ b/control/simulation_part_groups_test.go
@@ -172,8 +172,8 @@
 func describeParts(n *Node) (all string) {
 	for _, p := range n.parts {
 		r := p.replica
-		all += fmt.Sprintf("\n    part %d %v/%d entry %v committed %v members %s", p.number, r.Role(), r.Term(), r.Newest().Position(),
-			r.Committed().Position(), describeMembers(r.Members()))
+		all += fmt.Sprintf("\n    part %d %v/%d entry %v committed %v members %s", p.number, r.Role(), r.Term(),
+			r.Newest().Position(), r.Committed().Position(), describeMembers(r.Members()))
 	}
 	return all
 }
--- a/control/simulation_races_test.go
+++ b/control/simulation_races_test.go
@@ -86,7 +86,8 @@
 }
 
 func heartbeatCommand(holder string, fence uint64, hold time.Duration) wire.Command {
-	return wire.Command{Kind: wire.HeartbeatLock, Name: crossingLock, Holder: holder, Fence: fence, HoldMS: hold.Milliseconds()}
+	return wire.Command{Kind: wire.HeartbeatLock, Name: crossingLock, Holder: holder, Fence: fence,
+		HoldMS: hold.Milliseconds()}
 }
 
 func finishCommand(holder string, fence uint64) wire.Command {
@@ -312,7 +313,8 @@
 		}
 		sim.runUntil(sim.now + 3*time.Second)
 		if *proposed != nil {
-			assert.Assert(t, (*proposed).Outcome == wire.OutcomeUnknown || (*proposed).Outcome == wire.Done, "seed %d: %v", seed, (*proposed).Outcome)
+			assert.Assert(t, (*proposed).Outcome == wire.OutcomeUnknown || (*proposed).Outcome == wire.Done, "seed %d: %v",
+				seed, (*proposed).Outcome)
 		}
 		sim.runUntil(sim.now + 4*time.Second)
 		value := sim.do(getCommand()).Value
@@ -361,7 +363,8 @@
 		sim.wipeDisk(sim.machines[(seed+2)%5])
 		sim.runUntil(sim.now + time.Second)
 		watch := wire.Command{Kind: wire.WatchGroup, Name: crossingGroup, After: first.Revision}
-		assert.DeepEqual(t, sim.do(watch).Events, []wire.Change{{Key: crossingKey, Value: "second", Revision: second.Revision}})
+		assert.DeepEqual(t, sim.do(watch).Events,
+			[]wire.Change{{Key: crossingKey, Value: "second", Revision: second.Revision}})
 		assert.DeepEqual(t, sim.do(putCommand("first")), wire.Answer{Outcome: wire.Done, Revision: first.Revision})
 		assert.Equal(t, sim.do(getCommand()).Value, "second")
 	}
--- a/control/simulation_rules_test.go
+++ b/control/simulation_rules_test.go
@@ -20,7 +20,8 @@
 }
 
 func newRules(sim *simulation) *rules {
-	return &rules{sim: sim, locks: map[string]*lockRules{}, numbers: map[string]*numberRules{}, groups: map[string]*groupRules{}}
+	return &rules{sim: sim, locks: map[string]*lockRules{}, numbers: map[string]*numberRules{},
+		groups: map[string]*groupRules{}}
 }
 
 // newOperation returns an operation of a history, from a call's sending to its answer.
@@ -145,7 +146,8 @@
 	}
 	sim, c, fence := l.sim, &t.command, t.answer.Fence
 	if fence <= before.others || fence < before.own {
-		sim.fail("ONE: %s got lock %s with fence %d, after its own %d and another holder's %d", c.Holder, l.name, fence, before.own, before.others)
+		sim.fail("ONE: %s got lock %s with fence %d, after its own %d and another holder's %d", c.Holder, l.name, fence,
+			before.own, before.others)
 	}
 	if other, had := l.fences[fence]; had && other != c.Holder {
 		sim.fail("ONE: %s and %s both got lock %s with fence %d", other, c.Holder, l.name, fence)
@@ -155,7 +157,8 @@
 	h := l.holdOf(c.Holder)
 	h.newest = max(h.newest, fence)
 	until := t.sent + time.Duration(c.HoldMS)*time.Millisecond
-	l.history = append(l.history, newOperation(lockCall{kind: c.Kind, holder: c.Holder, fence: fence, heldUntil: until, done: t.answered}, t.sent, t.answered))
+	l.history = append(l.history, newOperation(lockCall{kind: c.Kind, holder: c.Holder, fence: fence, heldUntil: until,
+		done: t.answered}, t.sent, t.answered))
 	if sim.now < until {
 		l.countHolder(c.Holder, until)
 	}
@@ -178,7 +181,8 @@
 		return
 	}
 	until := t.sent + time.Duration(c.HoldMS)*time.Millisecond
-	l.history = append(l.history, newOperation(lockCall{kind: c.Kind, holder: c.Holder, fence: c.Fence, heldUntil: until, done: t.answered}, t.sent, t.answered))
+	l.history = append(l.history, newOperation(lockCall{kind: c.Kind, holder: c.Holder, fence: c.Fence, heldUntil: until,
+		done: t.answered}, t.sent, t.answered))
 	if l.sim.now < l.holdOf(c.Holder).heldUntil {
 		l.countHolder(c.Holder, until)
 	}
@@ -216,7 +220,8 @@
 func (n *numberRules) given(t *task, before uint64) {
 	number := t.answer.Number
 	if t.answer.Outcome != wire.Done || n.all[number] || number <= before {
-		n.sim.fail("ORDER: %s returned %+v; %d had been returned before; duplicate: %v", n.name, t.answer, before, n.all[number])
+		n.sim.fail("ORDER: %s returned %+v; %d had been returned before; duplicate: %v", n.name, t.answer, before,
+			n.all[number])
 	}
 	n.all[number] = true
 	n.newest = max(n.newest, number)
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -161,7 +161,8 @@
 
 // simulationCounts counts what a run has exercised.
 type simulationCounts struct {
-	steps, schedules, wipedDisks, rejoined, replaced, restarts, leaderChanges, acked, refused, unknown, reads, redirected, grants, staleGrants, firstConfigs, datagrams, relayed int
+	steps, schedules, wipedDisks, rejoined, replaced, restarts, leaderChanges, acked, refused, unknown, reads,
+	redirected, grants, staleGrants, firstConfigs, datagrams, relayed int
 }
 
 func (c *simulationCounts) add(o simulationCounts) {
@@ -185,8 +186,10 @@
 }
 
 func newSimulation(t *testing.T, seed uint64, tolerate int, guarantees ...string) *simulation {
-	sim := &simulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), tolerate: tolerate, guarantees: guarantees,
-		blocked: map[[2]string]time.Duration{}, slowLinks: map[[2]string]time.Duration{}, delayedLinks: map[[2]string]time.Duration{}, bodies: map[int64]string{}, trace: func(string, ...any) {}}
+	sim := &simulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 7)), tolerate: tolerate,
+		guarantees: guarantees,
+		blocked:    map[[2]string]time.Duration{}, slowLinks: map[[2]string]time.Duration{},
+		delayedLinks: map[[2]string]time.Duration{}, bodies: map[int64]string{}, trace: func(string, ...any) {}}
 	sim.timing = sim.randomTiming()
 	size := 2*tolerate + 1
 	for i := range size {
@@ -214,14 +217,15 @@
 }
 
 func (sim *simulation) settingsOf(m *machine, bootstrap bool) *settings.Settings {
-	s := &settings.Settings{NodeName: m.ip, IP: m.ip, PortRange: [2]int{7000, 7001}, Bootstrap: bootstrap, DataDir: "simulated"}
+	s := &settings.Settings{NodeName: m.ip, IP: m.ip, PortRange: [2]int{7000, 7001}, Bootstrap: bootstrap,
+		DataDir: "simulated"}
 	for _, ip := range sim.seeds {
 		s.Seeds = append(s.Seeds, net.JoinHostPort(ip, fmt.Sprint(controlPort)))
 	}
 	s.Listen.Control = net.JoinHostPort(m.ip, fmt.Sprint(controlPort))
 	s.Tolerate.Machines = sim.tolerate
-	s.Bounds = settings.Bounds{DrainMS: 3000, GraceS: 8, ConfigMS: 2000, SyncS: 4, QuotaWindowS: 8, QuotaOverage: 0.1, QuotaSlack: 50,
-		HistoryS: coordinationHistory.Seconds()}
+	s.Bounds = settings.Bounds{DrainMS: 3000, GraceS: 8, ConfigMS: 2000, SyncS: 4, QuotaWindowS: 8, QuotaOverage: 0.1,
+		QuotaSlack: 50, HistoryS: coordinationHistory.Seconds()}
 	s.Guarantees = sim.guarantees
 	return s
 }
@@ -246,8 +250,8 @@
 	}
 	p := &nodeProcess{process: base, sim: sim}
 	m.node = p
-	p.node = NewNode(StartState{Settings: s, Log: hclog.NewNullLogger(), Identity: m.disk.identity, Persistent: state, Tenures: m.disk.tenures,
-		Parts: m.startParts(sim), Random: random}, p)
+	p.node = NewNode(StartState{Settings: s, Log: hclog.NewNullLogger(), Identity: m.disk.identity, Persistent: state,
+		Tenures: m.disk.tenures, Parts: m.startParts(sim), Random: random}, p)
 	p.node.validator = plainParser{}
 	p.handler = newOperatorHandler(p.node)
 }
--- a/control/slow_hosts_test.go
+++ b/control/slow_hosts_test.go
@@ -10,7 +10,8 @@
 	"ivybank/wire"
 )
 
-// reportEventIntervals has a machine's router report for a while how fast six hosts stream, the last one slower by a factor.
+// reportEventIntervals has a machine's router report for a while how fast six hosts stream, the last one slower by a
+// factor.
 func reportEventIntervals(sim *simulation, m *machine, slowness int64, span time.Duration) {
 	for end := sim.now + span; sim.now < end; {
 		report := &wire.EventIntervals{Shard: 0, Service: "service-0"}
@@ -58,7 +59,8 @@
 		}
 		n := m.node.node
 		n.onEventIntervals(&wire.EventIntervals{Shard: 99})
-		n.onEventIntervals(&wire.EventIntervals{Shard: 0, Service: "service-0", Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 1}}})
+		n.onEventIntervals(&wire.EventIntervals{Shard: 0, Service: "service-0",
+			Hosts: []wire.HostEventInterval{{Host: "h", Microseconds: 1}}})
 		assert.Equal(t, n.shards[0].slowHosts.detector != nil, n.shards[0].holder.Holds(m.node.Now()))
 	}
 }
--- a/control/status.go
+++ b/control/status.go
@@ -56,16 +56,20 @@
 
 func (p *part) status(now time.Duration) PartStatus {
 	r := p.replica
-	return PartStatus{Number: p.number, Role: r.Role().String(), Term: r.Term(), Leader: r.Leader(now).ID, Leading: r.Leading(now),
-		Entry: r.Newest().Position().Index, Commit: r.Committed().Position().Index, Members: len(r.Members()), Member: r.IsMember(),
+	return PartStatus{Number: p.number, Role: r.Role().String(), Term: r.Term(), Leader: r.Leader(now).ID,
+		Leading: r.Leading(now),
+		Entry:   r.Newest().Position().Index, Commit: r.Committed().Position().Index, Members: len(r.Members()),
+		Member: r.IsMember(),
 		TimeMS: r.GroupTime(now).Milliseconds(), Queued: len(p.queue), Watches: len(p.watches)}
 }
 
 // status returns the current state. It must be called in the event loop.
 func (n *Node) status() Status {
 	now := n.now()
-	s := Status{ID: n.replica.Self().ID, Role: n.replica.Role().String(), Term: n.replica.Term(), Leader: n.replica.Leader(now).ID,
-		Leading: n.replica.Leading(now), Commit: n.statePosition.Index, Members: n.replica.Members(), Agents: len(n.subscribers),
+	s := Status{ID: n.replica.Self().ID, Role: n.replica.Role().String(), Term: n.replica.Term(),
+		Leader:  n.replica.Leader(now).ID,
+		Leading: n.replica.Leading(now), Commit: n.statePosition.Index, Members: n.replica.Members(),
+		Agents:              len(n.subscribers),
 		UnreadableDatagrams: n.env.UnreadableDatagrams(), Dropped: n.dropped}
 	if entry := n.replica.Newest(); entry != nil {
 		s.Entry = entry.Index
