--- a/cmd/ivycontrol/main.go
+++ b/cmd/ivycontrol/main.go
@@ -35,11 +35,11 @@
 }
 
 func serve(ctx context.Context, s *settings.Settings, reloads <-chan *settings.Settings, log hclog.Logger) error {
-	node, err := control.New(s, log)
+	controlProcess, err := control.New(s, log)
 	if err != nil {
 		return err
 	}
-	return node.Run(ctx, reloads)
+	return controlProcess.Run(ctx, reloads)
 }
 
 const statusTimeout = 3 * time.Second
--- a/control/applications.go
+++ b/control/applications.go
@@ -30,7 +30,8 @@
 	{"lock_heartbeat", "POST /v1/Locks.Heartbeat/{id}", wire.HeartbeatLock, emptyBody},
 	{"lock_finish", "POST /v1/Locks.Finish/{id}", wire.FinishLock, emptyBody},
 	{"number", "POST /v1/numbers/{id}", wire.NextNumber, func(a *wire.Answer) any { return numberBody{a.Number} }},
-	{"key_replace", "POST /v1/Cells.Replace/{id}", wire.ReplaceKey, func(a *wire.Answer) any { return revisionBody{a.Revision} }},
+	{"key_replace", "POST /v1/Cells.Replace/{id}", wire.ReplaceKey,
+		func(a *wire.Answer) any { return revisionBody{a.Revision} }},
 	{"key_get", "GET /v1/Cells.Get/{id}", wire.GetKey, func(a *wire.Answer) any { return keyBody{a.Value, a.Revision} }},
 	{"watch", "GET /v1/watch/{id}", wire.WatchGroup, watchAnswer},
 }
@@ -98,7 +99,7 @@
 		return
 	}
 	if call.kind == wire.WatchGroup {
-		_ = http.NewResponseController(w).SetReadDeadline(time.Time{}) // a watch may wait longer than the server's read timeout
+		_ = http.NewResponseController(w).SetReadDeadline(time.Time{}) // a watch may outlast the server's read timeout
 	}
 	answers := make(chan wire.Answer, 1)
 	submitted := make(chan *partCall, 1)
--- a/control/history_test.go
+++ b/control/history_test.go
@@ -190,21 +190,63 @@
 		calls []callRecord
 		ok    bool
 	}{
-		"sequential":                          {[]callRecord{replace(0, a, 1, 2, outcomeAccepted), replace(3, after, 3, 4, outcomeAccepted), read(after, 5, 6)}, true},
-		"repeated":                            {[]callRecord{replace(0, a, 1, 2, outcomeAccepted), replace(0, a, 3, 4, outcomeAccepted), read(a, 5, 6)}, true},
-		"repeated after others":               {[]callRecord{replace(0, a, 1, 2, outcomeAccepted), replace(3, after, 3, 4, outcomeAccepted), replace(0, a, 5, 6, outcomeAccepted), read(after, 7, 8)}, true},
-		"two accepted on one version":         {[]callRecord{replace(0, a, 1, 5, outcomeAccepted), replace(0, b, 1, 5, outcomeAccepted)}, false},
-		"one of two accepted on one version":  {[]callRecord{replace(0, a, 1, 5, outcomeAccepted), replace(0, b, 1, 5, outcomeConflict), read(a, 6, 7)}, true},
-		"the rejected one is read":            {[]callRecord{replace(0, a, 1, 5, outcomeAccepted), replace(0, b, 1, 5, outcomeConflict), read(b, 6, 7)}, false},
-		"rejected after it was accepted":      {[]callRecord{replace(0, a, 1, 2, outcomeAccepted), replace(0, a, 3, 4, outcomeConflict)}, false},
-		"no answer, then rejected":            {[]callRecord{lost(0, a, 1), replace(0, b, 2, 3, outcomeAccepted), replace(0, a, 4, 5, outcomeConflict)}, true},
+		"sequential": {[]callRecord{
+			replace(0, a, 1, 2, outcomeAccepted),
+			replace(3, after, 3, 4, outcomeAccepted),
+			read(after, 5, 6),
+		}, true},
+		"repeated": {[]callRecord{
+			replace(0, a, 1, 2, outcomeAccepted),
+			replace(0, a, 3, 4, outcomeAccepted),
+			read(a, 5, 6),
+		}, true},
+		"repeated after others": {[]callRecord{
+			replace(0, a, 1, 2, outcomeAccepted),
+			replace(3, after, 3, 4, outcomeAccepted),
+			replace(0, a, 5, 6, outcomeAccepted),
+			read(after, 7, 8),
+		}, true},
+		"two accepted on one version": {[]callRecord{
+			replace(0, a, 1, 5, outcomeAccepted),
+			replace(0, b, 1, 5, outcomeAccepted),
+		}, false},
+		"one of two accepted on one version": {[]callRecord{
+			replace(0, a, 1, 5, outcomeAccepted),
+			replace(0, b, 1, 5, outcomeConflict),
+			read(a, 6, 7),
+		}, true},
+		"the rejected one is read": {[]callRecord{
+			replace(0, a, 1, 5, outcomeAccepted),
+			replace(0, b, 1, 5, outcomeConflict),
+			read(b, 6, 7),
+		}, false},
+		"rejected after it was accepted": {[]callRecord{
+			replace(0, a, 1, 2, outcomeAccepted),
+			replace(0, a, 3, 4, outcomeConflict),
+		}, false},
+		"no answer, then rejected": {[]callRecord{
+			lost(0, a, 1),
+			replace(0, b, 2, 3, outcomeAccepted),
+			replace(0, a, 4, 5, outcomeConflict),
+		}, true},
 		"no answer, took effect":              {[]callRecord{lost(0, a, 1), read(a, 5, 6)}, true},
 		"no answer, no effect":                {[]callRecord{lost(0, a, 1), read(version{}, 5, 6)}, true},
 		"no answer, took effect after a read": {[]callRecord{lost(0, a, 1), read(version{}, 2, 3), read(a, 5, 6)}, true},
 		"no answer, took effect, then lost":   {[]callRecord{lost(0, a, 1), read(a, 2, 3), read(version{}, 5, 6)}, false},
-		"an old version is read":              {[]callRecord{replace(0, a, 1, 2, outcomeAccepted), replace(3, after, 3, 4, outcomeAccepted), read(a, 5, 6)}, false},
-		"an old version is read concurrently": {[]callRecord{replace(0, a, 1, 2, outcomeAccepted), replace(3, after, 3, 6, outcomeAccepted), read(a, 4, 5)}, true},
-		"acknowledged and lost":               {[]callRecord{replace(0, a, 1, 2, outcomeAccepted), read(version{}, 3, 4)}, false},
+		"an old version is read": {[]callRecord{
+			replace(0, a, 1, 2, outcomeAccepted),
+			replace(3, after, 3, 4, outcomeAccepted),
+			read(a, 5, 6),
+		}, false},
+		"an old version is read concurrently": {[]callRecord{
+			replace(0, a, 1, 2, outcomeAccepted),
+			replace(3, after, 3, 6, outcomeAccepted),
+			read(a, 4, 5),
+		}, true},
+		"acknowledged and lost": {[]callRecord{
+			replace(0, a, 1, 2, outcomeAccepted),
+			read(version{}, 3, 4),
+		}, false},
 	} {
 		ok, err := linearizable(one.calls)
 		assert.NilError(t, err)
--- a/control/identity.go
+++ b/control/identity.go
@@ -18,7 +18,8 @@
 // was complete before is damaged, the whole disk counts as lost, since its content can't be determined: the process
 // takes a new identity. machines are the state machines of the coordination parts; each is replayed up to its newest
 // entry. There are none if the fleet runs without coordination.
-func loadDisk(s *settings.Settings, folder *store.DataDir, machines []replica.StateMachine, random *rand.Rand, log hclog.Logger) (storedState, error) {
+func loadDisk(s *settings.Settings, folder *store.DataDir, machines []replica.StateMachine, random *rand.Rand,
+	log hclog.Logger) (storedState, error) {
 	bootstrap := s.Bootstrap
 	disk, err := readDisk(folder, machines)
 	if errors.Is(err, store.ErrCorrupt) {
--- a/control/identity_test.go
+++ b/control/identity_test.go
@@ -32,7 +32,8 @@
 	return nil
 }
 
-func loadStoredState(t *testing.T, s *settings.Settings, path string, machines []replica.StateMachine) (storedState, *store.DataDir) {
+func loadStoredState(t *testing.T, s *settings.Settings, path string,
+	machines []replica.StateMachine) (storedState, *store.DataDir) {
 	t.Helper()
 	folder, err := store.Open(path)
 	assert.NilError(t, err)
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -40,8 +40,10 @@
 		"this process has just lost it":    {now: longAgo, lostAt: longAgo, missing: delayedAmount},
 		"this process lost it a while ago": {now: longAgo, lostAt: longAgo - quota.MaxDelay},
 		"this process has just started":    {now: 0, lostAt: -longAgo, missing: delayedAmount},
-		"all have just restarted":          {node: Node{leasesResumed: true, leasesResumedAt: longAgo}, now: longAgo, missing: delayedAmount},
-		"all restarted a while ago":        {node: Node{leasesResumed: true, leasesResumedAt: longAgo - lease.Duration}, now: longAgo},
+		"all have just restarted": {node: Node{leasesResumed: true, leasesResumedAt: longAgo},
+			now: longAgo, missing: delayedAmount},
+		"all restarted a while ago": {node: Node{leasesResumed: true, leasesResumedAt: longAgo - lease.Duration},
+			now: longAgo},
 	} {
 		got := filled(&c.node, &shard{lostAt: c.lostAt}, c.now)
 		assert.Assert(t, got >= 500-c.missing-1 && got <= 500-c.missing+1, "%s: %v", name, got)
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -26,11 +26,11 @@
 // Values of the reason labels.
 const (
 	refusedNoLeader      refusalReason    = "no_leader"      // no leader was known or reachable
-	refusedNotLeader     refusalReason    = "not_leader"     // another process forwarded the call to this one, which isn't the leader
+	refusedNotLeader     refusalReason    = "not_leader"     // the call was forwarded here, but this isn't the leader
 	refusedWaited        refusalReason    = "waited_long"    // the call waited too long in the leader's queue
 	refusedQueueFull     refusalReason    = "queue_full"     // the part's queue was full
 	unansweredLate       unansweredReason = "late"           // the call was or became older than callerTimeout
-	unansweredLeaderLost unansweredReason = "leader_lost"    // this process lost the leadership while the entry was in flight
+	unansweredLeaderLost unansweredReason = "leader_lost"    // this process lost the leadership with the entry in flight
 	unansweredForwarded  unansweredReason = "reply_not_come" // the call was forwarded, and no reply can arrive any more
 )
 
--- a/control/node.go
+++ b/control/node.go
@@ -66,7 +66,7 @@
 	publishedConfig        *wire.Config // the committed configuration as it is published
 	publishedConfigMessage *wire.Message
 
-	replicas          []*replica.Replica // the configuration's group, then those of the parts; each is a separate replica group
+	replicas          []*replica.Replica // of the configuration, then of each part; each in a group of its own
 	parts             []*part            // of the coordination state; empty without coordination
 	savingParts       bool
 	nextPartsSaveFull bool                      // the next write of the parts has to be a full one
--- a/control/process.go
+++ b/control/process.go
@@ -26,9 +26,9 @@
 	eventQueueSize = 1024
 	writeQueueSize = 3 // one for each kind of write
 	saveRetryDelay = 100 * time.Millisecond
-	// leaveShare is the share of grace_s, the time until the platform sends SIGKILL, for which a stopping process
+	// leaveTimeShare is the share of grace_s, the time until the platform sends SIGKILL, for which a stopping process
 	// waits until the others have everything that was acknowledged.
-	leaveShare = 0.3
+	leaveTimeShare = 0.3
 )
 
 // ErrNoDataDir is returned if a control process is started without data_dir.
@@ -49,7 +49,7 @@
 	ctx        context.Context // of all goroutines beside the event loop
 }
 
-// New reads the stored state. It opens no sockets yet.
+// New reads the stored state. It opens no sockets yet. It returns ErrNoDataDir if data_dir is not set.
 func New(s *settings.Settings, log hclog.Logger) (*Process, error) {
 	if s.DataDir == "" {
 		return nil, ErrNoDataDir
@@ -117,7 +117,7 @@
 		select {
 		case <-stopping:
 			stopping = nil
-			stopDeadline = time.After(time.Duration(leaveShare * p.settings.Bounds.GraceS * float64(time.Second)))
+			stopDeadline = time.After(time.Duration(leaveTimeShare * p.settings.Bounds.GraceS * float64(time.Second)))
 			p.node.StartLeaving()
 		case <-stopDeadline:
 			return
--- a/control/scenarios_test.go
+++ b/control/scenarios_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-func runLongPartition(t *testing.T, pick func(*simulation) *machine, blocked [2]bool, replaced bool, span time.Duration) {
+func runLongPartition(t *testing.T, pick func(*simulation) *machine, blocked [2]bool, replaced bool,
+	span time.Duration) {
 	sim := newSettledSimulation(t, 11, 1)
 	if replaced {
 		sim.machineAt(sim.addMachine(true).ip).downUntil = sim.now
@@ -367,13 +368,14 @@
 		body   string
 		status int
 	}{
-		"truncated":       {before.Revision, configText(next, "x")[:150], http.StatusBadRequest},
-		"empty":           {before.Revision, " ", http.StatusBadRequest},
-		"same revision":   {before.Revision, configText(before.Revision, "x"), http.StatusBadRequest},
-		"older revision":  {before.Revision, configText(1, "x"), http.StatusBadRequest},
-		"older base":      {before.Revision - 1, configText(next, "x"), http.StatusPreconditionFailed},
-		"future base":     {next, configText(next+1, "x"), http.StatusPreconditionFailed},
-		"unknown service": {before.Revision, strings.Replace(configText(next, "x"), `"backend":"service-0"`, `"backend":"other"`, 1), http.StatusBadRequest},
+		"truncated":      {before.Revision, configText(next, "x")[:150], http.StatusBadRequest},
+		"empty":          {before.Revision, " ", http.StatusBadRequest},
+		"same revision":  {before.Revision, configText(before.Revision, "x"), http.StatusBadRequest},
+		"older revision": {before.Revision, configText(1, "x"), http.StatusBadRequest},
+		"older base":     {before.Revision - 1, configText(next, "x"), http.StatusPreconditionFailed},
+		"future base":    {next, configText(next+1, "x"), http.StatusPreconditionFailed},
+		"unknown service": {before.Revision, strings.Replace(configText(next, "x"), `"backend":"service-0"`, `"backend":"other"`,
+			1), http.StatusBadRequest},
 	} {
 		resp, ok := sim.ask(leader, one.base, one.body)
 		assert.Assert(t, ok && resp.status == one.status, "%s: %d", name, resp.status)
--- a/control/simulation_faults_test.go
+++ b/control/simulation_faults_test.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	scheduleCount = flag.Int("schedules", 160, "schedules that the simulation of the control side plays")
+	scheduleCount = flag.Int("schedules", 160, "number of schedules that the simulation runs")
 	firstSeed     = flag.Uint64("seed", 0, "seed of the first schedule")
 )
 
--- a/control/simulation_operators_test.go
+++ b/control/simulation_operators_test.go
@@ -123,8 +123,8 @@
 }
 
 func newUpdate(base, revision int64, body string, valid bool) *operatorRequest {
-	order := version{revision, store.DigestOf(base, []byte(body))}
-	return &operatorRequest{record: callRecord{kind: replaceKind, base: base, version: order, valid: valid}, body: body}
+	v := version{revision, store.DigestOf(base, []byte(body))}
+	return &operatorRequest{record: callRecord{kind: replaceKind, base: base, version: v, valid: valid}, body: body}
 }
 
 func (o *operator) begin(r *operatorRequest) {
@@ -349,9 +349,9 @@
 	r.nextRequestAt = sim.now + time.Duration(20+sim.random.IntN(120))*time.Millisecond
 	r.number++
 	r.requested[r.number] = sim.now
-	ask := &wire.QuotaRequest{Router: r.agent.machine.ip, Shard: hostlist.ShardOf("t"), Number: r.number, Tenant: "t",
+	request := &wire.QuotaRequest{Router: r.agent.machine.ip, Shard: hostlist.ShardOf("t"), Number: r.number, Tenant: "t",
 		Need: 5, Want: 20, Incarnation: r.incarnation, Relay: sim.random.IntN(4) == 0}
-	r.agent.agent.OnRouterMessage(r, &wire.Message{QuotaRequest: ask})
+	r.agent.agent.OnRouterMessage(r, &wire.Message{QuotaRequest: request})
 }
 
 // Send receives an update from the agent.
--- a/control/simulation_rules_test.go
+++ b/control/simulation_rules_test.go
@@ -102,8 +102,8 @@
 
 // hold is how long a caller considers itself the holder of a lock.
 type hold struct {
-	heldUntil time.Duration // exclusive
-	newest    uint64        // the newest fence that it has received
+	heldUntil   time.Duration // exclusive
+	newestFence uint64        // the newest fence that it has received
 }
 
 // lockRules are the rules for one lock, and what they have recorded.
@@ -131,9 +131,9 @@
 func (l *lockRules) before(holder string) (b fencesBefore) {
 	for name, h := range l.holds {
 		if name == holder {
-			b.own = h.newest
+			b.own = h.newestFence
 		} else {
-			b.others = max(b.others, h.newest)
+			b.others = max(b.others, h.newestFence)
 		}
 	}
 	return b
@@ -155,7 +155,7 @@
 	l.fences[fence] = c.Holder
 	l.granted++
 	h := l.holdOf(c.Holder)
-	h.newest = max(h.newest, fence)
+	h.newestFence = max(h.newestFence, fence)
 	until := t.sent + time.Duration(c.HoldMS)*time.Millisecond
 	l.history = append(l.history, newOperation(lockCall{kind: c.Kind, holder: c.Holder, fence: fence, heldUntil: until,
 		done: t.answered}, t.sent, t.answered))
--- a/control/status.go
+++ b/control/status.go
@@ -22,7 +22,7 @@
 	Revision            int64         `json:"revision"`
 	Members             []wire.Member `json:"members"`
 	Changing            bool          `json:"changing"`     // a change of members is in progress, or a member is missing
-	LossesTolerated     int           `json:"losses_borne"` // number of members that may lose their disks now while a majority remains
+	LossesTolerated     int           `json:"losses_borne"` // members that may lose their disks while a majority remains
 	Shards              []ShardStatus `json:"shards"`
 	Parts               []PartStatus  `json:"parts,omitempty"` // of the coordination state
 	Agents              int           `json:"agents"`
