--- a/coordclient/watch_test.go
+++ b/coordclient/watch_test.go
@@ -12,9 +12,9 @@
 	"ivybank/coordclient"
 )
 
-func TestWatchTellsEachPutOnceThroughFailures(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		ctx := within(t, time.Hour)
+func TestWatchYieldsEachPutOnceDespiteFailures(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, time.Hour)
 		const puts = 50
 		_, err := c.Put(ctx, "g.a", "value-0")
 		assert.NilError(t, err)
@@ -25,17 +25,19 @@
 			}
 		}()
 		go func() {
-			faults := []fault{silent, broken, status(http.StatusServiceUnavailable), nil}
+			faults := []fault{noAnswer, connectionLost, answerStatus(http.StatusServiceUnavailable), nil}
 			for i := range 40 {
 				time.Sleep(900 * time.Millisecond)
-				w.fail(faults[i%len(faults)], []string{here, there, third}[i%3])
+				transport.setFault(faults[i%len(faults)], []string{firstAddress, secondAddress, thirdAddress}[i%3])
 			}
-			w.fail(nil, here, there, third)
+			transport.setFault(nil, firstAddress, secondAddress, thirdAddress)
 		}()
 		next := 1
 		for change, err := range c.Watch("g.", 1).Changes(ctx) {
 			assert.NilError(t, err)
-			assert.Equal(t, change, coordclient.Change{Key: "g.a", Value: fmt.Sprint("value-", next), Revision: uint64(next + 1)})
+			assert.Equal(t, change, coordclient.Change{
+				Key: "g.a", Value: fmt.Sprint("value-", next), Revision: uint64(next + 1),
+			})
 			if next == puts {
 				break
 			}
@@ -44,9 +46,9 @@
 	})
 }
 
-func TestWatchGoesOnFromItsRevision(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
-		ctx := within(t, time.Hour)
+func TestWatchContinuesFromItsRevision(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, time.Hour)
 		for i := range 5 {
 			_, err := c.Put(ctx, "g.a", fmt.Sprint("value-", i))
 			assert.NilError(t, err)
@@ -66,9 +68,9 @@
 	})
 }
 
-func TestWatchFromNowOn(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
-		ctx := within(t, time.Hour)
+func TestWatchFromRevisionZero(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, time.Hour)
 		go func() {
 			for i := range 2 {
 				time.Sleep(10 * time.Second)
@@ -77,24 +79,24 @@
 		}()
 		for change, err := range c.Watch("g.", 0).Changes(ctx) {
 			assert.NilError(t, err)
-			assert.Equal(t, change.Value, "value-1", "the first put makes the group known")
+			assert.Equal(t, change.Value, "value-1", "the first put only creates the group")
 			break
 		}
 	})
 }
 
-func TestWatchOfForgottenChanges(t *testing.T) {
-	virtually(t, func(t *testing.T, w *wire, c *coordclient.Client) {
-		w.standIn.forgotten = 10
-		for _, err := range c.Watch("g.", 3).Changes(within(t, time.Minute)) {
+func TestWatchOfCompactedChanges(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, transport *fakeTransport, c *coordclient.Client) {
+		transport.server.compactedRevision = 10
+		for _, err := range c.Watch("g.", 3).Changes(withTimeout(t, time.Minute)) {
 			assert.ErrorIs(t, err, coordclient.ErrCompacted)
 		}
 	})
 }
 
 func TestWatchEndsWithItsContext(t *testing.T) {
-	virtually(t, func(t *testing.T, _ *wire, c *coordclient.Client) {
-		ctx := within(t, 20*time.Second)
+	withFakeClock(t, func(t *testing.T, _ *fakeTransport, c *coordclient.Client) {
+		ctx := withTimeout(t, 20*time.Second)
 		_, err := c.Put(ctx, "g.a", "one")
 		assert.NilError(t, err)
 		ends := 0
