--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
 	"ivybank/fleet/peer"
 	"ivybank/fleet/swim"
 	"ivybank/rehearse/emu"
@@ -217,9 +217,9 @@
 // lie answers pings as a member would and tells of a load that nobody can have, or of none, and that all servers are lost.
 func lie(as *net.UDPConn, peers []*net.UDPAddr, place int, over chan bool) {
 	name, life := peer.Fleet("rehearsal"), swim.LifeOf(time.Now().UnixNano())
-	load := fold.Load{}
+	load := aggregate.Load{}
 	if place == 3 {
-		load = fold.Load{First: 1e9, Served: 1e9}
+		load = aggregate.Load{First: 1e9, Served: 1e9}
 		load.Offered[0] = 1e9
 	}
 	b := make([]byte, 300)
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ivybank/fleet/crew"
-	"ivybank/fleet/recall"
-	"ivybank/fleet/snap"
+	"ivybank/fleet/snapshot"
+	"ivybank/fleet/warmstart"
 	"ivybank/rehearse/emu"
 	"ivybank/rehearse/lab"
 )
@@ -171,11 +171,11 @@
 	good, bad := write(t, folder, "good.toml", work), write(t, folder, "bad.toml", "format = \"ivybank/fleet/plan/1\"\nid = \"x\"\nall = true\nmost_out = 0\n")
 	state := filepath.Join(folder, "state")
 	at := time.Now().UnixNano()
-	if err := snap.Write(state, &recall.Memory{Whose: "127.0.0.1:80", Number: 3, Wall: at}); err != nil {
+	if err := snapshot.Write(state, &warmstart.Memory{Whose: "127.0.0.1:80", Number: 3, Wall: at}); err != nil {
 		t.Fatal(err)
 	}
 	ahead := filepath.Join(folder, "ahead")
-	if err := snap.Write(ahead, &recall.Memory{Whose: "127.0.0.1:80", Wall: at + 3600e9}); err != nil {
+	if err := snapshot.Write(ahead, &warmstart.Memory{Whose: "127.0.0.1:80", Wall: at + 3600e9}); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
@@ -187,9 +187,9 @@
 		"a plan of none":      {"plan check " + bad, 2, "bad.toml:4: most_out: expected one at least"},
 		"no door":             {"plan show", 2, "--door: expected the address"},
 		"nobody at the door":  {"plan show --door " + nowhere, 1, "connection refused"},
-		"a whole snapshot":    {"state check " + snap.Path(state), 0, "whole, of 127.0.0.1:80"},
-		"what it holds":       {"state show " + snap.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
-		"one of the future":   {"state check " + snap.Path(ahead), 1, "from the future"},
+		"a whole snapshot":    {"state check " + snapshot.Path(state), 0, "whole, of 127.0.0.1:80"},
+		"what it holds":       {"state show " + snapshot.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
+		"one of the future":   {"state check " + snapshot.Path(ahead), 1, "from the future"},
 		"no snapshot":         {"state check " + good, 1, "not a snapshot"},
 		"no such file at all": {"state show " + folder + "/none", 2, "no such file"},
 	} {
--- a/cmd/ivybank/return_test.go
+++ b/cmd/ivybank/return_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/snap"
+	"ivybank/fleet/snapshot"
 	"ivybank/rehearse/emu"
 	"ivybank/rehearse/lab"
 )
@@ -121,7 +121,7 @@
 	eventually(t, "writing fails", func() bool { v, ok := r.Returned(0); return ok && v.Unwritten > 1 })
 	f, err := r.Play()
 	whole(t, f, err)
-	if _, err := snap.Read(filepath.Join(r.Folder(0), "state")); err != nil {
+	if _, err := snapshot.Read(filepath.Join(r.Folder(0), "state")); err != nil {
 		t.Errorf("what was kept before is gone: %v", err)
 	}
 }
--- a/cmd/ivybank/state.go
+++ b/cmd/ivybank/state.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"ivybank/balance"
-	"ivybank/fleet/recall"
-	"ivybank/fleet/snap"
+	"ivybank/fleet/snapshot"
+	"ivybank/fleet/warmstart"
 )
 
 func stateCommands() *cobra.Command {
@@ -41,7 +41,7 @@
 			if err != nil {
 				return err
 			}
-			age, sound := m.Age(recall.Now{Wall: time.Now().UnixNano()})
+			age, sound := m.Age(warmstart.Now{Wall: time.Now().UnixNano()})
 			if !sound {
 				return status{fmt.Errorf("%s: from the future by %.1f s: a proxy starts without it", args[0], float64(m.Wall-time.Now().UnixNano())/1e9), 1}
 			}
@@ -52,19 +52,19 @@
 	return group
 }
 
-func readState(path string) (recall.Memory, error) {
+func readState(path string) (warmstart.Memory, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return recall.Memory{}, err
+		return warmstart.Memory{}, err
 	}
-	m, err := snap.Decode(b)
+	m, err := snapshot.Decode(b)
 	if err != nil {
 		return m, status{fmt.Errorf("%s: %w: a proxy starts without it", path, err), 1}
 	}
 	return m, nil
 }
 
-func showState(w io.Writer, m *recall.Memory) error {
+func showState(w io.Writer, m *warmstart.Memory) error {
 	fmt.Fprintf(w, "snapshot %d of %s, life %d, written %s, %d servers on its list of generation %d\n", m.Number, m.Whose, m.Life,
 		time.Unix(0, m.Wall).UTC().Format(time.RFC3339Nano), len(m.List.Hosts), m.List.Generation)
 	fmt.Fprintf(w, "%.1f answers a second, service %.3f, %d popular keys, %d hosts by hand\n", m.Module.Rate, m.Service, len(m.Module.Keys), len(m.Holds.Hosts))
--- a/conf/fleet.go
+++ b/conf/fleet.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"ivybank/fleet"
-	"ivybank/fleet/duty"
+	"ivybank/fleet/assign"
 )
 
 // FleetConfig configures proxies that exchange datagrams with one another.
@@ -45,7 +45,7 @@
 		c.Overload, c.Over = &fleet.Overload{Further: s.FurtherRatio, Most: s.MaxPerMember}, s.OverShare
 	}
 	if s := x.Probes; s != nil && probes {
-		c.Probes = &duty.Terms{Every: int64(s.Interval), After: int64(s.TakeOverAfter)}
+		c.Probes = &assign.Terms{Every: int64(s.Interval), After: int64(s.TakeOverAfter)}
 	}
 	return c
 }
--- a/fleet/fold/fold.go
+++ b/fleet/aggregate/aggregate.go
@@ -1,11 +1,11 @@
-// Package fold adds up what all members see into one picture that each of them holds, without any of them hearing from all. Places
+// Package aggregate adds up what all members see into one picture that each of them holds, without any of them hearing from all. Places
 // form blocks of 1, 2, 4 and so on, as in a tournament: at each level a member needs one sum, that of the block beside its own.
 // It owns these sums, at most one for each level, and their ages. Free of I/O. It must never count a member twice, nor one that
 // has gone.
 //
 // The way is that of aggregation over a hierarchy (van Renesse, Birman, Vogels: Astrolabe, 2003), with blocks fixed by place, so
 // that no two sums overlap and the newest of a block simply replaces the one before.
-package fold
+package aggregate
 
 import (
 	"encoding/binary"
--- a/fleet/fold/fold_test.go
+++ b/fleet/aggregate/aggregate_test.go
@@ -1,4 +1,4 @@
-package fold
+package aggregate
 
 import (
 	"math"
--- a/fleet/duty/duty.go
+++ b/fleet/assign/assign.go
@@ -1,7 +1,7 @@
-// Package duty divides standing duties among members without a leader: each member works out the same order of members for each
+// Package assign divides standing duties among members without a leader: each member works out the same order of members for each
 // duty. It owns that order and when one whose turn it is not takes over. Free of I/O. Two who do the same are borne; it must never
 // leave a duty to one who has not done it for too long.
-package duty
+package assign
 
 import (
 	"cmp"
--- a/fleet/duty/duty_test.go
+++ b/fleet/assign/assign_test.go
@@ -1,4 +1,4 @@
-package duty
+package assign
 
 import (
 	"fmt"
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -15,12 +15,12 @@
 	"strings"
 
 	"ivybank/balance"
-	"ivybank/fleet/duty"
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
+	"ivybank/fleet/assign"
 	"ivybank/fleet/peer"
-	"ivybank/fleet/recall"
 	"ivybank/fleet/shed"
 	"ivybank/fleet/swim"
+	"ivybank/fleet/warmstart"
 	"ivybank/internal/decay"
 	"ivybank/internal/rng"
 )
@@ -56,7 +56,7 @@
 	Over      float64 // part of the worth that is left past a tenant's share
 	MaxAdvice int64   // the longest wait that a client honours, 0 where none is advised
 	Overload  *Overload
-	Probes    *duty.Terms
+	Probes    *assign.Terms
 	Learn     *Learn // nil: a returner asks nobody, and nobody is taught
 }
 
@@ -89,7 +89,7 @@
 	Advice   balance.Advice
 	Text     string
 	Fields   map[string]any
-	Told     []recall.Told
+	Told     []warmstart.Told
 	Letter   []byte
 	due      bool // a sum at its time, which has a part of the datagrams for itself
 }
@@ -105,17 +105,17 @@
 type Fleet struct {
 	t     Terms
 	swim  *swim.Swim
-	fold  *fold.Fold
+	fold  *aggregate.Fold
 	cut   *shed.Cut
 	spare *shed.Spare
-	round *duty.Roster // nil: no probes
+	round *assign.Roster // nil: no probes
 	wary  wary
 	learn learn
 	post  post
 	todo  []Action // emptied by Next
 	dice  rng.Source
 
-	offered                                                                     [fold.Classes]decay.Counter
+	offered                                                                     [aggregate.Classes]decay.Counter
 	first, further, wanted, probes, refused, late, failed, lacked, served, took decay.Counter
 	away                                                                        [4096]sent // a new one takes an old one's place
 	servers                                                                     []string   // by id; set by Servers
@@ -158,13 +158,13 @@
 	if t.Overload != nil {
 		most, part = t.Overload.Most, t.Overload.Further
 	}
-	hold := max(leastHold, pushFor*f.pushEvery()*int64(fold.Levels(t.Of)))
-	f.fold = fold.New(fold.Terms{Me: t.Me, Of: t.Of, Most: most, Horizon: hold})
+	hold := max(leastHold, pushFor*f.pushEvery()*int64(aggregate.Levels(t.Of)))
+	f.fold = aggregate.New(aggregate.Terms{Me: t.Me, Of: t.Of, Most: most, Horizon: hold})
 	f.cut = shed.New(t.shed())
 	f.spare = shed.NewSpare(part, now)
 	f.learn = begin(t, now)
 	if t.Probes != nil {
-		f.round = duty.New(*t.Probes, t.Me, t.Seed^2)
+		f.round = assign.New(*t.Probes, t.Me, t.Seed^2)
 	}
 	return f
 }
@@ -386,7 +386,7 @@
 func (f *Fleet) measure(now int64) {
 	rate := func(c *decay.Counter) float64 { return c.Now(now, rateSpan) * float64(sec) / float64(rateSpan) }
 	o := &f.fold.Own
-	*o = fold.Load{First: rate(&f.first), Further: rate(&f.further), Wanted: rate(&f.wanted), Probes: rate(&f.probes),
+	*o = aggregate.Load{First: rate(&f.first), Further: rate(&f.further), Wanted: rate(&f.wanted), Probes: rate(&f.probes),
 		Refused: rate(&f.refused), Late: rate(&f.late), Failed: rate(&f.failed), Lacked: max(0, rate(&f.lacked)), Served: rate(&f.served), Took: rate(&f.took)}
 	for i := range f.offered {
 		o.Offered[i] = rate(&f.offered[i])
@@ -600,7 +600,7 @@
 func (f *Fleet) Members() *swim.Swim { return f.swim }
 
 // Picture is what is counted, for those who rehearse.
-func (f *Fleet) Picture(now int64) (fold.Load, int) { return f.fold.Picture(now) }
+func (f *Fleet) Picture(now int64) (aggregate.Load, int) { return f.fold.Picture(now) }
 
 // Sheds says whether a cut is in force that denies anything.
-func (f *Fleet) Sheds() bool { return f.cut.On && f.cut.Part < 1 }
+func (f *Fleet) Shedding() bool { return f.cut.On && f.cut.Part < 1 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"ivybank/balance"
-	"ivybank/fleet/duty"
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
+	"ivybank/fleet/assign"
 	"ivybank/fleet/peer"
 	"ivybank/fleet/swim"
 	"ivybank/internal/rng"
@@ -18,7 +18,7 @@
 func terms(me, of int) Terms {
 	return Terms{Me: me, Of: of, Life: swim.LifeOf(begun) + uint64(me), Seed: uint64(me + 1), Datagrams: 40, AckWait: 300 * ms, Quiet: 2300 * ms,
 		RuleSets: []balance.RuleSet{{Name: "low", BillingValue: 1}, {Name: "high", BillingValue: 8}}, MaxAdvice: sec, Over: 0.2,
-		Overload: &Overload{Further: 0.1, Most: 1000}, Probes: &duty.Terms{Every: sec, After: 3 * sec}}
+		Overload: &Overload{Further: 0.1, Most: 1000}, Probes: &assign.Terms{Every: sec, After: 3 * sec}}
 }
 
 // mesh carries datagrams between members at once, and time by steps of 10 ms.
@@ -279,7 +279,7 @@
 func TestImpossible(t *testing.T) {
 	m := newMesh(2)
 	m.run(2*sec, nil)
-	wild := fold.Load{First: 1e9}
+	wild := aggregate.Load{First: 1e9}
 	wild.Offered[0] = 1e9
 	m.members[0].fold.Heard([]peer.Sum{{Block: 1, Of: 1, Life: 1 << 60, Load: wild.Bytes()}}, m.now)
 	if got, _ := m.members[0].fold.Picture(m.now); got.All() > 1000 {
--- a/fleet/learn.go
+++ b/fleet/learn.go
@@ -8,7 +8,7 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/peer"
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 )
 
 const (
@@ -29,12 +29,12 @@
 type learn struct {
 	until  int64
 	askAt  int64
-	asked  []bool        // by place
-	told   []recall.Told // by who tells; emptied when the time is over
-	taught bucket        // answers that may go now
-	marks  []uint64      // by place: Unix ms of the newest idempotency key that it has told of
-	Mark   uint64        // the own one
-	Found  uint64        // the newest that another has heard from this place before
+	asked  []bool           // by place
+	told   []warmstart.Told // by who tells; emptied when the time is over
+	taught bucket           // answers that may go now
+	marks  []uint64         // by place: Unix ms of the newest idempotency key that it has told of
+	Mark   uint64           // the own one
+	Found  uint64           // the newest that another has heard from this place before
 	begun  int64
 	Asked  int // questions asked
 	Taught int // answers given
@@ -98,17 +98,17 @@
 		}
 		x.Heard++
 		x.Found = max(x.Found, d.Mark)
-		i := slices.IndexFunc(x.told, func(t recall.Told) bool { return t.By == d.From })
+		i := slices.IndexFunc(x.told, func(t warmstart.Told) bool { return t.By == d.From })
 		if i < 0 {
 			i = len(x.told)
-			x.told = append(x.told, recall.Told{By: d.From})
+			x.told = append(x.told, warmstart.Told{By: d.From})
 		}
 		for _, b := range d.Beliefs {
 			id := f.wary.id(b.Server)
 			if id == "" || peer.Ns(b.Age) > metFor {
 				continue
 			}
-			x.told[i].Beliefs = append(x.told[i].Beliefs, recall.Belief{Heard: now, Start: b.Since, Server: balance.ServerSnapshot{ID: id,
+			x.told[i].Beliefs = append(x.told[i].Beliefs, warmstart.Belief{Heard: now, Start: b.Since, Server: balance.ServerSnapshot{ID: id,
 				Health: float64(b.Health) / 100, EjectionLeft: peer.Ns(b.Left), Draining: b.Drains, LastOutcomeAge: peer.Ns(b.Age)}})
 		}
 		if len(x.told[i].Beliefs) > len(f.servers) { // it said some things twice
--- a/fleet/shed/spare.go
+++ b/fleet/shed/retrybudget.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
 )
 
 const (
@@ -44,7 +44,7 @@
 
 // Step lends what the others leave to those that want more than they have, in proportion; all is the picture, own this member's
 // part of it. Alone or cut off, all is own, and nothing is lent.
-func (s *Spare) Step(all, own *fold.Load, now int64) {
+func (s *Spare) Step(all, own *aggregate.Load, now int64) {
 	passed := float64(now-s.at) / float64(sec)
 	s.at = now
 	failing := 0.0
--- a/fleet/shed/shed_test.go
+++ b/fleet/shed/shed_test.go
@@ -4,13 +4,13 @@
 	"math"
 	"testing"
 
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
 )
 
 // four rule sets of rising worth, one tenant.
 func four() Terms { return Terms{Values: []float64{1, 2, 4, 8}, Shares: []float64{1}, Over: 0.2} }
 
-func offer(c *Cut, by ...float64) (l fold.Load) {
+func offer(c *Cut, by ...float64) (l aggregate.Load) {
 	for set, x := range by {
 		l.Offered[c.Class(set, 0)] += x
 	}
@@ -24,7 +24,7 @@
 	now   int64
 }
 
-func (o *overload) step(l fold.Load) {
+func (o *overload) step(l aggregate.Load) {
 	o.now += 250 * ms
 	let := 0.0
 	for i, x := range l.Offered {
@@ -108,7 +108,7 @@
 // Within its share a tenant's reqs go before those that another asks past its own, of whatever value within the same worth.
 func TestShares(t *testing.T) {
 	o := &overload{c: New(Terms{Values: []float64{1}, Shares: []float64{0.7, 0.3}, Over: 0.2}), bears: 100, now: sec}
-	var l fold.Load
+	var l aggregate.Load
 	l.Offered[o.c.Class(0, 0)], l.Offered[o.c.Class(0, 1)] = 60, 120
 	for range 120 {
 		o.step(l)
@@ -164,7 +164,7 @@
 	c := New(many)
 	for set := range 40 {
 		for tenant := range 40 {
-			if x := c.Class(set, tenant); x < 0 || x >= fold.Classes {
+			if x := c.Class(set, tenant); x < 0 || x >= aggregate.Classes {
 				t.Fatalf("class %d", x)
 			}
 		}
@@ -183,7 +183,7 @@
 	if s.Left() != 9 {
 		t.Errorf("%d left of 95 first ones, want 9", s.Left())
 	}
-	own := fold.Load{First: 10}
+	own := aggregate.Load{First: 10}
 	s.Step(&own, &own, sec) // alone: what it has saved up is a short burst
 	if s.Left() != 2 {
 		t.Errorf("%d left after a step, want no more than a burst", s.Left())
@@ -192,8 +192,8 @@
 		s.Further()
 	}
 	// One that wants more gets a part of what others leave; those that want nothing get nothing.
-	all := fold.Load{First: 110, Wanted: 20}
-	want := fold.Load{First: 10, Wanted: 20}
+	all := aggregate.Load{First: 110, Wanted: 20}
+	want := aggregate.Load{First: 10, Wanted: 20}
 	for i := range int64(10) {
 		s.Step(&all, &want, sec+(i+1)*100*ms)
 	}
@@ -211,7 +211,7 @@
 	// Where most dispatches of the fleet fail there is no further one.
 	s.First()
 	s.tokens = 5
-	bad := fold.Load{First: 100, Failed: 60}
+	bad := aggregate.Load{First: 100, Failed: 60}
 	if s.Step(&bad, &own, 5*sec); s.Left() != 0 {
 		t.Errorf("%d left while all fail", s.Left())
 	}
--- a/fleet/shed/cut.go
+++ b/fleet/shed/shedder.go
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
 	"ivybank/internal/decay"
 )
 
@@ -55,15 +55,15 @@
 	slots int       // tenants that are told apart
 
 	On     bool
-	Calm   float64               // mean time of an answer without a cut, in seconds; 0: not known
-	Took   float64               // the same of late
-	Limit  float64               // cost a second that all counted members together can bear
-	Part   float64               // of what is offered that is let in
-	Pass   [fold.Classes]float64 // the same by class
-	Moves  int                   // times that it came, went or moved by a step
-	level  float64               // Part at the latest move
+	Calm   float64                    // mean time of an answer without a cut, in seconds; 0: not known
+	Took   float64                    // the same of late
+	Limit  float64                    // cost a second that all counted members together can bear
+	Part   float64                    // of what is offered that is let in
+	Pass   [aggregate.Classes]float64 // the same by class
+	Moves  int                        // times that it came, went or moved by a step
+	level  float64                    // Part at the latest move
 	stepAt int64
-	seen   fold.Load // demand as it is averaged
+	seen   aggregate.Load // demand as it is averaged
 	seenAt int64
 	moved  decay.Counter
 	rise   float64 // of the next step
@@ -77,9 +77,9 @@
 // New begins without a cut.
 func New(t Terms) *Cut {
 	c := &Cut{t: t, hold: holdFirst, Part: 1, level: 1, offAt: math.MinInt64 / 2}
-	c.slots = max(1, min(len(t.Shares), fold.Classes))
+	c.slots = max(1, min(len(t.Shares), aggregate.Classes))
 	distinct := slices.Compact(slices.SortedFunc(slices.Values(t.Values), func(x, y float64) int { return cmp.Compare(y, x) }))
-	c.bands = distinct[:min(len(distinct), fold.Classes/c.slots)] // the least valuable share the last band
+	c.bands = distinct[:min(len(distinct), aggregate.Classes/c.slots)] // the least valuable share the last band
 	for _, v := range t.Values {
 		i := slices.IndexFunc(c.bands, func(b float64) bool { return v >= b })
 		if i < 0 {
@@ -110,7 +110,7 @@
 func (c *Cut) Lets(class int, luck float64) bool { return !c.On || class < 0 || luck < c.Pass[class] }
 
 // Step takes the picture of all counted members. It is to be called several times a second.
-func (c *Cut) Step(l *fold.Load, of int, now int64) {
+func (c *Cut) Step(l *aggregate.Load, of int, now int64) {
 	offered := l.All()
 	loss := 0.0
 	if l.Served+l.Lacked > least {
@@ -168,7 +168,7 @@
 }
 
 // average follows demand, at once where the cut has hardly moved of late.
-func (c *Cut) average(l *fold.Load, now int64) {
+func (c *Cut) average(l *aggregate.Load, now int64) {
 	over := calmDown * math.Pow(c.moved.Now(now, lateMoves), 2) * float64(sec)
 	part := 1 - math.Exp(-float64(now-c.seenAt)/max(1, over))
 	c.seenAt = now
@@ -177,7 +177,7 @@
 	}
 }
 
-func (c *Cut) begin(l *fold.Load, of int, now int64) {
+func (c *Cut) begin(l *aggregate.Load, of int, now int64) {
 	if now-c.offAt < backSoon {
 		c.hold = min(holdMost, c.hold*holdTimes)
 	} else {
@@ -201,7 +201,7 @@
 }
 
 // correct moves the limit by what became of what was let in, and towards what the others hold.
-func (c *Cut) correct(l *fold.Load, loss, took, offered float64) {
+func (c *Cut) correct(l *aggregate.Load, loss, took, offered float64) {
 	switch {
 	case c.Calm > 0 && took > 0 && took < quick*c.Calm && offered > c.Limit:
 		c.Limit *= 1 + leap
@@ -227,12 +227,12 @@
 
 // share works out what part of each class is let in: the most worth first, where what a tenant asks past its share counts for
 // less, and in proportion among pieces of the same worth.
-func (c *Cut) share(l *fold.Load, offered float64) {
+func (c *Cut) share(l *aggregate.Load, offered float64) {
 	if offered <= c.Limit {
 		c.passAll()
 		return
 	}
-	pieces := make([]piece, 0, 2*fold.Classes)
+	pieces := make([]piece, 0, 2*aggregate.Classes)
 	for slot := range c.slots {
 		own := math.Inf(1)
 		if slot < len(c.t.Shares) && c.t.Shares[slot] > 0 {
@@ -247,7 +247,7 @@
 		}
 	}
 	slices.SortStableFunc(pieces, func(x, y piece) int { return cmp.Compare(y.worth, x.worth) })
-	var let [fold.Classes]float64
+	var let [aggregate.Classes]float64
 	left := c.Limit
 	for i := 0; i < len(pieces); {
 		j, cost := i, 0.0
@@ -275,7 +275,7 @@
 
 // like is the part of a class of which nothing is offered: that of the next more valuable one of its tenant which has some, so that
 // what begins to come of it is no way past the cut.
-func (c *Cut) like(l *fold.Load, class int, let [fold.Classes]float64) float64 {
+func (c *Cut) like(l *aggregate.Load, class int, let [aggregate.Classes]float64) float64 {
 	for x := class; x >= class/len(c.bands)*len(c.bands); x-- {
 		if l.Offered[x] > 0 {
 			return let[x] / l.Offered[x]
--- a/fleet/snap/snap.go
+++ b/fleet/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snap keeps one memory of a proxy in a folder: versioned, with a checksum, written whole beside the old one and renamed. It
+// Package snapshot keeps one memory of a proxy in a folder: versioned, with a checksum, written whole beside the old one and renamed. It
 // owns those files and their form. It must never leave a half-written one in the old one's place, nor give one that is not whole.
-package snap
+package snapshot
 
 import (
 	"encoding/binary"
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 	"ivybank/internal/strictcbor"
 )
 
@@ -42,7 +42,7 @@
 func Path(folder string) string { return filepath.Join(folder, name) }
 
 // Encode gives the bytes of a file.
-func Encode(m *recall.Memory) ([]byte, error) {
+func Encode(m *warmstart.Memory) ([]byte, error) {
 	body, err := encoder.Marshal(m)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 }
 
 // Decode reads a file's bytes, or says what is wrong with them.
-func Decode(b []byte) (m recall.Memory, err error) {
+func Decode(b []byte) (m warmstart.Memory, err error) {
 	switch {
 	case len(b) < len(magic) || string(b[:len(magic)]) != magic:
 		return m, ErrOther
@@ -69,23 +69,23 @@
 		return m, ErrDamaged
 	}
 	if decoder.Unmarshal(b[head:len(b)-tail], &m) != nil || !m.Sound() {
-		return recall.Memory{}, ErrForm
+		return warmstart.Memory{}, ErrForm
 	}
 	return m, nil
 }
 
 // Read reads the file of a folder; fs.ErrNotExist where there is none.
-func Read(folder string) (recall.Memory, error) {
+func Read(folder string) (warmstart.Memory, error) {
 	info, err := os.Stat(Path(folder))
 	if err != nil {
-		return recall.Memory{}, err
+		return warmstart.Memory{}, err
 	}
 	if !info.Mode().IsRegular() || info.Size() > Most {
-		return recall.Memory{}, fmt.Errorf("%s: %w", Path(folder), ErrCut)
+		return warmstart.Memory{}, fmt.Errorf("%s: %w", Path(folder), ErrCut)
 	}
 	b, err := os.ReadFile(Path(folder))
 	if err != nil {
-		return recall.Memory{}, err
+		return warmstart.Memory{}, err
 	}
 	m, err := Decode(b)
 	if err != nil {
@@ -95,7 +95,7 @@
 }
 
 // Write puts a memory in the place of the one before, which stays where that fails.
-func Write(folder string, m *recall.Memory) error {
+func Write(folder string, m *warmstart.Memory) error {
 	b, err := Encode(m)
 	if err != nil {
 		return err
--- a/fleet/snap/snap_test.go
+++ b/fleet/snapshot/snapshot_test.go
@@ -1,4 +1,4 @@
-package snap
+package snapshot
 
 import (
 	"errors"
@@ -9,13 +9,13 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/holds"
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 	"ivybank/internal/decay"
 )
 
-func memory(n uint64) *recall.Memory {
-	m := &recall.Memory{Whose: "127.0.0.1:80", Life: 7, Number: n, Wall: 1e18, Boot: "b", Up: 5e9, Shape: 3, Service: 0.9, Newest: 12,
-		List:  recall.List{Generation: 4, Age: 1e9, Hosts: []recall.Host{{Server: balance.Server{ID: "s-1", Zone: "a", Cell: 2, State: balance.Draining, Share: 1, Since: 9}, Addr: "127.0.0.1:81"}}},
+func memory(n uint64) *warmstart.Memory {
+	m := &warmstart.Memory{Whose: "127.0.0.1:80", Life: 7, Number: n, Wall: 1e18, Boot: "b", Up: 5e9, Shape: 3, Service: 0.9, Newest: 12,
+		List:  warmstart.List{Generation: 4, Age: 1e9, Hosts: []warmstart.Host{{Server: balance.Server{ID: "s-1", Zone: "a", Cell: 2, State: balance.Draining, Share: 1, Since: 9}, Addr: "127.0.0.1:81"}}},
 		Holds: holds.Table{Version: 2, Hosts: map[string]holds.Hold{"s-9": {Out: true, From: 3}}}}
 	m.Module = balance.Snapshot{Rate: 12, Tenants: []balance.TenantRate{{Name: "t", Rate: 3}}, LatencyRatio: 0.1, MeanTarget: 8e8, MeanValue: 4, Keys: []decay.KeyCount{{Index: 3, N: 9}},
 		Servers: []balance.ServerSnapshot{{ID: "s-1", Since: 9, Health: 0.5, Streak: 1, EjectionLeft: 2e9, Ejections: 1, SlotTime: 1e6, Latency: 2e6, InflightCap: 4, LastOutcomeAge: 5e8}}}
--- a/fleet/recall/recall.go
+++ b/fleet/warmstart/warmstart.go
@@ -1,7 +1,7 @@
-// Package recall says what a client proxy that comes back may still believe: of what it wrote down itself, by its age and by whether
+// Package warmstart says what a client proxy that comes back may still believe: of what it wrote down itself, by its age and by whether
 // what it speaks of is the same, and of what others tell, by how many say so. Free of I/O. It must never make a returner less careful
 // than one that knows nothing: an ejection ends no later than it would have, and nobody's word alone puts a server out.
-package recall
+package warmstart
 
 import (
 	"cmp"
--- a/fleet/recall/recall_test.go
+++ b/fleet/warmstart/warmstart_test.go
@@ -1,4 +1,4 @@
-package recall
+package warmstart
 
 import (
 	"slices"
--- a/proxy/maintenance.go
+++ b/proxy/maintenance.go
@@ -137,7 +137,7 @@
 		if demand := load.Served + load.Lacked; demand > 1 {
 			view.Service = load.Served / demand
 		}
-		view.Cut = ps.fleet.Sheds()
+		view.Cut = ps.fleet.Shedding()
 	}
 	return view
 }
--- a/proxy/recovery.go
+++ b/proxy/recovery.go
@@ -2,7 +2,7 @@
 
 // This file handles recovery after a start or a stop of the process: what snapshots hold and when they are written,
 // what of a snapshot is used at a start, what peers report, and how long service takes to be full again. It must
-// never delay a request, decide what is to be trusted (package recall does), or take a clock's jump for elapsed
+// never delay a request, decide what is to be trusted (package warmstart does), or take a clock's jump for elapsed
 // time.
 
 import (
@@ -16,9 +16,9 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/peer"
-	"ivybank/fleet/recall"
-	"ivybank/fleet/snap"
+	"ivybank/fleet/snapshot"
 	"ivybank/fleet/swim"
+	"ivybank/fleet/warmstart"
 	"ivybank/proxy/admin"
 )
 
@@ -43,11 +43,11 @@
 	RecoveryConfig
 	source          string // where the list in use is from: start, disk, discovery
 	listTime        int64  // when it was reported, as far as known
-	verdicts        []recall.Verdict
+	verdicts        []warmstart.Verdict
 	snapshotServers []balance.ServerSnapshot // what was trusted of the snapshot
 	newestKey       int64                    // start of the newest idempotency key in the snapshot
 	lastIncarnation uint64                   // incarnation of the process before
-	meter           recall.Meter
+	meter           warmstart.Meter
 	snapshotNumber  uint64
 	writing         bool
 	snapshotTimer   *timer // fires when the next snapshot is due
@@ -61,13 +61,13 @@
 
 func newRecovery(cfg RecoveryConfig, source string, now int64) *recovery {
 	return &recovery{RecoveryConfig: cfg, source: source, listTime: now, drainingByPeers: map[string]bool{},
-		meter: recall.Meter{Begun: now}}
+		meter: warmstart.Meter{Begun: now}}
 }
 
 // snapshotClocks reads the clocks for snapshots. The time since the machine's start is not affected by changes of
 // wall time.
-func snapshotClocks() recall.Now {
-	clocks := recall.Now{Wall: time.Now().UnixNano()}
+func snapshotClocks() warmstart.Now {
+	clocks := warmstart.Now{Wall: time.Now().UnixNano()}
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) == nil {
 		clocks.Up, clocks.Boot = t.Nano(), bootID()
@@ -86,7 +86,7 @@
 	if rec.Folder == "" {
 		return
 	}
-	memory, err := snap.Read(rec.Folder)
+	memory, err := snapshot.Read(rec.Folder)
 	if err != nil {
 		if !errors.Is(err, fs.ErrNotExist) {
 			rec.count.Refused++
@@ -94,7 +94,7 @@
 		}
 		return
 	}
-	memory, rec.verdicts = recall.Weigh(memory, p.config.Listen, p.terms, snapshotClocks(), rec.Trust)
+	memory, rec.verdicts = warmstart.Weigh(memory, p.config.Listen, p.terms, snapshotClocks(), rec.Trust)
 	fields := logrus.Fields{}
 	for _, verdict := range rec.verdicts {
 		if fields[verdict.Part] = verdict.Why; !verdict.Kept {
@@ -128,7 +128,7 @@
 }
 
 // hostListOf converts a list of a snapshot to the form of discovery's.
-func hostListOf(l recall.List) hostList {
+func hostListOf(l warmstart.List) hostList {
 	list := hostList{Generation: l.Generation, Reset: true, Instances: []hostEntry{}}
 	states := map[balance.State]string{balance.Running: "ready", balance.Draining: "draining", balance.Gone: "gone"}
 	for _, h := range l.Hosts {
@@ -171,14 +171,14 @@
 	rec.writing = true
 	rec.snapshotNumber++
 	clocks := snapshotClocks()
-	memory := recall.Memory{Whose: p.config.Listen, Number: rec.snapshotNumber, Wall: clocks.Wall, Boot: clocks.Boot,
-		Up: clocks.Up, Shape: recall.Shape(p.terms),
+	memory := warmstart.Memory{Whose: p.config.Listen, Number: rec.snapshotNumber, Wall: clocks.Wall, Boot: clocks.Boot,
+		Up: clocks.Up, Shape: warmstart.Shape(p.terms),
 		Module: p.balancer.Snapshot(now), Holds: p.holds, Service: rec.meter.Service(10e9, now),
 		Newest: rec.newestKey, Life: rec.lastIncarnation}
-	memory.List = recall.List{Generation: p.discovery.generation, Age: now - rec.listTime}
+	memory.List = warmstart.List{Generation: p.discovery.generation, Age: now - rec.listTime}
 	for _, h := range p.hosts {
 		if h.listed {
-			memory.List.Hosts = append(memory.List.Hosts, recall.Host{Server: h.reported, Addr: h.addr})
+			memory.List.Hosts = append(memory.List.Hosts, warmstart.Host{Server: h.reported, Addr: h.addr})
 		}
 	}
 	if p.keys != nil {
@@ -188,7 +188,7 @@
 		memory.Life = p.peers.fleet.Members().Life()
 	}
 	go func() {
-		err := snap.Write(rec.Folder, &memory)
+		err := snapshot.Write(rec.Folder, &memory)
 		p.post(p.now(), nil, func(int64) {
 			if rec.writing = false; err == nil {
 				rec.count.Written++
@@ -203,19 +203,19 @@
 }
 
 // learnFromPeers applies what peers report of hosts that this process has not used yet.
-func (p *Proxy) learnFromPeers(reports []recall.Told, now int64) {
+func (p *Proxy) learnFromPeers(reports []warmstart.Told, now int64) {
 	rec := p.recovery
 	if rec == nil {
 		return
 	}
-	reports = recall.Match(reports, func(id string) (int64, uint32, bool) {
+	reports = warmstart.Match(reports, func(id string) (int64, uint32, bool) {
 		h := p.host(id)
 		if h == nil || !h.listed {
 			return 0, 0, false
 		}
 		return h.startTime, peer.Start(h.reported.Since), true
 	})
-	servers := recall.Learn(recall.Later(rec.snapshotServers, now-rec.meter.Begun, rec.Trust), reports, now)
+	servers := warmstart.Learn(warmstart.Later(rec.snapshotServers, now-rec.meter.Begun, rec.Trust), reports, now)
 	for _, l := range servers {
 		if h := p.host(l.ID); l.Draining && h != nil && h.ready && !rec.drainingByPeers[l.ID] {
 			rec.drainingByPeers[l.ID] = true
@@ -316,7 +316,7 @@
 	if rec == nil {
 		return admin.Error(http.StatusNotFound, "nothing is kept: the operator file has no [return]")
 	}
-	status := recall.Status{List: rec.source, ListAge: (now - rec.listTime) / 1e6, Generation: p.discovery.generation,
+	status := warmstart.Status{List: rec.source, ListAge: (now - rec.listTime) / 1e6, Generation: p.discovery.generation,
 		Kept: rec.verdicts, FullAfter: rec.meter.Full / 1e6,
 		Service: rec.meter.Service(3e9, now), Written: rec.count.Written, Unwritten: rec.count.Unwritten,
 		Refused: rec.count.Refused, Stood: rec.count.Stalls, Drained: rec.count.Drained}
--- a/rehearse/emu/return.go
+++ b/rehearse/emu/return.go
@@ -9,7 +9,7 @@
 
 	"ivybank/balance"
 	"ivybank/fleet/peer"
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 )
 
 // Keeps is what balancers write down; none where Every is 0.
@@ -41,9 +41,9 @@
 	t.Seed += uint64(st.life-1) << 32
 	st.policy = st.make(t, now)
 	st.list = slices.Clone(st.start)
-	var m recall.Memory
+	var m warmstart.Memory
 	if st.kept != nil {
-		m, _ = recall.Weigh(*st.kept, st.whose(), &st.terms, st.now(), st.keeps.Trust)
+		m, _ = warmstart.Weigh(*st.kept, st.whose(), &st.terms, st.now(), st.keeps.Trust)
 		if len(m.List.Hosts) > 0 {
 			st.list = st.list[:0]
 			for _, h := range m.List.Hosts {
@@ -66,8 +66,8 @@
 }
 
 func (st *seat) whose() string { return fmt.Sprint(st.id) }
-func (st *seat) now() recall.Now {
-	return recall.Now{Wall: st.clock.Now(), Boot: "virtual", Up: st.clock.Now()}
+func (st *seat) now() warmstart.Now {
+	return warmstart.Now{Wall: st.clock.Now(), Boot: "virtual", Up: st.clock.Now()}
 }
 
 // keep writes down what a balancer has learnt, each time it is due.
@@ -77,9 +77,9 @@
 		return
 	}
 	at := st.now()
-	m := recall.Memory{Whose: st.whose(), Wall: at.Wall, Boot: at.Boot, Up: at.Up, Shape: recall.Shape(&st.terms), Module: p.Snapshot(st.clock.Now())}
+	m := warmstart.Memory{Whose: st.whose(), Wall: at.Wall, Boot: at.Boot, Up: at.Up, Shape: warmstart.Shape(&st.terms), Module: p.Snapshot(st.clock.Now())}
 	for _, e := range st.list {
-		m.List.Hosts = append(m.List.Hosts, recall.Host{Server: e, Addr: e.ID})
+		m.List.Hosts = append(m.List.Hosts, warmstart.Host{Server: e, Addr: e.ID})
 	}
 	st.kept = &m
 	st.clock.At(st.clock.Now()+st.keeps.Every, func() { st.keep(life) })
@@ -101,20 +101,20 @@
 }
 
 // learn takes what others tell.
-func (st *seat) learn(told []recall.Told) {
+func (st *seat) learn(told []warmstart.Told) {
 	p, ok := st.policy.(remembers)
 	if !ok || st.gone {
 		return
 	}
 	now := st.clock.Now()
-	told = recall.Match(told, func(id string) (int64, uint32, bool) {
+	told = warmstart.Match(told, func(id string) (int64, uint32, bool) {
 		i := slices.IndexFunc(st.list, func(s balance.Server) bool { return s.ID == id })
 		if i < 0 {
 			return 0, 0, false
 		}
 		return st.list[i].Since, peer.Start(st.list[i].Since), true
 	})
-	p.Restore(balance.Snapshot{Servers: recall.Learn(recall.Later(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
+	p.Restore(balance.Snapshot{Servers: warmstart.Learn(warmstart.Later(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
 	st.decide()
 }
 
--- a/rehearse/emu/seat.go
+++ b/rehearse/emu/seat.go
@@ -12,7 +12,7 @@
 
 	"ivybank/balance"
 	"ivybank/fleet"
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 	"ivybank/internal/rng"
 )
 
@@ -96,7 +96,7 @@
 	gone   bool
 	terms  balance.Config
 	list   []balance.Server         // as it was last told whole; for what is kept
-	kept   *recall.Memory           // nil: nothing was written down
+	kept   *warmstart.Memory        // nil: nothing was written down
 	own    []balance.ServerSnapshot // what was believed of that at the latest start,
 	begun  int64                    // and when that was
 }
--- a/rehearse/lab/process.go
+++ b/rehearse/lab/process.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"ivybank/fleet"
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 )
 
 // process is a client proxy that can be killed, started again and stopped for a while.
@@ -187,7 +187,7 @@
 }
 
 // returned is what it tells there of its coming back.
-func (x *process) returned() (v recall.Status, ok bool) {
+func (x *process) returned() (v warmstart.Status, ok bool) {
 	ok = x.tells("/return", &v)
 	return v, ok
 }
--- a/rehearse/lab/rehearsal.go
+++ b/rehearse/lab/rehearsal.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ivybank/fleet"
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 	"ivybank/rehearse/emu"
 )
 
@@ -43,7 +43,7 @@
 func (x *Rehearsal) View(proxy int) (fleet.Status, bool) { return x.r.procs[proxy].view() }
 
 // Returned is what a proxy tells of its coming back; false where it says nothing.
-func (x *Rehearsal) Returned(proxy int) (recall.Status, bool) { return x.r.procs[proxy].returned() }
+func (x *Rehearsal) Returned(proxy int) (warmstart.Status, bool) { return x.r.procs[proxy].returned() }
 
 // Door is the address of a proxy's door.
 func (x *Rehearsal) Door(proxy int) string { return x.r.procs[proxy].door }
