--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -216,7 +216,7 @@
 
 // lie answers pings as a member would and tells of a load that nobody can have, or of none, and that all servers are lost.
 func lie(as *net.UDPConn, peers []*net.UDPAddr, place int, over chan bool) {
-	name, life := peer.Fleet("rehearsal"), swim.LifeOf(time.Now().UnixNano())
+	name, life := peer.FleetHash("rehearsal"), swim.IncarnationAt(time.Now().UnixNano())
 	load := aggregate.Load{}
 	if place == 3 {
 		load = aggregate.Load{First: 1e9, Served: 1e9}
@@ -230,15 +230,15 @@
 		default:
 		}
 		_ = as.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		d := peer.Datagram{From: place, Life: life, Count: n, Sums: []peer.Sum{{Block: place, Life: life, Of: 1, Load: load.Bytes()}}}
+		d := peer.Datagram{From: place, Incarnation: life, Number: n, Sums: []peer.LoadSum{{Block: place, Incarnation: life, Members: 1, Load: load.Bytes()}}}
 		to := peers[int(n)%3]
 		if size, from, err := as.ReadFromUDP(b); err == nil {
 			if got, err := peer.Decode(name, b[:size]); err == nil && got.Kind == peer.Ping {
-				d.Kind, d.Seq, d.About, to = peer.Ack, got.Seq, place, from
+				d.Kind, d.Seq, d.Subject, to = peer.Ack, got.Seq, place, from
 			}
 		}
 		for i := range 2 {
-			d.Hints = append(d.Hints, peer.Hint{Server: peer.Server(fmt.Sprintf("s-%03d", i+1)), By: place, What: peer.Lost})
+			d.Hints = append(d.Hints, peer.Hint{Server: peer.ServerHash(fmt.Sprintf("s-%03d", i+1)), Origin: place, Observation: peer.DispatchesLost})
 		}
 		text, err := peer.Encode(name, &d)
 		if err != nil {
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -171,11 +171,11 @@
 	good, bad := write(t, folder, "good.toml", work), write(t, folder, "bad.toml", "format = \"ivybank/fleet/plan/1\"\nid = \"x\"\nall = true\nmost_out = 0\n")
 	state := filepath.Join(folder, "state")
 	at := time.Now().UnixNano()
-	if err := snapshot.Write(state, &warmstart.Memory{Whose: "127.0.0.1:80", Number: 3, Wall: at}); err != nil {
+	if err := snapshot.Write(state, &warmstart.Snapshot{Proxy: "127.0.0.1:80", Number: 3, WallTime: at}); err != nil {
 		t.Fatal(err)
 	}
 	ahead := filepath.Join(folder, "ahead")
-	if err := snapshot.Write(ahead, &warmstart.Memory{Whose: "127.0.0.1:80", Wall: at + 3600e9}); err != nil {
+	if err := snapshot.Write(ahead, &warmstart.Snapshot{Proxy: "127.0.0.1:80", WallTime: at + 3600e9}); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
--- a/cmd/ivybank/return_test.go
+++ b/cmd/ivybank/return_test.go
@@ -214,7 +214,7 @@
 	together(t, r, 3, 0, 1, 2)
 	f, err := r.Play()
 	whole(t, f, err)
-	if v, ok := r.Returned(1); !ok || v.Stood == 0 {
+	if v, ok := r.Returned(1); !ok || v.Stalls == 0 {
 		t.Errorf("it has not noticed that it stood still: %+v", v)
 	}
 }
@@ -242,8 +242,8 @@
 	f, err := r.Play()
 	whole(t, f, err)
 	v, ok := r.Returned(1)
-	if !ok || v.List != "disk" || v.Drained != 1 {
-		t.Fatalf("it runs on the list from %s, others have told it of %d drains", v.List, v.Drained)
+	if !ok || v.List != "disk" || v.DrainingByPeers != 1 {
+		t.Fatalf("it runs on the list from %s, others have told it of %d drains", v.List, v.DrainingByPeers)
 	}
 	if n := r.ProxySentSince(1, 8500*time.Millisecond, "s-002"); n > 0 {
 		t.Errorf("%d dispatches to the draining server after it was told", n)
--- a/cmd/ivybank/state.go
+++ b/cmd/ivybank/state.go
@@ -41,21 +41,21 @@
 			if err != nil {
 				return err
 			}
-			age, sound := m.Age(warmstart.Now{Wall: time.Now().UnixNano()})
+			age, sound := m.Age(warmstart.Clocks{WallTime: time.Now().UnixNano()})
 			if !sound {
-				return status{fmt.Errorf("%s: from the future by %.1f s: a proxy starts without it", args[0], float64(m.Wall-time.Now().UnixNano())/1e9), 1}
+				return status{fmt.Errorf("%s: from the future by %.1f s: a proxy starts without it", args[0], float64(m.WallTime-time.Now().UnixNano())/1e9), 1}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: whole, of %s, %.1f s old by the clock of the day\n", args[0], m.Whose, float64(age)/1e9)
+			fmt.Fprintf(c.OutOrStdout(), "%s: whole, of %s, %.1f s old by the clock of the day\n", args[0], m.Proxy, float64(age)/1e9)
 			return nil
 		}}
 	group.AddCommand(show, check)
 	return group
 }
 
-func readState(path string) (warmstart.Memory, error) {
+func readState(path string) (warmstart.Snapshot, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return warmstart.Memory{}, err
+		return warmstart.Snapshot{}, err
 	}
 	m, err := snapshot.Decode(b)
 	if err != nil {
@@ -64,17 +64,17 @@
 	return m, nil
 }
 
-func showState(w io.Writer, m *warmstart.Memory) error {
-	fmt.Fprintf(w, "snapshot %d of %s, life %d, written %s, %d servers on its list of generation %d\n", m.Number, m.Whose, m.Life,
-		time.Unix(0, m.Wall).UTC().Format(time.RFC3339Nano), len(m.List.Hosts), m.List.Generation)
-	fmt.Fprintf(w, "%.1f answers a second, service %.3f, %d popular keys, %d hosts by hand\n", m.Module.Rate, m.Service, len(m.Module.Keys), len(m.Holds.Hosts))
+func showState(w io.Writer, m *warmstart.Snapshot) error {
+	fmt.Fprintf(w, "snapshot %d of %s, life %d, written %s, %d servers on its list of generation %d\n", m.Number, m.Proxy, m.Incarnation,
+		time.Unix(0, m.WallTime).UTC().Format(time.RFC3339Nano), len(m.List.Hosts), m.List.Generation)
+	fmt.Fprintf(w, "%.1f answers a second, service %.3f, %d popular keys, %d hosts by hand\n", m.Balancer.Rate, m.Service, len(m.Balancer.Keys), len(m.Holds.Hosts))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SERVER\tLISTED AS\tHEALTH\tSTREAK\tOUT FOR\tEJECTIONS\tANSWER\tLAST MET")
 	states := map[string]balance.State{}
 	for _, h := range m.List.Hosts {
 		states[h.ID] = h.State
 	}
-	for _, l := range m.Module.Servers {
+	for _, l := range m.Balancer.Servers {
 		out, met := "-", "never"
 		if l.EjectionLeft > 0 {
 			out = time.Duration(l.EjectionLeft).Round(time.Millisecond).String()
--- a/conf/fleet.go
+++ b/conf/fleet.go
@@ -38,14 +38,14 @@
 
 // MemberConfig returns the configuration of the member with the given index in a fleet of the given size. Probes
 // are left out if the platform's settings forbid them.
-func (x *FleetConfig) MemberConfig(index, members int, probes bool) fleet.Terms {
-	c := fleet.Terms{Me: index, Of: members, Datagrams: x.DatagramsPerSecond, AckWait: int64(x.AckWait),
-		Quiet: int64(x.DeadAfter)}
+func (x *FleetConfig) MemberConfig(index, members int, probes bool) fleet.Config {
+	c := fleet.Config{Index: index, Members: members, DatagramsPerSecond: x.DatagramsPerSecond, AckTimeout: int64(x.AckWait),
+		MinSilence: int64(x.DeadAfter)}
 	if s := x.Overload; s != nil {
-		c.Overload, c.Over = &fleet.Overload{Further: s.FurtherRatio, Most: s.MaxPerMember}, s.OverShare
+		c.Overload, c.OverShareFactor = &fleet.Overload{RetryRatio: s.FurtherRatio, MaxMemberRate: s.MaxPerMember}, s.OverShare
 	}
 	if s := x.Probes; s != nil && probes {
-		c.Probes = &assign.Terms{Every: int64(s.Interval), After: int64(s.TakeOverAfter)}
+		c.Probes = &assign.Config{Interval: int64(s.Interval), TakeOverAfter: int64(s.TakeOverAfter)}
 	}
 	return c
 }
--- a/conf/recovery.go
+++ b/conf/recovery.go
@@ -17,11 +17,11 @@
 }
 
 // LearnConfig returns how peers are queried after a restart; nil if they are not.
-func (o *OperatorConfig) LearnConfig() *fleet.Learn {
+func (o *OperatorConfig) LearnConfig() *fleet.LearnConfig {
 	if o.Recovery == nil || o.Recovery.Learn == nil {
 		return nil
 	}
-	return &fleet.Learn{Others: o.Recovery.Learn.MinPeers, For: int64(o.Recovery.Learn.Timeout)}
+	return &fleet.LearnConfig{MinPeers: o.Recovery.Learn.MinPeers, Timeout: int64(o.Recovery.Learn.Timeout)}
 }
 
 func (o *OperatorConfig) checkRecovery(f *File) error {
--- a/fleet/aggregate/aggregate.go
+++ b/fleet/aggregate/aggregate.go
@@ -21,26 +21,26 @@
 
 // Load is what is told of a member or a block, each a rate in a second but for Limit and Limits.
 type Load struct {
-	First   float64 // reqs dispatched for the first time
-	Further float64 // dispatches beyond a req's first
-	Wanted  float64 // further dispatches that were wanted, whether or not they were allowed
-	Probes  float64
-	Refused float64          // dispatches turned away by servers
-	Late    float64          // dispatches without an answer in time
-	Failed  float64          // dispatches that ended otherwise than served
-	Lacked  float64          // cost of reqs that were let in, were not served in time, and whose clients have not come again
-	Served  float64          // cost of reqs that were served in time
-	Limit   float64          // sum of what members hold the fleet can bear, cost a second,
-	Limits  float64          // and how many hold one
-	Took    float64          // seconds that dispatches which were served took at servers, in a second
-	Offered [Classes]float64 // cost of reqs that came, by class, clients' retries left out
+	First         float64 // reqs dispatched for the first time
+	Retries       float64 // dispatches beyond a req's first
+	RetriesWanted float64 // further dispatches that were wanted, whether or not they were allowed
+	Probes        float64
+	Refused       float64          // dispatches turned away by servers
+	TimedOut      float64          // dispatches without an answer in time
+	Failed        float64          // dispatches that ended otherwise than served
+	Unserved      float64          // cost of reqs that were let in, were not served in time, and whose clients have not come again
+	Served        float64          // cost of reqs that were served in time
+	Limit         float64          // sum of what members hold the fleet can bear, cost a second,
+	LimitCount    float64          // and how many hold one
+	ServerTime    float64          // seconds that dispatches which were served took at servers, in a second
+	Offered       [Classes]float64 // cost of reqs that came, by class, clients' retries left out
 }
 
 // fixed is how many figures of a load come before its classes.
 const fixed = 12
 
 func (l *Load) figures() [fixed]*float64 {
-	return [fixed]*float64{&l.First, &l.Further, &l.Wanted, &l.Probes, &l.Refused, &l.Late, &l.Failed, &l.Lacked, &l.Served, &l.Limit, &l.Limits, &l.Took}
+	return [fixed]*float64{&l.First, &l.Retries, &l.RetriesWanted, &l.Probes, &l.Refused, &l.TimedOut, &l.Failed, &l.Unserved, &l.Served, &l.Limit, &l.LimitCount, &l.ServerTime}
 }
 
 // Add adds a part of another load.
@@ -55,7 +55,7 @@
 }
 
 // All is the cost offered over all classes.
-func (l *Load) All() (sum float64) {
+func (l *Load) TotalOffered() (sum float64) {
 	for _, x := range l.Offered {
 		sum += x
 	}
@@ -116,10 +116,10 @@
 }
 
 // Terms is what a member's fold goes by. Times are nanoseconds.
-type Terms struct {
-	Me, Of  int
-	Horizon int64   // a sum older than this counts no more; from half of it on it counts less and less
-	Most    float64 // cost a second past which no single member's word is believed
+type Config struct {
+	Index, Members int
+	MaxAge         int64   // a sum older than this counts no more; from half of it on it counts less and less
+	MaxMemberRate  float64 // cost a second past which no single member's word is believed
 }
 
 type sum struct {
@@ -130,8 +130,8 @@
 }
 
 // Fold is one member's picture.
-type Fold struct {
-	t          Terms
+type Aggregate struct {
+	t          Config
 	beside     []sum // by level: of the block beside one's own; emptied as they age
 	Own        Load
 	Impossible int // sums not believed
@@ -141,29 +141,29 @@
 func Levels(of int) int { return bits.Len(uint(of - 1)) }
 
 // New begins without a picture.
-func New(t Terms) *Fold {
-	f := &Fold{t: t, beside: make([]sum, Levels(t.Of))}
+func New(t Config) *Aggregate {
+	f := &Aggregate{t: t, beside: make([]sum, Levels(t.Members))}
 	f.Forget()
 	return f
 }
 
 // Levels is how many blocks there are beside one's own.
-func (f *Fold) Levels() int { return len(f.beside) }
+func (f *Aggregate) Levels() int { return len(f.beside) }
 
 // Beside gives the places of the block beside one's own at a level: from, to.
-func (f *Fold) Beside(level int) (from, to int) {
-	b := f.t.Me>>level ^ 1
-	return b << level, min(f.t.Of, (b+1)<<level)
+func (f *Aggregate) Beside(level int) (from, to int) {
+	b := f.t.Index>>level ^ 1
+	return b << level, min(f.t.Members, (b+1)<<level)
 }
 
 // weight is what a sum still counts for.
-func (f *Fold) weight(s *sum, now int64) float64 {
-	left := float64(s.at+f.t.Horizon-now) / float64(f.t.Horizon)
+func (f *Aggregate) weight(s *sum, now int64) float64 {
+	left := float64(s.at+f.t.MaxAge-now) / float64(f.t.MaxAge)
 	return max(0, min(1, 2*left))
 }
 
 // whole is the sum of one's own block at a level: one's own load and the sums beside it below that level.
-func (f *Fold) whole(level int, now int64) sum {
+func (f *Aggregate) whole(level int, now int64) sum {
 	all := sum{at: now, of: 1, load: f.Own}
 	age := 0.0
 	for i := range f.beside[:level] {
@@ -179,30 +179,30 @@
 }
 
 // Picture is the load of all members that are counted, and how many they are.
-func (f *Fold) Picture(now int64) (Load, int) {
+func (f *Aggregate) Picture(now int64) (Load, int) {
 	all := f.whole(len(f.beside), now)
 	return all.load, all.of
 }
 
 // Age is the mean age of what the picture counts.
-func (f *Fold) Age(now int64) int64 { return now - f.whole(len(f.beside), now).at }
+func (f *Aggregate) Age(now int64) int64 { return now - f.whole(len(f.beside), now).at }
 
 // Tell gives what one of the block beside one's own at a level is told: the sum of one's own block, and those of higher blocks
 // beside it, which stand beside the other's as well. Fresh ones come first.
-func (f *Fold) Tell(level int, life uint64, room *peer.Room, now int64) (sums []peer.Sum) {
+func (f *Aggregate) Tell(level int, life uint64, room *peer.Room, now int64) (sums []peer.LoadSum) {
 	add := func(level, block int, s *sum) {
 		b := s.load.Bytes()
-		if room.Sum(len(b)) {
-			x := peer.Sum{Level: uint8(level), Block: block, Of: s.of, Age: peer.Hundredths(now - s.at), Load: b}
+		if room.LoadSum(len(b)) {
+			x := peer.LoadSum{Level: uint8(level), Block: block, Members: s.of, Age: peer.Hundredths(now - s.at), Load: b}
 			if level == 0 {
-				x.Life = s.life
+				x.Incarnation = s.life
 			}
 			sums = append(sums, x)
 		}
 	}
 	own := f.whole(level, now)
 	own.life = life
-	add(level, f.t.Me>>level, &own)
+	add(level, f.t.Index>>level, &own)
 	var higher []int
 	for i := level + 1; i < len(f.beside); i++ {
 		if f.weight(&f.beside[i], now) == 1 {
@@ -211,40 +211,40 @@
 	}
 	slices.SortStableFunc(higher, func(x, y int) int { return int(min(1, max(-1, f.beside[y].at-f.beside[x].at))) })
 	for _, i := range higher {
-		add(i, f.t.Me>>i^1, &f.beside[i])
+		add(i, f.t.Index>>i^1, &f.beside[i])
 	}
 	return sums
 }
 
 // Heard takes sums. One that is not of a block beside one's own, older than the one held, or impossible says nothing.
-func (f *Fold) Heard(sums []peer.Sum, now int64) {
+func (f *Aggregate) Heard(sums []peer.LoadSum, now int64) {
 	for _, x := range sums {
 		level := int(x.Level)
-		if level >= len(f.beside) || x.Block != f.t.Me>>level^1 || x.Of > 1<<level {
+		if level >= len(f.beside) || x.Block != f.t.Index>>level^1 || x.Members > 1<<level {
 			continue
 		}
 		load, ok := Parse(x.Load)
-		if !ok || !f.possible(&load, x.Of) {
+		if !ok || !f.possible(&load, x.Members) {
 			f.Impossible++
 			continue
 		}
 		s := &f.beside[level]
-		if at := now - peer.Ns(x.Age); at > s.at || level == 0 && x.Life > s.life {
-			*s = sum{at: at, of: x.Of, life: x.Life, load: load}
+		if at := now - peer.Nanoseconds(x.Age); at > s.at || level == 0 && x.Incarnation > s.life {
+			*s = sum{at: at, of: x.Members, life: x.Incarnation, load: load}
 		}
 	}
 }
 
 // possible says whether so many members could have such a load. Figures are rounded, and rates of a moment swing.
-func (f *Fold) possible(l *Load, of int) bool {
+func (f *Aggregate) possible(l *Load, of int) bool {
 	const slack = 1.3
-	most := f.t.Most * float64(of) * slack
-	return l.All() <= most && l.Served <= most && l.First <= most && l.Lacked <= most && l.Further <= most &&
-		l.Limits <= float64(of)*slack && l.Limit <= most
+	most := f.t.MaxMemberRate * float64(of) * slack
+	return l.TotalOffered() <= most && l.Served <= most && l.First <= most && l.Unserved <= most && l.Retries <= most &&
+		l.LimitCount <= float64(of)*slack && l.Limit <= most
 }
 
 // Gone drops the sums of blocks in which nobody is alive, and that of one whose process is another by now.
-func (f *Fold) Gone(alive func(place int) bool, life func(place int) uint64) {
+func (f *Aggregate) Gone(alive func(place int) bool, life func(place int) uint64) {
 	for i := range f.beside {
 		from, to := f.Beside(i)
 		any := false
@@ -258,7 +258,7 @@
 }
 
 // Forget drops all that was heard.
-func (f *Fold) Forget() {
+func (f *Aggregate) Forget() {
 	for i := range f.beside {
 		f.beside[i] = sum{at: longAgo}
 	}
--- a/fleet/aggregate/aggregate_test.go
+++ b/fleet/aggregate/aggregate_test.go
@@ -11,7 +11,7 @@
 
 // fleet plays rounds in which each tells one of each block beside its own; dead ones neither tell nor hear.
 type fleet struct {
-	folds []*Fold
+	folds []*Aggregate
 	dead  map[int]bool
 	now   int64
 	cut   func(from, to int) bool
@@ -20,7 +20,7 @@
 func newFleet(n int) *fleet {
 	f := &fleet{dead: map[int]bool{}, now: 1e12, cut: func(int, int) bool { return false }}
 	for i := range n {
-		x := New(Terms{Me: i, Of: n, Horizon: 8 * second, Most: 1000})
+		x := New(Config{Index: i, Members: n, MaxAge: 8 * second, MaxMemberRate: 1000})
 		x.Own = Load{First: 10, Served: 8}
 		x.Own.Offered[i%3] = 10
 		f.folds = append(f.folds, x)
@@ -42,7 +42,7 @@
 				if f.dead[to] || f.cut(i, to) {
 					continue
 				}
-				room := peer.Whole()
+				room := peer.FullRoom()
 				f.folds[to].Heard(x.Tell(level, 1, &room, f.now), f.now)
 				break
 			}
@@ -63,8 +63,8 @@
 		f.rounds(30)
 		for i, x := range f.folds {
 			got, of := x.Picture(f.now)
-			if want := float64(10 * n); of != n || math.Abs(got.All()/want-1) > 0.06 || math.Abs(got.First/want-1) > 0.06 {
-				t.Fatalf("%d members: member %d counts %d with %.1f offered, want %.1f", n, i, of, got.All(), want)
+			if want := float64(10 * n); of != n || math.Abs(got.TotalOffered()/want-1) > 0.06 || math.Abs(got.First/want-1) > 0.06 {
+				t.Fatalf("%d members: member %d counts %d with %.1f offered, want %.1f", n, i, of, got.TotalOffered(), want)
 			}
 		}
 	}
@@ -128,32 +128,32 @@
 	wild := Load{First: 1e5}
 	wild.Offered[0] = 1e5
 	for name, c := range map[string]struct {
-		sum   peer.Sum
+		sum   peer.LoadSum
 		taken bool
 		odd   int
 	}{
-		"the neighbour's":            {peer.Sum{Level: 0, Block: 1, Of: 1, Load: bytes(90)}, true, 0},
-		"of another block":           {peer.Sum{Level: 1, Block: 3, Of: 2, Load: bytes(90)}, false, 0},
-		"one's own":                  {peer.Sum{Level: 0, Block: 0, Of: 1, Load: bytes(90)}, false, 0},
-		"more members than it holds": {peer.Sum{Level: 0, Block: 1, Of: 2, Load: bytes(90)}, false, 0},
-		"past the levels":            {peer.Sum{Level: 9, Block: 0, Of: 1, Load: bytes(90)}, false, 0},
-		"impossible":                 {peer.Sum{Level: 0, Block: 1, Of: 1, Load: wild.Bytes()}, false, 1},
-		"too many figures":           {peer.Sum{Level: 0, Block: 1, Of: 1, Load: make([]byte, 98)}, false, 1},
+		"the neighbour's":            {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: bytes(90)}, true, 0},
+		"of another block":           {peer.LoadSum{Level: 1, Block: 3, Members: 2, Load: bytes(90)}, false, 0},
+		"one's own":                  {peer.LoadSum{Level: 0, Block: 0, Members: 1, Load: bytes(90)}, false, 0},
+		"more members than it holds": {peer.LoadSum{Level: 0, Block: 1, Members: 2, Load: bytes(90)}, false, 0},
+		"past the levels":            {peer.LoadSum{Level: 9, Block: 0, Members: 1, Load: bytes(90)}, false, 0},
+		"impossible":                 {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: wild.Bytes()}, false, 1},
+		"too many figures":           {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: make([]byte, 98)}, false, 1},
 	} {
-		f := New(Terms{Me: 0, Of: 4, Horizon: second, Most: 1000})
-		f.Heard([]peer.Sum{c.sum}, second)
+		f := New(Config{Index: 0, Members: 4, MaxAge: second, MaxMemberRate: 1000})
+		f.Heard([]peer.LoadSum{c.sum}, second)
 		if _, of := f.Picture(second); (of > 1) != c.taken || f.Impossible != c.odd {
 			t.Errorf("%s: counts %d, %d impossible", name, of, f.Impossible)
 		}
 	}
 	// An older one that comes late does not take a newer one's place; that of a newer process does.
-	f := New(Terms{Me: 0, Of: 2, Horizon: 10 * second, Most: 1000})
-	f.Heard([]peer.Sum{{Block: 1, Life: 1, Of: 1, Load: bytes(90)}}, 5*second)
-	f.Heard([]peer.Sum{{Block: 1, Life: 1, Of: 1, Age: 100, Load: bytes(200)}}, 5*second)
+	f := New(Config{Index: 0, Members: 2, MaxAge: 10 * second, MaxMemberRate: 1000})
+	f.Heard([]peer.LoadSum{{Block: 1, Incarnation: 1, Members: 1, Load: bytes(90)}}, 5*second)
+	f.Heard([]peer.LoadSum{{Block: 1, Incarnation: 1, Members: 1, Age: 100, Load: bytes(200)}}, 5*second)
 	if got, _ := f.Picture(5 * second); math.Abs(got.First-90) > 0.5 {
 		t.Errorf("got %v of the older", got.First)
 	}
-	f.Heard([]peer.Sum{{Block: 1, Life: 2, Of: 1, Age: 100, Load: bytes(120)}}, 5*second)
+	f.Heard([]peer.LoadSum{{Block: 1, Incarnation: 2, Members: 1, Age: 100, Load: bytes(120)}}, 5*second)
 	if got, _ := f.Picture(5 * second); math.Abs(got.First-120) > 0.5 {
 		t.Errorf("got %v of the earlier process", got.First)
 	}
--- a/fleet/assign/assign.go
+++ b/fleet/assign/assign.go
@@ -15,9 +15,9 @@
 const Ranks = 3
 
 // Terms is when a duty is due. Times are nanoseconds.
-type Terms struct {
-	Every int64 // between two times that it is done
-	After int64 // without word of it for so long the next in rank does it, for twice as long the one after
+type Config struct {
+	Interval      int64 // between two times that it is done
+	TakeOverAfter int64 // without word of it for so long the next in rank does it, for twice as long the one after
 }
 
 // duty is one, by the id of what it is about.
@@ -32,14 +32,14 @@
 
 // Roster is one member's.
 type Roster struct {
-	t      Terms
+	t      Config
 	me     int
 	duties []duty // by id; set by Set
 	dice   rng.Source
 }
 
 // New begins without duties.
-func New(t Terms, me int, seed uint64) *Roster {
+func New(t Config, me int, seed uint64) *Roster {
 	return &Roster{t: t, me: me, dice: rng.Source{Seed: seed}}
 }
 
@@ -47,7 +47,7 @@
 func (r *Roster) Set(ids []string, living []int, now int64) {
 	next := make([]duty, 0, len(ids))
 	for _, id := range ids {
-		d := duty{id: id, begun: now, heard: now - r.t.Every, mine: now - r.t.Every}
+		d := duty{id: id, begun: now, heard: now - r.t.Interval, mine: now - r.t.Interval}
 		if i, had := slices.BinarySearchFunc(r.duties, id, byID); had {
 			d = r.duties[i]
 		}
@@ -106,14 +106,14 @@
 	for i := range r.duties {
 		d := &r.duties[i]
 		place := slices.Index(d.ranks, r.me)
-		if place < 0 || now-d.mine < r.t.Every {
+		if place < 0 || now-d.mine < r.t.Interval {
 			continue
 		}
-		if place > 0 && now-max(d.heard, d.begun) < int64(place)*r.t.After+d.period {
+		if place > 0 && now-max(d.heard, d.begun) < int64(place)*r.t.TakeOverAfter+d.period {
 			continue
 		}
 		d.mine, d.heard = now, max(d.heard, now)
-		d.period = int64(r.dice.Next() * float64(r.t.Every) / 2)
+		d.period = int64(r.dice.Next() * float64(r.t.Interval) / 2)
 		ids = append(ids, d.id)
 	}
 	return ids
--- a/fleet/assign/assign_test.go
+++ b/fleet/assign/assign_test.go
@@ -55,7 +55,7 @@
 
 func rosters(n, duties int) (x []*Roster) {
 	for i := range n {
-		r := New(Terms{Every: second, After: 3 * second}, i, uint64(i))
+		r := New(Config{Interval: second, TakeOverAfter: 3 * second}, i, uint64(i))
 		r.Set(ids(duties), all(n), second)
 		x = append(x, r)
 	}
@@ -101,7 +101,7 @@
 
 // Who stands for a duty changes little with who is there.
 func TestStays(t *testing.T) {
-	x := New(Terms{Every: second, After: second}, 0, 1)
+	x := New(Config{Interval: second, TakeOverAfter: second}, 0, 1)
 	x.Set(ids(100), all(12), 0)
 	moved := 0
 	before := make([]int, 100)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -44,53 +44,53 @@
 )
 
 // Terms is what a member is told. Times are nanoseconds.
-type Terms struct {
-	Me, Of    int
-	Life      uint64 // swim.LifeOf this process's start
-	Seed      uint64
-	Datagrams float64 // that it may send in a second
-	AckWait   int64
-	Quiet     int64
-	RuleSets  []balance.RuleSet
-	Tenants   []balance.Tenant
-	Over      float64 // part of the worth that is left past a tenant's share
-	MaxAdvice int64   // the longest wait that a client honours, 0 where none is advised
-	Overload  *Overload
-	Probes    *assign.Terms
-	Learn     *Learn // nil: a returner asks nobody, and nobody is taught
+type Config struct {
+	Index, Members     int
+	Incarnation        uint64 // swim.LifeOf this process's start
+	Seed               uint64
+	DatagramsPerSecond float64 // that it may send in a second
+	AckTimeout         int64
+	MinSilence         int64
+	RuleSets           []balance.RuleSet
+	Tenants            []balance.Tenant
+	OverShareFactor    float64 // part of the worth that is left past a tenant's share
+	MaxRetryAfter      int64   // the longest wait that a client honours, 0 where none is advised
+	Overload           *Overload
+	Probes             *assign.Config
+	Learn              *LearnConfig // nil: a returner asks nobody, and nobody is taught
 }
 
 // Overload is what operators set on shedding as one.
 type Overload struct {
-	Further float64 // dispatches beyond a req's first, as a part of first ones
-	Most    float64 // reqs a second past which no member's word is believed
+	RetryRatio    float64 // dispatches beyond a req's first, as a part of first ones
+	MaxMemberRate float64 // reqs a second past which no member's word is believed
 }
 
 // Kind is what an action asks of the host.
-type Kind int
+type ActionKind int
 
 // The kinds.
 const (
-	Send    Kind = iota // a datagram to a member
-	Probe               // ask a server whether it is well, and tell Probed
-	Advise              // the module's advice has changed
-	Tell                // a line for the log
-	Recall              // Told is what was learnt of others so far
-	Teach               // one that comes back asks: Answer it with what the module holds
-	Deliver             // a letter came of member To
+	Send             ActionKind = iota // a datagram to a member
+	Probe                              // ask a server whether it is well, and tell Probed
+	Advise                             // the module's advice has changed
+	Log                                // a line for the log
+	ApplyPeerReports                   // Told is what was learnt of others so far
+	AnswerQuery                        // one that comes back asks: Answer it with what the module holds
+	Deliver                            // a letter came of member To
 )
 
 // Action is one thing for the host to do. Only the fields of its kind are set.
 type Action struct {
-	Kind     Kind
+	Kind     ActionKind
 	To       int
 	Datagram peer.Datagram
 	Server   string
 	Advice   balance.Advice
 	Text     string
 	Fields   map[string]any
-	Told     []warmstart.Told
-	Letter   []byte
+	Reports  []warmstart.PeerReport
+	Message  []byte
 	due      bool // a sum at its time, which has a part of the datagrams for itself
 }
 
@@ -103,9 +103,9 @@
 
 // Fleet is one member's.
 type Fleet struct {
-	t     Terms
-	swim  *swim.Swim
-	fold  *aggregate.Fold
+	t     Config
+	swim  *swim.Membership
+	fold  *aggregate.Aggregate
 	cut   *shed.Cut
 	spare *shed.Spare
 	round *assign.Roster // nil: no probes
@@ -150,31 +150,31 @@
 }
 
 // New begins alone.
-func New(t Terms, now int64) *Fleet {
+func New(t Config, now int64) *Fleet {
 	f := &Fleet{t: t, dice: rng.Source{Seed: t.Seed}, ticked: now, pushAt: now, tokens: bucket{burst, now}}
-	period := int64(6 / t.Datagrams * float64(sec)) // a ping and its answer are a third of what may be sent
-	f.swim = swim.New(swim.Terms{Me: t.Me, Of: t.Of, Period: period, AckWait: t.AckWait, Quiet: t.Quiet, Seed: t.Seed ^ 1}, t.Life, now)
+	period := int64(6 / t.DatagramsPerSecond * float64(sec)) // a ping and its answer are a third of what may be sent
+	f.swim = swim.New(swim.Config{Index: t.Index, Members: t.Members, Period: period, AckTimeout: t.AckTimeout, MinSilence: t.MinSilence, Seed: t.Seed ^ 1}, t.Incarnation, now)
 	most, part := math.Inf(1), math.Inf(1)
 	if t.Overload != nil {
-		most, part = t.Overload.Most, t.Overload.Further
+		most, part = t.Overload.MaxMemberRate, t.Overload.RetryRatio
 	}
-	hold := max(leastHold, pushFor*f.pushEvery()*int64(aggregate.Levels(t.Of)))
-	f.fold = aggregate.New(aggregate.Terms{Me: t.Me, Of: t.Of, Most: most, Horizon: hold})
+	hold := max(leastHold, pushFor*f.pushEvery()*int64(aggregate.Levels(t.Members)))
+	f.fold = aggregate.New(aggregate.Config{Index: t.Index, Members: t.Members, MaxMemberRate: most, MaxAge: hold})
 	f.cut = shed.New(t.shed())
 	f.spare = shed.NewSpare(part, now)
 	f.learn = begin(t, now)
 	if t.Probes != nil {
-		f.round = assign.New(*t.Probes, t.Me, t.Seed^2)
+		f.round = assign.New(*t.Probes, t.Index, t.Seed^2)
 	}
 	return f
 }
 
 func (f *Fleet) pushEvery() int64 {
-	return max(leastPush, int64(float64(sec)/(pushPart*f.t.Datagrams)))
+	return max(leastPush, int64(float64(sec)/(pushPart*f.t.DatagramsPerSecond)))
 }
 
 // Servers takes the ids of all listed servers, in order.
-func (f *Fleet) Servers(ids []string, now int64) {
+func (f *Fleet) SetServers(ids []string, now int64) {
 	if slices.Equal(ids, f.servers) {
 		return
 	}
@@ -186,13 +186,13 @@
 // divide divides the probes anew.
 func (f *Fleet) divide(now int64) {
 	if f.version = f.swim.Version(); f.round != nil {
-		f.round.Set(f.servers, f.swim.Living(), now)
+		f.round.Set(f.servers, f.swim.AliveMembers(), now)
 	}
 }
 
 // Arrive counts a req of a rule set and tenant, by their places, and says whether the fleet sheds it and for how long its client is
 // to stay away. Luck, between 0 and 1, belongs to what stays the same over its client's retries; marked where it says that it is one.
-func (f *Fleet) Arrive(set, tenant int, luck float64, marked bool, now int64) (shed bool, wait int64) {
+func (f *Fleet) Admit(set, tenant int, luck float64, marked bool, now int64) (shed bool, wait int64) {
 	if f.t.Overload == nil {
 		return false, 0
 	}
@@ -213,18 +213,18 @@
 	}
 	f.Count.Shed++
 	*past = sent{luck: luck, at: now}
-	return true, int64(float64(f.t.MaxAdvice) * (waitLeast + (1-waitLeast)*f.dice.Next()))
+	return true, int64(float64(f.t.MaxRetryAfter) * (waitLeast + (1-waitLeast)*f.dice.Next()))
 }
 
 // Lost tells that a req that was let in was not served in time. Should its client come again, that is no further demand, and nothing
 // is lost yet.
-func (f *Fleet) Lost(luck float64, now int64) {
+func (f *Fleet) Missed(luck float64, now int64) {
 	f.lacked.Add(now, rateSpan)
 	f.away[int(luck*float64(len(f.away)))] = sent{luck, now, true}
 }
 
 // Sent tells of a dispatch; further where it is not its req's first.
-func (f *Fleet) Sent(server string, further bool, now int64) {
+func (f *Fleet) Dispatched(server string, further bool, now int64) {
 	if further {
 		f.further.Add(now, rateSpan)
 		f.spare.Further()
@@ -236,7 +236,7 @@
 }
 
 // Finished tells how a dispatch ended, whether its req has ended as well, and how long it took. Cancelled ones say nothing.
-func (f *Fleet) Finished(server string, o balance.Outcome, ended bool, took, now int64) {
+func (f *Fleet) DispatchEnded(server string, o balance.Outcome, ended bool, took, now int64) {
 	switch o {
 	case balance.Cancelled, balance.NotSent, balance.Unknown:
 		return
@@ -257,21 +257,21 @@
 }
 
 // Done tells that a req was served within its response target.
-func (f *Fleet) Done(now int64) { f.served.Add(now, rateSpan) }
+func (f *Fleet) ServedInTime(now int64) { f.served.Add(now, rateSpan) }
 
 // Probed tells what came of a probe.
-func (f *Fleet) Probed(server string, well bool, now int64) {
-	f.wary.probed(f.t.Me, server, well, now)
+func (f *Fleet) ProbeEnded(server string, well bool, now int64) {
+	f.wary.probed(f.t.Index, server, well, now)
 }
 
 // Same says whether a member goes by these rule sets and tenants, and this longest advice.
-func (f *Fleet) Same(sets []balance.RuleSet, tenants []balance.Tenant, advice int64) bool {
+func (f *Fleet) SameConfig(sets []balance.RuleSet, tenants []balance.Tenant, advice int64) bool {
 	return reflect.DeepEqual(f.t.RuleSets, sets) && slices.Equal(f.t.Tenants, tenants) &&
-		f.t.MaxAdvice == advice
+		f.t.MaxRetryAfter == advice
 }
 
 // Heard takes a datagram that came from the address of the member that it names.
-func (f *Fleet) Heard(d *peer.Datagram, now int64) {
+func (f *Fleet) Receive(d *peer.Datagram, now int64) {
 	if now-f.ticked > stoodLong || now < f.deafUntil {
 		// It may have waited for as long as this process stood still: its ages say nothing.
 		f.Count.Stale++
@@ -287,7 +287,7 @@
 	f.lesson(d, now)
 	f.piece(d)
 	for _, h := range d.Hints {
-		if h.By < f.t.Of && h.By != f.t.Me && f.swim.Alive(h.By) {
+		if h.Origin < f.t.Members && h.Origin != f.t.Index && f.swim.Alive(h.Origin) {
 			if id, at, probe := f.wary.heard(h, now); probe && f.round != nil {
 				f.round.Done(id, at)
 			}
@@ -309,10 +309,10 @@
 		f.stood(passed, now)
 	}
 	f.ticked = now
-	f.tokens.fill((1-pushPart)*f.t.Datagrams, max(burst, f.t.Datagrams/4), now)
+	f.tokens.fill((1-pushPart)*f.t.DatagramsPerSecond, max(burst, f.t.DatagramsPerSecond/4), now)
 	next = f.swim.Tick(now)
 	if f.swim.Version() != f.version {
-		f.fold.Gone(f.swim.Alive, func(p int) uint64 { return f.swim.Member(p).Life })
+		f.fold.Gone(f.swim.Alive, func(p int) uint64 { return f.swim.Member(p).Incarnation })
 		if now >= f.dutyAt { // it is work for all servers: not for each change of many
 			f.dutyAt = now + sec
 			f.divide(now)
@@ -363,8 +363,8 @@
 }
 
 // shed is what the cut goes by.
-func (t *Terms) shed() shed.Terms {
-	s := shed.Terms{Over: t.Over}
+func (t *Config) shed() shed.Terms {
+	s := shed.Terms{Over: t.OverShareFactor}
 	for _, r := range t.RuleSets {
 		s.Values = append(s.Values, r.BillingValue)
 	}
@@ -386,13 +386,13 @@
 func (f *Fleet) measure(now int64) {
 	rate := func(c *decay.Counter) float64 { return c.Now(now, rateSpan) * float64(sec) / float64(rateSpan) }
 	o := &f.fold.Own
-	*o = aggregate.Load{First: rate(&f.first), Further: rate(&f.further), Wanted: rate(&f.wanted), Probes: rate(&f.probes),
-		Refused: rate(&f.refused), Late: rate(&f.late), Failed: rate(&f.failed), Lacked: max(0, rate(&f.lacked)), Served: rate(&f.served), Took: rate(&f.took)}
+	*o = aggregate.Load{First: rate(&f.first), Retries: rate(&f.further), RetriesWanted: rate(&f.wanted), Probes: rate(&f.probes),
+		Refused: rate(&f.refused), TimedOut: rate(&f.late), Failed: rate(&f.failed), Unserved: max(0, rate(&f.lacked)), Served: rate(&f.served), ServerTime: rate(&f.took)}
 	for i := range f.offered {
 		o.Offered[i] = rate(&f.offered[i])
 	}
 	if f.cut.On {
-		o.Limit, o.Limits = f.cut.Limit/float64(f.t.Of), 1 // a part for each place, so that sums of it stay in what a figure holds
+		o.Limit, o.LimitCount = f.cut.Limit/float64(f.t.Members), 1 // a part for each place, so that sums of it stay in what a figure holds
 	}
 }
 
@@ -400,7 +400,7 @@
 func (f *Fleet) look(now int64) {
 	f.measure(now)
 	all, of := f.fold.Picture(now)
-	all.Limit *= float64(f.t.Of)
+	all.Limit *= float64(f.t.Members)
 	f.cut.Step(&all, of, now)
 	f.spare.Step(&all, &f.fold.Own, now)
 }
@@ -440,9 +440,9 @@
 // fill adds sums and hints where there is room.
 func (f *Fleet) fill(d *peer.Datagram, room *peer.Room, level int, now int64) {
 	f.swim.Tell(d, room, 1) // of many pieces of news most wait for pings and their answers, lest they crowd out the sums
-	d.Sums = append(d.Sums, f.fold.Tell(level, f.swim.Life(), room, now)...)
+	d.Sums = append(d.Sums, f.fold.Tell(level, f.swim.Incarnation(), room, now)...)
 	f.swim.Tell(d, room, 1)
-	d.Hints = append(d.Hints, f.wary.tell(f.t.Me, int(math.Ceil(3*math.Log2(float64(f.swim.Count())+1))), room, now)...)
+	d.Hints = append(d.Hints, f.wary.tell(f.t.Index, int(math.Ceil(3*math.Log2(float64(f.swim.AliveCount())+1))), room, now)...)
 }
 
 // send hands out what the members' part wants sent, within the limit. Answers and questions carry what there is room for.
@@ -454,7 +454,7 @@
 
 // advise has the module know what has changed.
 func (f *Fleet) advise(now int64) {
-	a := balance.Advice{RetriesLimited: f.t.Overload != nil, ShareFactors: f.wary.care(f.t.Me, f.swim.Alive, now)}
+	a := balance.Advice{RetriesLimited: f.t.Overload != nil, ShareFactors: f.wary.care(f.t.Index, f.swim.Alive, now)}
 	if a.RetriesLimited {
 		a.RetriesLeft = f.spare.Left()
 	}
@@ -467,14 +467,14 @@
 
 // tell has a line logged.
 func (f *Fleet) tell(text string, fields map[string]any) {
-	f.todo = append(f.todo, Action{Kind: Tell, Text: text, Fields: fields})
+	f.todo = append(f.todo, Action{Kind: Log, Text: text, Fields: fields})
 }
 
 // note logs what has changed: members, the cut, the budget.
 func (f *Fleet) note() {
 	for _, c := range f.swim.Changes() {
-		if c.To != peer.Suspect && c.From != swim.Word(peer.Suspect) || c.To == peer.Dead {
-			f.tell("member", map[string]any{"member": c.Who, "from": c.From, "to": swim.Word(c.To), "by": c.By, "members": f.swim.Count()})
+		if c.To != peer.Suspect && c.From != swim.StateName(peer.Suspect) || c.To == peer.Dead {
+			f.tell("member", map[string]any{"member": c.Who, "from": c.From, "to": swim.StateName(c.To), "by": c.By, "members": f.swim.AliveCount()})
 		}
 	}
 	if f.cut.On != f.was.on || f.cut.Moves != f.was.move {
@@ -496,7 +496,7 @@
 		}
 		// A question or an answer that is kept back is a suspicion, of another or of oneself: these may run into debt, which the rest pays.
 		must := a.Datagram.Kind != peer.Push
-		if !a.due && (f.tokens.n < -debt*f.t.Datagrams || !must && f.tokens.n < 1) {
+		if !a.due && (f.tokens.n < -debt*f.t.DatagramsPerSecond || !must && f.tokens.n < 1) {
 			f.Count.Held++
 			continue
 		}
@@ -570,18 +570,18 @@
 // Status gives a member's view.
 func (f *Fleet) Status(now int64) Status {
 	all, of := f.fold.Picture(now)
-	s := Status{Me: f.t.Me, Life: f.swim.Life(), Health: f.swim.Health(), Alive: f.swim.Count(), Counted: of, AgeMs: f.fold.Age(now) / ms,
-		Offered: all.All(), Served: all.Served, Lacked: all.Lacked, First: all.First, Further: all.Further, Probing: all.Probes,
+	s := Status{Me: f.t.Index, Life: f.swim.Incarnation(), Health: f.swim.Health(), Alive: f.swim.AliveCount(), Counted: of, AgeMs: f.fold.Age(now) / ms,
+		Offered: all.TotalOffered(), Served: all.Served, Lacked: all.Unserved, First: all.First, Further: all.Retries, Probing: all.Probes,
 		Cut:   CutStatus{f.cut.On, f.cut.Limit, f.cut.Part, f.cut.Moves, f.cut.Calm, f.cut.Took},
 		Spare: SpareStatus{f.spare.Left(), f.spare.Stopped}, Counts: f.Count, Odd: f.fold.Impossible,
 		Twice: f.swim.Dropped.Twice, Past: f.swim.Dropped.Past, Nobody: f.swim.Dropped.Nobody, AwayMs: f.swim.Away / ms}
-	for i := range f.t.Of {
+	for i := range f.t.Members {
 		m := f.swim.Member(i)
 		if !m.Known {
 			s.Members = append(s.Members, Seen{Member: i, State: "presumed"})
 			continue
 		}
-		s.Members = append(s.Members, Seen{i, swim.Word(m.State), m.Life, (now - m.Since) / ms, (now - m.Heard) / ms})
+		s.Members = append(s.Members, Seen{i, swim.StateName(m.State), m.Incarnation, (now - m.Since) / ms, (now - m.LastHeard) / ms})
 	}
 	if f.round != nil {
 		for _, id := range f.servers {
@@ -597,10 +597,10 @@
 }
 
 // Members is the view of who takes part, for those who rehearse.
-func (f *Fleet) Members() *swim.Swim { return f.swim }
+func (f *Fleet) Membership() *swim.Membership { return f.swim }
 
 // Picture is what is counted, for those who rehearse.
-func (f *Fleet) Picture(now int64) (aggregate.Load, int) { return f.fold.Picture(now) }
+func (f *Fleet) FleetLoad(now int64) (aggregate.Load, int) { return f.fold.Picture(now) }
 
 // Sheds says whether a cut is in force that denies anything.
 func (f *Fleet) Shedding() bool { return f.cut.On && f.cut.Part < 1 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -15,10 +15,10 @@
 
 const begun = int64(1e15)
 
-func terms(me, of int) Terms {
-	return Terms{Me: me, Of: of, Life: swim.LifeOf(begun) + uint64(me), Seed: uint64(me + 1), Datagrams: 40, AckWait: 300 * ms, Quiet: 2300 * ms,
-		RuleSets: []balance.RuleSet{{Name: "low", BillingValue: 1}, {Name: "high", BillingValue: 8}}, MaxAdvice: sec, Over: 0.2,
-		Overload: &Overload{Further: 0.1, Most: 1000}, Probes: &assign.Terms{Every: sec, After: 3 * sec}}
+func terms(me, of int) Config {
+	return Config{Index: me, Members: of, Incarnation: swim.IncarnationAt(begun) + uint64(me), Seed: uint64(me + 1), DatagramsPerSecond: 40, AckTimeout: 300 * ms, MinSilence: 2300 * ms,
+		RuleSets: []balance.RuleSet{{Name: "low", BillingValue: 1}, {Name: "high", BillingValue: 8}}, MaxRetryAfter: sec, OverShareFactor: 0.2,
+		Overload: &Overload{RetryRatio: 0.1, MaxMemberRate: 1000}, Probes: &assign.Config{Interval: sec, TakeOverAfter: 3 * sec}}
 }
 
 // mesh carries datagrams between members at once, and time by steps of 10 ms.
@@ -35,7 +35,7 @@
 	m := &mesh{now: begun, passes: func(int, int) bool { return true }, probes: map[string][]int{}, advice: make([]balance.Advice, n)}
 	for i := range n {
 		m.members = append(m.members, New(terms(i, n), m.now))
-		m.members[i].Servers(servers(10), m.now)
+		m.members[i].SetServers(servers(10), m.now)
 	}
 	return m
 }
@@ -66,14 +66,14 @@
 		switch a.Kind {
 		case Send:
 			if m.passes(i, a.To) {
-				m.members[a.To].Heard(&a.Datagram, m.now)
+				m.members[a.To].Receive(&a.Datagram, m.now)
 			}
 		case Probe:
 			m.probes[a.Server] = append(m.probes[a.Server], i)
-			m.members[i].Probed(a.Server, true, m.now)
+			m.members[i].ProbeEnded(a.Server, true, m.now)
 		case Advise:
 			m.advice[i] = a.Advice
-		case Tell:
+		case Log:
 			m.told = append(m.told, a.Text)
 		}
 	}
@@ -98,15 +98,15 @@
 					set = 1
 				}
 				luck := dice.Next()
-				if shed, _ := f.Arrive(set, 0, luck, false, m.now); shed {
+				if shed, _ := f.Admit(set, 0, luck, false, m.now); shed {
 					continue
 				}
 				if left >= 1 {
 					left--
-					f.Finished("s-1", balance.Served, true, took, m.now)
-					f.Done(m.now)
+					f.DispatchEnded("s-1", balance.Served, true, took, m.now)
+					f.ServedInTime(m.now)
 				} else {
-					f.Lost(luck, m.now)
+					f.Missed(luck, m.now)
 				}
 			}
 		}
@@ -134,7 +134,7 @@
 	}
 	m.run(3*sec, m.load(1, 1, 1000))
 	for i, f := range m.members {
-		if shed, _ := f.Arrive(0, 0, 0.999, false, m.now); shed {
+		if shed, _ := f.Admit(0, 0, 0.999, false, m.now); shed {
 			t.Errorf("member %d sheds after the overload", i)
 		}
 	}
@@ -146,7 +146,7 @@
 	f.cut.On = true
 	f.cut.Pass[f.cut.Class(0, 0)] = 0.5
 	for range 3 {
-		if shed, wait := f.Arrive(0, 0, 0.7, false, begun); !shed || wait < int64(0.3*float64(sec)) || wait > sec {
+		if shed, wait := f.Admit(0, 0, 0.7, false, begun); !shed || wait < int64(0.3*float64(sec)) || wait > sec {
 			t.Errorf("shed %v for %d ms", shed, wait/ms)
 		}
 	}
@@ -154,11 +154,11 @@
 		t.Errorf("%d retries, %v asked, want two and one", f.Count.Retries, f.offered[f.cut.Class(0, 0)].Value)
 	}
 	// Lost and come again: not lost yet.
-	f.Lost(0.2, begun)
-	if f.Arrive(0, 0, 0.2, false, begun); f.lacked.Value != 0 {
+	f.Missed(0.2, begun)
+	if f.Admit(0, 0, 0.2, false, begun); f.lacked.Value != 0 {
 		t.Errorf("%v lacked", f.lacked.Value)
 	}
-	if f.Arrive(0, 0, 0.3, true, begun); f.Count.Retries != 4 {
+	if f.Admit(0, 0, 0.3, true, begun); f.Count.Retries != 4 {
 		t.Error("a marked retry counts as demand")
 	}
 }
@@ -167,7 +167,7 @@
 // served here.
 func TestWary(t *testing.T) {
 	lost := func(server string, by int) peer.Hint {
-		return peer.Hint{Server: peer.Server(server), By: by, What: peer.Lost}
+		return peer.Hint{Server: peer.ServerHash(server), Origin: by, Observation: peer.DispatchesLost}
 	}
 	all := func(int) bool { return true }
 	for name, c := range map[string]struct {
@@ -183,8 +183,8 @@
 		"two, but served here":    {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "s-1", all, nil},
 		"one of them dead":        {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", func(i int) bool { return i != 2 }, nil},
 		"one with a broken link":  {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-2", 2), lost("s-3", 2), lost("s-4", 2)}, "", all, nil},
-		"a prober and another":    {[]peer.Hint{lost("s-1", 1), {Server: peer.Server("s-1"), By: 2, What: peer.Absent}}, "", all, map[string]float64{"s-1": careful}},
-		"a prober that says both": {[]peer.Hint{lost("s-1", 2), {Server: peer.Server("s-1"), By: 2, What: peer.Absent}}, "", all, nil},
+		"a prober and another":    {[]peer.Hint{lost("s-1", 1), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, map[string]float64{"s-1": careful}},
+		"a prober that says both": {[]peer.Hint{lost("s-1", 2), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, nil},
 		"no server of the list":   {[]peer.Hint{lost("other", 1), lost("other", 2)}, "", all, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -216,8 +216,8 @@
 			return
 		}
 		for i := range 2 {
-			m.members[i].Sent("s-4", false, m.now)
-			m.members[i].Finished("s-4", balance.TimedOut, true, 0, m.now)
+			m.members[i].Dispatched("s-4", false, m.now)
+			m.members[i].DispatchEnded("s-4", balance.TimedOut, true, 0, m.now)
 		}
 	})
 	if got := m.advice[3].ShareFactors["s-4"]; got == 0 || got > careful || len(m.advice[3].ShareFactors) != 1 {
@@ -254,9 +254,9 @@
 	if !f.cut.On {
 		t.Fatal("no cut to begin with")
 	}
-	late := peer.Datagram{From: 0, Life: m.members[0].swim.Life(), Count: 1 << 40, Kind: peer.Push}
+	late := peer.Datagram{From: 0, Incarnation: m.members[0].swim.Incarnation(), Number: 1 << 40, Kind: peer.Push}
 	now := m.now + 5*sec
-	f.Heard(&late, now)
+	f.Receive(&late, now)
 	if f.Count.Stale != 1 {
 		t.Error("what waited was taken")
 	}
@@ -269,7 +269,7 @@
 			t.Errorf("member %d is held to be dead by one that did not run", i)
 		}
 	}
-	f.Heard(&late, now+deafFor)
+	f.Receive(&late, now+deafFor)
 	if f.Count.Stale != 1 {
 		t.Error("what comes afterwards is not taken")
 	}
@@ -281,9 +281,9 @@
 	m.run(2*sec, nil)
 	wild := aggregate.Load{First: 1e9}
 	wild.Offered[0] = 1e9
-	m.members[0].fold.Heard([]peer.Sum{{Block: 1, Of: 1, Life: 1 << 60, Load: wild.Bytes()}}, m.now)
-	if got, _ := m.members[0].fold.Picture(m.now); got.All() > 1000 {
-		t.Errorf("%v believed", got.All())
+	m.members[0].fold.Heard([]peer.LoadSum{{Block: 1, Members: 1, Incarnation: 1 << 60, Load: wild.Bytes()}}, m.now)
+	if got, _ := m.members[0].fold.Picture(m.now); got.TotalOffered() > 1000 {
+		t.Errorf("%v believed", got.TotalOffered())
 	}
 	if m.members[0].fold.Impossible != 1 {
 		t.Error("not counted")
@@ -295,14 +295,14 @@
 	m := newMesh(1)
 	m.run(sec, nil)
 	for range 40 {
-		m.members[0].Sent("s-1", false, m.now)
+		m.members[0].Dispatched("s-1", false, m.now)
 	}
 	m.run(200*ms, nil)
 	if a := m.advice[0]; !a.RetriesLimited || a.RetriesLeft < 2 {
 		t.Fatalf("told %+v", a)
 	}
 	for range 10 {
-		m.members[0].Sent("s-1", true, m.now)
+		m.members[0].Dispatched("s-1", true, m.now)
 	}
 	m.run(200*ms, nil)
 	if a := m.advice[0]; a.RetriesLeft != 0 {
@@ -313,7 +313,7 @@
 // What a req costs the fleet's part: no allocation.
 func TestReqAllocatesNothing(t *testing.T) {
 	f, n := New(terms(0, 12), begun), int64(0)
-	f.Servers(servers(10), begun)
+	f.SetServers(servers(10), begun)
 	if got := testing.AllocsPerRun(1000, func() { one(f, &n) }); got != 0 {
 		t.Errorf("%v allocations", got)
 	}
@@ -323,15 +323,15 @@
 	*n++
 	luck := float64(*n%9973)/9973 + 1e-9
 	now := begun + *n*ms
-	f.Arrive(1, 0, luck, false, now)
-	f.Sent("s-3", false, now)
-	f.Finished("s-3", balance.Served, true, ms, now)
-	f.Done(now)
+	f.Admit(1, 0, luck, false, now)
+	f.Dispatched("s-3", false, now)
+	f.DispatchEnded("s-3", balance.Served, true, ms, now)
+	f.ServedInTime(now)
 }
 
 func BenchmarkReq(b *testing.B) {
 	f, n := New(terms(0, 12), begun), int64(0)
-	f.Servers(servers(10), begun)
+	f.SetServers(servers(10), begun)
 	b.ReportAllocs()
 	for b.Loop() {
 		one(f, &n)
--- a/fleet/holds/holds.go
+++ b/fleet/holds/holds.go
@@ -20,9 +20,9 @@
 
 // Hold is what is known of one host. Times are Unix nanoseconds.
 type Hold struct {
-	Out  bool  `json:"out"`
-	From int64 `json:"from"` // since when it was out
-	Back int64 `json:"back"` // when it was put back
+	Out        bool  `json:"out"`
+	Since      int64 `json:"from"` // since when it was out
+	ReturnedAt int64 `json:"back"` // when it was put back
 }
 
 // Table is all holds. A version is never used twice.
@@ -56,7 +56,7 @@
 func (t Table) copy() Table { return Table{t.Version, maps.Clone(t.Hosts)} }
 
 // Follow looks whether the other process has changed the file.
-func (s *Store) Follow() (Table, bool) {
+func (s *Store) Refresh() (Table, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed, _ := s.refresh()
@@ -103,12 +103,12 @@
 		return s.table.copy(), nil
 	}
 	t := s.table.copy()
-	h := Hold{Out: true, From: now}
+	h := Hold{Out: true, Since: now}
 	if !out {
-		h = Hold{From: t.Hosts[id].From, Back: now}
+		h = Hold{Since: t.Hosts[id].Since, ReturnedAt: now}
 	}
 	t.Hosts[id] = h
-	maps.DeleteFunc(t.Hosts, func(_ string, h Hold) bool { return !h.Out && now-h.Back > keepBack })
+	maps.DeleteFunc(t.Hosts, func(_ string, h Hold) bool { return !h.Out && now-h.ReturnedAt > keepBack })
 	t.Version++
 	s.table = t
 	if err == nil {
--- a/fleet/holds/holds_test.go
+++ b/fleet/holds/holds_test.go
@@ -28,16 +28,16 @@
 	path := filepath.Join(t.TempDir(), "holds")
 	one, two := store(t, path), store(t, path)
 	t.Run("out, out again, back, back again", func(t *testing.T) {
-		if got := set(t, one, "a", true, 10).Hosts["a"]; got != (Hold{Out: true, From: 10}) {
+		if got := set(t, one, "a", true, 10).Hosts["a"]; got != (Hold{Out: true, Since: 10}) {
 			t.Errorf("got %+v", got)
 		}
-		if got := set(t, one, "a", true, 20); got.Hosts["a"].From != 10 || got.Version != 1 {
+		if got := set(t, one, "a", true, 20); got.Hosts["a"].Since != 10 || got.Version != 1 {
 			t.Errorf("got %+v, want the first call to count", got)
 		}
-		if got := set(t, one, "a", false, 30).Hosts["a"]; got != (Hold{From: 10, Back: 30}) {
+		if got := set(t, one, "a", false, 30).Hosts["a"]; got != (Hold{Since: 10, ReturnedAt: 30}) {
 			t.Errorf("got %+v", got)
 		}
-		if got := set(t, one, "a", false, 40); got.Hosts["a"].Back != 30 || got.Version != 2 {
+		if got := set(t, one, "a", false, 40); got.Hosts["a"].ReturnedAt != 30 || got.Version != 2 {
 			t.Errorf("got %+v, want the first call to count", got)
 		}
 		if got := set(t, one, "never out", false, 40); len(got.Hosts) != 1 {
@@ -45,18 +45,18 @@
 		}
 	})
 	t.Run("the other process follows", func(t *testing.T) {
-		got, changed := two.Follow()
+		got, changed := two.Refresh()
 		if !changed || got.Version != 2 {
 			t.Errorf("got %+v, %v", got, changed)
 		}
-		if _, changed := two.Follow(); changed {
+		if _, changed := two.Refresh(); changed {
 			t.Error("got a change where there was none")
 		}
 		set(t, one, "b", true, 50)
 		if got := set(t, two, "c", true, 60); !got.Hosts["b"].Out || !got.Hosts["c"].Out {
 			t.Errorf("got %+v, want the other's change kept", got)
 		}
-		if got, changed := one.Follow(); !changed || !got.Hosts["c"].Out {
+		if got, changed := one.Refresh(); !changed || !got.Hosts["c"].Out {
 			t.Errorf("got %+v, %v", got, changed)
 		}
 	})
@@ -66,7 +66,7 @@
 		}
 	})
 	t.Run("what was put back is forgotten in the end", func(t *testing.T) {
-		if got := set(t, one, "d", true, 40+keepBack); len(got.Hosts) != 3 || got.Hosts["a"].Back != 0 {
+		if got := set(t, one, "d", true, 40+keepBack); len(got.Hosts) != 3 || got.Hosts["a"].ReturnedAt != 0 {
 			t.Errorf("got %+v, want a gone", got)
 		}
 	})
--- a/fleet/learn_test.go
+++ b/fleet/learn_test.go
@@ -25,10 +25,10 @@
 
 func (c *class) start(i int) {
 	t := terms(i, len(c.members))
-	t.Learn = &Learn{Others: 2, For: 3 * sec}
-	t.Life += uint64((c.now-begun)/ms) << 8
+	t.Learn = &LearnConfig{MinPeers: 2, Timeout: 3 * sec}
+	t.Incarnation += uint64((c.now-begun)/ms) << 8
 	c.members[i] = New(t, c.now)
-	c.members[i].Servers(servers(10), c.now)
+	c.members[i].SetServers(servers(10), c.now)
 }
 
 func (c *class) run(d int64) {
@@ -41,12 +41,12 @@
 				switch a.Kind {
 				case Send:
 					if c.passes(i, a.To) {
-						c.members[a.To].Heard(&a.Datagram, c.now)
+						c.members[a.To].Receive(&a.Datagram, c.now)
 					}
-				case Teach:
-					f.Answer(a.To, c.knows, c.now)
-				case Recall:
-					for _, t := range a.Told {
+				case AnswerQuery:
+					f.SendBeliefs(a.To, c.knows, c.now)
+				case ApplyPeerReports:
+					for _, t := range a.Reports {
 						c.heard[i] = max(c.heard[i], len(t.Beliefs))
 					}
 				}
@@ -82,18 +82,18 @@
 		if c.heard[i] != 8 {
 			t.Errorf("member %d has heard %d beliefs, want the eight that somebody has met or that drain", i, c.heard[i])
 		}
-		asked, answers, taught := c.members[i].Lessons()
+		asked, answers, taught := c.members[i].LearnCounts()
 		if asked > 20 || answers < 2 || taught > 0 {
 			t.Errorf("member %d has asked %d times, was answered %d times, has taught %d", i, asked, answers, taught)
 		}
 	}
 	before := map[int]int{}
 	for i := range c.members {
-		before[i], _, _ = c.members[i].Lessons()
+		before[i], _, _ = c.members[i].LearnCounts()
 	}
 	c.run(5 * sec)
 	for i := range c.members {
-		if asked, _, _ := c.members[i].Lessons(); asked != before[i] {
+		if asked, _, _ := c.members[i].LearnCounts(); asked != before[i] {
 			t.Errorf("member %d asks on", i)
 		}
 	}
@@ -107,15 +107,15 @@
 	answers := 0
 	for range 2000 { // 10 s
 		c.now += 5 * ms
-		f.lesson(&peer.Datagram{From: 1, Kind: peer.Want}, c.now)
+		f.lesson(&peer.Datagram{From: 1, Kind: peer.Query}, c.now)
 		for len(f.todo) > 0 {
-			if f.todo[0].Kind == Teach {
+			if f.todo[0].Kind == AnswerQuery {
 				answers++
 			}
 			f.todo = f.todo[1:]
 		}
 	}
-	if most := f.t.Datagrams * (1 + 10*teachPart); float64(answers) > most+1 || answers == 0 {
+	if most := f.t.DatagramsPerSecond * (1 + 10*teachPart); float64(answers) > most+1 || answers == 0 {
 		t.Errorf("%d answers in 10 s, want %.0f at the most", answers, most)
 	}
 }
@@ -124,14 +124,14 @@
 func TestWitness(t *testing.T) {
 	c := newClass(3)
 	c.run(3 * sec)
-	c.members[1].Keyed(42 * sec)
+	c.members[1].RecordKey(42 * sec)
 	c.run(4 * sec)
 	c.start(1)
-	if _, heard := c.members[1].Witnessed(); heard {
+	if _, heard := c.members[1].ReportedKey(); heard {
 		t.Error("it has heard of nobody yet")
 	}
 	c.run(2 * sec)
-	if newest, heard := c.members[1].Witnessed(); !heard || newest != 42*sec {
+	if newest, heard := c.members[1].ReportedKey(); !heard || newest != 42*sec {
 		t.Errorf("got %d, %v", newest, heard)
 	}
 }
--- a/fleet/messages.go
+++ b/fleet/messages.go
@@ -32,36 +32,36 @@
 }
 
 // Post sends a letter; one past what letters may take is dropped whole.
-func (f *Fleet) Post(to int, body []byte, now int64) {
+func (f *Fleet) SendMessage(to int, body []byte, now int64) {
 	x := &f.post
-	rate := letterTimes * f.t.Datagrams
+	rate := letterTimes * f.t.DatagramsPerSecond
 	x.tokens.fill(rate, rate, now)
-	n := max(1, (len(body)+peer.PieceMost-1)/peer.PieceMost)
-	if to < 0 || to >= f.t.Of || to == f.t.Me || n > peer.MostPieces || x.tokens.n < float64(n) {
+	n := max(1, (len(body)+peer.MaxPartBytes-1)/peer.MaxPartBytes)
+	if to < 0 || to >= f.t.Members || to == f.t.Index || n > peer.MaxParts || x.tokens.n < float64(n) {
 		x.Lost++
 		return
 	}
 	x.tokens.n -= float64(n)
 	x.seq++
 	for i := range n {
-		d, _ := f.swim.Datagram(peer.Letter)
-		d.Seq, d.About, d.Piece = x.seq, i<<8|n, body[i*peer.PieceMost:min(len(body), (i+1)*peer.PieceMost)]
+		d, _ := f.swim.Datagram(peer.MessagePart)
+		d.Seq, d.Subject, d.Piece = x.seq, i<<8|n, body[i*peer.MaxPartBytes:min(len(body), (i+1)*peer.MaxPartBytes)]
 		f.todo = append(f.todo, Action{Kind: Send, To: to, Datagram: d, due: true})
 	}
 }
 
 // piece takes a piece of a letter.
 func (f *Fleet) piece(d *peer.Datagram) {
-	if d.Kind != peer.Letter {
+	if d.Kind != peer.MessagePart {
 		return
 	}
-	at, of := d.About>>8, d.About&255
-	if of == 0 || at >= of || len(d.Piece) > peer.PieceMost || at < of-1 && len(d.Piece) != peer.PieceMost {
+	at, of := d.Subject>>8, d.Subject&255
+	if of == 0 || at >= of || len(d.Piece) > peer.MaxPartBytes || at < of-1 && len(d.Piece) != peer.MaxPartBytes {
 		return
 	}
 	x := &f.post
 	i := slices.IndexFunc(x.halves, func(h half) bool {
-		return h.from == d.From && h.life == d.Life && h.seq == d.Seq && len(h.pieces) == of
+		return h.from == d.From && h.life == d.Incarnation && h.seq == d.Seq && len(h.pieces) == of
 	})
 	if i < 0 {
 		mine := 0
@@ -72,7 +72,7 @@
 				}
 			}
 		}
-		x.halves = append(x.halves, half{d.From, d.Life, d.Seq, make([][]byte, of), of})
+		x.halves = append(x.halves, half{d.From, d.Incarnation, d.Seq, make([][]byte, of), of})
 		i = len(x.halves) - 1
 	}
 	h := &x.halves[i]
@@ -85,5 +85,5 @@
 	}
 	body := slices.Concat(h.pieces...)
 	x.halves = slices.Delete(x.halves, i, i+1)
-	f.todo = append(f.todo, Action{Kind: Deliver, To: d.From, Letter: body})
+	f.todo = append(f.todo, Action{Kind: Deliver, To: d.From, Message: body})
 }
--- a/fleet/messages_test.go
+++ b/fleet/messages_test.go
@@ -9,7 +9,7 @@
 
 // pieces posts a letter and gives its datagrams.
 func pieces(f *Fleet, to int, body []byte, now int64) (all []peer.Datagram) {
-	f.Post(to, body, now)
+	f.SendMessage(to, body, now)
 	for _, a := range f.todo {
 		if a.Kind == Send {
 			all = append(all, a.Datagram)
@@ -23,7 +23,7 @@
 func letters(f *Fleet) (all [][]byte) {
 	for _, a := range f.todo {
 		if a.Kind == Deliver {
-			all = append(all, a.Letter)
+			all = append(all, a.Message)
 		}
 	}
 	f.todo = nil
@@ -32,20 +32,20 @@
 
 func TestLetters(t *testing.T) {
 	one, other := New(terms(0, 2), begun), New(terms(1, 2), begun)
-	for name, size := range map[string]int{"short": 3, "a piece": peer.PieceMost, "a byte more": peer.PieceMost + 1, "long": 7 * peer.PieceMost} {
+	for name, size := range map[string]int{"short": 3, "a piece": peer.MaxPartBytes, "a byte more": peer.MaxPartBytes + 1, "long": 7 * peer.MaxPartBytes} {
 		t.Run(name, func(t *testing.T) {
 			body := bytes.Repeat([]byte("abcdefg"), size/7+1)[:size]
 			all := pieces(one, 1, body, begun+sec)
 			for i := range all { // the last first, some twice
 				d := all[len(all)-1-i]
-				if b, err := peer.Encode(0, &d); err != nil || len(b) > peer.Most {
+				if b, err := peer.Encode(0, &d); err != nil || len(b) > peer.MaxDatagramBytes {
 					t.Fatalf("%d bytes, %v", len(b), err)
 				}
 				other.piece(&d)
 				other.piece(&d)
 			}
 			got := letters(other)
-			if size == 3 || size == peer.PieceMost { // of one piece: a copy of it is another letter, which Raft bears
+			if size == 3 || size == peer.MaxPartBytes { // of one piece: a copy of it is another letter, which Raft bears
 				got = got[:1]
 			}
 			if len(got) != 1 || !bytes.Equal(got[0], body) {
@@ -56,7 +56,7 @@
 	t.Run("a piece lost", func(t *testing.T) {
 		other.post.halves = nil
 		for range 20 {
-			for _, d := range pieces(one, 1, make([]byte, 3*peer.PieceMost), begun+5*sec)[1:] {
+			for _, d := range pieces(one, 1, make([]byte, 3*peer.MaxPartBytes), begun+5*sec)[1:] {
 				other.piece(&d)
 			}
 		}
@@ -69,12 +69,12 @@
 		for range 1000 {
 			sent += len(pieces(one, 1, []byte("x"), begun+9*sec))
 		}
-		if most := letterTimes * one.t.Datagrams; float64(sent) > most || one.post.Lost == 0 {
+		if most := letterTimes * one.t.DatagramsPerSecond; float64(sent) > most || one.post.Lost == 0 {
 			t.Errorf("%d pieces at once, want %.0f at the most", sent, most)
 		}
 	})
 	t.Run("not of the form", func(t *testing.T) {
-		for _, d := range []peer.Datagram{{Kind: peer.Letter}, {Kind: peer.Letter, About: 3<<8 | 2, Piece: []byte("x")}, {Kind: peer.Letter, About: 2, Piece: []byte("x")}} {
+		for _, d := range []peer.Datagram{{Kind: peer.MessagePart}, {Kind: peer.MessagePart, Subject: 3<<8 | 2, Piece: []byte("x")}, {Kind: peer.MessagePart, Subject: 2, Piece: []byte("x")}} {
 			other.piece(&d)
 		}
 		if len(letters(other)) > 0 {
--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -13,7 +13,7 @@
 )
 
 // Most is the longest datagram, in bytes, that the platform carries between proxies.
-const Most = 256
+const MaxDatagramBytes = 256
 
 // version is that of the form: builds with another one ignore each other. A field more does not change it, as fields that are not
 // known are skipped.
@@ -31,15 +31,15 @@
 
 // The kinds. All of them may carry news, sums and hints.
 const (
-	Push   Kind = iota // wants no answer
-	Ping               // wants an Ack with its number
-	Ack                // answers a Ping; with About the one that was pinged on behalf of another
-	Ask                // asks to ping About on the sender's behalf
-	Nack               // About has not answered the one that was asked
-	Leave              // the sender ends
-	Want               // the sender has just begun, and asks what servers are worth
-	Teach              // answers a Want with what the sender has met itself
-	Letter             // a piece of something longer than a datagram; Seq numbers the letter, About is the piece's place and how many there are
+	Push        Kind = iota // wants no answer
+	Ping                    // wants an Ack with its number
+	Ack                     // answers a Ping; with About the one that was pinged on behalf of another
+	PingRequest             // asks to ping About on the sender's behalf
+	Nack                    // About has not answered the one that was asked
+	Leave                   // the sender ends
+	Query                   // the sender has just begun, and asks what servers are worth
+	Answer                  // answers a Want with what the sender has met itself
+	MessagePart             // a piece of something longer than a datagram; Seq numbers the letter, About is the piece's place and how many there are
 	kinds
 )
 
@@ -56,93 +56,93 @@
 )
 
 // News is one thing said of a member.
-type News struct {
-	_     struct{} `cbor:",toarray"`
-	Who   int
-	State State
-	Life  uint64 // of Who: its start in Unix milliseconds, more where it had to refute
-	By    int    // who says so first
-	Quiet uint16 // Suspect: for so many hundredths of a second By has heard nothing of Who
+type MemberUpdate struct {
+	_           struct{} `cbor:",toarray"`
+	Member      int
+	State       State
+	Incarnation uint64 // of Who: its start in Unix milliseconds, more where it had to refute
+	Origin      int    // who says so first
+	Silence     uint16 // Suspect: for so many hundredths of a second By has heard nothing of Who
 }
 
 // Sum is the load of a block of members, folded.
-type Sum struct {
-	_     struct{} `cbor:",toarray"`
-	Level uint8    // a block of 2^Level members
-	Block int      // which
-	Life  uint64   // Level 0: of the member
-	Age   uint16   // hundredths of a second since it was measured
-	Of    int      // members counted
-	Load  []byte
+type LoadSum struct {
+	_           struct{} `cbor:",toarray"`
+	Level       uint8    // a block of 2^Level members
+	Block       int      // which
+	Incarnation uint64   // Level 0: of the member
+	Age         uint16   // hundredths of a second since it was measured
+	Members     int      // members counted
+	Load        []byte
 }
 
 // Hint is what one member has met at a server.
 type Hint struct {
-	_      struct{} `cbor:",toarray"`
-	Server uint32   // hash of its id
-	By     int
-	What   Seen
-	Age    uint16 // hundredths of a second
+	_           struct{} `cbor:",toarray"`
+	Server      uint32   // hash of its id
+	Origin      int
+	Observation Observation
+	Age         uint16 // hundredths of a second
 }
 
 // Seen is what a hint says.
-type Seen uint8
+type Observation uint8
 
 // What may have been seen.
 const (
-	Lost   Seen = iota // several dispatches in a short time were lost or turned away
-	Fine               // a probe was answered
-	Absent             // a probe was not answered
+	DispatchesLost  Observation = iota // several dispatches in a short time were lost or turned away
+	ProbeAnswered                      // a probe was answered
+	ProbeUnanswered                    // a probe was not answered
 	seens
 )
 
 // Belief is what one member holds of a server's process, by what it has met there itself.
 type Belief struct {
-	_      struct{} `cbor:",toarray"`
-	Server uint32   // hash of its id
-	Since  uint32   // the low bits of its start in milliseconds, see Start
-	Health uint8    // in hundredths
-	Left   uint16   // hundredths of a second of its ejection; 0: it is in use
-	Drains bool     // as the list told it
-	Age    uint16   // hundredths of a second since it was last met
+	_            struct{} `cbor:",toarray"`
+	Server       uint32   // hash of its id
+	Since        uint32   // the low bits of its start in milliseconds, see Start
+	Health       uint8    // in hundredths
+	EjectionLeft uint16   // hundredths of a second of its ejection; 0: it is in use
+	Draining     bool     // as the list told it
+	Age          uint16   // hundredths of a second since it was last met
 }
 
 // Start is a server's start as it stands on the wire.
-func Start(since int64) uint32 { return uint32(since / 1e6) }
+func StartTime(since int64) uint32 { return uint32(since / 1e6) }
 
 // Datagram is one message.
 type Datagram struct {
-	From  int    `cbor:"1,keyasint"`
-	Life  uint64 `cbor:"2,keyasint"`
-	Count uint64 `cbor:"3,keyasint"` // of this life; no two are the same
-	Kind  Kind   `cbor:"4,keyasint,omitempty"`
-	Seq   uint32 `cbor:"5,keyasint,omitempty"`
-	About int    `cbor:"6,keyasint,omitempty"`
-	News  []News `cbor:"7,keyasint,omitempty"`
-	Sums  []Sum  `cbor:"8,keyasint,omitempty"`
-	Hints []Hint `cbor:"9,keyasint,omitempty"`
-
-	Beliefs []Belief `cbor:"10,keyasint,omitempty"` // Teach
-	Piece   []byte   `cbor:"12,keyasint,omitempty"` // Letter
-	Mark    uint64   `cbor:"11,keyasint,omitempty"` // Unix ms of the newest idempotency key; Teach: as the one that asks had told it
+	From        int            `cbor:"1,keyasint"`
+	Incarnation uint64         `cbor:"2,keyasint"`
+	Number      uint64         `cbor:"3,keyasint"` // of this life; no two are the same
+	Kind        Kind           `cbor:"4,keyasint,omitempty"`
+	Seq         uint32         `cbor:"5,keyasint,omitempty"`
+	Subject     int            `cbor:"6,keyasint,omitempty"`
+	Updates     []MemberUpdate `cbor:"7,keyasint,omitempty"`
+	Sums        []LoadSum      `cbor:"8,keyasint,omitempty"`
+	Hints       []Hint         `cbor:"9,keyasint,omitempty"`
+
+	Beliefs   []Belief `cbor:"10,keyasint,omitempty"` // Teach
+	Piece     []byte   `cbor:"12,keyasint,omitempty"` // Letter
+	NewestKey uint64   `cbor:"11,keyasint,omitempty"` // Unix ms of the newest idempotency key; Teach: as the one that asks had told it
 }
 
 // The reasons for which a datagram is dropped.
 var (
-	ErrShort   = errors.New("cut short or too long")
-	ErrGarbled = errors.New("garbled")
-	ErrVersion = errors.New("of another version")
-	ErrFleet   = errors.New("of another fleet")
-	ErrForm    = errors.New("not of the form")
+	ErrLength   = errors.New("cut short or too long")
+	ErrChecksum = errors.New("garbled")
+	ErrVersion  = errors.New("of another version")
+	ErrFleet    = errors.New("of another fleet")
+	ErrFormat   = errors.New("not of the form")
 )
 
 var encoder, decoder = strictcbor.Modes(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 64, MaxMapPairs: 32})
 
 // Fleet is a fleet's name as it stands on the wire.
-func Fleet(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) }
+func FleetHash(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) }
 
 // Server is a server's id as it stands on the wire.
-func Server(id string) uint32 { return crc32.ChecksumIEEE([]byte(id)) }
+func ServerHash(id string) uint32 { return crc32.ChecksumIEEE([]byte(id)) }
 
 // Encode gives the bytes of a datagram, ErrShort where they would be too many.
 func Encode(fleet uint32, d *Datagram) ([]byte, error) {
@@ -150,8 +150,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if head+len(body)+tail > Most {
-		return nil, ErrShort
+	if head+len(body)+tail > MaxDatagramBytes {
+		return nil, ErrLength
 	}
 	b := binary.BigEndian.AppendUint32([]byte{version}, fleet)
 	b = append(b, body...)
@@ -160,37 +160,37 @@
 
 // Decode reads a datagram whole, or says why it is dropped.
 func Decode(fleet uint32, b []byte) (d Datagram, err error) {
-	if len(b) < head+tail+1 || len(b) > Most {
-		return d, ErrShort
+	if len(b) < head+tail+1 || len(b) > MaxDatagramBytes {
+		return d, ErrLength
 	}
 	whole := b[:len(b)-tail]
 	switch {
 	case b[0] != version:
 		return d, ErrVersion
 	case binary.BigEndian.Uint32(b[len(whole):]) != crc32.ChecksumIEEE(whole):
-		return d, ErrGarbled
+		return d, ErrChecksum
 	case binary.BigEndian.Uint32(b[1:]) != fleet:
 		return d, ErrFleet
 	}
 	if decoder.Unmarshal(whole[head:], &d) != nil || !d.sound() {
-		return Datagram{}, ErrForm
+		return Datagram{}, ErrFormat
 	}
 	return d, nil
 }
 
 func (d *Datagram) sound() bool {
-	ok := d.From >= 0 && d.About >= 0 && d.Kind < kinds
-	for _, n := range d.News {
-		ok = ok && n.Who >= 0 && n.By >= 0 && n.State < states
+	ok := d.From >= 0 && d.Subject >= 0 && d.Kind < kinds
+	for _, n := range d.Updates {
+		ok = ok && n.Member >= 0 && n.Origin >= 0 && n.State < states
 	}
 	for _, s := range d.Sums {
-		ok = ok && s.Block >= 0 && s.Of > 0 && s.Level < 32
+		ok = ok && s.Block >= 0 && s.Members > 0 && s.Level < 32
 	}
 	for _, b := range d.Beliefs {
 		ok = ok && b.Health <= 100
 	}
 	for _, h := range d.Hints {
-		ok = ok && h.By >= 0 && h.What < seens
+		ok = ok && h.Origin >= 0 && h.Observation < seens
 	}
 	return ok
 }
@@ -199,7 +199,7 @@
 type Room int
 
 // Whole is the room of a datagram that carries nothing yet.
-func Whole() Room { return Most - head - tail - baseSize }
+func FullRoom() Room { return MaxDatagramBytes - head - tail - baseSize }
 
 // Take says whether so many bytes fit, and takes them.
 func (r *Room) Take(n int) bool {
@@ -211,10 +211,10 @@
 }
 
 // News says whether one thing more said of a member fits, and takes its room.
-func (r *Room) News() bool { return r.Take(newsSize) }
+func (r *Room) MemberUpdate() bool { return r.Take(newsSize) }
 
 // Sum is the same for a sum with so many bytes of load.
-func (r *Room) Sum(load int) bool { return r.Take(sumSize + 10 + load) }
+func (r *Room) LoadSum(load int) bool { return r.Take(sumSize + 10 + load) }
 
 // Hint is the same for a hint.
 func (r *Room) Hint() bool { return r.Take(hintSize) }
@@ -223,12 +223,12 @@
 func (r *Room) Belief() bool { return r.Take(beliefSize) }
 
 // Mark is the same for a mark.
-func (r *Room) Mark() bool { return r.Take(markSize) }
+func (r *Room) NewestKey() bool { return r.Take(markSize) }
 
 // PieceMost is the longest piece of a letter, in bytes, and MostPieces how many a letter may have.
 const (
-	PieceMost  = Most - head - tail - baseSize - 4
-	MostPieces = 255
+	MaxPartBytes = MaxDatagramBytes - head - tail - baseSize - 4
+	MaxParts     = 255
 )
 
 // Hundredths gives a time in ns as it stands on the wire, the longest where it is longer. It is rounded up: what is passed on from one to
@@ -236,4 +236,4 @@
 func Hundredths(ns int64) uint16 { return uint16(min(max(0, (ns+1e7-1)/1e7), 1<<16-1)) }
 
 // Ns is the time that Hundredths stands for.
-func Ns(h uint16) int64 { return int64(h) * 1e7 }
+func Nanoseconds(h uint16) int64 { return int64(h) * 1e7 }
--- a/fleet/serverreports.go
+++ b/fleet/serverreports.go
@@ -28,7 +28,7 @@
 // report is one member's word on a server.
 type report struct {
 	by   int
-	what peer.Seen
+	what peer.Observation
 	at   int64
 	told int
 }
@@ -53,7 +53,7 @@
 	next := make([]met, 0, len(ids))
 	w.hashes = make(map[uint32]int, len(ids))
 	for _, id := range ids {
-		m := met{id: id, hash: peer.Server(id)}
+		m := met{id: id, hash: peer.ServerHash(id)}
 		if old := w.find(id); old != nil {
 			m = *old
 		}
@@ -103,9 +103,9 @@
 
 func (w *wary) probed(by int, id string, well bool, now int64) {
 	if m := w.find(id); m != nil {
-		what := peer.Absent
+		what := peer.ProbeUnanswered
 		if well {
-			what = peer.Fine
+			what = peer.ProbeAnswered
 		}
 		m.probes = put(m.probes, report{by: by, what: what, at: now})
 	}
@@ -139,8 +139,8 @@
 		return "", 0, false
 	}
 	m := &w.servers[i]
-	r := report{by: h.By, what: h.What, at: now - peer.Ns(h.Age)}
-	if h.What == peer.Lost {
+	r := report{by: h.Origin, what: h.Observation, at: now - peer.Nanoseconds(h.Age)}
+	if h.Observation == peer.DispatchesLost {
 		if now-r.at < hintFor {
 			m.reports = put(m.reports, r)
 		}
@@ -163,7 +163,7 @@
 			continue
 		}
 		if j := slices.IndexFunc(m.reports, func(r report) bool { return r.by == me }); j < 0 || now-m.reports[j].at >= tellAgain {
-			m.reports = put(m.reports, report{by: me, what: peer.Lost, at: now})
+			m.reports = put(m.reports, report{by: me, what: peer.DispatchesLost, at: now})
 		}
 	}
 }
@@ -192,7 +192,7 @@
 			break
 		}
 		x.r.told++
-		hints = append(hints, peer.Hint{Server: x.m.hash, By: x.r.by, What: x.r.what, Age: peer.Hundredths(now - x.r.at)})
+		hints = append(hints, peer.Hint{Server: x.m.hash, Origin: x.r.by, Observation: x.r.what, Age: peer.Hundredths(now - x.r.at)})
 	}
 	return hints
 }
@@ -217,7 +217,7 @@
 		}
 		mine := slices.Contains(by, me)
 		for _, r := range m.probes {
-			if r.what == peer.Absent && (r.by == me || alive(r.by)) && !slices.Contains(by, r.by) {
+			if r.what == peer.ProbeUnanswered && (r.by == me || alive(r.by)) && !slices.Contains(by, r.by) {
 				by = append(by, r.by)
 			}
 		}
--- a/fleet/shed/retrybudget.go
+++ b/fleet/shed/retrybudget.go
@@ -48,7 +48,7 @@
 	passed := float64(now-s.at) / float64(sec)
 	s.at = now
 	failing := 0.0
-	if sent := all.First + all.Further; sent > least {
+	if sent := all.First + all.Retries; sent > least {
 		failing = all.Failed / sent
 	}
 	if s.Stopped {
@@ -56,8 +56,8 @@
 	} else {
 		s.Stopped = failing > allFail
 	}
-	left := s.Part*(all.First-own.First) - (all.Further - own.Further)
-	if want, mine := all.Wanted-all.Further, own.Wanted-own.Further; left > 0 && mine > 0 && want > 0 {
+	left := s.Part*(all.First-own.First) - (all.Retries - own.Retries)
+	if want, mine := all.RetriesWanted-all.Retries, own.RetriesWanted-own.Retries; left > 0 && mine > 0 && want > 0 {
 		s.tokens += lendPart * left * min(1, mine/want) * min(passed, 1)
 	}
 	s.tokens = min(s.tokens, max(burstLeast, s.Part*own.First*float64(burstOver)/float64(sec)))
--- a/fleet/shed/shed_test.go
+++ b/fleet/shed/shed_test.go
@@ -34,7 +34,7 @@
 		let += x
 	}
 	l.Served = min(let, o.bears)
-	l.Lacked = let - l.Served
+	l.Unserved = let - l.Served
 	o.c.Step(&l, 12, o.now)
 }
 
@@ -94,7 +94,7 @@
 			c := New(four())
 			c.Calm = x.calm
 			l := offer(c, 40, 30, 20, 10)
-			l.Served, l.Lacked, l.Limits, l.Limit = 70, 30, x.of, 100*x.of
+			l.Served, l.Unserved, l.LimitCount, l.Limit = 70, 30, x.of, 100*x.of
 			for now := sec; now <= sec+x.after; now += 250 * ms {
 				c.Step(&l, 12, now)
 			}
@@ -140,7 +140,7 @@
 	c := New(four())
 	c.Calm = 0.1
 	l := offer(c, 72, 54, 36, 18)
-	l.Served, l.Lacked = 100, 80
+	l.Served, l.Unserved = 100, 80
 	c.Step(&l, 12, 1)
 	c.Step(&l, 12, sec)
 	half := offer(c, 36, 27, 18, 9)
@@ -149,7 +149,7 @@
 	if math.Abs(c.Part-100.0/180) > 0.02 {
 		t.Errorf("part %.2f let in by a half", c.Part)
 	}
-	l.Lacked = 0
+	l.Unserved = 0
 	c.Step(&l, 12, sec+500*ms)
 	if math.Abs(c.Part-100.0/180) > 0.03 {
 		t.Errorf("part %.2f let in after", c.Part)
@@ -192,8 +192,8 @@
 		s.Further()
 	}
 	// One that wants more gets a part of what others leave; those that want nothing get nothing.
-	all := aggregate.Load{First: 110, Wanted: 20}
-	want := aggregate.Load{First: 10, Wanted: 20}
+	all := aggregate.Load{First: 110, RetriesWanted: 20}
+	want := aggregate.Load{First: 10, RetriesWanted: 20}
 	for i := range int64(10) {
 		s.Step(&all, &want, sec+(i+1)*100*ms)
 	}
--- a/fleet/shed/shedder.go
+++ b/fleet/shed/shedder.go
@@ -111,14 +111,14 @@
 
 // Step takes the picture of all counted members. It is to be called several times a second.
 func (c *Cut) Step(l *aggregate.Load, of int, now int64) {
-	offered := l.All()
+	offered := l.TotalOffered()
 	loss := 0.0
-	if l.Served+l.Lacked > least {
-		loss = l.Lacked / (l.Served + l.Lacked)
+	if l.Served+l.Unserved > least {
+		loss = l.Unserved / (l.Served + l.Unserved)
 	}
 	took := 0.0
 	if l.Served > least {
-		took = l.Took / l.Served
+		took = l.ServerTime / l.Served
 	}
 	c.Took = took
 	if !c.On {
@@ -130,7 +130,7 @@
 			c.short = 0
 		} else if c.short == 0 {
 			c.short = now
-		} else if now-c.short >= settling || now-c.short >= lasting && (c.Calm > 0 || l.Limits >= 1) {
+		} else if now-c.short >= settling || now-c.short >= lasting && (c.Calm > 0 || l.LimitCount >= 1) {
 			c.begin(l, of, now)
 		}
 		return
@@ -155,7 +155,7 @@
 		return
 	}
 	c.average(l, now)
-	c.share(&c.seen, c.seen.All())
+	c.share(&c.seen, c.seen.TotalOffered())
 	if math.Abs(c.Part-c.level) > moveStep {
 		c.level = c.Part
 		c.move(now)
@@ -184,12 +184,12 @@
 		c.hold = holdFirst
 	}
 	c.On, c.Limit, c.of, c.stepAt, c.under, c.short, c.rise = true, l.Served, float64(of), now, 0, 0, rise
-	if l.Limits >= 1 { // others have one already
-		c.Limit = max(c.Limit, l.Limit/l.Limits)
+	if l.LimitCount >= 1 { // others have one already
+		c.Limit = max(c.Limit, l.Limit/l.LimitCount)
 	}
 	c.move(now)
 	c.seen = *l
-	c.share(l, l.All())
+	c.share(l, l.TotalOffered())
 	c.level = c.Part
 }
 
@@ -214,8 +214,8 @@
 	default:
 		c.Limit *= 1 + ease
 	}
-	if l.Limits >= 1 {
-		c.Limit += pull * (l.Limit/l.Limits - c.Limit)
+	if l.LimitCount >= 1 {
+		c.Limit += pull * (l.Limit/l.LimitCount - c.Limit)
 	}
 }
 
--- a/fleet/snapshot/snapshot.go
+++ b/fleet/snapshot/snapshot.go
@@ -24,16 +24,16 @@
 	head    = len(magic) + 1 + 8
 	tail    = 8
 	// Most bytes of a file: about 10,000 servers.
-	Most = 4 << 20
+	MaxBytes = 4 << 20
 )
 
 // What can be wrong with a file. All of them mean: start without it.
 var (
-	ErrOther   = errors.New("not a snapshot")
-	ErrVersion = errors.New("of another version")
-	ErrCut     = errors.New("cut short or too long")
-	ErrDamaged = errors.New("its checksum does not hold")
-	ErrForm    = errors.New("its content is not of the form")
+	ErrNotSnapshot = errors.New("not a snapshot")
+	ErrVersion     = errors.New("of another version")
+	ErrLength      = errors.New("cut short or too long")
+	ErrChecksum    = errors.New("its checksum does not hold")
+	ErrFormat      = errors.New("its content is not of the form")
 )
 
 var encoder, decoder = strictcbor.Modes(cbor.DecOptions{})
@@ -42,7 +42,7 @@
 func Path(folder string) string { return filepath.Join(folder, name) }
 
 // Encode gives the bytes of a file.
-func Encode(m *warmstart.Memory) ([]byte, error) {
+func Encode(m *warmstart.Snapshot) ([]byte, error) {
 	body, err := encoder.Marshal(m)
 	if err != nil {
 		return nil, err
@@ -50,42 +50,42 @@
 	b := append([]byte(magic), version)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(body)))
 	b = append(b, body...)
-	if len(b)+tail > Most {
-		return nil, ErrCut
+	if len(b)+tail > MaxBytes {
+		return nil, ErrLength
 	}
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), nil
 }
 
 // Decode reads a file's bytes, or says what is wrong with them.
-func Decode(b []byte) (m warmstart.Memory, err error) {
+func Decode(b []byte) (m warmstart.Snapshot, err error) {
 	switch {
 	case len(b) < len(magic) || string(b[:len(magic)]) != magic:
-		return m, ErrOther
+		return m, ErrNotSnapshot
 	case len(b) > len(magic) && b[len(magic)] != version:
 		return m, ErrVersion
-	case len(b) < head+tail || len(b) > Most || binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-head-tail):
-		return m, ErrCut
+	case len(b) < head+tail || len(b) > MaxBytes || binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-head-tail):
+		return m, ErrLength
 	case binary.BigEndian.Uint64(b[len(b)-tail:]) != xxhash.Sum64(b[:len(b)-tail]):
-		return m, ErrDamaged
+		return m, ErrChecksum
 	}
-	if decoder.Unmarshal(b[head:len(b)-tail], &m) != nil || !m.Sound() {
-		return warmstart.Memory{}, ErrForm
+	if decoder.Unmarshal(b[head:len(b)-tail], &m) != nil || !m.Valid() {
+		return warmstart.Snapshot{}, ErrFormat
 	}
 	return m, nil
 }
 
 // Read reads the file of a folder; fs.ErrNotExist where there is none.
-func Read(folder string) (warmstart.Memory, error) {
+func Read(folder string) (warmstart.Snapshot, error) {
 	info, err := os.Stat(Path(folder))
 	if err != nil {
-		return warmstart.Memory{}, err
+		return warmstart.Snapshot{}, err
 	}
-	if !info.Mode().IsRegular() || info.Size() > Most {
-		return warmstart.Memory{}, fmt.Errorf("%s: %w", Path(folder), ErrCut)
+	if !info.Mode().IsRegular() || info.Size() > MaxBytes {
+		return warmstart.Snapshot{}, fmt.Errorf("%s: %w", Path(folder), ErrLength)
 	}
 	b, err := os.ReadFile(Path(folder))
 	if err != nil {
-		return warmstart.Memory{}, err
+		return warmstart.Snapshot{}, err
 	}
 	m, err := Decode(b)
 	if err != nil {
@@ -95,7 +95,7 @@
 }
 
 // Write puts a memory in the place of the one before, which stays where that fails.
-func Write(folder string, m *warmstart.Memory) error {
+func Write(folder string, m *warmstart.Snapshot) error {
 	b, err := Encode(m)
 	if err != nil {
 		return err
--- a/fleet/snapshot/snapshot_test.go
+++ b/fleet/snapshot/snapshot_test.go
@@ -13,11 +13,11 @@
 	"ivybank/internal/decay"
 )
 
-func memory(n uint64) *warmstart.Memory {
-	m := &warmstart.Memory{Whose: "127.0.0.1:80", Life: 7, Number: n, Wall: 1e18, Boot: "b", Up: 5e9, Shape: 3, Service: 0.9, Newest: 12,
+func memory(n uint64) *warmstart.Snapshot {
+	m := &warmstart.Snapshot{Proxy: "127.0.0.1:80", Incarnation: 7, Number: n, WallTime: 1e18, BootID: "b", Uptime: 5e9, ConfigHash: 3, Service: 0.9, NewestKey: 12,
 		List:  warmstart.List{Generation: 4, Age: 1e9, Hosts: []warmstart.Host{{Server: balance.Server{ID: "s-1", Zone: "a", Cell: 2, State: balance.Draining, Share: 1, Since: 9}, Addr: "127.0.0.1:81"}}},
-		Holds: holds.Table{Version: 2, Hosts: map[string]holds.Hold{"s-9": {Out: true, From: 3}}}}
-	m.Module = balance.Snapshot{Rate: 12, Tenants: []balance.TenantRate{{Name: "t", Rate: 3}}, LatencyRatio: 0.1, MeanTarget: 8e8, MeanValue: 4, Keys: []decay.KeyCount{{Index: 3, N: 9}},
+		Holds: holds.Table{Version: 2, Hosts: map[string]holds.Hold{"s-9": {Out: true, Since: 3}}}}
+	m.Balancer = balance.Snapshot{Rate: 12, Tenants: []balance.TenantRate{{Name: "t", Rate: 3}}, LatencyRatio: 0.1, MeanTarget: 8e8, MeanValue: 4, Keys: []decay.KeyCount{{Index: 3, N: 9}},
 		Servers: []balance.ServerSnapshot{{ID: "s-1", Since: 9, Health: 0.5, Streak: 1, EjectionLeft: 2e9, Ejections: 1, SlotTime: 1e6, Latency: 2e6, InflightCap: 4, LastOutcomeAge: 5e8}}}
 	return m
 }
@@ -52,7 +52,7 @@
 			t.Fatalf("the first %d of %d bytes were taken", n, len(b))
 		}
 	}
-	if _, err := Decode(append(b, 0)); !errors.Is(err, ErrCut) {
+	if _, err := Decode(append(b, 0)); !errors.Is(err, ErrLength) {
 		t.Errorf("got %v of one with more behind it", err)
 	}
 }
@@ -79,7 +79,7 @@
 	next := append([]byte{}, good...)
 	next[len(magic)]++
 	bad := memory(1)
-	bad.Module.Servers[0].Health = -1
+	bad.Balancer.Servers[0].Health = -1
 	odd, err := Encode(bad)
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-	}{"empty": {nil, ErrOther}, "another file": {[]byte("[log]\nlevel = 1"), ErrOther}, "a later form": {next, ErrVersion}, "figures that cannot be": {odd, ErrForm}} {
+	}{"empty": {nil, ErrNotSnapshot}, "another file": {[]byte("[log]\nlevel = 1"), ErrNotSnapshot}, "a later form": {next, ErrVersion}, "figures that cannot be": {odd, ErrFormat}} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Decode(c.b); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
@@ -120,7 +120,7 @@
 	}
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if m, err := Decode(b); err == nil && !m.Sound() {
+		if m, err := Decode(b); err == nil && !m.Valid() {
 			t.Error("taken, and not sound")
 		}
 	})
@@ -129,13 +129,13 @@
 func BenchmarkRead(b *testing.B) {
 	m := memory(1)
 	for i := range 200 {
-		l := m.Module.Servers[0]
+		l := m.Balancer.Servers[0]
 		l.ID = string(rune('a' + i))
-		m.Module.Servers = append(m.Module.Servers, l)
+		m.Balancer.Servers = append(m.Balancer.Servers, l)
 		m.List.Hosts = append(m.List.Hosts, m.List.Hosts[0])
 	}
 	for i := range 2000 {
-		m.Module.Keys = append(m.Module.Keys, decay.KeyCount{Index: i, N: 2})
+		m.Balancer.Keys = append(m.Balancer.Keys, decay.KeyCount{Index: i, N: 2})
 	}
 	folder := b.TempDir()
 	if err := Write(folder, m); err != nil {
--- a/fleet/warmstart/warmstart.go
+++ b/fleet/warmstart/warmstart.go
@@ -44,26 +44,26 @@
 }
 
 // Memory is what a proxy writes down.
-type Memory struct {
-	Whose   string // listening address
-	Life    uint64 // incarnation; 0: none
-	Number  uint64 // of this life's snapshots
-	Wall    int64  // Unix ns
-	Boot    string // the machine's start, and the time since: ages by it need no clock of the day
-	Up      int64
-	Shape   uint64 // of the terms
-	List    List
-	Module  balance.Snapshot
-	Holds   holds.Table
-	Newest  int64   // Unix ns of the newest idempotency key's beginning; 0: none
-	Service float64 // part of the worth that was served in time over the last seconds; 0: not known
+type Snapshot struct {
+	Proxy       string `json:"Whose"` // listening address
+	Incarnation uint64 `json:"Life"`  // incarnation; 0: none
+	Number      uint64 // of this life's snapshots
+	WallTime    int64  `json:"Wall"` // Unix ns
+	BootID      string `json:"Boot"` // the machine's start, and the time since: ages by it need no clock of the day
+	Uptime      int64  `json:"Up"`
+	ConfigHash  uint64 `json:"Shape"` // of the terms
+	List        List
+	Balancer    balance.Snapshot `json:"Module"`
+	Holds       holds.Table
+	NewestKey   int64   `json:"Newest"` // Unix ns of the newest idempotency key's beginning; 0: none
+	Service     float64 // part of the worth that was served in time over the last seconds; 0: not known
 }
 
 // Now is a point in time by the clocks that there are.
-type Now struct {
-	Wall int64
-	Boot string
-	Up   int64
+type Clocks struct {
+	WallTime int64
+	BootID   string
+	Uptime   int64
 }
 
 // Verdict is what became of one part of a memory.
@@ -74,7 +74,7 @@
 }
 
 // Shape is a number for what the terms hold that a memory refers to.
-func Shape(t *balance.Config) uint64 {
+func ConfigHash(t *balance.Config) uint64 {
 	h := fnv.New64a()
 	for _, r := range t.RuleSets {
 		fmt.Fprintln(h, r.Name, r.Effect, r.Group, r.ResponseTarget)
@@ -84,29 +84,29 @@
 }
 
 // Age is how old a memory is; false where that cannot be told, as it is from the future.
-func (m *Memory) Age(now Now) (int64, bool) {
-	if m.Boot != "" && m.Boot == now.Boot {
-		return now.Up - m.Up, now.Up >= m.Up
+func (m *Snapshot) Age(now Clocks) (int64, bool) {
+	if m.BootID != "" && m.BootID == now.BootID {
+		return now.Uptime - m.Uptime, now.Uptime >= m.Uptime
 	}
-	return max(0, now.Wall-m.Wall), now.Wall >= m.Wall-aheadMost
+	return max(0, now.WallTime-m.WallTime), now.WallTime >= m.WallTime-aheadMost
 }
 
 // Weigh gives what of a memory is to be believed: each part by its age, and what is too old as not known.
-func Weigh(m Memory, whose string, t *balance.Config, now Now, trust int64) (Memory, []Verdict) {
+func Evaluate(m Snapshot, whose string, t *balance.Config, now Clocks, trust int64) (Snapshot, []Verdict) {
 	var out []Verdict
 	judge := func(part string, kept bool, why string, a ...any) bool {
 		out = append(out, Verdict{part, kept, fmt.Sprintf(why, a...)})
 		return kept
 	}
 	age, sound := m.Age(now)
-	if !judge("all", sound && m.Whose == whose, "of %s, %.1f s old", m.Whose, float64(age)/1e9) {
-		return Memory{}, out
+	if !judge("all", sound && m.Proxy == whose, "of %s, %.1f s old", m.Proxy, float64(age)/1e9) {
+		return Snapshot{}, out
 	}
 	m.List.Age += age
 	if !judge("list", m.List.Age <= listFor && len(m.List.Hosts) > 0, "%d servers, generation %d, %.1f s old", len(m.List.Hosts), m.List.Generation, float64(m.List.Age)/1e9) {
 		m.List = List{}
 	}
-	x := &m.Module
+	x := &m.Balancer
 	if !judge("servers", age <= trust, "what was met at %d, trusted for %.0f s", len(x.Servers), float64(trust)/1e9) {
 		x.Servers = nil
 	}
@@ -114,7 +114,7 @@
 	for i := range x.Servers {
 		fadeBelief(&x.Servers[i], age, trust)
 	}
-	if !judge("rates", age < rateFor && m.Shape == Shape(t), "%.1f answers a second", x.Rate) {
+	if !judge("rates", age < rateFor && m.ConfigHash == ConfigHash(t), "%.1f answers a second", x.Rate) {
 		x.Rate, x.Tenants, x.LatencyRatio, x.MeanTarget, x.MeanValue, x.Keys = 0, nil, 0, 0, 0, nil
 	}
 	left := max(0, 1-float64(age)/float64(rateFor))
@@ -150,7 +150,7 @@
 }
 
 // Later lets time pass for what was believed of servers.
-func Later(own []balance.ServerSnapshot, age, trust int64) []balance.ServerSnapshot {
+func Age(own []balance.ServerSnapshot, age, trust int64) []balance.ServerSnapshot {
 	own = slices.Clone(own)
 	for i := range own {
 		fadeBelief(&own[i], age, trust)
@@ -159,23 +159,23 @@
 }
 
 // Told is what one other says: only what it has met itself in its own life.
-type Told struct {
-	By      int
+type PeerReport struct {
+	Member  int
 	Beliefs []Belief
 }
 
 // Belief is one server in it.
 type Belief struct {
-	Server balance.ServerSnapshot // Health, Left, Draining, Since and Met alone
-	Heard  int64                  // when
-	Start  uint32                 // of the server's process as it came; Since is what the returner's own list has for it
+	Server  balance.ServerSnapshot // Health, Left, Draining, Since and Met alone
+	HeardAt int64                  // when
+	Start   uint32                 // of the server's process as it came; Since is what the returner's own list has for it
 }
 
 // Match keeps what is said of processes that the returner's own list names; since gives a server's start there, and its form on the wire.
-func Match(told []Told, since func(id string) (at int64, start uint32, listed bool)) []Told {
-	out := make([]Told, 0, len(told))
+func MatchListed(told []PeerReport, since func(id string) (at int64, start uint32, listed bool)) []PeerReport {
+	out := make([]PeerReport, 0, len(told))
 	for _, t := range told {
-		m := Told{By: t.By}
+		m := PeerReport{Member: t.Member}
 		for _, b := range t.Beliefs {
 			if at, start, listed := since(b.Server.ID); listed && start == b.Start {
 				b.Server.Since = at
@@ -190,7 +190,7 @@
 // Learn works out what to believe of servers by others' word and one's own, which may be none. What oneself held to be out stays so. Two
 // others have to say that a server is out; where one alone does it is met as one that comes back from an ejection: the first failure
 // ejects it. What is said of another process than the latest that anybody knows is void.
-func Learn(own []balance.ServerSnapshot, told []Told, now int64) []balance.ServerSnapshot {
+func MergeReports(own []balance.ServerSnapshot, told []PeerReport, now int64) []balance.ServerSnapshot {
 	var order []string
 	latest, had := map[string]int64{}, map[string]balance.ServerSnapshot{}
 	note := func(l balance.ServerSnapshot) {
@@ -224,7 +224,7 @@
 					continue
 				}
 				l.Draining = l.Draining || b.Server.Draining
-				if x := b.Server.EjectionLeft - (now - b.Heard); x > 0 {
+				if x := b.Server.EjectionLeft - (now - b.HeardAt); x > 0 {
 					left = append(left, x)
 				}
 				if !mine {
@@ -245,16 +245,16 @@
 }
 
 // Meter measures service by pieces of time, and when it has come back.
-type Meter struct {
-	Begun  int64
-	Before float64 // service before the end of the process before; 0: not known
-	Full   int64   // from the start until service was full; 0: not yet
-	pieces [before]struct{ good, all float64 }
-	at     int64 // number of the newest piece
+type ServiceMeter struct {
+	StartedAt       int64
+	PreviousService float64 // service before the end of the process before; 0: not known
+	FullAfter       int64   // from the start until service was full; 0: not yet
+	pieces          [before]struct{ good, all float64 }
+	at              int64 // number of the newest piece
 }
 
 // Add takes a final answer's worth.
-func (x *Meter) Add(worth float64, good bool, now int64) {
+func (x *ServiceMeter) Add(worth float64, good bool, now int64) {
 	x.move(now)
 	p := &x.pieces[x.at%before]
 	if p.all += worth; good {
@@ -262,7 +262,7 @@
 	}
 }
 
-func (x *Meter) move(now int64) {
+func (x *ServiceMeter) move(now int64) {
 	for n := now / pieceSpan; x.at < n; {
 		if n-x.at > before {
 			x.at = n - before
@@ -273,7 +273,7 @@
 }
 
 // Service is the part of the worth that was served in time over the last seconds, or all that are kept; 0 where nothing was asked.
-func (x *Meter) Service(over, now int64) float64 {
+func (x *ServiceMeter) Service(over, now int64) float64 {
 	x.move(now)
 	good, all := 0.0, 0.0
 	for i := int64(1); i <= min(over/pieceSpan, before-1); i++ { // the newest piece is not whole
@@ -287,25 +287,25 @@
 }
 
 // Look says once that service is full again: how long after the start the seconds began in which it was.
-func (x *Meter) Look(now int64) (after int64, full bool) {
-	if x.Full != 0 || now-x.Begun < fullSpan+pieceSpan {
+func (x *ServiceMeter) CheckFull(now int64) (after int64, full bool) {
+	if x.FullAfter != 0 || now-x.StartedAt < fullSpan+pieceSpan {
 		return 0, false
 	}
-	if x.Service(fullSpan, now) < fullPart*cmp.Or(x.Before, 1) {
+	if x.Service(fullSpan, now) < fullPart*cmp.Or(x.PreviousService, 1) {
 		return 0, false
 	}
-	x.Full = max(1, now-x.Begun-fullSpan)
-	return x.Full, true
+	x.FullAfter = max(1, now-x.StartedAt-fullSpan)
+	return x.FullAfter, true
 }
 
 // Sound says whether a memory's figures are some that there can be; one that was made up or is of another form is dropped whole.
-func (m *Memory) Sound() bool {
-	for _, x := range []float64{m.Module.Rate, m.Module.LatencyRatio, m.Module.MeanTarget, m.Module.MeanValue, m.Service} {
+func (m *Snapshot) Valid() bool {
+	for _, x := range []float64{m.Balancer.Rate, m.Balancer.LatencyRatio, m.Balancer.MeanTarget, m.Balancer.MeanValue, m.Service} {
 		if math.IsNaN(x) || x < 0 || x > 1e15 {
 			return false
 		}
 	}
-	for _, l := range m.Module.Servers {
+	for _, l := range m.Balancer.Servers {
 		for _, x := range []float64{l.Health, l.SlotTime, l.Latency, l.InflightCap, l.RefutedShare} {
 			if math.IsNaN(x) || x < 0 || x > 1e15 {
 				return false
@@ -325,18 +325,18 @@
 
 // Status is what an operator sees of a proxy's coming back. Times are milliseconds.
 type Status struct {
-	List       string    `json:"list"` // start, disk or discovery
-	ListAge    int64     `json:"list_age_ms"`
-	Generation int64     `json:"generation"`
-	Kept       []Verdict `json:"kept,omitempty"`
-	FullAfter  int64     `json:"full_after_ms"` // 0: service is not full yet
-	Service    float64   `json:"service"`
-	Written    int       `json:"written"`
-	Unwritten  int       `json:"unwritten"`
-	Refused    int       `json:"refused"`
-	Asked      int       `json:"asked"`
-	Answers    int       `json:"answers"`
-	Taught     int       `json:"taught"`
-	Drained    int       `json:"drains_by_others"`
-	Stood      int       `json:"stood_still"`
+	List            string    `json:"list"` // start, disk or discovery
+	ListAge         int64     `json:"list_age_ms"`
+	Generation      int64     `json:"generation"`
+	Kept            []Verdict `json:"kept,omitempty"`
+	FullAfter       int64     `json:"full_after_ms"` // 0: service is not full yet
+	Service         float64   `json:"service"`
+	Written         int       `json:"written"`
+	Unwritten       int       `json:"unwritten"`
+	Refused         int       `json:"refused"`
+	Asked           int       `json:"asked"`
+	Answers         int       `json:"answers"`
+	AnswersSent     int       `json:"taught"`
+	DrainingByPeers int       `json:"drains_by_others"`
+	Stalls          int       `json:"stood_still"`
 }
--- a/fleet/warmstart/warmstart_test.go
+++ b/fleet/warmstart/warmstart_test.go
@@ -12,51 +12,51 @@
 }
 
 // kept is a memory as it was written at a time.
-func kept() Memory {
-	m := Memory{Whose: "a", Wall: 1000 * sec, Boot: "b", Up: 100 * sec, Shape: Shape(terms()), List: List{Generation: 3, Age: sec, Hosts: []Host{{balance.Server{ID: "s-1"}, "x"}}}}
-	m.Module = balance.Snapshot{Rate: 60, Servers: []balance.ServerSnapshot{
+func kept() Snapshot {
+	m := Snapshot{Proxy: "a", WallTime: 1000 * sec, BootID: "b", Uptime: 100 * sec, ConfigHash: ConfigHash(terms()), List: List{Generation: 3, Age: sec, Hosts: []Host{{balance.Server{ID: "s-1"}, "x"}}}}
+	m.Balancer = balance.Snapshot{Rate: 60, Servers: []balance.ServerSnapshot{
 		{ID: "s-1", Health: 0.4, EjectionLeft: 4 * sec, Streak: 2, Ejections: 1, Latency: 5, SlotTime: 5, InflightCap: 9, LastOutcomeAge: sec},
 		{ID: "s-2", Health: 1, Latency: 5, SlotTime: 5, InflightCap: 9, LastOutcomeAge: 0}}}
 	return m
 }
 
 func TestWeigh(t *testing.T) {
-	at := func(wall, up int64) Now { return Now{Wall: wall, Boot: "b", Up: up} }
+	at := func(wall, up int64) Clocks { return Clocks{WallTime: wall, BootID: "b", Uptime: up} }
 	for name, c := range map[string]struct {
 		whose string
-		now   Now
+		now   Clocks
 		terms *balance.Config
-		want  func(m Memory) bool
+		want  func(m Snapshot) bool
 	}{
-		"at once": {"a", at(1000*sec, 100*sec), terms(), func(m Memory) bool {
-			return m.Module.Rate == 60 && m.Module.Servers[0].EjectionLeft == 4*sec && m.Module.Servers[0].LastOutcomeAge == -1 && m.List.Generation == 3
+		"at once": {"a", at(1000*sec, 100*sec), terms(), func(m Snapshot) bool {
+			return m.Balancer.Rate == 60 && m.Balancer.Servers[0].EjectionLeft == 4*sec && m.Balancer.Servers[0].LastOutcomeAge == -1 && m.List.Generation == 3
 		}},
-		"an ejection goes on for what was left": {"a", at(1003*sec, 103*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == sec }},
-		"one that is over leaves the state of one that has come back": {"a", at(1005*sec, 105*sec), terms(), func(m Memory) bool {
-			x := m.Module.Servers[0]
+		"an ejection goes on for what was left": {"a", at(1003*sec, 103*sec), terms(), func(m Snapshot) bool { return m.Balancer.Servers[0].EjectionLeft == sec }},
+		"one that is over leaves the state of one that has come back": {"a", at(1005*sec, 105*sec), terms(), func(m Snapshot) bool {
+			x := m.Balancer.Servers[0]
 			return x.EjectionLeft == 0 && x.Streak == 1 && x.InflightCap == 1
 		}},
-		"too old for servers, not for the list": {"a", at(1040*sec, 140*sec), terms(), func(m Memory) bool {
-			return len(m.Module.Servers) == 0 && len(m.List.Hosts) == 1 && m.Module.Rate > 15 && m.Module.Rate < 25
+		"too old for servers, not for the list": {"a", at(1040*sec, 140*sec), terms(), func(m Snapshot) bool {
+			return len(m.Balancer.Servers) == 0 && len(m.List.Hosts) == 1 && m.Balancer.Rate > 15 && m.Balancer.Rate < 25
 		}},
-		"a day old": {"a", at(90000*sec, 89000*sec), terms(), func(m Memory) bool { return len(m.List.Hosts) == 0 && m.Module.Rate == 0 }},
+		"a day old": {"a", at(90000*sec, 89000*sec), terms(), func(m Snapshot) bool { return len(m.List.Hosts) == 0 && m.Balancer.Rate == 0 }},
 		// The clock of the day jumped; the machine's own did not.
-		"a clock that jumped ahead":   {"a", at(5000*sec, 101*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == 3*sec }},
-		"a clock that jumped back":    {"a", at(10*sec, 101*sec), terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == 3*sec }},
-		"of the future":               {"a", Now{Wall: 900 * sec, Boot: "c", Up: sec}, terms(), func(m Memory) bool { return m.Whose == "" }},
-		"after the machine's restart": {"a", Now{Wall: 1002 * sec, Boot: "c", Up: sec}, terms(), func(m Memory) bool { return m.Module.Servers[0].EjectionLeft == 2*sec }},
-		"of another proxy":            {"z", at(1000*sec, 100*sec), terms(), func(m Memory) bool { return m.Whose == "" }},
-		"of other terms": {"a", at(1000*sec, 100*sec), &balance.Config{FleetSize: 12}, func(m Memory) bool {
-			return m.Module.Rate == 0 && len(m.Module.Servers) == 2
+		"a clock that jumped ahead":   {"a", at(5000*sec, 101*sec), terms(), func(m Snapshot) bool { return m.Balancer.Servers[0].EjectionLeft == 3*sec }},
+		"a clock that jumped back":    {"a", at(10*sec, 101*sec), terms(), func(m Snapshot) bool { return m.Balancer.Servers[0].EjectionLeft == 3*sec }},
+		"of the future":               {"a", Clocks{WallTime: 900 * sec, BootID: "c", Uptime: sec}, terms(), func(m Snapshot) bool { return m.Proxy == "" }},
+		"after the machine's restart": {"a", Clocks{WallTime: 1002 * sec, BootID: "c", Uptime: sec}, terms(), func(m Snapshot) bool { return m.Balancer.Servers[0].EjectionLeft == 2*sec }},
+		"of another proxy":            {"z", at(1000*sec, 100*sec), terms(), func(m Snapshot) bool { return m.Proxy == "" }},
+		"of other terms": {"a", at(1000*sec, 100*sec), &balance.Config{FleetSize: 12}, func(m Snapshot) bool {
+			return m.Balancer.Rate == 0 && len(m.Balancer.Servers) == 2
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := kept()
-			got, verdicts := Weigh(m, c.whose, c.terms, c.now, 30*sec)
+			got, verdicts := Evaluate(m, c.whose, c.terms, c.now, 30*sec)
 			if !c.want(got) {
 				t.Errorf("got %+v, by %v", got, verdicts)
 			}
-			if m.Module.Servers[0].EjectionLeft != 4*sec {
+			if m.Balancer.Servers[0].EjectionLeft != 4*sec {
 				t.Error("what was handed in has changed")
 			}
 		})
@@ -68,29 +68,29 @@
 	out := func(left int64) balance.ServerSnapshot {
 		return balance.ServerSnapshot{ID: "s-1", Since: since, Health: 0.3, EjectionLeft: left}
 	}
-	told := func(by int, l balance.ServerSnapshot) Told {
-		return Told{By: by, Beliefs: []Belief{{Server: l, Heard: 10 * sec}}}
+	told := func(by int, l balance.ServerSnapshot) PeerReport {
+		return PeerReport{Member: by, Beliefs: []Belief{{Server: l, HeardAt: 10 * sec}}}
 	}
 	own := []balance.ServerSnapshot{{ID: "s-1", Since: since, Health: 0.9, InflightCap: 5, Latency: 3}}
 	for name, c := range map[string]struct {
 		own    []balance.ServerSnapshot
-		told   []Told
+		told   []PeerReport
 		left   int64
 		streak int
 		health float64
 	}{
-		"two say that it is out": {nil, []Told{told(1, out(5*sec)), told(2, out(3*sec))}, 2 * sec, 2, 0.3},
+		"two say that it is out": {nil, []PeerReport{told(1, out(5*sec)), told(2, out(3*sec))}, 2 * sec, 2, 0.3},
 		// A survivor whose own link is broken holds a healthy server to be out.
-		"one alone does not eject":             {nil, []Told{told(1, out(5*sec)), {By: 2}}, 0, 1, 0.3},
-		"nor against what one knows oneself":   {own, []Told{told(1, out(5*sec))}, 0, 1, 0.5},
+		"one alone does not eject":             {nil, []PeerReport{told(1, out(5*sec)), {Member: 2}}, 0, 1, 0.3},
+		"nor against what one knows oneself":   {own, []PeerReport{told(1, out(5*sec))}, 0, 1, 0.5},
 		"what one held out oneself stays so":   {[]balance.ServerSnapshot{out(9 * sec)}, nil, 9 * sec, 0, 0.3},
-		"an ejection that is over says little": {nil, []Told{told(1, out(sec/2)), told(2, out(sec/2))}, 0, 0, 0.3},
-		"another process is another server": {own, []Told{told(1, balance.ServerSnapshot{ID: "s-1", Since: since - 1, Health: 0.1, EjectionLeft: 5 * sec}),
+		"an ejection that is over says little": {nil, []PeerReport{told(1, out(sec/2)), told(2, out(sec/2))}, 0, 0, 0.3},
+		"another process is another server": {own, []PeerReport{told(1, balance.ServerSnapshot{ID: "s-1", Since: since - 1, Health: 0.1, EjectionLeft: 5 * sec}),
 			told(2, balance.ServerSnapshot{ID: "s-1", Since: since - 1, Health: 0.1, EjectionLeft: 5 * sec})}, 0, 0, 0.9},
-		"a later process voids what is known": {own, []Told{told(1, balance.ServerSnapshot{ID: "s-1", Since: since + 1, Health: 1})}, 0, 0, 1},
+		"a later process voids what is known": {own, []PeerReport{told(1, balance.ServerSnapshot{ID: "s-1", Since: since + 1, Health: 1})}, 0, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := Learn(c.own, c.told, 11*sec)
+			got := MergeReports(c.own, c.told, 11*sec)
 			if len(got) != 1 {
 				t.Fatalf("got %+v", got)
 			}
@@ -100,7 +100,7 @@
 		})
 	}
 	t.Run("a drain that one tells of", func(t *testing.T) {
-		got := Learn(own, []Told{told(1, balance.ServerSnapshot{ID: "s-1", Since: since, Health: 1, Draining: true})}, 11*sec)
+		got := MergeReports(own, []PeerReport{told(1, balance.ServerSnapshot{ID: "s-1", Since: since, Health: 1, Draining: true})}, 11*sec)
 		if len(got) != 1 || !got[0].Draining {
 			t.Errorf("got %+v", got)
 		}
@@ -109,19 +109,19 @@
 
 func TestMatch(t *testing.T) {
 	listed := func(id string) (int64, uint32, bool) { return 500, 5, id == "s-1" }
-	told := []Told{{By: 1, Beliefs: []Belief{{Server: balance.ServerSnapshot{ID: "s-1"}, Start: 5}, {Server: balance.ServerSnapshot{ID: "s-1"}, Start: 6}, {Server: balance.ServerSnapshot{ID: "s-2"}, Start: 5}}}}
-	got := Match(told, listed)
+	told := []PeerReport{{Member: 1, Beliefs: []Belief{{Server: balance.ServerSnapshot{ID: "s-1"}, Start: 5}, {Server: balance.ServerSnapshot{ID: "s-1"}, Start: 6}, {Server: balance.ServerSnapshot{ID: "s-2"}, Start: 5}}}}
+	got := MatchListed(told, listed)
 	if len(got) != 1 || len(got[0].Beliefs) != 1 || got[0].Beliefs[0].Server.Since != 500 {
 		t.Errorf("got %+v, want the one of the process that is listed", got)
 	}
 }
 
 func TestMeter(t *testing.T) {
-	m := Meter{Begun: 100 * sec, Before: 0.9}
+	m := ServiceMeter{StartedAt: 100 * sec, PreviousService: 0.9}
 	var full []int64
 	for now := 100 * sec; now < 112*sec; now += 50 * ms {
 		m.Add(1, now >= 102*sec || now%(100*ms) == 0, now) // a half at first
-		if after, ok := m.Look(now); ok {
+		if after, ok := m.CheckFull(now); ok {
 			full = append(full, after)
 		}
 	}
@@ -138,19 +138,19 @@
 
 func TestSound(t *testing.T) {
 	m := kept()
-	if !m.Sound() {
+	if !m.Valid() {
 		t.Error("a good one is refused")
 	}
-	for _, spoil := range []func(m *Memory){
-		func(m *Memory) { m.Module.Rate = -1 },
-		func(m *Memory) { m.Module.Servers[0].ID = "" },
-		func(m *Memory) { m.Module.Servers[0].InflightCap = 1e300 },
-		func(m *Memory) { m.List.Hosts[0].State = 9 },
-		func(m *Memory) { m.List.Hosts[0].Addr = "" },
+	for _, spoil := range []func(m *Snapshot){
+		func(m *Snapshot) { m.Balancer.Rate = -1 },
+		func(m *Snapshot) { m.Balancer.Servers[0].ID = "" },
+		func(m *Snapshot) { m.Balancer.Servers[0].InflightCap = 1e300 },
+		func(m *Snapshot) { m.List.Hosts[0].State = 9 },
+		func(m *Snapshot) { m.List.Hosts[0].Addr = "" },
 	} {
 		m := kept()
-		m.Module.Servers, m.List.Hosts = slices.Clone(m.Module.Servers), slices.Clone(m.List.Hosts)
-		if spoil(&m); m.Sound() {
+		m.Balancer.Servers, m.List.Hosts = slices.Clone(m.Balancer.Servers), slices.Clone(m.List.Hosts)
+		if spoil(&m); m.Valid() {
 			t.Errorf("taken: %+v", m)
 		}
 	}
--- a/proxy/admin.go
+++ b/proxy/admin.go
@@ -156,8 +156,8 @@
 	switch {
 	case (held && hold.Out || p.recovery != nil && p.recovery.drainingByPeers[s.ID]) && s.State == balance.Running:
 		s.State = balance.Draining
-	case held && !hold.Out && s.Since < hold.From:
-		s.Since = hold.Back
+	case held && !hold.Out && s.Since < hold.Since:
+		s.Since = hold.ReturnedAt
 	}
 	return s
 }
@@ -184,7 +184,7 @@
 // of use.
 func (p *Proxy) watchSibling() {
 	for ; ; time.Sleep(siblingPollInterval) {
-		if table, changed := p.config.Holds.Follow(); changed {
+		if table, changed := p.config.Holds.Refresh(); changed {
 			p.post(p.now(), nil, func(int64) { p.applyHolds(table, p.now()) })
 		}
 		if lock := p.config.SiblingLock; lock != nil {
--- a/proxy/dispatch.go
+++ b/proxy/dispatch.go
@@ -61,7 +61,7 @@
 	r.outstanding++
 	p.count.Sent++
 	if p.peers != nil {
-		p.peers.fleet.Sent(id, d.index > 0, now)
+		p.peers.fleet.Dispatched(id, d.index > 0, now)
 	}
 	if d.host == nil {
 		p.post(now, nil, func(at int64) { p.fail(d, &dispatchError{notSent, errUnknownHost}, at) })
--- a/proxy/idempotency.go
+++ b/proxy/idempotency.go
@@ -142,7 +142,7 @@
 		newest = p.recovery.newestKey
 	}
 	if p.peers != nil {
-		reported, _ := p.peers.fleet.Witnessed()
+		reported, _ := p.peers.fleet.ReportedKey()
 		newest = max(newest, reported)
 	}
 	if newest/1e6 > k.newestKey/1e6 && !k.keysLost { // in milliseconds, as peers report it
@@ -158,7 +158,7 @@
 func (p *Proxy) awaitKeyWitness(now, until int64) {
 	reported := false
 	if p.peers != nil {
-		_, reported = p.peers.fleet.Witnessed()
+		_, reported = p.peers.fleet.ReportedKey()
 	}
 	if p.checkLostKeys(now); reported || now >= until {
 		p.keys.ready = true
@@ -172,7 +172,7 @@
 func (p *Proxy) recordNewestKey(at int64) {
 	p.keys.newestKey = max(p.keys.newestKey, at)
 	if p.peers != nil {
-		p.peers.fleet.Keyed(at)
+		p.peers.fleet.RecordKey(at)
 	}
 }
 
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -34,7 +34,7 @@
 func (p *Proxy) reconfigureLimits(cfg *FleetConfig, now int64) {
 	var terms lease.Terms
 	if cfg != nil && len(cfg.Limits) > 0 {
-		terms = lease.Terms{Me: cfg.Terms.Me, Of: len(cfg.Peers), Voters: cfg.Voters, Drift: cfg.Drift,
+		terms = lease.Terms{Me: cfg.Terms.Index, Of: len(cfg.Peers), Voters: cfg.Voters, Drift: cfg.Drift,
 			Limits: cfg.Limits}
 	}
 	if l := p.limits; l != nil {
@@ -50,7 +50,7 @@
 		return
 	}
 	l := &limits{terms: terms, lastTick: now}
-	terms.Life, terms.Seed = swim.LifeOf(now), p.terms.Seed^4
+	terms.Life, terms.Seed = swim.IncarnationAt(now), p.terms.Seed^4
 	l.Member = lease.New(terms, now)
 	p.limits = l
 	p.tickLimits(now)
--- a/proxy/maintenance.go
+++ b/proxy/maintenance.go
@@ -56,8 +56,8 @@
 		return
 	}
 	plans := &planState{MaintenanceConfig: *cfg, file: file}
-	plans.crew, err = crew.New(crew.Terms{Me: ps.Terms.Me, Of: ps.Terms.Of, Voters: min(cfg.Voters, ps.Terms.Of),
-		Life: ps.fleet.Members().Life(), Seed: p.terms.Seed ^ 3,
+	plans.crew, err = crew.New(crew.Terms{Me: ps.Terms.Index, Of: ps.Terms.Members, Voters: min(cfg.Voters, ps.Terms.Members),
+		Life: ps.fleet.Membership().Incarnation(), Seed: p.terms.Seed ^ 3,
 		Lead: order.Terms{Grace: cfg.Grace, Longest: p.config.LongestTimeout, Service: cfg.Service,
 			Settle: cfg.Settle}}, entries, now)
 	if err != nil {
@@ -82,7 +82,7 @@
 // handOverPlans passes the lead on, as this process ends.
 func (p *Proxy) handOverPlans(now int64) {
 	if plans := p.plans; plans != nil {
-		plans.crew.Leave(p.peers.fleet.Members().Alive)
+		plans.crew.Leave(p.peers.fleet.Membership().Alive)
 		p.runPlanActions(now)
 	}
 }
@@ -107,7 +107,7 @@
 func (p *Proxy) planView(now int64) crew.Sight {
 	plans := p.plans
 	view := crew.Sight{Now: now, Wall: time.Now().UnixNano(), Open: map[string]int{}, Service: 1,
-		Alive: func(i int) bool { return p.peers != nil && p.peers.fleet.Members().Alive(i) }}
+		Alive: func(i int) bool { return p.peers != nil && p.peers.fleet.Membership().Alive(i) }}
 	if !plans.crew.State().Busy() {
 		return view
 	}
@@ -133,8 +133,8 @@
 		}
 	}
 	if ps := p.peers; ps != nil {
-		load, _ := ps.fleet.Picture(now)
-		if demand := load.Served + load.Lacked; demand > 1 {
+		load, _ := ps.fleet.FleetLoad(now)
+		if demand := load.Served + load.Unserved; demand > 1 {
 			view.Service = load.Served / demand
 		}
 		view.Cut = ps.fleet.Shedding()
@@ -149,7 +149,7 @@
 		switch action.Kind {
 		case crew.Send:
 			if p.peers != nil {
-				p.peers.fleet.Post(action.To, action.Body, now)
+				p.peers.fleet.SendMessage(action.To, action.Body, now)
 				p.runPeerActions(now)
 			}
 		case crew.Write:
--- a/proxy/outcome.go
+++ b/proxy/outcome.go
@@ -37,7 +37,7 @@
 	}
 	p.balancer.Finished(r.id, d.index, outcome, r.ended, now-d.sentAt, now)
 	if p.peers != nil && d.host != nil {
-		p.peers.fleet.Finished(d.host.id, outcome, r.ended, now-d.sentAt, now)
+		p.peers.fleet.DispatchEnded(d.host.id, outcome, r.ended, now-d.sentAt, now)
 	}
 	p.forget(r)
 }
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -36,7 +36,7 @@
 	Name         string
 	Listen       string
 	Peers        []netip.AddrPort // by member index, including this proxy's own
-	Terms        fleet.Terms      // rule sets, tenants and life are filled in here
+	Terms        fleet.Config     // rule sets, tenants and life are filled in here
 	ProbePath    string
 	ProbeTimeout int64
 	Limits       []lease.Limit // fleet-wide
@@ -81,10 +81,10 @@
 	}
 	p.peerAddrInUse = false
 	terms := cfg.Terms
-	terms.RuleSets, terms.Tenants, terms.MaxAdvice, terms.Seed = p.terms.RuleSets, p.terms.Tenants,
-		p.terms.MaxRetryAfter, p.terms.Seed^uint64(terms.Me)
-	terms.Life = max(minLife, swim.LifeOf(now)) // by wall time; if that was set back, peers correct it
-	ps := &peers{FleetConfig: *cfg, conn: conn, raw: raw, fleetID: peer.Fleet(cfg.Name), fleet: fleet.New(terms, now),
+	terms.RuleSets, terms.Tenants, terms.MaxRetryAfter, terms.Seed = p.terms.RuleSets, p.terms.Tenants,
+		p.terms.MaxRetryAfter, p.terms.Seed^uint64(terms.Index)
+	terms.Incarnation = max(minLife, swim.IncarnationAt(now)) // by wall time; if that was set back, peers correct it
+	ps := &peers{FleetConfig: *cfg, conn: conn, raw: raw, fleetID: peer.FleetHash(cfg.Name), fleet: fleet.New(terms, now),
 		probing: map[string]bool{},
 		probeClient: &http.Client{Timeout: time.Duration(cfg.ProbeTimeout),
 			Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Duration(p.config.ConnIdle / 2)}}}
@@ -92,8 +92,8 @@
 	p.updatePeerHosts(now)
 	p.tickPeers(now)
 	p.startPlans(now)
-	logrus.WithFields(logrus.Fields{"fleet": cfg.Name, "place": terms.Me,
-		"of": terms.Of}).Infof("listening for peers on %s", cfg.Listen)
+	logrus.WithFields(logrus.Fields{"fleet": cfg.Name, "place": terms.Index,
+		"of": terms.Members}).Infof("listening for peers on %s", cfg.Listen)
 }
 
 func listenPeers(addr string) (*net.UDPConn, syscall.RawConn, error) {
@@ -116,13 +116,13 @@
 	minLife := uint64(0)
 	if ps := p.peers; ps != nil {
 		if cfg != nil && reflect.DeepEqual(ps.FleetConfig.withLimitsOf(cfg), *cfg) &&
-			ps.fleet.Same(p.terms.RuleSets, p.terms.Tenants, p.terms.MaxRetryAfter) {
+			ps.fleet.SameConfig(p.terms.RuleSets, p.terms.Tenants, p.terms.MaxRetryAfter) {
 			return
 		}
 		if cfg == nil {
 			p.leavePeers(now)
 		}
-		minLife = swim.After(ps.fleet.Members().Life()) // datagram numbers start over
+		minLife = swim.NextIncarnation(ps.fleet.Membership().Incarnation()) // datagram numbers start over
 		p.stop(ps.timer)
 		_ = ps.conn.Close()
 		ps.probeClient.CloseIdleConnections()
@@ -138,7 +138,7 @@
 // dropped. They are read with the tick, not as they arrive: each wakeup costs more than all the work done in it.
 func (p *Proxy) readDatagrams(ps *peers, now int64) {
 	_ = ps.raw.Read(func(fd uintptr) bool {
-		var b [peer.Most + 1]byte
+		var b [peer.MaxDatagramBytes + 1]byte
 		for range maxDatagramsInRow {
 			n, from, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_DONTWAIT)
 			if err == syscall.EINTR {
@@ -160,7 +160,7 @@
 			case err != nil:
 				ps.drops.count(err)
 			default:
-				ps.fleet.Heard(&d, now)
+				ps.fleet.Receive(&d, now)
 			}
 		}
 		return true // do not wait for more
@@ -169,9 +169,9 @@
 
 func (d *dropCounts) count(err error) {
 	switch err {
-	case peer.ErrShort:
+	case peer.ErrLength:
 		d.Short++
-	case peer.ErrGarbled:
+	case peer.ErrChecksum:
 		d.Garbled++
 	case peer.ErrVersion:
 		d.Version++
@@ -211,16 +211,16 @@
 			p.probeHost(ps, action.Server)
 		case fleet.Advise:
 			p.balancer.ApplyAdvice(action.Advice)
-		case fleet.Teach:
-			ps.fleet.Answer(action.To, p.balancer.ServerSnapshots(now), now)
+		case fleet.AnswerQuery:
+			ps.fleet.SendBeliefs(action.To, p.balancer.ServerSnapshots(now), now)
 		case fleet.Deliver:
 			if p.plans != nil {
-				p.plans.crew.Heard(action.To, action.Letter, now)
+				p.plans.crew.Heard(action.To, action.Message, now)
 				p.runPlanActions(now)
 			}
-		case fleet.Recall:
-			p.learnFromPeers(action.Told, now)
-		case fleet.Tell:
+		case fleet.ApplyPeerReports:
+			p.learnFromPeers(action.Reports, now)
+		case fleet.Log:
 			logrus.WithFields(action.Fields).Info("fleet: " + action.Text)
 		}
 	}
@@ -243,7 +243,7 @@
 		p.post(p.now(), nil, func(at int64) {
 			delete(ps.probing, id)
 			if p.peers == ps {
-				ps.fleet.Probed(id, healthy, at)
+				ps.fleet.ProbeEnded(id, healthy, at)
 			}
 		})
 	}()
@@ -260,7 +260,7 @@
 			ids = append(ids, h.id)
 		}
 	}
-	p.peers.fleet.Servers(ids, now)
+	p.peers.fleet.SetServers(ids, now)
 }
 
 // leavePeers tells the peers that this process ends.
@@ -279,7 +279,7 @@
 	}
 	r.retryHash = retryHash(&r.msg)
 	ruleSet := slices.IndexFunc(p.terms.RuleSets, func(x balance.RuleSet) bool { return x.Name == r.msg.RuleSet })
-	return p.peers.fleet.Arrive(ruleSet, p.terms.Tenant(r.msg.Tenant), r.retryHash, isRetry(&r.msg), now)
+	return p.peers.fleet.Admit(ruleSet, p.terms.Tenant(r.msg.Tenant), r.retryHash, isRetry(&r.msg), now)
 }
 
 // isRetry reports whether a request is marked as a retry by its client.
@@ -315,9 +315,9 @@
 		return
 	}
 	if good {
-		p.peers.fleet.Done(now)
+		p.peers.fleet.ServedInTime(now)
 	} else {
-		p.peers.fleet.Lost(r.retryHash, now)
+		p.peers.fleet.Missed(r.retryHash, now)
 	}
 }
 
--- a/proxy/proxy_test.go
+++ b/proxy/proxy_test.go
@@ -406,7 +406,7 @@
 		RuleSets: []balance.RuleSet{{Name: "a", ResponseTarget: 1e9}}},
 		KnownHosts: []byte(`{"generation":7,"reset":true,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:1","lifecycle":"ready"}]}`)})
 	now := p.now()
-	p.applyHolds(holds.Table{Version: 1, Hosts: map[string]holds.Hold{"s": {Out: true, From: now}}}, now)
+	p.applyHolds(holds.Table{Version: 1, Hosts: map[string]holds.Hold{"s": {Out: true, Since: now}}}, now)
 	if p.host("s").ready {
 		t.Fatal("the host is still ready")
 	}
--- a/proxy/recovery.go
+++ b/proxy/recovery.go
@@ -47,7 +47,7 @@
 	snapshotServers []balance.ServerSnapshot // what was trusted of the snapshot
 	newestKey       int64                    // start of the newest idempotency key in the snapshot
 	lastIncarnation uint64                   // incarnation of the process before
-	meter           warmstart.Meter
+	meter           warmstart.ServiceMeter
 	snapshotNumber  uint64
 	writing         bool
 	snapshotTimer   *timer // fires when the next snapshot is due
@@ -61,16 +61,16 @@
 
 func newRecovery(cfg RecoveryConfig, source string, now int64) *recovery {
 	return &recovery{RecoveryConfig: cfg, source: source, listTime: now, drainingByPeers: map[string]bool{},
-		meter: warmstart.Meter{Begun: now}}
+		meter: warmstart.ServiceMeter{StartedAt: now}}
 }
 
 // snapshotClocks reads the clocks for snapshots. The time since the machine's start is not affected by changes of
 // wall time.
-func snapshotClocks() warmstart.Now {
-	clocks := warmstart.Now{Wall: time.Now().UnixNano()}
+func snapshotClocks() warmstart.Clocks {
+	clocks := warmstart.Clocks{WallTime: time.Now().UnixNano()}
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) == nil {
-		clocks.Up, clocks.Boot = t.Nano(), bootID()
+		clocks.Uptime, clocks.BootID = t.Nano(), bootID()
 	}
 	return clocks
 }
@@ -94,21 +94,21 @@
 		}
 		return
 	}
-	memory, rec.verdicts = warmstart.Weigh(memory, p.config.Listen, p.terms, snapshotClocks(), rec.Trust)
+	memory, rec.verdicts = warmstart.Evaluate(memory, p.config.Listen, p.terms, snapshotClocks(), rec.Trust)
 	fields := logrus.Fields{}
 	for _, verdict := range rec.verdicts {
 		if fields[verdict.Part] = verdict.Why; !verdict.Kept {
 			fields[verdict.Part] = "not trusted: " + verdict.Why
 		}
 	}
-	if memory.Whose == "" {
+	if memory.Proxy == "" {
 		rec.count.Refused++
 		logrus.WithFields(fields).Warn("starting without a snapshot: it belongs to another proxy or is from the future")
 		return
 	}
 	logrus.WithFields(fields).Info("loaded a snapshot")
-	rec.meter.Before = memory.Service
-	rec.snapshotServers, rec.newestKey, rec.lastIncarnation = memory.Module.Servers, memory.Newest, memory.Life
+	rec.meter.PreviousService = memory.Service
+	rec.snapshotServers, rec.newestKey, rec.lastIncarnation = memory.Balancer.Servers, memory.NewestKey, memory.Incarnation
 	if len(memory.List.Hosts) > 0 && memory.List.Generation >= p.discovery.generation {
 		p.applyList(balance.ListRestored, hostListOf(memory.List), now)
 		rec.source, rec.listTime = "disk", now-memory.List.Age
@@ -116,13 +116,13 @@
 	if p.config.Holds != nil && p.config.Holds.Restore(memory.Holds) {
 		p.applyHolds(memory.Holds, now)
 	}
-	p.balancer.Restore(memory.Module, now)
+	p.balancer.Restore(memory.Balancer, now)
 }
 
 // minIncarnation returns a value that the next incarnation must reach: one taken from wall time might be too low.
 func (p *Proxy) minIncarnation() uint64 {
 	if rec := p.recovery; rec != nil && rec.lastIncarnation > 0 {
-		return swim.After(rec.lastIncarnation)
+		return swim.NextIncarnation(rec.lastIncarnation)
 	}
 	return 0
 }
@@ -171,10 +171,10 @@
 	rec.writing = true
 	rec.snapshotNumber++
 	clocks := snapshotClocks()
-	memory := warmstart.Memory{Whose: p.config.Listen, Number: rec.snapshotNumber, Wall: clocks.Wall, Boot: clocks.Boot,
-		Up: clocks.Up, Shape: warmstart.Shape(p.terms),
-		Module: p.balancer.Snapshot(now), Holds: p.holds, Service: rec.meter.Service(10e9, now),
-		Newest: rec.newestKey, Life: rec.lastIncarnation}
+	memory := warmstart.Snapshot{Proxy: p.config.Listen, Number: rec.snapshotNumber, WallTime: clocks.WallTime, BootID: clocks.BootID,
+		Uptime: clocks.Uptime, ConfigHash: warmstart.ConfigHash(p.terms),
+		Balancer: p.balancer.Snapshot(now), Holds: p.holds, Service: rec.meter.Service(10e9, now),
+		NewestKey: rec.newestKey, Incarnation: rec.lastIncarnation}
 	memory.List = warmstart.List{Generation: p.discovery.generation, Age: now - rec.listTime}
 	for _, h := range p.hosts {
 		if h.listed {
@@ -182,10 +182,10 @@
 		}
 	}
 	if p.keys != nil {
-		memory.Newest = max(memory.Newest, p.keys.newestKey)
+		memory.NewestKey = max(memory.NewestKey, p.keys.newestKey)
 	}
 	if p.peers != nil {
-		memory.Life = p.peers.fleet.Members().Life()
+		memory.Incarnation = p.peers.fleet.Membership().Incarnation()
 	}
 	go func() {
 		err := snapshot.Write(rec.Folder, &memory)
@@ -203,19 +203,19 @@
 }
 
 // learnFromPeers applies what peers report of hosts that this process has not used yet.
-func (p *Proxy) learnFromPeers(reports []warmstart.Told, now int64) {
+func (p *Proxy) learnFromPeers(reports []warmstart.PeerReport, now int64) {
 	rec := p.recovery
 	if rec == nil {
 		return
 	}
-	reports = warmstart.Match(reports, func(id string) (int64, uint32, bool) {
+	reports = warmstart.MatchListed(reports, func(id string) (int64, uint32, bool) {
 		h := p.host(id)
 		if h == nil || !h.listed {
 			return 0, 0, false
 		}
-		return h.startTime, peer.Start(h.reported.Since), true
+		return h.startTime, peer.StartTime(h.reported.Since), true
 	})
-	servers := warmstart.Learn(warmstart.Later(rec.snapshotServers, now-rec.meter.Begun, rec.Trust), reports, now)
+	servers := warmstart.MergeReports(warmstart.Age(rec.snapshotServers, now-rec.meter.StartedAt, rec.Trust), reports, now)
 	for _, l := range servers {
 		if h := p.host(l.ID); l.Draining && h != nil && h.ready && !rec.drainingByPeers[l.ID] {
 			rec.drainingByPeers[l.ID] = true
@@ -303,7 +303,7 @@
 	if rec == nil {
 		return
 	}
-	if after, full := rec.meter.Look(now); full {
+	if after, full := rec.meter.CheckFull(now); full {
 		logrus.WithFields(logrus.Fields{"after_ms": after / 1e6, "list": rec.source}).Info("service is full")
 		return
 	}
@@ -317,11 +317,11 @@
 		return admin.Error(http.StatusNotFound, "nothing is kept: the operator file has no [return]")
 	}
 	status := warmstart.Status{List: rec.source, ListAge: (now - rec.listTime) / 1e6, Generation: p.discovery.generation,
-		Kept: rec.verdicts, FullAfter: rec.meter.Full / 1e6,
+		Kept: rec.verdicts, FullAfter: rec.meter.FullAfter / 1e6,
 		Service: rec.meter.Service(3e9, now), Written: rec.count.Written, Unwritten: rec.count.Unwritten,
-		Refused: rec.count.Refused, Stood: rec.count.Stalls, Drained: rec.count.Drained}
+		Refused: rec.count.Refused, Stalls: rec.count.Stalls, DrainingByPeers: rec.count.Drained}
 	if p.peers != nil {
-		status.Asked, status.Answers, status.Taught = p.peers.fleet.Lessons()
+		status.Asked, status.Answers, status.AnswersSent = p.peers.fleet.LearnCounts()
 	}
 	return jsonReply(status)
 }
--- a/rehearse/emu/life_test.go
+++ b/rehearse/emu/life_test.go
@@ -11,14 +11,14 @@
 	c := newCrowd(3, 24, 21)
 	c.run(5 * second)
 	for range 3 {
-		c.Back(1, swim.After(c.Fleet(1).Members().Life()))
+		c.Back(1, swim.NextIncarnation(c.Fleet(1).Membership().Incarnation()))
 		c.Kill(1)
 		c.Start(1)
-		life := c.Fleet(1).Members().Life()
+		life := c.Fleet(1).Membership().Incarnation()
 		c.run(2 * second)
 		for _, i := range []int{0, 2} {
-			if m := c.Fleet(i).Members().Member(1); m.Life != life || c.clock.Now()-m.Heard > second {
-				t.Errorf("member %d knows life %d, not %d, heard %d ms ago", i, m.Life, life, (c.clock.Now()-m.Heard)/ms)
+			if m := c.Fleet(i).Membership().Member(1); m.Incarnation != life || c.clock.Now()-m.LastHeard > second {
+				t.Errorf("member %d knows life %d, not %d, heard %d ms ago", i, m.Incarnation, life, (c.clock.Now()-m.LastHeard)/ms)
 			}
 		}
 	}
--- a/rehearse/emu/peers.go
+++ b/rehearse/emu/peers.go
@@ -38,7 +38,7 @@
 	stopped int
 	waiting []peer.Datagram // came while it was stopped; emptied when it goes on
 	wake    uint64          // the tick that counts
-	terms   fleet.Terms
+	terms   fleet.Config
 	Sent    int
 	Bytes   int
 }
@@ -55,7 +55,7 @@
 }
 
 // NewPeers starts a member for each of the terms. What the members want other than sending is handed to act.
-func NewPeers(c *Virtual, terms []fleet.Terms, seed uint64, measure bool, act func(member int, a fleet.Action)) *Peers {
+func NewPeers(c *Virtual, terms []fleet.Config, seed uint64, measure bool, act func(member int, a fleet.Action)) *Peers {
 	p := &Peers{clock: c, dice: rng.Source{Seed: seed ^ 0x9ee5}, act: act, measure: measure}
 	for i, t := range terms {
 		p.members = append(p.members, &membership{terms: t, gone: true})
@@ -80,8 +80,8 @@
 	m.gone, m.waiting = false, nil
 	t := m.terms
 	t.Seed = SeedOf(t.Seed+m.life<<32, i)
-	if t.Life == 0 {
-		t.Life = swim.LifeOf(p.clock.Now())
+	if t.Incarnation == 0 {
+		t.Incarnation = swim.IncarnationAt(p.clock.Now())
 	}
 	m.Fleet = fleet.New(t, p.clock.Now())
 	p.tick(i, m.life)
@@ -104,13 +104,13 @@
 	waiting := m.waiting
 	m.waiting = nil
 	for _, d := range waiting {
-		m.Heard(&d, p.clock.Now())
+		m.Receive(&d, p.clock.Now())
 	}
 	p.tick(i, m.life)
 }
 
 // Back sets a member's clock of the day for its next start.
-func (p *Peers) Back(i int, life uint64) { p.members[i].terms.Life = life }
+func (p *Peers) Back(i int, life uint64) { p.members[i].terms.Incarnation = life }
 
 func (p *Peers) tick(i int, life uint64) {
 	m := p.members[i]
@@ -186,7 +186,7 @@
 			m.waiting = append(m.waiting, d)
 		}
 	default:
-		m.Heard(&d, p.clock.Now())
+		m.Receive(&d, p.clock.Now())
 		p.Carry(j)
 	}
 }
--- a/rehearse/emu/peers_test.go
+++ b/rehearse/emu/peers_test.go
@@ -19,10 +19,10 @@
 
 func newCrowd(n int, datagrams float64, seed uint64) *crowd {
 	c := &crowd{clock: NewVirtual(1e12), n: n}
-	var terms []fleet.Terms
+	var terms []fleet.Config
 	for i := range n {
-		terms = append(terms, fleet.Terms{Me: i, Of: n, Seed: seed, Datagrams: datagrams, AckWait: 300 * ms, Quiet: 2300 * ms,
-			Overload: &fleet.Overload{Further: 0.1, Most: 2000}})
+		terms = append(terms, fleet.Config{Index: i, Members: n, Seed: seed, DatagramsPerSecond: datagrams, AckTimeout: 300 * ms, MinSilence: 2300 * ms,
+			Overload: &fleet.Overload{RetryRatio: 0.1, MaxMemberRate: 2000}})
 	}
 	c.Peers = NewPeers(c.clock, terms, seed, n <= 32, nil)
 	return c
@@ -33,7 +33,7 @@
 // holds counts the members that run and hold one to be in a state.
 func (c *crowd) holds(who int, s peer.State) (n int) {
 	for i := range c.n {
-		if m := c.Fleet(i).Members().Member(who); i != who && c.Up(i) && m.Known && m.State == s {
+		if m := c.Fleet(i).Membership().Member(who); i != who && c.Up(i) && m.Known && m.State == s {
 			n++
 		}
 	}
@@ -49,7 +49,7 @@
 		}
 	}
 	for i := range c.n {
-		if got := c.Fleet(i).Members().Count(); c.Up(i) && got != up {
+		if got := c.Fleet(i).Membership().AliveCount(); c.Up(i) && got != up {
 			return fmt.Errorf("member %d holds %d alive of %d", i, got, up)
 		}
 	}
@@ -112,7 +112,7 @@
 		if most > 5 {
 			t.Errorf("pause %d: %d hold it to be dead", i, most)
 		}
-		if got := c.Fleet(who).Members().Count(); got < 12 {
+		if got := c.Fleet(who).Membership().AliveCount(); got < 12 {
 			t.Errorf("pause %d: the one that goes on holds %d alive", i, got)
 		}
 		c.run(3 * second)
@@ -129,7 +129,7 @@
 	c.Strike(Fault{Kind: "proxy_starve", Proxies: []int{3}, Size: 0.8})
 	for range 300 {
 		c.run(100*ms + ms)
-		if n := c.Fleet(3).Members().Count(); n < 12 {
+		if n := c.Fleet(3).Membership().AliveCount(); n < 12 {
 			t.Fatalf("it holds %d alive", n)
 		}
 	}
@@ -142,7 +142,7 @@
 		c.run(5 * second)
 		heal := c.Strike(Fault{Kind: "split", Proxies: []int{0, 1, 2, 3, 4, 5}, Way: way})
 		c.run(20 * second)
-		if got := c.Fleet(0).Members().Count(); way == "" && got != 6 {
+		if got := c.Fleet(0).Membership().AliveCount(); way == "" && got != 6 {
 			t.Errorf("a half holds %d alive", got)
 		}
 		heal()
@@ -216,12 +216,12 @@
 			}
 			known := 0
 			for i := range n {
-				known += c.Fleet(i).Members().Count()
+				known += c.Fleet(i).Membership().AliveCount()
 			}
 			if part := float64(known) / float64(n*n); part < 0.99 {
 				t.Errorf("%.3f of all are known to each other", part)
 			}
-			_, of := c.Fleet(7).Picture(c.clock.Now())
+			_, of := c.Fleet(7).FleetLoad(c.clock.Now())
 			if of < n*95/100 {
 				t.Errorf("%d counted in the picture of one", of)
 			}
--- a/rehearse/emu/return.go
+++ b/rehearse/emu/return.go
@@ -41,9 +41,9 @@
 	t.Seed += uint64(st.life-1) << 32
 	st.policy = st.make(t, now)
 	st.list = slices.Clone(st.start)
-	var m warmstart.Memory
+	var m warmstart.Snapshot
 	if st.kept != nil {
-		m, _ = warmstart.Weigh(*st.kept, st.whose(), &st.terms, st.now(), st.keeps.Trust)
+		m, _ = warmstart.Evaluate(*st.kept, st.whose(), &st.terms, st.now(), st.keeps.Trust)
 		if len(m.List.Hosts) > 0 {
 			st.list = st.list[:0]
 			for _, h := range m.List.Hosts {
@@ -56,9 +56,9 @@
 	}
 	st.policy.UpdateList(balance.ListRestored, st.list, now)
 	if p, ok := st.policy.(remembers); ok && st.kept != nil {
-		p.Restore(m.Module, now)
+		p.Restore(m.Balancer, now)
 	}
-	st.own = m.Module.Servers
+	st.own = m.Balancer.Servers
 	st.clock.At(now, st.decide)
 	if st.keeps.Every > 0 {
 		st.keep(st.life)
@@ -66,8 +66,8 @@
 }
 
 func (st *seat) whose() string { return fmt.Sprint(st.id) }
-func (st *seat) now() warmstart.Now {
-	return warmstart.Now{Wall: st.clock.Now(), Boot: "virtual", Up: st.clock.Now()}
+func (st *seat) now() warmstart.Clocks {
+	return warmstart.Clocks{WallTime: st.clock.Now(), BootID: "virtual", Uptime: st.clock.Now()}
 }
 
 // keep writes down what a balancer has learnt, each time it is due.
@@ -77,7 +77,7 @@
 		return
 	}
 	at := st.now()
-	m := warmstart.Memory{Whose: st.whose(), Wall: at.Wall, Boot: at.Boot, Up: at.Up, Shape: warmstart.Shape(&st.terms), Module: p.Snapshot(st.clock.Now())}
+	m := warmstart.Snapshot{Proxy: st.whose(), WallTime: at.WallTime, BootID: at.BootID, Uptime: at.Uptime, ConfigHash: warmstart.ConfigHash(&st.terms), Balancer: p.Snapshot(st.clock.Now())}
 	for _, e := range st.list {
 		m.List.Hosts = append(m.List.Hosts, warmstart.Host{Server: e, Addr: e.ID})
 	}
@@ -101,20 +101,20 @@
 }
 
 // learn takes what others tell.
-func (st *seat) learn(told []warmstart.Told) {
+func (st *seat) learn(told []warmstart.PeerReport) {
 	p, ok := st.policy.(remembers)
 	if !ok || st.gone {
 		return
 	}
 	now := st.clock.Now()
-	told = warmstart.Match(told, func(id string) (int64, uint32, bool) {
+	told = warmstart.MatchListed(told, func(id string) (int64, uint32, bool) {
 		i := slices.IndexFunc(st.list, func(s balance.Server) bool { return s.ID == id })
 		if i < 0 {
 			return 0, 0, false
 		}
-		return st.list[i].Since, peer.Start(st.list[i].Since), true
+		return st.list[i].Since, peer.StartTime(st.list[i].Since), true
 	})
-	p.Restore(balance.Snapshot{Servers: warmstart.Learn(warmstart.Later(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
+	p.Restore(balance.Snapshot{Servers: warmstart.MergeReports(warmstart.Age(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
 	st.decide()
 }
 
@@ -171,7 +171,7 @@
 			s.seats[i].begin()
 			if s.peers != nil {
 				s.peers.Start(i)
-				s.peers.Fleet(i).Servers(s.ids(), s.clock.Now())
+				s.peers.Fleet(i).SetServers(s.ids(), s.clock.Now())
 			}
 		})
 	}
--- a/rehearse/emu/seat.go
+++ b/rehearse/emu/seat.go
@@ -96,7 +96,7 @@
 	gone   bool
 	terms  balance.Config
 	list   []balance.Server         // as it was last told whole; for what is kept
-	kept   *warmstart.Memory        // nil: nothing was written down
+	kept   *warmstart.Snapshot      // nil: nothing was written down
 	own    []balance.ServerSnapshot // what was believed of that at the latest start,
 	begun  int64                    // and when that was
 }
@@ -143,11 +143,11 @@
 }
 
 // Meet has the balancers hear one another from now on, by terms of which each gets its own. Only what a policy takes as advice reaches it.
-func (s *Seats) Meet(seed uint64, terms func(me, of int) fleet.Terms) *Peers {
-	var all []fleet.Terms
+func (s *Seats) Meet(seed uint64, terms func(me, of int) fleet.Config) *Peers {
+	var all []fleet.Config
 	for i := range s.seats {
 		t := terms(i, len(s.seats))
-		t.Seed, t.RuleSets, t.Tenants, t.MaxAdvice = seed, s.terms.RuleSets, s.terms.Tenants, s.terms.MaxRetryAfter
+		t.Seed, t.RuleSets, t.Tenants, t.MaxRetryAfter = seed, s.terms.RuleSets, s.terms.Tenants, s.terms.MaxRetryAfter
 		all = append(all, t)
 	}
 	s.sets, s.tenants = map[string]int{}, map[string]int{}
@@ -159,7 +159,7 @@
 	}
 	s.peers = NewPeers(s.clock, all, seed, false, s.act)
 	for i := range s.seats {
-		s.peers.Fleet(i).Servers(s.ids(), s.clock.Now())
+		s.peers.Fleet(i).SetServers(s.ids(), s.clock.Now())
 	}
 	return s.peers
 }
@@ -172,16 +172,16 @@
 		if p, ok := st.policy.(interface{ ApplyAdvice(balance.Advice) }); ok {
 			p.ApplyAdvice(a.Advice)
 		}
-	case fleet.Teach:
+	case fleet.AnswerQuery:
 		if p, ok := st.policy.(remembers); ok {
-			s.peers.Fleet(i).Answer(a.To, p.Snapshot(s.clock.Now()).Servers, s.clock.Now())
+			s.peers.Fleet(i).SendBeliefs(a.To, p.Snapshot(s.clock.Now()).Servers, s.clock.Now())
 		}
-	case fleet.Recall:
-		st.learn(a.Told)
+	case fleet.ApplyPeerReports:
+		st.learn(a.Reports)
 	case fleet.Probe:
 		srv := s.fleet.Server(a.Server)
 		wait, arrives := s.fleet.Way(st.zone, srv)
-		s.clock.At(s.clock.Now()+2*wait, func() { s.peers.Fleet(i).Probed(a.Server, arrives && srv.Well(), s.clock.Now()) })
+		s.clock.At(s.clock.Now()+2*wait, func() { s.peers.Fleet(i).ProbeEnded(a.Server, arrives && srv.Well(), s.clock.Now()) })
 	}
 }
 
@@ -206,7 +206,7 @@
 	arrival := balance.Arrival{ID: r.id, RuleSet: a.RuleSet, Tenant: a.Tenant, Key: a.Key, Budget: st.clients.Timeout, Work: a.Work}
 	if st.peers != nil {
 		r.luck = rng.Hash(fmt.Sprint(a.At, a.Key), a.RuleSet) // an ask and its retries have it in common
-		arrival.Shed, arrival.RetryAfter = st.peers.Fleet(st.id).Arrive(st.sets[a.RuleSet], st.tenants[a.Tenant], r.luck, false, now)
+		arrival.Shed, arrival.RetryAfter = st.peers.Fleet(st.id).Admit(st.sets[a.RuleSet], st.tenants[a.Tenant], r.luck, false, now)
 		r.shed = arrival.Shed
 	}
 	st.policy.AddRequest(arrival, now)
@@ -240,9 +240,9 @@
 	now := st.clock.Now()
 	if st.peers != nil && !r.shed {
 		if x := st.terms.RuleSet(r.RuleSet); kind == Done && (x == nil || now-r.taken <= x.ResponseTarget) {
-			st.peers.Fleet(st.id).Done(now)
+			st.peers.Fleet(st.id).ServedInTime(now)
 		} else {
-			st.peers.Fleet(st.id).Lost(r.luck, now)
+			st.peers.Fleet(st.id).Missed(r.luck, now)
 		}
 	}
 	if kind == Denied && r.tries <= st.clients.Retries && now-r.first < st.clients.Timeout {
@@ -349,7 +349,7 @@
 		st.Dispatched++
 	}
 	if st.peers != nil {
-		st.peers.Fleet(st.id).Sent(id, n > 0, now)
+		st.peers.Fleet(st.id).Dispatched(id, n > 0, now)
 	}
 	s.job = &Job{Req: r.name, From: st.id, Sent: now, Work: r.Work, Key: r.Key, Rules: rules, Done: func(o balance.Outcome) {
 		wait, arrives := st.fleet.Way(st.zone, srv)
@@ -395,7 +395,7 @@
 	}
 	st.policy.Finished(r.id, n, o, r.ended, now-s.at, now)
 	if st.peers != nil {
-		st.peers.Fleet(st.id).Finished(s.srv.ID, o, r.ended, now-s.at, now)
+		st.peers.Fleet(st.id).DispatchEnded(s.srv.ID, o, r.ended, now-s.at, now)
 	}
 	st.tidy(r)
 	st.decide()
--- a/rehearse/lab/run.go
+++ b/rehearse/lab/run.go
@@ -310,7 +310,7 @@
 	if o.Fleet.Limits != nil {
 		return nil, fmt.Errorf("%s: fleet.limits: played in mode processes alone", v.Operator)
 	}
-	return s.Meet(seed, func(me, of int) fleet.Terms {
+	return s.Meet(seed, func(me, of int) fleet.Config {
 		t := o.Fleet.MemberConfig(me, of, true)
 		t.Learn = o.LearnConfig()
 		return t
