--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -120,7 +120,7 @@
 	eventually(t, "it lives another life", func() bool {
 		v, ok := r.View(0)
 		w, also := r.View(1)
-		return ok && also && v.Members[1].Life == w.Life
+		return ok && also && v.Members[1].Incarnation == w.Incarnation
 	})
 }
 
@@ -204,13 +204,13 @@
 	}
 	for i := range 3 {
 		v, ok := r.View(i)
-		if !ok || v.Offered > 500 || v.Counts.Shed > 0 || len(v.Wary) > 0 {
-			t.Errorf("proxy %d: offered %.0f, %d shed, wary of %v", i, v.Offered, v.Counts.Shed, v.Wary)
+		if !ok || v.Offered > 500 || v.Counts.Shed > 0 || len(v.ReducedShares) > 0 {
+			t.Errorf("proxy %d: offered %.0f, %d shed, wary of %v", i, v.Offered, v.Counts.Shed, v.ReducedShares)
 		}
 	}
 	eventually(t, "what is impossible is counted", func() bool {
 		v, ok := r.View(2) // the neighbour of the one that lies about all
-		return ok && v.Odd > 0
+		return ok && v.Implausible > 0
 	})
 }
 
@@ -276,7 +276,7 @@
 	owner := -1
 	eventually(t, "the server has a first prober", func() bool {
 		v, ok := r.View(0)
-		for _, o := range v.Owners {
+		for _, o := range v.ProbeOwners {
 			if o.Server == "s-002" {
 				owner = o.Member
 			}
--- a/cmd/ivybank/return_test.go
+++ b/cmd/ivybank/return_test.go
@@ -103,7 +103,7 @@
 	for n := range 8 {
 		before, _ := r.View(1)
 		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 1e6})
-		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Life > before.Life })
+		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Incarnation > before.Incarnation })
 		v, ok := r.Returned(1)
 		if !ok || v.Refused > 0 || len(v.Kept) == 0 {
 			t.Fatalf("start %d: %d snapshots refused, %v believed", n, v.Refused, v.Kept)
@@ -157,8 +157,8 @@
 		}
 		taught += v.Answers
 		view, _ := r.View(i)
-		if len(view.Wary) > 0 {
-			t.Errorf("proxy %d is wary of %v", i, view.Wary)
+		if len(view.ReducedShares) > 0 {
+			t.Errorf("proxy %d is wary of %v", i, view.ReducedShares)
 		}
 	}
 	if taught == 0 {
--- a/fleet/aggregate/aggregate.go
+++ b/fleet/aggregate/aggregate.go
@@ -37,10 +37,10 @@
 }
 
 // fixed is how many figures of a load come before its classes.
-const fixed = 12
+const fixedFigures = 12
 
-func (l *Load) figures() [fixed]*float64 {
-	return [fixed]*float64{&l.First, &l.Retries, &l.RetriesWanted, &l.Probes, &l.Refused, &l.TimedOut, &l.Failed, &l.Unserved, &l.Served, &l.Limit, &l.LimitCount, &l.ServerTime}
+func (l *Load) figures() [fixedFigures]*float64 {
+	return [fixedFigures]*float64{&l.First, &l.Retries, &l.RetriesWanted, &l.Probes, &l.Refused, &l.TimedOut, &l.Failed, &l.Unserved, &l.Served, &l.Limit, &l.LimitCount, &l.ServerTime}
 }
 
 // Add adds a part of another load.
@@ -64,14 +64,14 @@
 
 // A figure takes two bytes: steps of a 256th of an octave, 0.3%, from 0.004 up.
 const (
-	steps = 256
-	shift = 8*steps + 1
+	stepsPerOctave = 256
+	stepOffset = 8*stepsPerOctave + 1
 )
 
 func pack(b []byte, x float64) []byte {
 	n := uint16(0)
 	if x > 0 {
-		n = uint16(max(1, min(math.MaxUint16, math.Round(steps*math.Log2(x))+shift)))
+		n = uint16(max(1, min(math.MaxUint16, math.Round(stepsPerOctave*math.Log2(x))+stepOffset)))
 	}
 	return binary.BigEndian.AppendUint16(b, n)
 }
@@ -80,12 +80,12 @@
 	if n == 0 {
 		return 0
 	}
-	return math.Exp2((float64(n) - shift) / steps)
+	return math.Exp2((float64(n) - stepOffset) / stepsPerOctave)
 }
 
 // Bytes is a load as it stands on the wire; classes at the end that have nothing are left out.
 func (l *Load) Bytes() []byte {
-	b := make([]byte, 0, 2*(fixed+Classes))
+	b := make([]byte, 0, 2*(fixedFigures+Classes))
 	for _, x := range l.figures() {
 		b = pack(b, *x)
 	}
@@ -100,16 +100,16 @@
 
 // Parse reads one; false where it is cut or has more figures than there are.
 func Parse(b []byte) (l Load, ok bool) {
-	if len(b) > 2*(fixed+Classes) || len(b)%2 != 0 {
+	if len(b) > 2*(fixedFigures+Classes) || len(b)%2 != 0 {
 		return l, false
 	}
-	f := l.figures()
+	figures := l.figures()
 	for i := 0; i < len(b); i += 2 {
 		x := unpack(binary.BigEndian.Uint16(b[i:]))
-		if i/2 < fixed {
-			*f[i/2] = x
+		if i/2 < fixedFigures {
+			*figures[i/2] = x
 		} else {
-			l.Offered[i/2-fixed] = x
+			l.Offered[i/2-fixedFigures] = x
 		}
 	}
 	return l, true
@@ -122,146 +122,146 @@
 	MaxMemberRate  float64 // cost a second past which no single member's word is believed
 }
 
-type sum struct {
-	at   int64 // when it was measured; long ago: none
-	of   int
-	life uint64 // level 0: of the member
+type blockSum struct {
+	measuredAt   int64 // when it was measured; long ago: none
+	members   int
+	incarnation uint64 // level 0: of the member
 	load Load
 }
 
 // Fold is one member's picture.
 type Aggregate struct {
-	t          Config
-	beside     []sum // by level: of the block beside one's own; emptied as they age
+	cfg          Config
+	siblings     []blockSum // by level: of the block beside one's own; emptied as they age
 	Own        Load
-	Impossible int // sums not believed
+	Implausible int // sums not believed
 }
 
 // Levels is how many blocks there are beside the own one among so many places.
-func Levels(of int) int { return bits.Len(uint(of - 1)) }
+func Levels(members int) int { return bits.Len(uint(members - 1)) }
 
 // New begins without a picture.
-func New(t Config) *Aggregate {
-	f := &Aggregate{t: t, beside: make([]sum, Levels(t.Members))}
-	f.Forget()
-	return f
+func New(cfg Config) *Aggregate {
+	a := &Aggregate{cfg: cfg, siblings: make([]blockSum, Levels(cfg.Members))}
+	a.Reset()
+	return a
 }
 
 // Levels is how many blocks there are beside one's own.
-func (f *Aggregate) Levels() int { return len(f.beside) }
+func (a *Aggregate) Levels() int { return len(a.siblings) }
 
 // Beside gives the places of the block beside one's own at a level: from, to.
-func (f *Aggregate) Beside(level int) (from, to int) {
-	b := f.t.Index>>level ^ 1
-	return b << level, min(f.t.Members, (b+1)<<level)
+func (a *Aggregate) Sibling(level int) (from, to int) {
+	block := a.cfg.Index>>level ^ 1
+	return block << level, min(a.cfg.Members, (block+1)<<level)
 }
 
 // weight is what a sum still counts for.
-func (f *Aggregate) weight(s *sum, now int64) float64 {
-	left := float64(s.at+f.t.MaxAge-now) / float64(f.t.MaxAge)
+func (a *Aggregate) weight(s *blockSum, now int64) float64 {
+	left := float64(s.measuredAt+a.cfg.MaxAge-now) / float64(a.cfg.MaxAge)
 	return max(0, min(1, 2*left))
 }
 
 // whole is the sum of one's own block at a level: one's own load and the sums beside it below that level.
-func (f *Aggregate) whole(level int, now int64) sum {
-	all := sum{at: now, of: 1, load: f.Own}
+func (a *Aggregate) ownBlock(level int, now int64) blockSum {
+	all := blockSum{measuredAt: now, members: 1, load: a.Own}
 	age := 0.0
-	for i := range f.beside[:level] {
-		s := &f.beside[i]
-		if w := f.weight(s, now); w > 0 {
+	for i := range a.siblings[:level] {
+		s := &a.siblings[i]
+		if w := a.weight(s, now); w > 0 {
 			all.load.Add(&s.load, w)
-			all.of += s.of
-			age += float64(now-s.at) * float64(s.of)
+			all.members += s.members
+			age += float64(now-s.measuredAt) * float64(s.members)
 		}
 	}
-	all.at = now - int64(age/float64(all.of)) // its members' mean age
+	all.measuredAt = now - int64(age/float64(all.members)) // its members' mean age
 	return all
 }
 
 // Picture is the load of all members that are counted, and how many they are.
-func (f *Aggregate) Picture(now int64) (Load, int) {
-	all := f.whole(len(f.beside), now)
-	return all.load, all.of
+func (a *Aggregate) FleetLoad(now int64) (Load, int) {
+	all := a.ownBlock(len(a.siblings), now)
+	return all.load, all.members
 }
 
 // Age is the mean age of what the picture counts.
-func (f *Aggregate) Age(now int64) int64 { return now - f.whole(len(f.beside), now).at }
+func (a *Aggregate) Age(now int64) int64 { return now - a.ownBlock(len(a.siblings), now).measuredAt }
 
 // Tell gives what one of the block beside one's own at a level is told: the sum of one's own block, and those of higher blocks
 // beside it, which stand beside the other's as well. Fresh ones come first.
-func (f *Aggregate) Tell(level int, life uint64, room *peer.Room, now int64) (sums []peer.LoadSum) {
-	add := func(level, block int, s *sum) {
+func (a *Aggregate) SumsFor(level int, incarnation uint64, room *peer.Room, now int64) (sums []peer.LoadSum) {
+	add := func(level, block int, s *blockSum) {
 		b := s.load.Bytes()
 		if room.LoadSum(len(b)) {
-			x := peer.LoadSum{Level: uint8(level), Block: block, Members: s.of, Age: peer.Hundredths(now - s.at), Load: b}
+			x := peer.LoadSum{Level: uint8(level), Block: block, Members: s.members, Age: peer.Hundredths(now - s.measuredAt), Load: b}
 			if level == 0 {
-				x.Incarnation = s.life
+				x.Incarnation = s.incarnation
 			}
 			sums = append(sums, x)
 		}
 	}
-	own := f.whole(level, now)
-	own.life = life
-	add(level, f.t.Index>>level, &own)
+	own := a.ownBlock(level, now)
+	own.incarnation = incarnation
+	add(level, a.cfg.Index>>level, &own)
 	var higher []int
-	for i := level + 1; i < len(f.beside); i++ {
-		if f.weight(&f.beside[i], now) == 1 {
+	for i := level + 1; i < len(a.siblings); i++ {
+		if a.weight(&a.siblings[i], now) == 1 {
 			higher = append(higher, i)
 		}
 	}
-	slices.SortStableFunc(higher, func(x, y int) int { return int(min(1, max(-1, f.beside[y].at-f.beside[x].at))) })
+	slices.SortStableFunc(higher, func(x, y int) int { return int(min(1, max(-1, a.siblings[y].measuredAt-a.siblings[x].measuredAt))) })
 	for _, i := range higher {
-		add(i, f.t.Index>>i^1, &f.beside[i])
+		add(i, a.cfg.Index>>i^1, &a.siblings[i])
 	}
 	return sums
 }
 
 // Heard takes sums. One that is not of a block beside one's own, older than the one held, or impossible says nothing.
-func (f *Aggregate) Heard(sums []peer.LoadSum, now int64) {
+func (a *Aggregate) Receive(sums []peer.LoadSum, now int64) {
 	for _, x := range sums {
 		level := int(x.Level)
-		if level >= len(f.beside) || x.Block != f.t.Index>>level^1 || x.Members > 1<<level {
+		if level >= len(a.siblings) || x.Block != a.cfg.Index>>level^1 || x.Members > 1<<level {
 			continue
 		}
 		load, ok := Parse(x.Load)
-		if !ok || !f.possible(&load, x.Members) {
-			f.Impossible++
+		if !ok || !a.plausible(&load, x.Members) {
+			a.Implausible++
 			continue
 		}
-		s := &f.beside[level]
-		if at := now - peer.Nanoseconds(x.Age); at > s.at || level == 0 && x.Incarnation > s.life {
-			*s = sum{at: at, of: x.Members, life: x.Incarnation, load: load}
+		s := &a.siblings[level]
+		if at := now - peer.Nanoseconds(x.Age); at > s.measuredAt || level == 0 && x.Incarnation > s.incarnation {
+			*s = blockSum{measuredAt: at, members: x.Members, incarnation: x.Incarnation, load: load}
 		}
 	}
 }
 
 // possible says whether so many members could have such a load. Figures are rounded, and rates of a moment swing.
-func (f *Aggregate) possible(l *Load, of int) bool {
+func (a *Aggregate) plausible(l *Load, members int) bool {
 	const slack = 1.3
-	most := f.t.MaxMemberRate * float64(of) * slack
-	return l.TotalOffered() <= most && l.Served <= most && l.First <= most && l.Unserved <= most && l.Retries <= most &&
-		l.LimitCount <= float64(of)*slack && l.Limit <= most
+	limit := a.cfg.MaxMemberRate * float64(members) * slack
+	return l.TotalOffered() <= limit && l.Served <= limit && l.First <= limit && l.Unserved <= limit && l.Retries <= limit &&
+		l.LimitCount <= float64(members)*slack && l.Limit <= limit
 }
 
 // Gone drops the sums of blocks in which nobody is alive, and that of one whose process is another by now.
-func (f *Aggregate) Gone(alive func(place int) bool, life func(place int) uint64) {
-	for i := range f.beside {
-		from, to := f.Beside(i)
+func (a *Aggregate) DropGone(alive func(place int) bool, life func(place int) uint64) {
+	for i := range a.siblings {
+		from, to := a.Sibling(i)
 		any := false
 		for p := from; p < to && !any; p++ {
 			any = alive(p)
 		}
-		if !any || i == 0 && life(from) > f.beside[0].life {
-			f.beside[i] = sum{at: longAgo}
+		if !any || i == 0 && life(from) > a.siblings[0].incarnation {
+			a.siblings[i] = blockSum{measuredAt: never}
 		}
 	}
 }
 
 // Forget drops all that was heard.
-func (f *Aggregate) Forget() {
-	for i := range f.beside {
-		f.beside[i] = sum{at: longAgo}
+func (a *Aggregate) Reset() {
+	for i := range a.siblings {
+		a.siblings[i] = blockSum{measuredAt: never}
 	}
 }
 
-const longAgo = -1 << 62
+const never = -1 << 62
--- a/fleet/aggregate/aggregate_test.go
+++ b/fleet/aggregate/aggregate_test.go
@@ -34,16 +34,16 @@
 		if f.dead[i] {
 			continue
 		}
-		x.Gone(func(p int) bool { return !f.dead[p] && !f.cut(p, i) }, func(int) uint64 { return 0 })
+		x.DropGone(func(p int) bool { return !f.dead[p] && !f.cut(p, i) }, func(int) uint64 { return 0 })
 		for level := range x.Levels() {
-			from, to := x.Beside(level)
+			from, to := x.Sibling(level)
 			for j := range to - from {
 				to := from + (j+n)%(to-from)
 				if f.dead[to] || f.cut(i, to) {
 					continue
 				}
 				room := peer.FullRoom()
-				f.folds[to].Heard(x.Tell(level, 1, &room, f.now), f.now)
+				f.folds[to].Receive(x.SumsFor(level, 1, &room, f.now), f.now)
 				break
 			}
 		}
@@ -62,7 +62,7 @@
 		f := newFleet(n)
 		f.rounds(30)
 		for i, x := range f.folds {
-			got, of := x.Picture(f.now)
+			got, of := x.FleetLoad(f.now)
 			if want := float64(10 * n); of != n || math.Abs(got.TotalOffered()/want-1) > 0.06 || math.Abs(got.First/want-1) > 0.06 {
 				t.Fatalf("%d members: member %d counts %d with %.1f offered, want %.1f", n, i, of, got.TotalOffered(), want)
 			}
@@ -77,7 +77,7 @@
 	f.dead[5], f.dead[11] = true, true
 	f.rounds(24)
 	for i, x := range f.folds {
-		if got, of := x.Picture(f.now); !f.dead[i] && (of != 10 || math.Abs(got.First/100-1) > 0.06) {
+		if got, of := x.FleetLoad(f.now); !f.dead[i] && (of != 10 || math.Abs(got.First/100-1) > 0.06) {
 			t.Errorf("member %d counts %d with %.1f", i, of, got.First)
 		}
 	}
@@ -90,14 +90,14 @@
 	x := f.folds[0]
 	last := math.Inf(1)
 	for range 9 {
-		got, _ := x.Picture(f.now)
+		got, _ := x.FleetLoad(f.now)
 		if got.First > last {
 			t.Errorf("grew to %v", got.First)
 		}
 		last = got.First
 		f.now += second
 	}
-	if _, of := x.Picture(f.now); of != 1 || math.Abs(last-10) > 0.1 {
+	if _, of := x.FleetLoad(f.now); of != 1 || math.Abs(last-10) > 0.1 {
 		t.Errorf("%d counted, %v, want only itself", of, last)
 	}
 }
@@ -109,14 +109,14 @@
 	f.cut = func(a, b int) bool { return a%2 != b%2 }
 	f.rounds(40)
 	for i, x := range f.folds {
-		if _, of := x.Picture(f.now); of != 6 {
+		if _, of := x.FleetLoad(f.now); of != 6 {
 			t.Errorf("member %d counts %d in its half", i, of)
 		}
 	}
 	f.cut = func(a, b int) bool { return false }
 	f.rounds(40)
 	for i, x := range f.folds {
-		if _, of := x.Picture(f.now); of != 12 {
+		if _, of := x.FleetLoad(f.now); of != 12 {
 			t.Errorf("member %d counts %d after the partition", i, of)
 		}
 	}
@@ -141,20 +141,20 @@
 		"too many figures":           {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: make([]byte, 98)}, false, 1},
 	} {
 		f := New(Config{Index: 0, Members: 4, MaxAge: second, MaxMemberRate: 1000})
-		f.Heard([]peer.LoadSum{c.sum}, second)
-		if _, of := f.Picture(second); (of > 1) != c.taken || f.Impossible != c.odd {
-			t.Errorf("%s: counts %d, %d impossible", name, of, f.Impossible)
+		f.Receive([]peer.LoadSum{c.sum}, second)
+		if _, of := f.FleetLoad(second); (of > 1) != c.taken || f.Implausible != c.odd {
+			t.Errorf("%s: counts %d, %d impossible", name, of, f.Implausible)
 		}
 	}
 	// An older one that comes late does not take a newer one's place; that of a newer process does.
 	f := New(Config{Index: 0, Members: 2, MaxAge: 10 * second, MaxMemberRate: 1000})
-	f.Heard([]peer.LoadSum{{Block: 1, Incarnation: 1, Members: 1, Load: bytes(90)}}, 5*second)
-	f.Heard([]peer.LoadSum{{Block: 1, Incarnation: 1, Members: 1, Age: 100, Load: bytes(200)}}, 5*second)
-	if got, _ := f.Picture(5 * second); math.Abs(got.First-90) > 0.5 {
+	f.Receive([]peer.LoadSum{{Block: 1, Incarnation: 1, Members: 1, Load: bytes(90)}}, 5*second)
+	f.Receive([]peer.LoadSum{{Block: 1, Incarnation: 1, Members: 1, Age: 100, Load: bytes(200)}}, 5*second)
+	if got, _ := f.FleetLoad(5 * second); math.Abs(got.First-90) > 0.5 {
 		t.Errorf("got %v of the older", got.First)
 	}
-	f.Heard([]peer.LoadSum{{Block: 1, Incarnation: 2, Members: 1, Age: 100, Load: bytes(120)}}, 5*second)
-	if got, _ := f.Picture(5 * second); math.Abs(got.First-120) > 0.5 {
+	f.Receive([]peer.LoadSum{{Block: 1, Incarnation: 2, Members: 1, Age: 100, Load: bytes(120)}}, 5*second)
+	if got, _ := f.FleetLoad(5 * second); math.Abs(got.First-120) > 0.5 {
 		t.Errorf("got %v of the earlier process", got.First)
 	}
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -50,7 +50,7 @@
 func (m *mesh) run(d int64, each func()) {
 	for end := m.now + d; m.now < end; m.now += 10 * ms {
 		for i, f := range m.members {
-			if f.ticked+50*ms <= m.now {
+			if f.lastTick+50*ms <= m.now {
 				f.Tick(m.now)
 			}
 			m.carry(i)
@@ -121,13 +121,13 @@
 	m.run(10*sec, m.load(3, 1, 120)) // 240 a second come, half of them can be borne
 	var parts []float64
 	for i, f := range m.members {
-		if !f.cut.On {
+		if !f.shedder.Active {
 			t.Fatalf("member %d has no cut", i)
 		}
-		if high := f.cut.Pass[f.cut.Class(1, 0)]; high < 0.99 {
+		if high := f.shedder.AdmittedByClass[f.shedder.Class(1, 0)]; high < 0.99 {
 			t.Errorf("member %d lets in %.2f of the valuable", i, high)
 		}
-		parts = append(parts, f.cut.Pass[f.cut.Class(0, 0)])
+		parts = append(parts, f.shedder.AdmittedByClass[f.shedder.Class(0, 0)])
 	}
 	if low, high := slices.Min(parts), slices.Max(parts); high-low > 0.1 || low < 0.15 || high > 0.5 {
 		t.Errorf("of the others %.2f are let in, want one part of about a third", parts)
@@ -143,20 +143,20 @@
 // What was denied is denied again at any member while the cut stands, and is no further demand.
 func TestRetries(t *testing.T) {
 	f := New(terms(0, 1), begun)
-	f.cut.On = true
-	f.cut.Pass[f.cut.Class(0, 0)] = 0.5
+	f.shedder.Active = true
+	f.shedder.AdmittedByClass[f.shedder.Class(0, 0)] = 0.5
 	for range 3 {
 		if shed, wait := f.Admit(0, 0, 0.7, false, begun); !shed || wait < int64(0.3*float64(sec)) || wait > sec {
 			t.Errorf("shed %v for %d ms", shed, wait/ms)
 		}
 	}
-	if f.Count.Retries != 2 || f.offered[f.cut.Class(0, 0)].Value != 1 {
-		t.Errorf("%d retries, %v asked, want two and one", f.Count.Retries, f.offered[f.cut.Class(0, 0)].Value)
+	if f.Count.Retries != 2 || f.offered[f.shedder.Class(0, 0)].Value != 1 {
+		t.Errorf("%d retries, %v asked, want two and one", f.Count.Retries, f.offered[f.shedder.Class(0, 0)].Value)
 	}
 	// Lost and come again: not lost yet.
 	f.Missed(0.2, begun)
-	if f.Admit(0, 0, 0.2, false, begun); f.lacked.Value != 0 {
-		t.Errorf("%v lacked", f.lacked.Value)
+	if f.Admit(0, 0, 0.2, false, begun); f.unserved.Value != 0 {
+		t.Errorf("%v lacked", f.unserved.Value)
 	}
 	if f.Admit(0, 0, 0.3, true, begun); f.Count.Retries != 4 {
 		t.Error("a marked retry counts as demand")
@@ -178,28 +178,28 @@
 	}{
 		"one's word":              {[]peer.Hint{lost("s-1", 1)}, "", all, nil},
 		"the same twice":          {[]peer.Hint{lost("s-1", 1), lost("s-1", 1)}, "", all, nil},
-		"two":                     {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", all, map[string]float64{"s-1": careful}},
-		"three":                   {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-1", 3)}, "", all, map[string]float64{"s-1": more}},
+		"two":                     {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", all, map[string]float64{"s-1": reducedShare}},
+		"three":                   {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-1", 3)}, "", all, map[string]float64{"s-1": lowestShare}},
 		"two, but served here":    {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "s-1", all, nil},
 		"one of them dead":        {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", func(i int) bool { return i != 2 }, nil},
 		"one with a broken link":  {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-2", 2), lost("s-3", 2), lost("s-4", 2)}, "", all, nil},
-		"a prober and another":    {[]peer.Hint{lost("s-1", 1), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, map[string]float64{"s-1": careful}},
+		"a prober and another":    {[]peer.Hint{lost("s-1", 1), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, map[string]float64{"s-1": reducedShare}},
 		"a prober that says both": {[]peer.Hint{lost("s-1", 2), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, nil},
 		"no server of the list":   {[]peer.Hint{lost("other", 1), lost("other", 2)}, "", all, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := &wary{}
-			w.list(servers(10))
+			w := &serverReports{}
+			w.setServers(servers(10))
 			if c.good != "" {
 				w.served(c.good, begun)
 			}
 			for _, h := range c.hints {
-				w.heard(h, begun)
+				w.receiveHint(h, begun)
 			}
-			if got := w.care(0, c.alive, begun); fmt.Sprint(got) != fmt.Sprint(c.want) {
+			if got := w.shareFactors(0, c.alive, begun); fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
-			if got := w.care(0, c.alive, begun+hintFor); len(got) > 0 {
+			if got := w.shareFactors(0, c.alive, begun+reportMaxAge); len(got) > 0 {
 				t.Errorf("%v is still there when the reports are old", got)
 			}
 		})
@@ -220,7 +220,7 @@
 			m.members[i].DispatchEnded("s-4", balance.TimedOut, true, 0, m.now)
 		}
 	})
-	if got := m.advice[3].ShareFactors["s-4"]; got == 0 || got > careful || len(m.advice[3].ShareFactors) != 1 {
+	if got := m.advice[3].ShareFactors["s-4"]; got == 0 || got > reducedShare || len(m.advice[3].ShareFactors) != 1 {
 		t.Errorf("a third is told %v", m.advice[3].ShareFactors)
 	}
 	m.run(6*sec, nil)
@@ -251,7 +251,7 @@
 	m.run(2*sec, m.load(1, 1, 1000))
 	m.run(3*sec, m.load(4, 1, 20))
 	f := m.members[1]
-	if !f.cut.On {
+	if !f.shedder.Active {
 		t.Fatal("no cut to begin with")
 	}
 	late := peer.Datagram{From: 0, Incarnation: m.members[0].swim.Incarnation(), Number: 1 << 40, Kind: peer.Push}
@@ -261,15 +261,15 @@
 		t.Error("what waited was taken")
 	}
 	f.Tick(now)
-	if _, of := f.fold.Picture(now); f.cut.On || of != 1 {
-		t.Errorf("cut %v, %d counted, want neither from before", f.cut.On, of)
+	if _, of := f.load.FleetLoad(now); f.shedder.Active || of != 1 {
+		t.Errorf("cut %v, %d counted, want neither from before", f.shedder.Active, of)
 	}
 	for i := range 3 {
 		if !f.swim.Alive(i) {
 			t.Errorf("member %d is held to be dead by one that did not run", i)
 		}
 	}
-	f.Receive(&late, now+deafFor)
+	f.Receive(&late, now+ignoreAfterStall)
 	if f.Count.Stale != 1 {
 		t.Error("what comes afterwards is not taken")
 	}
@@ -281,11 +281,11 @@
 	m.run(2*sec, nil)
 	wild := aggregate.Load{First: 1e9}
 	wild.Offered[0] = 1e9
-	m.members[0].fold.Heard([]peer.LoadSum{{Block: 1, Members: 1, Incarnation: 1 << 60, Load: wild.Bytes()}}, m.now)
-	if got, _ := m.members[0].fold.Picture(m.now); got.TotalOffered() > 1000 {
+	m.members[0].load.Receive([]peer.LoadSum{{Block: 1, Members: 1, Incarnation: 1 << 60, Load: wild.Bytes()}}, m.now)
+	if got, _ := m.members[0].load.FleetLoad(m.now); got.TotalOffered() > 1000 {
 		t.Errorf("%v believed", got.TotalOffered())
 	}
-	if m.members[0].fold.Impossible != 1 {
+	if m.members[0].load.Implausible != 1 {
 		t.Error("not counted")
 	}
 }
--- a/fleet/holds/holds.go
+++ b/fleet/holds/holds.go
@@ -16,7 +16,7 @@
 )
 
 // keepBack is how long a return is remembered: discovery may be late to tell that the host was restarted.
-const keepBack = int64(10 * time.Minute)
+const returnRetention = int64(10 * time.Minute)
 
 // Hold is what is known of one host. Times are Unix nanoseconds.
 type Hold struct {
@@ -36,7 +36,7 @@
 	path  string
 	mu    sync.Mutex
 	table Table
-	seen  os.FileInfo // of the file that the table is from
+	fileInfo  os.FileInfo // of the file that the table is from
 }
 
 // Open reads the file, if there is one. One that cannot be read counts as none, and is told of.
@@ -66,24 +66,24 @@
 // refresh reads the file anew where it is another one than before.
 func (s *Store) refresh() (bool, error) {
 	info, err := os.Stat(s.path)
-	if err != nil || s.seen != nil && os.SameFile(info, s.seen) && info.ModTime().Equal(s.seen.ModTime()) {
+	if err != nil || s.fileInfo != nil && os.SameFile(info, s.fileInfo) && info.ModTime().Equal(s.fileInfo.ModTime()) {
 		if errors.Is(err, fs.ErrNotExist) {
 			err = nil
 		}
 		return false, err
 	}
-	text, err := os.ReadFile(s.path)
+	content, err := os.ReadFile(s.path)
 	if err != nil {
 		return false, err
 	}
 	var t Table
-	if err := json.Unmarshal(text, &t); err != nil {
+	if err := json.Unmarshal(content, &t); err != nil {
 		return false, fmt.Errorf("%s: %w", s.path, err)
 	}
 	if t.Hosts == nil {
 		t.Hosts = map[string]Hold{}
 	}
-	s.seen = info
+	s.fileInfo = info
 	if t.Version <= s.table.Version {
 		return false, nil
 	}
@@ -108,7 +108,7 @@
 		h = Hold{Since: t.Hosts[id].Since, ReturnedAt: now}
 	}
 	t.Hosts[id] = h
-	maps.DeleteFunc(t.Hosts, func(_ string, h Hold) bool { return !h.Out && now-h.ReturnedAt > keepBack })
+	maps.DeleteFunc(t.Hosts, func(_ string, h Hold) bool { return !h.Out && now-h.ReturnedAt > returnRetention })
 	t.Version++
 	s.table = t
 	if err == nil {
@@ -144,17 +144,17 @@
 }
 
 func (s *Store) write(t Table) error {
-	text, err := json.Marshal(t)
+	content, err := json.Marshal(t)
 	if err != nil {
 		return err
 	}
-	next := s.path + ".next"
-	if err := os.WriteFile(next, text, 0o600); err != nil {
+	tempPath := s.path + ".next"
+	if err := os.WriteFile(tempPath, content, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(next, s.path); err != nil {
+	if err := os.Rename(tempPath, s.path); err != nil {
 		return err
 	}
-	s.seen, err = os.Stat(s.path)
+	s.fileInfo, err = os.Stat(s.path)
 	return err
 }
--- a/fleet/holds/holds_test.go
+++ b/fleet/holds/holds_test.go
@@ -66,7 +66,7 @@
 		}
 	})
 	t.Run("what was put back is forgotten in the end", func(t *testing.T) {
-		if got := set(t, one, "d", true, 40+keepBack); len(got.Hosts) != 3 || got.Hosts["a"].ReturnedAt != 0 {
+		if got := set(t, one, "d", true, 40+returnRetention); len(got.Hosts) != 3 || got.Hosts["a"].ReturnedAt != 0 {
 			t.Errorf("got %+v, want a gone", got)
 		}
 	})
--- a/fleet/learn_test.go
+++ b/fleet/learn_test.go
@@ -34,7 +34,7 @@
 func (c *class) run(d int64) {
 	for end := c.now + d; c.now < end; c.now += 10 * ms {
 		for i, f := range c.members {
-			if f.ticked+50*ms <= c.now {
+			if f.lastTick+50*ms <= c.now {
 				f.Tick(c.now)
 			}
 			for a, ok := f.Next(); ok; a, ok = f.Next() {
@@ -107,15 +107,15 @@
 	answers := 0
 	for range 2000 { // 10 s
 		c.now += 5 * ms
-		f.lesson(&peer.Datagram{From: 1, Kind: peer.Query}, c.now)
-		for len(f.todo) > 0 {
-			if f.todo[0].Kind == AnswerQuery {
+		f.receiveLearning(&peer.Datagram{From: 1, Kind: peer.Query}, c.now)
+		for len(f.actions) > 0 {
+			if f.actions[0].Kind == AnswerQuery {
 				answers++
 			}
-			f.todo = f.todo[1:]
+			f.actions = f.actions[1:]
 		}
 	}
-	if most := f.t.DatagramsPerSecond * (1 + 10*teachPart); float64(answers) > most+1 || answers == 0 {
+	if most := f.cfg.DatagramsPerSecond * (1 + 10*answerFraction); float64(answers) > most+1 || answers == 0 {
 		t.Errorf("%d answers in 10 s, want %.0f at the most", answers, most)
 	}
 }
--- a/fleet/messages.go
+++ b/fleet/messages.go
@@ -10,80 +10,80 @@
 )
 
 const (
-	letterTimes = 8.0 // pieces a second, as a multiple of the datagrams that a member sends without letters
-	unfinished  = 4   // letters of one member that are waited for
+	partRateFactor = 8.0 // pieces a second, as a multiple of the datagrams that a member sends without letters
+	maxIncomplete  = 4   // letters of one member that are waited for
 )
 
 // post is the letters of one member.
-type post struct {
-	seq    uint32
-	tokens bucket
-	halves []half // emptied as they are whole, or by newer ones
-	Lost   int    // letters not sent as there were too many
+type messageQueue struct {
+	seq        uint32
+	tokens     tokenBucket
+	incomplete []partialMessage // emptied as they are whole, or by newer ones
+	dropped    int              // letters not sent as there were too many
 }
 
 // half is a letter that is not whole yet.
-type half struct {
-	from   int
-	life   uint64
-	seq    uint32
-	pieces [][]byte
-	left   int
+type partialMessage struct {
+	from        int
+	incarnation uint64
+	seq         uint32
+	parts       [][]byte
+	missing     int
 }
 
 // Post sends a letter; one past what letters may take is dropped whole.
 func (f *Fleet) SendMessage(to int, body []byte, now int64) {
-	x := &f.post
-	rate := letterTimes * f.t.DatagramsPerSecond
-	x.tokens.fill(rate, rate, now)
+	m := &f.messages
+	rate := partRateFactor * f.cfg.DatagramsPerSecond
+	m.tokens.fill(rate, rate, now)
 	n := max(1, (len(body)+peer.MaxPartBytes-1)/peer.MaxPartBytes)
-	if to < 0 || to >= f.t.Members || to == f.t.Index || n > peer.MaxParts || x.tokens.n < float64(n) {
-		x.Lost++
+	if to < 0 || to >= f.cfg.Members || to == f.cfg.Index || n > peer.MaxParts || m.tokens.tokens < float64(n) {
+		m.dropped++
 		return
 	}
-	x.tokens.n -= float64(n)
-	x.seq++
+	m.tokens.tokens -= float64(n)
+	m.seq++
 	for i := range n {
 		d, _ := f.swim.Datagram(peer.MessagePart)
-		d.Seq, d.Subject, d.Piece = x.seq, i<<8|n, body[i*peer.MaxPartBytes:min(len(body), (i+1)*peer.MaxPartBytes)]
-		f.todo = append(f.todo, Action{Kind: Send, To: to, Datagram: d, due: true})
+		d.Seq, d.Subject, d.Piece = m.seq, i<<8|n, body[i*peer.MaxPartBytes:min(len(body), (i+1)*peer.MaxPartBytes)]
+		f.actions = append(f.actions, Action{Kind: Send, To: to, Datagram: d, due: true})
 	}
 }
 
 // piece takes a piece of a letter.
-func (f *Fleet) piece(d *peer.Datagram) {
+func (f *Fleet) receivePart(d *peer.Datagram) {
 	if d.Kind != peer.MessagePart {
 		return
 	}
-	at, of := d.Subject>>8, d.Subject&255
-	if of == 0 || at >= of || len(d.Piece) > peer.MaxPartBytes || at < of-1 && len(d.Piece) != peer.MaxPartBytes {
+	index, count := d.Subject>>8, d.Subject&255
+	if count == 0 || index >= count || len(d.Piece) > peer.MaxPartBytes || index < count-1 && len(d.Piece) != peer.MaxPartBytes {
 		return
 	}
-	x := &f.post
-	i := slices.IndexFunc(x.halves, func(h half) bool {
-		return h.from == d.From && h.life == d.Incarnation && h.seq == d.Seq && len(h.pieces) == of
+	m := &f.messages
+	i := slices.IndexFunc(m.incomplete, func(partial partialMessage) bool {
+		return partial.from == d.From && partial.incarnation == d.Incarnation && partial.seq == d.Seq && len(partial.parts) == count
 	})
 	if i < 0 {
-		mine := 0
-		for j := len(x.halves) - 1; j >= 0; j-- { // the oldest of this member's go
-			if x.halves[j].from == d.From {
-				if mine++; mine >= unfinished {
-					x.halves = slices.Delete(x.halves, j, j+1)
+		fromSender := 0
+		for j := len(m.incomplete) - 1; j >= 0; j-- { // the oldest of this member's go
+			if m.incomplete[j].from == d.From {
+				if fromSender++; fromSender >= maxIncomplete {
+					m.incomplete = slices.Delete(m.incomplete, j, j+1)
 				}
 			}
 		}
-		x.halves = append(x.halves, half{d.From, d.Incarnation, d.Seq, make([][]byte, of), of})
-		i = len(x.halves) - 1
+		m.incomplete = append(m.incomplete, partialMessage{d.From, d.Incarnation, d.Seq, make([][]byte, count), count})
+		i = len(m.incomplete) - 1
 	}
-	h := &x.halves[i]
-	if h.pieces[at] != nil {
+	partial := &m.incomplete[i]
+	if partial.parts[index] != nil {
 		return
 	}
-	h.pieces[at] = append([]byte{}, d.Piece...)
-	if h.left--; h.left > 0 {
+	partial.parts[index] = append([]byte{}, d.Piece...)
+	if partial.missing--; partial.missing > 0 {
 		return
 	}
-	body := slices.Concat(h.pieces...)
-	x.halves = slices.Delete(x.halves, i, i+1)
-	f.todo = append(f.todo, Action{Kind: Deliver, To: d.From, Message: body})
+	body := slices.Concat(partial.parts...)
+	m.incomplete = slices.Delete(m.incomplete, i, i+1)
+	f.actions = append(f.actions, Action{Kind: Deliver, To: d.From, Message: body})
 }
--- a/fleet/messages_test.go
+++ b/fleet/messages_test.go
@@ -10,23 +10,23 @@
 // pieces posts a letter and gives its datagrams.
 func pieces(f *Fleet, to int, body []byte, now int64) (all []peer.Datagram) {
 	f.SendMessage(to, body, now)
-	for _, a := range f.todo {
+	for _, a := range f.actions {
 		if a.Kind == Send {
 			all = append(all, a.Datagram)
 		}
 	}
-	f.todo = nil
+	f.actions = nil
 	return all
 }
 
 // letters are those that a member was handed.
 func letters(f *Fleet) (all [][]byte) {
-	for _, a := range f.todo {
+	for _, a := range f.actions {
 		if a.Kind == Deliver {
 			all = append(all, a.Message)
 		}
 	}
-	f.todo = nil
+	f.actions = nil
 	return all
 }
 
@@ -41,8 +41,8 @@
 				if b, err := peer.Encode(0, &d); err != nil || len(b) > peer.MaxDatagramBytes {
 					t.Fatalf("%d bytes, %v", len(b), err)
 				}
-				other.piece(&d)
-				other.piece(&d)
+				other.receivePart(&d)
+				other.receivePart(&d)
 			}
 			got := letters(other)
 			if size == 3 || size == peer.MaxPartBytes { // of one piece: a copy of it is another letter, which Raft bears
@@ -54,14 +54,14 @@
 		})
 	}
 	t.Run("a piece lost", func(t *testing.T) {
-		other.post.halves = nil
+		other.messages.incomplete = nil
 		for range 20 {
 			for _, d := range pieces(one, 1, make([]byte, 3*peer.MaxPartBytes), begun+5*sec)[1:] {
-				other.piece(&d)
+				other.receivePart(&d)
 			}
 		}
-		if len(letters(other)) > 0 || len(other.post.halves) > unfinished {
-			t.Errorf("%d letters wait for their pieces", len(other.post.halves))
+		if len(letters(other)) > 0 || len(other.messages.incomplete) > maxIncomplete {
+			t.Errorf("%d letters wait for their pieces", len(other.messages.incomplete))
 		}
 	})
 	t.Run("too many", func(t *testing.T) {
@@ -69,13 +69,13 @@
 		for range 1000 {
 			sent += len(pieces(one, 1, []byte("x"), begun+9*sec))
 		}
-		if most := letterTimes * one.t.DatagramsPerSecond; float64(sent) > most || one.post.Lost == 0 {
+		if most := partRateFactor * one.cfg.DatagramsPerSecond; float64(sent) > most || one.messages.dropped == 0 {
 			t.Errorf("%d pieces at once, want %.0f at the most", sent, most)
 		}
 	})
 	t.Run("not of the form", func(t *testing.T) {
 		for _, d := range []peer.Datagram{{Kind: peer.MessagePart}, {Kind: peer.MessagePart, Subject: 3<<8 | 2, Piece: []byte("x")}, {Kind: peer.MessagePart, Subject: 2, Piece: []byte("x")}} {
-			other.piece(&d)
+			other.receivePart(&d)
 		}
 		if len(letters(other)) > 0 {
 			t.Error("taken")
--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -20,10 +20,10 @@
 const version = 1
 
 const (
-	head = 5 // version and the fleet's name as a number
-	tail = 4 // checksum
+	headerSize  = 5 // version and the fleet's name as a number
+	trailerSize = 4 // checksum
 	// What the parts of a datagram take at the most, in bytes; Pack goes by them.
-	baseSize, newsSize, sumSize, hintSize, beliefSize, markSize = 44, 28, 16, 20, 22, 10
+	baseSize, updateSize, sumSize, hintSize, beliefSize, newestKeySize = 44, 28, 16, 20, 22, 10
 )
 
 // Kind is what a datagram asks or answers.
@@ -40,7 +40,7 @@
 	Query                   // the sender has just begun, and asks what servers are worth
 	Answer                  // answers a Want with what the sender has met itself
 	MessagePart             // a piece of something longer than a datagram; Seq numbers the letter, About is the piece's place and how many there are
-	kinds
+	kindCount
 )
 
 // State is what is said of a member.
@@ -52,7 +52,7 @@
 	Suspect
 	Dead
 	Left
-	states
+	stateCount
 )
 
 // News is one thing said of a member.
@@ -93,7 +93,7 @@
 	DispatchesLost  Observation = iota // several dispatches in a short time were lost or turned away
 	ProbeAnswered                      // a probe was answered
 	ProbeUnanswered                    // a probe was not answered
-	seens
+	observationCount
 )
 
 // Belief is what one member holds of a server's process, by what it has met there itself.
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if head+len(body)+tail > MaxDatagramBytes {
+	if headerSize+len(body)+trailerSize > MaxDatagramBytes {
 		return nil, ErrLength
 	}
 	b := binary.BigEndian.AppendUint32([]byte{version}, fleet)
@@ -160,28 +160,28 @@
 
 // Decode reads a datagram whole, or says why it is dropped.
 func Decode(fleet uint32, b []byte) (d Datagram, err error) {
-	if len(b) < head+tail+1 || len(b) > MaxDatagramBytes {
+	if len(b) < headerSize+trailerSize+1 || len(b) > MaxDatagramBytes {
 		return d, ErrLength
 	}
-	whole := b[:len(b)-tail]
+	covered := b[:len(b)-trailerSize]
 	switch {
 	case b[0] != version:
 		return d, ErrVersion
-	case binary.BigEndian.Uint32(b[len(whole):]) != crc32.ChecksumIEEE(whole):
+	case binary.BigEndian.Uint32(b[len(covered):]) != crc32.ChecksumIEEE(covered):
 		return d, ErrChecksum
 	case binary.BigEndian.Uint32(b[1:]) != fleet:
 		return d, ErrFleet
 	}
-	if decoder.Unmarshal(whole[head:], &d) != nil || !d.sound() {
+	if decoder.Unmarshal(covered[headerSize:], &d) != nil || !d.valid() {
 		return Datagram{}, ErrFormat
 	}
 	return d, nil
 }
 
-func (d *Datagram) sound() bool {
-	ok := d.From >= 0 && d.Subject >= 0 && d.Kind < kinds
+func (d *Datagram) valid() bool {
+	ok := d.From >= 0 && d.Subject >= 0 && d.Kind < kindCount
 	for _, n := range d.Updates {
-		ok = ok && n.Member >= 0 && n.Origin >= 0 && n.State < states
+		ok = ok && n.Member >= 0 && n.Origin >= 0 && n.State < stateCount
 	}
 	for _, s := range d.Sums {
 		ok = ok && s.Block >= 0 && s.Members > 0 && s.Level < 32
@@ -190,7 +190,7 @@
 		ok = ok && b.Health <= 100
 	}
 	for _, h := range d.Hints {
-		ok = ok && h.Origin >= 0 && h.Observation < seens
+		ok = ok && h.Origin >= 0 && h.Observation < observationCount
 	}
 	return ok
 }
@@ -199,7 +199,7 @@
 type Room int
 
 // Whole is the room of a datagram that carries nothing yet.
-func FullRoom() Room { return MaxDatagramBytes - head - tail - baseSize }
+func FullRoom() Room { return MaxDatagramBytes - headerSize - trailerSize - baseSize }
 
 // Take says whether so many bytes fit, and takes them.
 func (r *Room) Take(n int) bool {
@@ -211,7 +211,7 @@
 }
 
 // News says whether one thing more said of a member fits, and takes its room.
-func (r *Room) MemberUpdate() bool { return r.Take(newsSize) }
+func (r *Room) MemberUpdate() bool { return r.Take(updateSize) }
 
 // Sum is the same for a sum with so many bytes of load.
 func (r *Room) LoadSum(load int) bool { return r.Take(sumSize + 10 + load) }
@@ -223,11 +223,11 @@
 func (r *Room) Belief() bool { return r.Take(beliefSize) }
 
 // Mark is the same for a mark.
-func (r *Room) NewestKey() bool { return r.Take(markSize) }
+func (r *Room) NewestKey() bool { return r.Take(newestKeySize) }
 
 // PieceMost is the longest piece of a letter, in bytes, and MostPieces how many a letter may have.
 const (
-	MaxPartBytes = MaxDatagramBytes - head - tail - baseSize - 4
+	MaxPartBytes = MaxDatagramBytes - headerSize - trailerSize - baseSize - 4
 	MaxParts     = 255
 )
 
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/peer_test.go
@@ -96,11 +96,11 @@
 	d := full()
 	d.Updates = []MemberUpdate{{Member: 1}}
 	b, _ := Encode(1, &d)
-	f.Add(b[head : len(b)-tail])
+	f.Add(b[headerSize : len(b)-trailerSize])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		// The checksum would keep the fuzzer out of what stands behind it.
 		var d Datagram
-		if decoder.Unmarshal(body, &d) != nil || !d.sound() {
+		if decoder.Unmarshal(body, &d) != nil || !d.valid() {
 			return
 		}
 		b, err := Encode(1, &d)
--- a/fleet/shed/retrybudget.go
+++ b/fleet/shed/retrybudget.go
@@ -10,55 +10,55 @@
 )
 
 const (
-	burstOver  = 2 * sec // what may be saved up: the earnings of so long,
-	burstLeast = 2.0     // and this at the least
-	lendPart   = 0.7     // of what others leave; the rest is for what the picture is late to tell
-	allFail    = 0.5     // part of dispatches that fail at which a further one helps nobody
-	someFail   = 0.3     // until it is down to this
+	burstWindow  = 2 * sec // what may be saved up: the earnings of so long,
+	minBurst = 2.0     // and this at the least
+	lendFraction   = 0.7     // of what others leave; the rest is for what the picture is late to tell
+	stopAbove    = 0.5     // part of dispatches that fail at which a further one helps nobody
+	resumeBelow   = 0.3     // until it is down to this
 )
 
 // Spare is one member's part of the budget, in dispatches.
-type Spare struct {
-	Part    float64 // further dispatches to a first one
+type RetryBudget struct {
+	Ratio    float64 // further dispatches to a first one
 	tokens  float64
-	at      int64
+	steppedAt      int64
 	Stopped bool // most dispatches of the fleet fail
 }
 
 // NewSpare begins with one to spend.
-func NewSpare(part float64, now int64) *Spare { return &Spare{Part: part, tokens: 1, at: now} }
+func NewRetryBudget(ratio float64, now int64) *RetryBudget { return &RetryBudget{Ratio: ratio, tokens: 1, steppedAt: now} }
 
 // First earns for a first dispatch.
-func (s *Spare) First() { s.tokens += s.Part }
+func (b *RetryBudget) EarnFirst() { b.tokens += b.Ratio }
 
 // Further spends for a further one.
-func (s *Spare) Further() { s.tokens-- }
+func (b *RetryBudget) SpendRetry() { b.tokens-- }
 
 // Left is how many may go now.
-func (s *Spare) Left() int {
-	if s.Stopped {
+func (b *RetryBudget) Available() int {
+	if b.Stopped {
 		return 0
 	}
-	return int(max(0, math.Floor(s.tokens)))
+	return int(max(0, math.Floor(b.tokens)))
 }
 
 // Step lends what the others leave to those that want more than they have, in proportion; all is the picture, own this member's
 // part of it. Alone or cut off, all is own, and nothing is lent.
-func (s *Spare) Step(all, own *aggregate.Load, now int64) {
-	passed := float64(now-s.at) / float64(sec)
-	s.at = now
+func (b *RetryBudget) Step(all, own *aggregate.Load, now int64) {
+	elapsed := float64(now-b.steppedAt) / float64(sec)
+	b.steppedAt = now
 	failing := 0.0
-	if sent := all.First + all.Retries; sent > least {
+	if sent := all.First + all.Retries; sent > minCostRate {
 		failing = all.Failed / sent
 	}
-	if s.Stopped {
-		s.Stopped = failing > someFail
+	if b.Stopped {
+		b.Stopped = failing > resumeBelow
 	} else {
-		s.Stopped = failing > allFail
+		b.Stopped = failing > stopAbove
 	}
-	left := s.Part*(all.First-own.First) - (all.Retries - own.Retries)
-	if want, mine := all.RetriesWanted-all.Retries, own.RetriesWanted-own.Retries; left > 0 && mine > 0 && want > 0 {
-		s.tokens += lendPart * left * min(1, mine/want) * min(passed, 1)
+	unused := b.Ratio*(all.First-own.First) - (all.Retries - own.Retries)
+	if wantedByAll, wantedHere := all.RetriesWanted-all.Retries, own.RetriesWanted-own.Retries; unused > 0 && wantedHere > 0 && wantedByAll > 0 {
+		b.tokens += lendFraction * unused * min(1, wantedHere/wantedByAll) * min(elapsed, 1)
 	}
-	s.tokens = min(s.tokens, max(burstLeast, s.Part*own.First*float64(burstOver)/float64(sec)))
+	b.tokens = min(b.tokens, max(minBurst, b.Ratio*own.First*float64(burstWindow)/float64(sec)))
 }
--- a/fleet/shed/shed_test.go
+++ b/fleet/shed/shed_test.go
@@ -8,9 +8,9 @@
 )
 
 // four rule sets of rising worth, one tenant.
-func four() Terms { return Terms{Values: []float64{1, 2, 4, 8}, Shares: []float64{1}, Over: 0.2} }
+func four() Config { return Config{Values: []float64{1, 2, 4, 8}, Shares: []float64{1}, OverShareFactor: 0.2} }
 
-func offer(c *Cut, by ...float64) (l aggregate.Load) {
+func offer(c *Shedder, by ...float64) (l aggregate.Load) {
 	for set, x := range by {
 		l.Offered[c.Class(set, 0)] += x
 	}
@@ -19,7 +19,7 @@
 
 // overload is a fleet that can bear so much and serves no more: what is let in past it lacks.
 type overload struct {
-	c     *Cut
+	c     *Shedder
 	bears float64
 	now   int64
 }
@@ -28,8 +28,8 @@
 	o.now += 250 * ms
 	let := 0.0
 	for i, x := range l.Offered {
-		if o.c.On {
-			x *= o.c.Pass[i]
+		if o.c.Active {
+			x *= o.c.AdmittedByClass[i]
 		}
 		let += x
 	}
@@ -46,31 +46,31 @@
 	}
 	let := 0.0
 	for i, x := range l.Offered {
-		let += x * o.c.Pass[i]
+		let += x * o.c.AdmittedByClass[i]
 	}
-	if !o.c.On || let < 95 || let > 108 { // a little is left to each one's own denials
-		t.Errorf("on %v, %.1f let in, want about what can be borne", o.c.On, let)
+	if !o.c.Active || let < 95 || let > 108 { // a little is left to each one's own denials
+		t.Errorf("on %v, %.1f let in, want about what can be borne", o.c.Active, let)
 	}
 	p := [4]float64{}
 	for set := range p {
-		p[set] = o.c.Pass[o.c.Class(set, 0)]
+		p[set] = o.c.AdmittedByClass[o.c.Class(set, 0)]
 	}
 	if p[3] != 1 || p[2] != 1 || p[1] < 0.7 || p[1] > 1 || p[0] > 0.1 {
 		t.Errorf("let in %v, want the least worth to go first", p)
 	}
 	// The same req gets the same verdict, its neighbour in luck as well.
 	class := o.c.Class(1, 0)
-	if !o.c.Lets(class, p[1]-0.01) || o.c.Lets(class, p[1]+0.01) {
+	if !o.c.Admits(class, p[1]-0.01) || o.c.Admits(class, p[1]+0.01) {
 		t.Error("the verdict does not go by luck")
 	}
 	o.step(offer(o.c, 32, 24, 16, 8))
-	if !o.c.Lets(o.c.Class(0, 0), 0.999) {
+	if !o.c.Admits(o.c.Class(0, 0), 0.999) {
 		t.Error("somebody is denied after the overload")
 	}
 	for range 48 {
 		o.step(offer(o.c, 32, 24, 16, 8))
 	}
-	if o.c.On {
+	if o.c.Active {
 		t.Error("the cut outlives the overload")
 	}
 }
@@ -92,14 +92,14 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := New(four())
-			c.Calm = x.calm
+			c.BaselineLatency = x.calm
 			l := offer(c, 40, 30, 20, 10)
 			l.Served, l.Unserved, l.LimitCount, l.Limit = 70, 30, x.of, 100*x.of
 			for now := sec; now <= sec+x.after; now += 250 * ms {
 				c.Step(&l, 12, now)
 			}
-			if c.On != x.on {
-				t.Errorf("a cut is in force: %v, want %v", c.On, x.on)
+			if c.Active != x.on {
+				t.Errorf("a cut is in force: %v, want %v", c.Active, x.on)
 			}
 		})
 	}
@@ -107,13 +107,13 @@
 
 // Within its share a tenant's reqs go before those that another asks past its own, of whatever value within the same worth.
 func TestShares(t *testing.T) {
-	o := &overload{c: New(Terms{Values: []float64{1}, Shares: []float64{0.7, 0.3}, Over: 0.2}), bears: 100, now: sec}
+	o := &overload{c: New(Config{Values: []float64{1}, Shares: []float64{0.7, 0.3}, OverShareFactor: 0.2}), bears: 100, now: sec}
 	var l aggregate.Load
 	l.Offered[o.c.Class(0, 0)], l.Offered[o.c.Class(0, 1)] = 60, 120
 	for range 120 {
 		o.step(l)
 	}
-	if one, two := o.c.Pass[o.c.Class(0, 0)], o.c.Pass[o.c.Class(0, 1)]; one != 1 || math.Abs(two*120-42) > 6 {
+	if one, two := o.c.AdmittedByClass[o.c.Class(0, 0)], o.c.AdmittedByClass[o.c.Class(0, 1)]; one != 1 || math.Abs(two*120-42) > 6 {
 		t.Errorf("let in %.2f and %.2f, want all of the one and the room that it leaves for the other", one, two)
 	}
 }
@@ -130,15 +130,15 @@
 		mean += 0.22 * (want - mean) // as a rate over a second shows it
 		o.step(offer(o.c, 0.4*mean, 0.3*mean, 0.2*mean, 0.1*mean))
 	}
-	if o.c.Moves > 6 {
-		t.Errorf("%d moves", o.c.Moves)
+	if o.c.Changes > 6 {
+		t.Errorf("%d moves", o.c.Changes)
 	}
 }
 
 // When half of the members are no longer counted the limit goes with them, and comes back with them.
 func TestHalves(t *testing.T) {
 	c := New(four())
-	c.Calm = 0.1
+	c.BaselineLatency = 0.1
 	l := offer(c, 72, 54, 36, 18)
 	l.Served, l.Unserved = 100, 80
 	c.Step(&l, 12, 1)
@@ -146,18 +146,18 @@
 	half := offer(c, 36, 27, 18, 9)
 	half.Served = 50
 	c.Step(&half, 6, sec+250*ms)
-	if math.Abs(c.Part-100.0/180) > 0.02 {
-		t.Errorf("part %.2f let in by a half", c.Part)
+	if math.Abs(c.AdmittedPart-100.0/180) > 0.02 {
+		t.Errorf("part %.2f let in by a half", c.AdmittedPart)
 	}
 	l.Unserved = 0
 	c.Step(&l, 12, sec+500*ms)
-	if math.Abs(c.Part-100.0/180) > 0.03 {
-		t.Errorf("part %.2f let in after", c.Part)
+	if math.Abs(c.AdmittedPart-100.0/180) > 0.03 {
+		t.Errorf("part %.2f let in after", c.AdmittedPart)
 	}
 }
 
 func TestClasses(t *testing.T) {
-	many := Terms{Over: 0.2}
+	many := Config{OverShareFactor: 0.2}
 	for i := range 40 {
 		many.Values, many.Shares = append(many.Values, float64(i+1)), append(many.Shares, 1.0/40)
 	}
@@ -169,27 +169,27 @@
 			}
 		}
 	}
-	if c.Class(-1, 0) != -1 || c.Class(99, 0) != -1 || !c.Lets(-1, 1) {
+	if c.Class(-1, 0) != -1 || c.Class(99, 0) != -1 || !c.Admits(-1, 1) {
 		t.Error("a rule set that is not known is shed")
 	}
 }
 
 func TestSpare(t *testing.T) {
-	s := NewSpare(0.1, 0)
-	s.Further()
+	s := NewRetryBudget(0.1, 0)
+	s.SpendRetry()
 	for range 95 {
-		s.First()
+		s.EarnFirst()
 	}
-	if s.Left() != 9 {
-		t.Errorf("%d left of 95 first ones, want 9", s.Left())
+	if s.Available() != 9 {
+		t.Errorf("%d left of 95 first ones, want 9", s.Available())
 	}
 	own := aggregate.Load{First: 10}
 	s.Step(&own, &own, sec) // alone: what it has saved up is a short burst
-	if s.Left() != 2 {
-		t.Errorf("%d left after a step, want no more than a burst", s.Left())
+	if s.Available() != 2 {
+		t.Errorf("%d left after a step, want no more than a burst", s.Available())
 	}
-	for s.Left() > 0 {
-		s.Further()
+	for s.Available() > 0 {
+		s.SpendRetry()
 	}
 	// One that wants more gets a part of what others leave; those that want nothing get nothing.
 	all := aggregate.Load{First: 110, RetriesWanted: 20}
@@ -197,30 +197,30 @@
 	for i := range int64(10) {
 		s.Step(&all, &want, sec+(i+1)*100*ms)
 	}
-	if s.Left() != 2 {
-		t.Errorf("%d lent, want a burst", s.Left())
+	if s.Available() != 2 {
+		t.Errorf("%d lent, want a burst", s.Available())
 	}
-	for s.Left() > 0 {
-		s.Further()
+	for s.Available() > 0 {
+		s.SpendRetry()
 	}
-	left := s.Left()
+	left := s.Available()
 	s.Step(&all, &own, 4*sec)
-	if s.Left() != left {
+	if s.Available() != left {
 		t.Error("lent to one that wants nothing")
 	}
 	// Where most dispatches of the fleet fail there is no further one.
-	s.First()
+	s.EarnFirst()
 	s.tokens = 5
 	bad := aggregate.Load{First: 100, Failed: 60}
-	if s.Step(&bad, &own, 5*sec); s.Left() != 0 {
-		t.Errorf("%d left while all fail", s.Left())
+	if s.Step(&bad, &own, 5*sec); s.Available() != 0 {
+		t.Errorf("%d left while all fail", s.Available())
 	}
 	bad.Failed = 40
-	if s.Step(&bad, &own, 6*sec); s.Left() != 0 {
+	if s.Step(&bad, &own, 6*sec); s.Available() != 0 {
 		t.Error("it came back at once")
 	}
 	bad.Failed = 20
-	if s.Step(&bad, &own, 7*sec); s.Left() == 0 {
+	if s.Step(&bad, &own, 7*sec); s.Available() == 0 {
 		t.Error("none left after most are served again")
 	}
 }
--- a/fleet/snapshot/snapshot.go
+++ b/fleet/snapshot/snapshot.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	name    = "memory.snap"
+	fileName    = "memory.snap"
 	magic   = "IVYSNAP"
 	version = 1 // of the form; a field more does not change it
-	head    = len(magic) + 1 + 8
-	tail    = 8
+	headerSize    = len(magic) + 1 + 8
+	trailerSize    = 8
 	// Most bytes of a file: about 10,000 servers.
 	MaxBytes = 4 << 20
 )
@@ -39,7 +39,7 @@
 var encoder, decoder = strictcbor.Modes(cbor.DecOptions{})
 
 // Path is the file in a folder.
-func Path(folder string) string { return filepath.Join(folder, name) }
+func Path(folder string) string { return filepath.Join(folder, fileName) }
 
 // Encode gives the bytes of a file.
 func Encode(m *warmstart.Snapshot) ([]byte, error) {
@@ -50,7 +50,7 @@
 	b := append([]byte(magic), version)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(body)))
 	b = append(b, body...)
-	if len(b)+tail > MaxBytes {
+	if len(b)+trailerSize > MaxBytes {
 		return nil, ErrLength
 	}
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), nil
@@ -63,12 +63,12 @@
 		return m, ErrNotSnapshot
 	case len(b) > len(magic) && b[len(magic)] != version:
 		return m, ErrVersion
-	case len(b) < head+tail || len(b) > MaxBytes || binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-head-tail):
+	case len(b) < headerSize+trailerSize || len(b) > MaxBytes || binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-headerSize-trailerSize):
 		return m, ErrLength
-	case binary.BigEndian.Uint64(b[len(b)-tail:]) != xxhash.Sum64(b[:len(b)-tail]):
+	case binary.BigEndian.Uint64(b[len(b)-trailerSize:]) != xxhash.Sum64(b[:len(b)-trailerSize]):
 		return m, ErrChecksum
 	}
-	if decoder.Unmarshal(b[head:len(b)-tail], &m) != nil || !m.Valid() {
+	if decoder.Unmarshal(b[headerSize:len(b)-trailerSize], &m) != nil || !m.Valid() {
 		return warmstart.Snapshot{}, ErrFormat
 	}
 	return m, nil
@@ -103,22 +103,22 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	fresh := Path(folder) + ".new"
-	f, err := os.OpenFile(fresh, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	tempPath := Path(folder) + ".new"
+	f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
 	// It is not waited for the disk: a process that is killed meanwhile could not end, nor the next begin, before that is done. What a
 	// machine's end tears the checksum shows, and by then it would be too old.
 	_, err = f.Write(b)
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(fresh, Path(folder))
+		err = os.Rename(tempPath, Path(folder))
 	}
 	if err != nil {
-		_ = os.Remove(fresh)
+		_ = os.Remove(tempPath)
 	}
 	return err
 }
--- a/fleet/warmstart/warmstart.go
+++ b/fleet/warmstart/warmstart.go
@@ -17,17 +17,17 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	rateFor   = 60 * sec             // rates fade over this time
-	paceFor   = 10 * 60 * sec        // times of answers are of use for so long
-	listFor   = 60 * 60 * sec        // a list older than this is worse than that of the start
-	aheadMost = 5 * sec              // a snapshot may be from the future by so much
-	doubted   = 2                    // failures in a row that eject: one less is the state of a server that comes back from an ejection
-	wary      = 0.5                  // health of a server that one other holds to be out
-	enough    = 2                    // others that have to say so before it is
-	fullPart  = 0.95                 // of the service before from which it counts as full
-	fullSpan  = 3 * sec              // for so long
-	pieceSpan = 250 * ms             // service is counted by such pieces
-	before    = 10 * sec / pieceSpan // of them, that service before an end is taken over
+	rateMaxAge   = 60 * sec             // rates fade over this time
+	latencyMaxAge   = 10 * 60 * sec        // times of answers are of use for so long
+	listMaxAge   = 60 * 60 * sec        // a list older than this is worse than that of the start
+	maxClockLead = 5 * sec              // a snapshot may be from the future by so much
+	ejectionStreak   = 2                    // failures in a row that eject: one less is the state of a server that comes back from an ejection
+	suspectHealth      = 0.5                  // health of a server that one other holds to be out
+	minReporters    = 2                    // others that have to say so before it is
+	fullServicePart  = 0.95                 // of the service before from which it counts as full
+	fullServiceTime  = 3 * sec              // for so long
+	sliceLength = 250 * ms             // service is counted by such pieces
+	sliceCount    = 10 * sec / sliceLength // of them, that service before an end is taken over
 )
 
 // Host is one entry of a list.
@@ -74,12 +74,12 @@
 }
 
 // Shape is a number for what the terms hold that a memory refers to.
-func ConfigHash(t *balance.Config) uint64 {
+func ConfigHash(cfg *balance.Config) uint64 {
 	h := fnv.New64a()
-	for _, r := range t.RuleSets {
+	for _, r := range cfg.RuleSets {
 		fmt.Fprintln(h, r.Name, r.Effect, r.Group, r.ResponseTarget)
 	}
-	fmt.Fprintln(h, t.LiveWeights, t.FleetSize/2, len(t.Tenants))
+	fmt.Fprintln(h, cfg.LiveWeights, cfg.FleetSize/2, len(cfg.Tenants))
 	return h.Sum64()
 }
 
@@ -88,22 +88,22 @@
 	if m.BootID != "" && m.BootID == now.BootID {
 		return now.Uptime - m.Uptime, now.Uptime >= m.Uptime
 	}
-	return max(0, now.WallTime-m.WallTime), now.WallTime >= m.WallTime-aheadMost
+	return max(0, now.WallTime-m.WallTime), now.WallTime >= m.WallTime-maxClockLead
 }
 
 // Weigh gives what of a memory is to be believed: each part by its age, and what is too old as not known.
-func Evaluate(m Snapshot, whose string, t *balance.Config, now Clocks, trust int64) (Snapshot, []Verdict) {
+func Evaluate(m Snapshot, proxy string, cfg *balance.Config, now Clocks, trust int64) (Snapshot, []Verdict) {
 	var out []Verdict
 	judge := func(part string, kept bool, why string, a ...any) bool {
 		out = append(out, Verdict{part, kept, fmt.Sprintf(why, a...)})
 		return kept
 	}
-	age, sound := m.Age(now)
-	if !judge("all", sound && m.Proxy == whose, "of %s, %.1f s old", m.Proxy, float64(age)/1e9) {
+	age, known := m.Age(now)
+	if !judge("all", known && m.Proxy == proxy, "of %s, %.1f s old", m.Proxy, float64(age)/1e9) {
 		return Snapshot{}, out
 	}
 	m.List.Age += age
-	if !judge("list", m.List.Age <= listFor && len(m.List.Hosts) > 0, "%d servers, generation %d, %.1f s old", len(m.List.Hosts), m.List.Generation, float64(m.List.Age)/1e9) {
+	if !judge("list", m.List.Age <= listMaxAge && len(m.List.Hosts) > 0, "%d servers, generation %d, %.1f s old", len(m.List.Hosts), m.List.Generation, float64(m.List.Age)/1e9) {
 		m.List = List{}
 	}
 	x := &m.Balancer
@@ -112,12 +112,12 @@
 	}
 	x.Servers = slices.Clone(x.Servers)
 	for i := range x.Servers {
-		fadeBelief(&x.Servers[i], age, trust)
+		fadeServer(&x.Servers[i], age, trust)
 	}
-	if !judge("rates", age < rateFor && m.ConfigHash == ConfigHash(t), "%.1f answers a second", x.Rate) {
+	if !judge("rates", age < rateMaxAge && m.ConfigHash == ConfigHash(cfg), "%.1f answers a second", x.Rate) {
 		x.Rate, x.Tenants, x.LatencyRatio, x.MeanTarget, x.MeanValue, x.Keys = 0, nil, 0, 0, 0, nil
 	}
-	left := max(0, 1-float64(age)/float64(rateFor))
+	left := max(0, 1-float64(age)/float64(rateMaxAge))
 	x.Rate *= left
 	x.LatencyRatio *= left
 	x.Tenants = slices.Clone(x.Tenants)
@@ -132,28 +132,28 @@
 }
 
 // fadeBelief lets time pass for what is known of one server.
-func fadeBelief(l *balance.ServerSnapshot, age, trust int64) {
+func fadeServer(server *balance.ServerSnapshot, age, trust int64) {
 	part := max(0, 1-float64(age)/float64(trust))
-	if l.Health += (1 - l.Health) * (1 - part); !(l.Health > 0 && l.Health <= 1) {
-		l.Health = 1
+	if server.Health += (1 - server.Health) * (1 - part); !(server.Health > 0 && server.Health <= 1) {
+		server.Health = 1
 	}
-	l.LastOutcomeAge = -1 // of another process: it is not first-hand any more
-	if l.EjectionLeft > age {
-		l.EjectionLeft -= age
-	} else if l.EjectionLeft > 0 { // its time is over: it is one failure away from the next, as the module would have it
-		l.EjectionLeft, l.Streak, l.InflightCap = 0, doubted-1, 1
+	server.LastOutcomeAge = -1 // of another process: it is not first-hand any more
+	if server.EjectionLeft > age {
+		server.EjectionLeft -= age
+	} else if server.EjectionLeft > 0 { // its time is over: it is one failure away from the next, as the module would have it
+		server.EjectionLeft, server.Streak, server.InflightCap = 0, ejectionStreak-1, 1
 	}
-	if age > paceFor {
-		l.SlotTime, l.Latency = 0, 0
+	if age > latencyMaxAge {
+		server.SlotTime, server.Latency = 0, 0
 	}
-	l.InflightCap = 1 + (max(1, l.InflightCap)-1)*part
+	server.InflightCap = 1 + (max(1, server.InflightCap)-1)*part
 }
 
 // Later lets time pass for what was believed of servers.
 func Age(own []balance.ServerSnapshot, age, trust int64) []balance.ServerSnapshot {
 	own = slices.Clone(own)
 	for i := range own {
-		fadeBelief(&own[i], age, trust)
+		fadeServer(&own[i], age, trust)
 	}
 	return own
 }
@@ -168,21 +168,21 @@
 type Belief struct {
 	Server  balance.ServerSnapshot // Health, Left, Draining, Since and Met alone
 	HeardAt int64                  // when
-	Start   uint32                 // of the server's process as it came; Since is what the returner's own list has for it
+	StartTime   uint32                 // of the server's process as it came; Since is what the returner's own list has for it
 }
 
 // Match keeps what is said of processes that the returner's own list names; since gives a server's start there, and its form on the wire.
-func MatchListed(told []PeerReport, since func(id string) (at int64, start uint32, listed bool)) []PeerReport {
-	out := make([]PeerReport, 0, len(told))
-	for _, t := range told {
-		m := PeerReport{Member: t.Member}
-		for _, b := range t.Beliefs {
-			if at, start, listed := since(b.Server.ID); listed && start == b.Start {
+func MatchListed(reports []PeerReport, since func(id string) (at int64, start uint32, listed bool)) []PeerReport {
+	out := make([]PeerReport, 0, len(reports))
+	for _, report := range reports {
+		matched := PeerReport{Member: report.Member}
+		for _, b := range report.Beliefs {
+			if at, start, listed := since(b.Server.ID); listed && start == b.StartTime {
 				b.Server.Since = at
-				m.Beliefs = append(m.Beliefs, b)
+				matched.Beliefs = append(matched.Beliefs, b)
 			}
 		}
-		out = append(out, m)
+		out = append(out, matched)
 	}
 	return out
 }
@@ -190,9 +190,9 @@
 // Learn works out what to believe of servers by others' word and one's own, which may be none. What oneself held to be out stays so. Two
 // others have to say that a server is out; where one alone does it is met as one that comes back from an ejection: the first failure
 // ejects it. What is said of another process than the latest that anybody knows is void.
-func MergeReports(own []balance.ServerSnapshot, told []PeerReport, now int64) []balance.ServerSnapshot {
+func MergeReports(own []balance.ServerSnapshot, reports []PeerReport, now int64) []balance.ServerSnapshot {
 	var order []string
-	latest, had := map[string]int64{}, map[string]balance.ServerSnapshot{}
+	latest, ownByID := map[string]int64{}, map[string]balance.ServerSnapshot{}
 	note := func(l balance.ServerSnapshot) {
 		if since, ok := latest[l.ID]; !ok {
 			order = append(order, l.ID)
@@ -203,41 +203,41 @@
 	}
 	for _, l := range own {
 		note(l)
-		had[l.ID] = l
+		ownByID[l.ID] = l
 	}
-	for _, t := range told {
-		for _, b := range t.Beliefs {
-			note(b.Server)
+	for _, report := range reports {
+		for _, belief := range report.Beliefs {
+			note(belief.Server)
 		}
 	}
 	slices.Sort(order)
 	var out []balance.ServerSnapshot
 	for _, id := range order {
-		l, mine := had[id]
-		if mine = mine && l.Since == latest[id]; !mine {
+		l, known := ownByID[id]
+		if known = known && l.Since == latest[id]; !known {
 			l = balance.ServerSnapshot{ID: id, Since: latest[id], Health: 1, InflightCap: 1}
 		}
-		var left []int64 // that others say is left of an ejection
-		for _, t := range told {
-			for _, b := range t.Beliefs {
-				if b.Server.ID != id || b.Server.Since != l.Since {
+		var ejections []int64 // that others say is left of an ejection
+		for _, report := range reports {
+			for _, belief := range report.Beliefs {
+				if belief.Server.ID != id || belief.Server.Since != l.Since {
 					continue
 				}
-				l.Draining = l.Draining || b.Server.Draining
-				if x := b.Server.EjectionLeft - (now - b.HeardAt); x > 0 {
-					left = append(left, x)
+				l.Draining = l.Draining || belief.Server.Draining
+				if x := belief.Server.EjectionLeft - (now - belief.HeardAt); x > 0 {
+					ejections = append(ejections, x)
 				}
-				if !mine {
-					l.Health = min(l.Health, cmp.Or(b.Server.Health, 1))
+				if !known {
+					l.Health = min(l.Health, cmp.Or(belief.Server.Health, 1))
 				}
 			}
 		}
 		switch l.LastOutcomeAge = -1; {
 		case l.EjectionLeft > 0:
-		case len(left) >= enough:
-			l.EjectionLeft, l.Streak, l.Ejections = slices.Min(left), doubted, max(1, l.Ejections)
-		case len(left) > 0:
-			l.Health, l.Streak, l.InflightCap = min(l.Health, wary), doubted-1, 1
+		case len(ejections) >= minReporters:
+			l.EjectionLeft, l.Streak, l.Ejections = slices.Min(ejections), ejectionStreak, max(1, l.Ejections)
+		case len(ejections) > 0:
+			l.Health, l.Streak, l.InflightCap = min(l.Health, suspectHealth), ejectionStreak-1, 1
 		}
 		out = append(out, l)
 	}
@@ -249,53 +249,53 @@
 	StartedAt       int64
 	PreviousService float64 // service before the end of the process before; 0: not known
 	FullAfter       int64   // from the start until service was full; 0: not yet
-	pieces          [before]struct{ good, all float64 }
-	at              int64 // number of the newest piece
+	slices          [sliceCount]struct{ served, all float64 }
+	newest              int64 // number of the newest piece
 }
 
 // Add takes a final answer's worth.
-func (x *ServiceMeter) Add(worth float64, good bool, now int64) {
-	x.move(now)
-	p := &x.pieces[x.at%before]
-	if p.all += worth; good {
-		p.good += worth
+func (m *ServiceMeter) Add(worth float64, inTime bool, now int64) {
+	m.advance(now)
+	p := &m.slices[m.newest%sliceCount]
+	if p.all += worth; inTime {
+		p.served += worth
 	}
 }
 
-func (x *ServiceMeter) move(now int64) {
-	for n := now / pieceSpan; x.at < n; {
-		if n-x.at > before {
-			x.at = n - before
+func (m *ServiceMeter) advance(now int64) {
+	for n := now / sliceLength; m.newest < n; {
+		if n-m.newest > sliceCount {
+			m.newest = n - sliceCount
 		}
-		x.at++
-		x.pieces[x.at%before].good, x.pieces[x.at%before].all = 0, 0
+		m.newest++
+		m.slices[m.newest%sliceCount].served, m.slices[m.newest%sliceCount].all = 0, 0
 	}
 }
 
 // Service is the part of the worth that was served in time over the last seconds, or all that are kept; 0 where nothing was asked.
-func (x *ServiceMeter) Service(over, now int64) float64 {
-	x.move(now)
-	good, all := 0.0, 0.0
-	for i := int64(1); i <= min(over/pieceSpan, before-1); i++ { // the newest piece is not whole
-		p := x.pieces[(x.at-i+before)%before]
-		good, all = good+p.good, all+p.all
+func (m *ServiceMeter) Service(window, now int64) float64 {
+	m.advance(now)
+	served, all := 0.0, 0.0
+	for i := int64(1); i <= min(window/sliceLength, sliceCount-1); i++ { // the newest piece is not whole
+		p := m.slices[(m.newest-i+sliceCount)%sliceCount]
+		served, all = served+p.served, all+p.all
 	}
 	if all == 0 {
 		return 0
 	}
-	return good / all
+	return served / all
 }
 
 // Look says once that service is full again: how long after the start the seconds began in which it was.
-func (x *ServiceMeter) CheckFull(now int64) (after int64, full bool) {
-	if x.FullAfter != 0 || now-x.StartedAt < fullSpan+pieceSpan {
+func (m *ServiceMeter) CheckFull(now int64) (after int64, full bool) {
+	if m.FullAfter != 0 || now-m.StartedAt < fullServiceTime+sliceLength {
 		return 0, false
 	}
-	if x.Service(fullSpan, now) < fullPart*cmp.Or(x.PreviousService, 1) {
+	if m.Service(fullServiceTime, now) < fullServicePart*cmp.Or(m.PreviousService, 1) {
 		return 0, false
 	}
-	x.FullAfter = max(1, now-x.StartedAt-fullSpan)
-	return x.FullAfter, true
+	m.FullAfter = max(1, now-m.StartedAt-fullServiceTime)
+	return m.FullAfter, true
 }
 
 // Sound says whether a memory's figures are some that there can be; one that was made up or is of another form is dropped whole.
--- a/fleet/warmstart/warmstart_test.go
+++ b/fleet/warmstart/warmstart_test.go
@@ -109,7 +109,7 @@
 
 func TestMatch(t *testing.T) {
 	listed := func(id string) (int64, uint32, bool) { return 500, 5, id == "s-1" }
-	told := []PeerReport{{Member: 1, Beliefs: []Belief{{Server: balance.ServerSnapshot{ID: "s-1"}, Start: 5}, {Server: balance.ServerSnapshot{ID: "s-1"}, Start: 6}, {Server: balance.ServerSnapshot{ID: "s-2"}, Start: 5}}}}
+	told := []PeerReport{{Member: 1, Beliefs: []Belief{{Server: balance.ServerSnapshot{ID: "s-1"}, StartTime: 5}, {Server: balance.ServerSnapshot{ID: "s-1"}, StartTime: 6}, {Server: balance.ServerSnapshot{ID: "s-2"}, StartTime: 5}}}}
 	got := MatchListed(told, listed)
 	if len(got) != 1 || len(got[0].Beliefs) != 1 || got[0].Beliefs[0].Server.Since != 500 {
 		t.Errorf("got %+v, want the one of the process that is listed", got)
@@ -125,7 +125,7 @@
 			full = append(full, after)
 		}
 	}
-	if len(full) != 1 || full[0] < sec || full[0] > 2*sec+pieceSpan {
+	if len(full) != 1 || full[0] < sec || full[0] > 2*sec+sliceLength {
 		t.Errorf("full after %v, want once, at about 1.5 s", full)
 	}
 	if s := m.Service(10*sec, 112*sec); s < 0.99 {
--- a/rehearse/lab/views.go
+++ b/rehearse/lab/views.go
@@ -74,8 +74,8 @@
 }
 
 func viewOf(at float64, proxy int, s fleet.Status) View {
-	v := View{At: at, Proxy: proxy, Alive: s.Alive, Counted: s.Counted, On: s.Cut.On, Part: s.Cut.Part, Limit: s.Cut.Limit, Calm: s.Cut.Calm, Took: s.Cut.Took, Offered: s.Offered, Served: s.Served, Lacked: s.Lacked, Left: s.Spare.Left,
-		Shed: s.Counts.Shed, Moves: s.Cut.Moves, Probes: s.Counts.Probes, Sent: s.Counts.Sent}
+	v := View{At: at, Proxy: proxy, Alive: s.Alive, Counted: s.Counted, On: s.Shedding.Active, Part: s.Shedding.AdmittedPart, Limit: s.Shedding.Limit, Calm: s.Shedding.BaselineLatency, Took: s.Shedding.Latency, Offered: s.Offered, Served: s.Served, Lacked: s.Unserved, Left: s.RetryBudget.Available,
+		Shed: s.Counts.Shed, Moves: s.Shedding.Changes, Probes: s.Counts.Probes, Sent: s.Counts.Sent}
 	for _, m := range s.Members {
 		if m.State == "dead" {
 			v.Dead = append(v.Dead, m.Member)
