--- a/cmd/ivybank/limits_test.go
+++ b/cmd/ivybank/limits_test.go
@@ -81,7 +81,7 @@
 	for _, i := range proxies {
 		eventually(t, "a proxy holds a lease", func() bool {
 			l := limitsAt(r, i)
-			return len(l) == 1 && l[0].Holds > 0
+			return len(l) == 1 && l[0].Held > 0
 		})
 	}
 }
--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -255,7 +255,7 @@
 		}
 		f.Limits, f.Voters, f.Drift = l.LeaseLimits(longest), l.VoterCount, l.ClockDriftPPM
 		for _, one := range f.Limits {
-			if !one.Fits(len(addrs)) {
+			if !one.LeaseIsRenewable(len(addrs)) {
 				return nil, fmt.Errorf("fleet.limits: %s: the lease is too short for %d members", one.Name, len(addrs))
 			}
 		}
--- a/conf/limits.go
+++ b/conf/limits.go
@@ -48,11 +48,11 @@
 func (x *Limits) LeaseLimits(longestRequest int64) (all []lease.Limit) {
 	for _, l := range x.All {
 		converted := lease.Limit{Name: l.Name, RuleSet: l.RuleSet, Tenant: l.Tenant, Strict: l.Mode == "strict",
-			Lease: int64(l.Lease)}
+			LeaseDuration: int64(l.Lease)}
 		converted.Units, _ = l.toUnits(l.Amount)
 		converted.Floor, _ = l.toUnits(l.Floor)
-		if converted.Kind, converted.Per = lease.Rate, int64(l.Burst); l.Kind == "in_flight" {
-			converted.Kind, converted.Per, converted.Linger = lease.Flight, 0, longestRequest
+		if converted.Kind, converted.Period = lease.Rate, int64(l.Burst); l.Kind == "in_flight" {
+			converted.Kind, converted.Period, converted.MaxRequestDuration = lease.InFlight, 0, longestRequest
 		}
 		all = append(all, converted)
 	}
@@ -63,7 +63,7 @@
 // the fleet's size is not known: it is as many as the platform's configuration names.
 func (x *Limit) DescribeOvershoot(members int) string {
 	l := (&Limits{All: []Limit{*x}}).LeaseLimits(0)[0]
-	unit, over := "in flight", float64(l.Over(members))*x.unitSize()
+	unit, over := "in flight", float64(l.MaxExcess(members))*x.unitSize()
 	if x.Kind == "rate" {
 		unit = fmt.Sprintf("a second, %d at once", l.Units)
 	}
--- a/conf/limits_test.go
+++ b/conf/limits_test.go
@@ -43,10 +43,10 @@
 		t.Fatal(err)
 	}
 	all := o.Fleet.Limits.LeaseLimits(5e9)
-	if x := all[0]; x.Units != 10 || x.Floor != 1 || x.Per != 250e6 || x.Strict || x.Over(3) != 2 {
+	if x := all[0]; x.Units != 10 || x.Floor != 1 || x.Period != 250e6 || x.Strict || x.MaxExcess(3) != 2 {
 		t.Errorf("%+v", x)
 	}
-	if x := all[1]; x.Units != 30 || x.Linger != 5e9 || !x.Strict || x.Over(3) != 0 || x.Tenant != "acme" {
+	if x := all[1]; x.Units != 30 || x.MaxRequestDuration != 5e9 || !x.Strict || x.MaxExcess(3) != 0 || x.Tenant != "acme" {
 		t.Errorf("%+v", x)
 	}
 	for i, want := range []string{"limit web: 40 a second, 10 at once, exceeded by at most 8 with 3 members",
--- a/fleet/crew/crew.go
+++ b/fleet/crew/crew.go
@@ -113,8 +113,8 @@
 }
 
 // New begins with what was written down.
-func New(t Terms, k quorum.Kept, now int64) (*Crew, error) {
-	n, err := quorum.New(quorum.Terms{Me: t.Me, Of: t.Of, Voters: t.Voters, Life: t.Life, Seed: t.Seed}, k)
+func New(t Terms, k quorum.PersistentState, now int64) (*Crew, error) {
+	n, err := quorum.New(quorum.Config{Self: t.Me, Members: t.Of, Voters: t.Voters, Incarnation: t.Life, Seed: t.Seed}, k)
 	return &Crew{t: t, node: n, state: &order.State{}, reports: map[int]heard{}, wakeful: now + awake, leader: -1}, err
 }
 
@@ -122,7 +122,7 @@
 func (c *Crew) State() *order.State { return c.state }
 
 // Leader is the place of the one that leads; -1: nobody is known to. Lost says whether this member's folder was.
-func (c *Crew) Leader() (place int, lost bool) { return c.node.Leader(), c.node.Lost() }
+func (c *Crew) Leader() (place int, lost bool) { return c.node.Leader(), c.node.LostState() }
 
 // busy says whether there is anything to do.
 func (c *Crew) busy(now int64) bool {
@@ -133,7 +133,7 @@
 func (c *Crew) Tick(s Sight) {
 	every := tickEvery
 	if !c.busy(s.Now) {
-		if !c.node.Waits() {
+		if !c.node.Joining() {
 			return // nothing at rest
 		}
 		every = idleEvery
@@ -143,7 +143,7 @@
 	}
 	c.tickAt = s.Now + every
 	c.node.Tick()
-	leads, term := c.node.Leads()
+	leads, term := c.node.IsLeader()
 	if leads && c.term != term {
 		c.lead, c.term, c.reports = order.NewLead(c.t.Lead, term), term, map[int]heard{}
 	} else if !leads {
@@ -269,7 +269,7 @@
 	c.Count.Letters++
 	switch body[0] {
 	case byQuorum:
-		if !quorum.Idle(body[1:]) {
+		if !quorum.IsIdleMessage(body[1:]) {
 			c.wakeful = max(c.wakeful, now+awake)
 		}
 		c.node.Step(from, body[1:])
@@ -285,7 +285,7 @@
 			return
 		}
 		c.wakeful = now + awake
-		if leads, _ := c.node.Leads(); leads && !c.Holds(&x) {
+		if leads, _ := c.node.IsLeader(); leads && !c.Holds(&x) {
 			c.propose(&x)
 		}
 	default:
@@ -313,17 +313,17 @@
 	if b.ID != 0 {
 		c.state = &order.State{} // it comes again from the start
 	}
-	for _, s := range b.Sends {
+	for _, s := range b.Messages {
 		c.todo = append(c.todo, Action{Kind: Send, To: s.To, Body: append([]byte{byQuorum}, s.Body...)})
 	}
 	held := len(c.state.Away())
-	for _, e := range b.Agreed {
+	for _, e := range b.Committed {
 		c.apply(&e, now)
 	}
-	if len(b.Agreed) > 0 || b.ID != 0 && held > 0 {
+	if len(b.Committed) > 0 || b.ID != 0 && held > 0 {
 		c.todo = append(c.todo, Action{Kind: Hold})
 	}
-	c.node.Written()
+	c.node.Advance()
 	c.carry()
 }
 
@@ -358,12 +358,12 @@
 
 // Leave hands the lead on to another that votes and takes part, as this process ends.
 func (c *Crew) Leave(alive func(member int) bool) {
-	if leads, _ := c.node.Leads(); !leads {
+	if leads, _ := c.node.IsLeader(); !leads {
 		return
 	}
 	for i := range c.t.Voters {
 		if i != c.t.Me && alive(i) {
-			c.node.HandOn(i)
+			c.node.TransferLeadership(i)
 			break
 		}
 	}
@@ -409,7 +409,7 @@
 		if id != "" && w.Plan.ID != id {
 			continue
 		}
-		x := Status{Plan: w.Plan.ID, Standing: w.Standing.String(), Why: w.Why, Leader: c.node.Leader(), Lost: c.node.Lost()}
+		x := Status{Plan: w.Plan.ID, Standing: w.Standing.String(), Why: w.Why, Leader: c.node.Leader(), Lost: c.node.LostState()}
 		if id != "" {
 			x.Events = w.Events
 		}
--- a/fleet/crew/crew_test.go
+++ b/fleet/crew/crew_test.go
@@ -12,7 +12,7 @@
 // band is some members whose letters arrive, and servers that are worked on as soon as they are out.
 type band struct {
 	members []*Crew // nil: dead
-	kept    []quorum.Kept
+	kept    []quorum.PersistentState
 	now     int64
 	sent    int
 	since   map[string]int64
@@ -20,7 +20,7 @@
 }
 
 func newBand(n int) *band {
-	b := &band{members: make([]*Crew, n), kept: make([]quorum.Kept, n), now: sec, since: map[string]int64{}}
+	b := &band{members: make([]*Crew, n), kept: make([]quorum.PersistentState, n), now: sec, since: map[string]int64{}}
 	for i := range n {
 		b.start(i)
 	}
@@ -89,7 +89,7 @@
 				b.carry(a.To)
 			}
 		case Write:
-			b.kept[i].Keep(&a.Batch)
+			b.kept[i].Apply(&a.Batch)
 			c.Written(&a.Batch, b.now)
 		}
 	}
@@ -150,7 +150,7 @@
 			b.run(at)
 			leader := -1
 			for i, c := range b.members {
-				if leads, _ := c.node.Leads(); leads {
+				if leads, _ := c.node.IsLeader(); leads {
 					leader = i
 				}
 			}
@@ -193,7 +193,7 @@
 	b.run(500 * ms)
 	leader := -1
 	for i, c := range b.members {
-		if leads, _ := c.node.Leads(); leads {
+		if leads, _ := c.node.IsLeader(); leads {
 			leader = i
 		}
 	}
--- a/fleet/lease/vote.go
+++ b/fleet/lease/election.go
@@ -42,7 +42,7 @@
 // stood answers one that would own.
 func (m *Member) stood(l *limit, from int, life uint64, it Item) {
 	v := &l.vote
-	if m.t.Me >= m.t.Voters || from >= m.t.Voters || m.sure < v.mute {
+	if m.t.Self >= m.t.Voters || from >= m.t.Voters || m.sure < v.mute {
 		return
 	}
 	if it.Term < v.seen || m.sure < v.end && (v.to != from || v.life != life) {
@@ -50,8 +50,8 @@
 		return
 	}
 	if it.Count == 0 {
-		if l.bid.on && from != m.t.Me { // both would: the one of lower rank goes on
-			if l.rank[from] > l.rank[m.t.Me] {
+		if l.bid.on && from != m.t.Self { // both would: the one of lower rank goes on
+			if l.rank[from] > l.rank[m.t.Self] {
 				m.post(from, l, Item{Kind: Refuse, Term: v.seen})
 				return
 			}
@@ -74,7 +74,7 @@
 // voted takes a promise.
 func (m *Member) voted(l *limit, from int, it Item, now int64) {
 	b := &l.bid
-	if !b.on || it.Term != b.term || it.Epoch != m.t.Life || it.Count != b.count || from >= m.t.Voters {
+	if !b.on || it.Term != b.term || it.Epoch != m.t.Incarnation || it.Count != b.count || from >= m.t.Voters {
 		m.Count.Unasked++
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	b.oks[from] = b.sent
 	if l.own == nil && now < m.until(l) {
-		l.own = newOwner(b.term, m.t.Of, m.sure+m.lasts(l.Lease)+m.linger(l))
+		l.own = newOwner(b.term, m.t.Members, m.sure+m.lasts(l.LeaseDuration)+m.linger(l))
 	}
 }
 
@@ -114,7 +114,7 @@
 // stand tries to own a limit that nobody seems to, and stays its owner.
 func (m *Member) stand(l *limit, now int64) {
 	b, v := &l.bid, &l.vote
-	if m.t.Me >= m.t.Voters {
+	if m.t.Self >= m.t.Voters {
 		return
 	}
 	switch {
@@ -131,7 +131,7 @@
 		return
 	default:
 		b.on, b.from, b.count, b.would = true, m.sure, 0, 0
-		b.term = (max(v.seen, b.seen)>>6+1)<<6 | uint64(m.t.Me)
+		b.term = (max(v.seen, b.seen)>>6+1)<<6 | uint64(m.t.Self)
 		b.oks = slices.Repeat([]int64{never}, m.t.Voters)
 		m.say(l, Item{Kind: Stand, Term: b.term})
 		return
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -22,7 +22,7 @@
 	three   = 3
 )
 
-var walked = Limit{Name: "one", Kind: Flight, Units: 6, Lease: 1200 * ms, Linger: 600 * ms, Strict: true}
+var walked = Limit{Name: "one", Kind: InFlight, Units: 6, LeaseDuration: 1200 * ms, MaxRequestDuration: 600 * ms, Strict: true}
 
 // cuts: 0 none; else member (c-1)/3 is cut off, both ways, from what it sends or from what it hears.
 const kindsOfCut = 3 * three
@@ -87,7 +87,7 @@
 
 func (g *graphState) start(i int, f flaw) {
 	g.lives[i]++
-	t := Terms{Me: i, Of: three, Voters: three, Life: g.lives[i], Drift: 100, Limits: []Limit{walked}}
+	t := Config{Self: i, Members: three, Voters: three, Incarnation: g.lives[i], DriftPPM: 100, Limits: []Limit{walked}}
 	g.procs[i] = &process{Member: New(t, g.now), flaw: f}
 }
 
@@ -195,7 +195,7 @@
 		if g.hurts > 0 && g.hurt < 0 {
 			add(func(n *graphState) {
 				if l := n.procs[i].limits[0]; n.now < l.hold.end {
-					n.runs, n.until = l.hold.units, n.now+walked.Linger
+					n.runs, n.until = l.hold.units, n.now+walked.MaxRequestDuration
 				}
 				n.hurts--
 				n.hurt, n.procs[i] = i, nil
@@ -222,7 +222,7 @@
 	for i, p := range g.procs {
 		if p != nil {
 			for _, x := range p.todo {
-				all = append(all, letter{i, x.to, Datagram{Life: p.t.Life, Items: []Item{x.Item}}})
+				all = append(all, letter{i, x.to, Datagram{Life: p.t.Incarnation, Items: []Item{x.Item}}})
 			}
 		}
 	}
@@ -312,7 +312,7 @@
 		}
 		l, s := p.limits[0], p.sure
 		v, d, h := &l.vote, &l.bid, &l.hold
-		full := p.lasts(l.Lease) + p.linger(l)
+		full := p.lasts(l.LeaseDuration) + p.linger(l)
 		put(past(p.last, g.now, full), past(v.mute, s, 0), int64(term(v.seen)), past(v.end, s, 0), min(s, full+1))
 		if s < v.end {
 			put(int64(v.to), int64(v.life), int64(term(v.term)))
@@ -350,7 +350,7 @@
 			}
 		}
 		put(int64(h.owner), int64(term(h.term)), int64(h.epoch), bit(h.open), int64(min(h.silent, patient)),
-			past(h.at, s, l.Lease), bit(h.soon), past(h.end, g.now, 0), bit(h.paused), rank(i, h.count))
+			past(h.at, s, l.LeaseDuration), bit(h.soon), past(h.end, g.now, 0), bit(h.paused), rank(i, h.count))
 		if h.open {
 			put(past(h.sent, g.now, full))
 		}
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -42,9 +42,9 @@
 	if h.gone {
 		return
 	}
-	every := max(l.Lease/renewals, int64(m.t.Of)*apart)
+	every := max(l.LeaseDuration/renewals, int64(m.t.Members)*apart)
 	if h.want > h.asked || h.asked > 2*h.want || h.silent >= patient {
-		every = max(l.Lease/hurry, int64(m.t.Of)*apart/3)
+		every = max(l.LeaseDuration/hurry, int64(m.t.Members)*apart/3)
 	}
 	if h.soon || m.sure-h.at >= every {
 		m.ask(l, now)
@@ -61,7 +61,7 @@
 	h.count++
 	h.sent, h.at, h.open, h.asked, h.soon = now, m.sure, true, h.want, false
 	it := Item{Kind: Ask, Term: h.term, Epoch: h.epoch, Count: h.count, Want: h.want, Use: use,
-		Settled: m.sure > m.lasts(l.Lease)+m.linger(l)}
+		Settled: m.sure > m.lasts(l.LeaseDuration)+m.linger(l)}
 	if h.owner >= 0 {
 		m.post(h.owner, l, it)
 	}
@@ -78,14 +78,14 @@
 		return
 	}
 	h.open, h.silent = false, 0
-	if h.gone || now >= h.sent+l.Lease || it.Use == 0 && !it.Settled {
+	if h.gone || now >= h.sent+l.LeaseDuration || it.Use == 0 && !it.Settled {
 		return // a lease of nothing, as the owner knows nothing yet, would keep a floor out of force
 	}
 	if l.Kind == Rate && !h.paused {
 		m.accrue(l, now) // until now it was what was held before
 	}
 	h.soon = it.Use < h.units // so that the owner hears of it
-	h.units, h.end = it.Use, h.sent+l.Lease
+	h.units, h.end = it.Use, h.sent+l.LeaseDuration
 	m.show(l, now)
 }
 
@@ -112,7 +112,7 @@
 	}
 	h.tick = now
 	tries, denied := x.tries.Swap(0), x.denied.Swap(0)
-	if l.Kind == Flight {
+	if l.Kind == InFlight {
 		open := int(x.open.Load())
 		switch {
 		case denied > 0:
@@ -124,10 +124,10 @@
 		}
 		return
 	}
-	over := max(l.Per, sec/4)
+	over := max(l.Period, sec/4)
 	if dt > 0 {
 		f := min(1, float64(dt)/float64(over))
-		h.demand += (float64(tries)*float64(l.Per)/float64(dt) - h.demand) * f
+		h.demand += (float64(tries)*float64(l.Period)/float64(dt) - h.demand) * f
 	}
 	if h.want = min(l.Units, int(h.demand+0.5)); tries > 0 {
 		h.want = max(1, h.want)
@@ -138,7 +138,7 @@
 // accrue turns the time since it was called last into reqs, by the units that are in force.
 func (m *Member) accrue(l *limit, now int64) {
 	h, x := &l.hold, l.hold.line
-	per := l.Per + (l.Per*m.t.Drift+1e6-1)/1e6 // by the fastest clock no req too early
+	per := l.Period + (l.Period*m.t.DriftPPM+1e6-1)/1e6 // by the fastest clock no req too early
 	h.carry += (now - h.accrued) * int64(m.force(l, now))
 	h.accrued = now
 	if n := h.carry / per; n > 0 {
@@ -176,7 +176,7 @@
 	for left := x.left.Load(); left > int64(n); left = x.left.Load() {
 		x.left.CompareAndSwap(left, int64(n))
 	}
-	if l.Kind == Flight {
+	if l.Kind == InFlight {
 		return max(h.units, int(x.open.Load())) // after units is stored: whoever comes in later has seen it
 	}
 	return h.units
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -20,9 +20,9 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	// TickEvery is how often a member wants to be ticked, in ns.
-	TickEvery = 20 * ms
-	stall     = 250 * ms // between events: more was a stop or a jump, and counts as no time
+	// TickInterval is how often a member wants to be ticked, in ns.
+	TickInterval = 20 * ms
+	stall        = 250 * ms // between events: more was a stop or a jump, and counts as no time
 )
 
 // Kind is what a limit counts.
@@ -30,57 +30,57 @@
 
 // The kinds.
 const (
-	Rate   Kind = iota // reqs let in
-	Flight             // reqs that may run
+	Rate     Kind = iota // reqs let in
+	InFlight             // reqs that may run
 )
 
 // Limit is one of the fleet's. Times are ns.
 type Limit struct {
-	Name            string
-	RuleSet, Tenant string // its scope; empty: all of them
-	Kind            Kind
-	Units           int   // in all. Rate: each gives a req in Per, and holds one at most
-	Per             int64 // Rate
-	Strict          bool  // without a lease nothing is let in; else Floor units are
-	Floor           int
-	Lease           int64
-	Linger          int64 // Flight: so long a req may run after its proxy died, the longest client timeout
+	Name               string
+	RuleSet, Tenant    string // its scope; empty: all of them
+	Kind               Kind
+	Units              int   // in all. Rate: each gives a req in Per, and holds one at most
+	Period             int64 // Rate
+	Strict             bool  // without a lease nothing is let in; else Floor units are
+	Floor              int
+	LeaseDuration      int64
+	MaxRequestDuration int64 // Flight: so long a req may run after its proxy died, the longest client timeout
 }
 
 // ID is what stands for a limit on the wire. Its number of units, floor and mode may change while leases are
 // out; with anything else it is another limit.
 func (l *Limit) ID() uint32 {
 	b := []byte(l.Name + "\x00" + l.RuleSet + "\x00" + l.Tenant)
-	for _, x := range [...]int64{int64(l.Kind), l.Per, l.Lease, l.Linger} {
+	for _, x := range [...]int64{int64(l.Kind), l.Period, l.LeaseDuration, l.MaxRequestDuration} {
 		b = strconv.AppendInt(append(b, 0), x, 36)
 	}
 	return crc32.ChecksumIEEE(b)
 }
 
-// Over is by how many units at the most the fleet may be over, with so many members of which any may be cut
+// MaxExcess is by how many units at the most the fleet may be over, with so many members of which any may be cut
 // off: none where it is strict; else one member at least holds a lease while the others use their floors.
-func (l *Limit) Over(members int) int {
+func (l *Limit) MaxExcess(members int) int {
 	if l.Strict {
 		return 0
 	}
 	return (members - 1) * l.Floor
 }
 
-// Fits says whether a lease is long enough to be renewed in time in a fleet of so many members.
-func (l *Limit) Fits(members int) bool { return l.Lease >= 3*int64(members)*apart }
+// LeaseIsRenewable says whether a lease is long enough to be renewed in time in a fleet of so many members.
+func (l *Limit) LeaseIsRenewable(members int) bool { return l.LeaseDuration >= 3*int64(members)*apart }
 
 // authority is how long a majority's promises last.
-func (l *Limit) authority() int64 { return l.Lease / 3 }
+func (l *Limit) authority() int64 { return l.LeaseDuration / 3 }
 
-// Terms is what a member is told.
-type Terms struct {
-	Me, Of int
-	Voters int    // the first so many places
-	Life   uint64 // another, later one at each start
-	Seed   uint64
-	Drift  int64 // by how many millionths a clock may run too fast or too slow
-	Weight []int // by place; nil: all alike
-	Limits []Limit
+// Config is what a member is told.
+type Config struct {
+	Self, Members int
+	Voters        int    // the first so many places
+	Incarnation   uint64 // another, later one at each start
+	Seed          uint64
+	DriftPPM      int64 // by how many millionths a clock may run too fast or too slow
+	Weight        []int // by place; nil: all alike
+	Limits        []Limit
 }
 
 // Count is what a member has dropped, by cause.
@@ -88,14 +88,14 @@
 
 // Member is one proxy's part. Its Book may be read by any goroutine, all else by one at a time.
 type Member struct {
-	t      Terms
+	t      Config
 	last   int64 // latest clock handed in
 	sure   int64 // time that has surely passed since the start
 	limits []*limit
 	dice   rng.Source
 	todo   []post // emptied by Next
 	self   []Item // to itself; emptied before each return
-	book   atomic.Pointer[Book]
+	book   atomic.Pointer[Limiter]
 	tick   atomic.Int64 // when the book was looked after
 	Count  Count
 }
@@ -116,8 +116,8 @@
 }
 
 // New begins. Nothing is known of an earlier life: what that may have promised is waited for.
-func New(t Terms, now int64) *Member {
-	m := &Member{t: t, last: now, dice: rng.Source{Seed: t.Seed ^ uint64(t.Me+1)<<40 ^ t.Life}}
+func New(t Config, now int64) *Member {
+	m := &Member{t: t, last: now, dice: rng.Source{Seed: t.Seed ^ uint64(t.Self+1)<<40 ^ t.Incarnation}}
 	m.Limits(t.Limits, now)
 	return m
 }
@@ -146,7 +146,7 @@
 
 // lasts is how long a time that another counts from an earlier moment, by a clock of its own, may last by
 // this one's; with room for one jump that is taken for time.
-func (m *Member) lasts(d int64) int64 { return d + d*m.t.Drift*3/1e6 + stall }
+func (m *Member) lasts(d int64) int64 { return d + d*m.t.DriftPPM*3/1e6 + stall }
 
 // ranks orders the voters by a hash of theirs and the limit's.
 func ranks(name string, voters int) []int64 {
@@ -164,10 +164,10 @@
 
 // late is by how much this member waits for those that stand before it.
 func (m *Member) late(l *limit) int64 {
-	if m.t.Me >= m.t.Voters {
+	if m.t.Self >= m.t.Voters {
 		return 0
 	}
-	return l.rank[m.t.Me] * standApart
+	return l.rank[m.t.Self] * standApart
 }
 
 // clock lets time pass. A clock that was set back voids all that is held here by it.
@@ -198,11 +198,11 @@
 	m.tick.Store(now)
 }
 
-// Heard takes a datagram of another member; what is late, of another life or of no limit here is dropped and
+// Receive takes a datagram of another member; what is late, of another life or of no limit here is dropped and
 // counted.
-func (m *Member) Heard(d *Datagram, now int64) {
+func (m *Member) Receive(d *Datagram, now int64) {
 	m.clock(now)
-	if d.From == m.t.Me || d.From < 0 || d.From >= m.t.Of {
+	if d.From == m.t.Self || d.From < 0 || d.From >= m.t.Members {
 		m.Count.Place++
 		return
 	}
@@ -217,7 +217,7 @@
 	for len(m.self) > 0 {
 		it := m.self[0]
 		m.self = m.self[1:]
-		m.take(m.t.Me, m.t.Life, it, now)
+		m.take(m.t.Self, m.t.Incarnation, it, now)
 	}
 }
 
@@ -250,7 +250,7 @@
 
 func (m *Member) post(to int, l *limit, it Item) {
 	it.Limit = l.id
-	if to == m.t.Me {
+	if to == m.t.Self {
 		m.self = append(m.self, it)
 	} else {
 		m.todo = append(m.todo, post{to, it})
@@ -262,7 +262,7 @@
 	if len(m.todo) == 0 {
 		return 0, d, false
 	}
-	to, d = m.todo[0].to, Datagram{From: m.t.Me, Life: m.t.Life}
+	to, d = m.todo[0].to, Datagram{From: m.t.Self, Life: m.t.Incarnation}
 	m.todo = slices.DeleteFunc(m.todo, func(p post) bool {
 		if p.to != to || len(d.Items) == mostItems {
 			return false
@@ -287,27 +287,27 @@
 
 // Status is how a limit stands here, for operators.
 type Status struct {
-	Limit string `json:"limit"`
-	Units int    `json:"units"` // in all
-	Holds int    `json:"holds"` // by a lease
-	Wants int    `json:"wants"`
-	Owner int    `json:"owner"` // place; -1: none is known
-	Owns  bool   `json:"owns"`
-	Out   int    `json:"out,omitempty"` // at the owner: units that are out
-	Over  int    `json:"over"`          // the bound, in units
-	Left  int64  `json:"lease_left_ms"`
+	Limit       string `json:"limit"`
+	Units       int    `json:"units"` // in all
+	Held        int    `json:"holds"` // by a lease
+	Demand      int    `json:"wants"`
+	Owner       int    `json:"owner"` // place; -1: none is known
+	Owns        bool   `json:"owns"`
+	Granted     int    `json:"out,omitempty"` // at the owner: units that are out
+	MaxExcess   int    `json:"over"`          // the bound, in units
+	LeaseLeftMs int64  `json:"lease_left_ms"`
 }
 
 // Status gives all limits.
 func (m *Member) Status(now int64) (all []Status) {
 	for _, l := range m.limits {
 		h := &l.hold
-		s := Status{Limit: l.Name, Units: l.Units, Wants: h.want, Owner: h.owner, Over: l.Over(m.t.Of)}
+		s := Status{Limit: l.Name, Units: l.Units, Demand: h.want, Owner: h.owner, MaxExcess: l.MaxExcess(m.t.Members)}
 		if now < h.end {
-			s.Holds, s.Left = h.units, (h.end-now)/ms
+			s.Held, s.LeaseLeftMs = h.units, (h.end-now)/ms
 		}
 		if m.owns(l, now) {
-			s.Owns, s.Out = true, l.own.out(m.sure)
+			s.Owns, s.Granted = true, l.own.out(m.sure)
 		}
 		all = append(all, s)
 	}
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -82,7 +82,7 @@
 	text += "\n" + row + "\n4s  ." + row[len("0s  ."):] + "\n"
 	r := timeline.Play(text, seed, func(v *timeline.World) timeline.Cluster {
 		tw, w = v, newWorld(v, x, 100, f)
-		w.runFor = x.Linger - 10*ms
+		w.runFor = x.MaxRequestDuration - 10*ms
 		return w
 	})
 	if r.Err != nil {
@@ -105,11 +105,11 @@
 	return tw.Run(tw.Now + 3*sec)
 }
 
-var strict = Limit{Name: "one", Units: 7, Per: 250 * ms, Lease: 2 * sec, Strict: true, Linger: sec}
+var strict = Limit{Name: "one", Units: 7, Period: 250 * ms, LeaseDuration: 2 * sec, Strict: true, MaxRequestDuration: sec}
 
 func flight() Limit {
 	x := strict
-	x.Kind, x.Per = Flight, 0
+	x.Kind, x.Period = InFlight, 0
 	return x
 }
 
@@ -177,7 +177,7 @@
 	dots := strings.Repeat("  .", members+1)
 	text += "\n0s" + row + "\n14s" + dots + "\n24s  sum?; let?" + dots[3:] + "\n"
 	x := strict
-	x.Units, x.Lease = 300, 5*sec
+	x.Units, x.LeaseDuration = 300, 5*sec
 	var w *world
 	r := timeline.Play(text, 1, func(v *timeline.World) timeline.Cluster {
 		w = newWorld(v, x, 100, sound)
@@ -221,7 +221,7 @@
 		{600, 1.2, sec, 0.95, 1},
 	} {
 		x := strict
-		x.Per, x.Units = c.burst, int(c.rate*float64(c.burst)/1e9)
+		x.Period, x.Units = c.burst, int(c.rate*float64(c.burst)/1e9)
 		text, row, sum := "at  rig", "0s  .", 0.0
 		for i := range members {
 			text, row, sum = fmt.Sprintf("%s  n%d", text, i), row+"  .", sum+math.Pow(float64(i+1), -0.7)
@@ -235,7 +235,7 @@
 		equal := 0.0
 		for i, p := range w.procs {
 			d := c.rate * c.load * math.Pow(float64(i+1), -0.7) / sum
-			p.asks = d * float64(x.Per) / 1e9
+			p.asks = d * float64(x.Period) / 1e9
 			equal += min(d, c.rate/members) / c.rate
 		}
 		for _, until := range []int64{10 * sec, 40 * sec} {
@@ -263,11 +263,11 @@
 	}
 	var all []*Member
 	for i := range 3 {
-		all = append(all, New(Terms{Me: i, Of: 3, Voters: 3, Life: 1, Limits: limits}, 0))
+		all = append(all, New(Config{Self: i, Members: 3, Voters: 3, Incarnation: 1, Limits: limits}, 0))
 	}
 	full := 0
 	now := int64(0)
-	for ; now < 6*sec; now += TickEvery {
+	for ; now < 6*sec; now += TickInterval {
 		for _, m := range all {
 			m.Tick(now)
 		}
@@ -286,7 +286,7 @@
 					if len(d.Items) == mostItems {
 						full++
 					}
-					all[to].Heard(&got, now)
+					all[to].Receive(&got, now)
 					again = true
 				}
 			}
@@ -297,11 +297,11 @@
 		held := 0
 		for _, m := range all {
 			if m.owns(m.limits[i], now) {
-				owners[m.t.Me]++
+				owners[m.t.Self]++
 				held++
 			}
 		}
-		if s := all[0].Status(now)[i]; held != 1 || s.Holds < 1 {
+		if s := all[0].Status(now)[i]; held != 1 || s.Held < 1 {
 			t.Errorf("limit %s: %d owners, %+v", l.Name, held, s)
 		}
 	}
@@ -324,8 +324,8 @@
 		if err != nil {
 			return
 		}
-		m := New(Terms{Me: 0, Of: 3, Voters: 3, Life: 1, Limits: []Limit{strict}}, 1)
-		m.Heard(&d, 2)
+		m := New(Config{Self: 0, Members: 3, Voters: 3, Incarnation: 1, Limits: []Limit{strict}}, 1)
+		m.Receive(&d, 2)
 		m.Tick(3)
 		for _, out, ok := m.Next(); ok; _, out, ok = m.Next() {
 			if _, err := Encode(fleetName, &out); err != nil {
@@ -381,7 +381,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := strict
 			x.Units = c.units
-			m := New(Terms{Of: len(c.wants), Voters: 1, Life: 1, Weight: c.weight, Limits: []Limit{x}}, 0)
+			m := New(Config{Members: len(c.wants), Voters: 1, Incarnation: 1, Weight: c.weight, Limits: []Limit{x}}, 0)
 			l := m.limits[0]
 			l.own = newOwner(1, len(c.wants), 0)
 			for i, w := range c.wants {
@@ -402,10 +402,10 @@
 		x.Name = strconv.Itoa(i)
 		all = append(all, x)
 	}
-	m := New(Terms{Me: 5, Of: 12, Voters: 3, Life: 1, Limits: all}, 1)
+	m := New(Config{Self: 5, Members: 12, Voters: 3, Incarnation: 1, Limits: all}, 1)
 	b.ReportAllocs()
 	for i := range b.N {
-		m.Tick(int64(i) * TickEvery)
+		m.Tick(int64(i) * TickInterval)
 		for _, _, ok := m.Next(); ok; _, _, ok = m.Next() {
 		}
 	}
@@ -414,10 +414,10 @@
 func BenchmarkAsked(b *testing.B) {
 	x := strict
 	x.Units = 5000
-	m := New(Terms{Of: 2000, Voters: 1, Life: 1, Limits: []Limit{x}}, 1)
+	m := New(Config{Members: 2000, Voters: 1, Incarnation: 1, Limits: []Limit{x}}, 1)
 	now := int64(1)
 	for range 400 {
-		now += TickEvery
+		now += TickInterval
 		m.Tick(now)
 	}
 	l := m.limits[0]
@@ -425,26 +425,26 @@
 	for i := range b.N {
 		it := Item{Kind: Ask, Limit: l.id, Term: l.own.term, Epoch: 1, Count: uint64(i + 1), Want: 3}
 		if i%4 == 0 { // 200 a second
-			now += TickEvery
+			now += TickInterval
 			m.Tick(now)
 		}
-		m.Heard(&Datagram{From: 1 + i%1999, Life: 1, Items: []Item{it}}, now)
+		m.Receive(&Datagram{From: 1 + i%1999, Life: 1, Items: []Item{it}}, now)
 		for _, _, ok := m.Next(); ok; _, _, ok = m.Next() {
 		}
 	}
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	x := Limit{Name: "x", RuleSet: "web", Units: 1 << 29, Per: ms, Lease: sec, Strict: true}
-	m := New(Terms{Me: 0, Of: 1, Voters: 1, Life: 1, Limits: []Limit{x}}, 1)
+	x := Limit{Name: "x", RuleSet: "web", Units: 1 << 29, Period: ms, LeaseDuration: sec, Strict: true}
+	m := New(Config{Self: 0, Members: 1, Voters: 1, Incarnation: 1, Limits: []Limit{x}}, 1)
 	now := int64(1)
 	for range 400 {
-		now += TickEvery
+		now += TickInterval
 		m.Tick(now)
 	}
 	m.limits[0].hold.line.left.Store(1 << 60)
 	m.limits[0].hold.line.until.Store(1 << 62)
-	book, s := m.Book(), Scope{"web", "acme"}
+	book, s := m.Limiter(), Scope{"web", "acme"}
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
--- a/fleet/lease/book.go
+++ b/fleet/lease/limiter.go
@@ -11,8 +11,8 @@
 // Scope is what a req is counted by.
 type Scope struct{ RuleSet, Tenant string }
 
-// Book is the limits in force. What was let in by one is given back to the same.
-type Book struct {
+// Limiter is the limits in force. What was let in by one is given back to the same.
+type Limiter struct {
 	lines []*line
 	tick  *atomic.Int64
 }
@@ -28,13 +28,13 @@
 }
 
 func newLine(l *Limit) *line {
-	return &line{scope: Scope{l.RuleSet, l.Tenant}, flight: l.Kind == Flight, per: l.Per,
-		retry: l.Lease / renewals}
+	return &line{scope: Scope{l.RuleSet, l.Tenant}, flight: l.Kind == InFlight, per: l.Period,
+		retry: l.LeaseDuration / renewals}
 }
 
 // publish puts the limits before the req path.
 func (m *Member) publish(now int64) {
-	b := &Book{tick: &m.tick}
+	b := &Limiter{tick: &m.tick}
 	for _, l := range m.limits {
 		m.show(l, now)
 		b.lines = append(b.lines, l.hold.line)
@@ -43,8 +43,8 @@
 	m.book.Store(b)
 }
 
-// Book is the limits in force. Any goroutine may ask for it.
-func (m *Member) Book() *Book { return m.book.Load() }
+// Limiter is the limits in force. Any goroutine may ask for it.
+func (m *Member) Limiter() *Limiter { return m.book.Load() }
 
 func (x *line) meets(s Scope) bool {
 	return (x.scope.RuleSet == "" || x.scope.RuleSet == s.RuleSet) &&
@@ -54,7 +54,7 @@
 // Admit says whether a req may come in by all limits that it meets, or for how many ns its client is to stay
 // away. What it took is to be given back by Done. Any goroutine may call it; a clock that reads less than at
 // the latest tick lets nothing in.
-func (b *Book) Admit(s Scope, now int64) (ok bool, retry int64) {
+func (b *Limiter) Admit(s Scope, now int64) (ok bool, retry int64) {
 	fresh := now - b.tick.Load()
 	for i, x := range b.lines {
 		if !x.meets(s) {
@@ -78,7 +78,7 @@
 }
 
 // Done tells that a req that this book let in runs no more, nor will.
-func (b *Book) Done(s Scope) {
+func (b *Limiter) Done(s Scope) {
 	for _, x := range b.lines {
 		if x.flight && x.meets(s) {
 			x.open.Add(-1)
--- a/fleet/lease/owner.go
+++ b/fleet/lease/owner.go
@@ -47,8 +47,8 @@
 
 // linger is how long what runs may go on after its lease.
 func (m *Member) linger(l *limit) int64 {
-	if l.Kind == Flight {
-		return l.Linger + l.Linger*m.t.Drift*3/1e6
+	if l.Kind == InFlight {
+		return l.MaxRequestDuration + l.MaxRequestDuration*m.t.DriftPPM*3/1e6
 	}
 	return 0
 }
@@ -72,8 +72,8 @@
 // cry tells all members, a few at a time, who owns.
 func (m *Member) cry(l *limit) {
 	o := l.own
-	for end := min(m.t.Of, o.cried+criesMost); o.cried < end; o.cried++ {
-		m.post(o.cried, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Life, Use: m.t.Me})
+	for end := min(m.t.Members, o.cried+criesMost); o.cried < end; o.cried++ {
+		m.post(o.cried, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Self})
 	}
 }
 
@@ -82,16 +82,16 @@
 	o := l.own
 	switch {
 	case !m.owns(l, now):
-		if v := &l.vote; m.sure < v.end && v.to != m.t.Me {
+		if v := &l.vote; m.sure < v.end && v.to != m.t.Self {
 			m.post(from, l, Item{Kind: Hint, Term: v.term, Epoch: v.life, Use: v.to})
 		}
 		return
-	case it.Term != o.term || it.Epoch != m.t.Life:
-		m.post(from, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Life, Use: m.t.Me})
+	case it.Term != o.term || it.Epoch != m.t.Incarnation:
+		m.post(from, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Self})
 		return
 	}
 	h := &o.who[from]
-	old := life < h.life && m.sure < h.heard+m.lasts(l.Lease)+m.linger(l)
+	old := life < h.life && m.sure < h.heard+m.lasts(l.LeaseDuration)+m.linger(l)
 	if old || life == h.life && it.Count <= h.count {
 		m.Count.Late++
 		return
@@ -110,7 +110,7 @@
 		}
 		if h.life = life; it.Settled && !h.told {
 			h.told = true
-			if o.told++; o.told == m.t.Of {
+			if o.told++; o.told == m.t.Members {
 				o.ready = m.sure
 			}
 		}
@@ -122,12 +122,12 @@
 		all = min(all, o.pool)
 	}
 	h.count, h.want, h.heard = it.Count, min(it.Want, l.Units), m.sure
-	if o.parts == nil || m.sure-o.at >= int64(m.t.Of)*workApart {
+	if o.parts == nil || m.sure-o.at >= int64(m.t.Members)*workApart {
 		o.parts, o.at = m.shares(l), m.sure
 	}
 	n := min(o.parts[from], kept+max(0, all-out))
-	h.use, h.end = max(kept, n), m.sure+m.lasts(l.Lease)+m.linger(l)
-	m.post(from, l, Item{Kind: Grant, Term: o.term, Epoch: m.t.Life, Count: it.Count, Use: n,
+	h.use, h.end = max(kept, n), m.sure+m.lasts(l.LeaseDuration)+m.linger(l)
+	m.post(from, l, Item{Kind: Grant, Term: o.term, Epoch: m.t.Incarnation, Count: it.Count, Use: n,
 		Settled: m.sure >= o.ready})
 }
 
@@ -140,7 +140,7 @@
 	o, left := l.own, l.Units
 	for i := range o.who {
 		h := &o.who[i]
-		if h.life == 0 || m.sure-h.heard > l.Lease {
+		if h.life == 0 || m.sure-h.heard > l.LeaseDuration {
 			continue
 		}
 		w := 1
@@ -172,7 +172,7 @@
 			break // less than one for each is left
 		}
 	}
-	turn := int(m.sure / max(l.Lease, turns*l.Per))
+	turn := int(m.sure / max(l.LeaseDuration, turns*l.Period))
 	for _, to := range [...]func(p *part) bool{func(p *part) bool { return p.got < p.want },
 		func(p *part) bool { return p.want == 0 }} {
 		for k := 0; k < len(wants) && left > 0; k++ {
--- a/fleet/lease/rate_test.go
+++ b/fleet/lease/rate_test.go
@@ -5,7 +5,7 @@
 // holding makes a member of two that holds some units of a rate from another one, with a full bucket.
 func holdingMember(t *testing.T, units int) (m *Member, l *limit, now int64) {
 	t.Helper()
-	m = New(Terms{Me: 0, Of: 2, Voters: 2, Life: 1, Limits: []Limit{{Name: "one", Units: 6, Per: 250 * ms, Lease: 100 * sec, Strict: true}}}, sec)
+	m = New(Config{Self: 0, Members: 2, Voters: 2, Incarnation: 1, Limits: []Limit{{Name: "one", Units: 6, Period: 250 * ms, LeaseDuration: 100 * sec, Strict: true}}}, sec)
 	l, now = m.limits[0], sec
 	l.hold.owner, l.hold.term, l.hold.epoch = 1, 1, 1
 	for range 2 { // the first count begins with nothing
@@ -45,18 +45,18 @@
 	const units = 3
 	for phase := int64(0); phase < 250; phase += 10 {
 		m, l, now := holdingMember(t, units)
-		for end := now + sec + phase*ms; now < end; now += TickEvery {
+		for end := now + sec + phase*ms; now < end; now += TickInterval {
 			m.count(l, now)
 			m.show(l, now)
 		}
 		var admitted []int64
 		for end := now + sec; now < end; now += ms {
-			if now%TickEvery == 0 {
+			if now%TickInterval == 0 {
 				m.count(l, now)
 				m.show(l, now)
 			}
 			m.tick.Store(now)
-			if ok, _ := m.Book().Admit(Scope{}, now); ok {
+			if ok, _ := m.Limiter().Admit(Scope{}, now); ok {
 				admitted = append(admitted, now)
 			}
 		}
@@ -70,7 +70,7 @@
 func TestUnitsAccrueFromWhenTheyCome(t *testing.T) {
 	m, l, now := holdingMember(t, 1)
 	for range 2 { // empty it
-		m.Book().Admit(Scope{}, now)
+		m.Limiter().Admit(Scope{}, now)
 	}
 	const late = 200 * ms
 	grant(t, m, l, 6, now+late)
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -56,7 +56,7 @@
 			l.own.who[from] = holding{}
 		}
 	}
-	p.Member.Heard(d, now)
+	p.Member.Receive(d, now)
 }
 
 func (p *process) Tick(now int64) {
@@ -123,7 +123,7 @@
 		p.asks, p.claim, p.let, p.tried = old.asks, old.claim, old.let, old.tried
 	}
 	of := len(w.Names)
-	p.Member = New(Terms{Me: place, Of: of, Voters: min(3, of), Life: life, Seed: 1, Drift: w.drift,
+	p.Member = New(Config{Self: place, Members: of, Voters: min(3, of), Incarnation: life, Seed: 1, DriftPPM: w.drift,
 		Limits: []Limit{w.limit}}, now)
 	w.procs[place] = p
 	return p
@@ -156,7 +156,7 @@
 			p.claim = n
 		case "limit":
 			if p.Member.limits[0].Units > n {
-				w.was, w.lowered = w.limit.Units, w.Now+p.lasts(w.limit.Lease)
+				w.was, w.lowered = w.limit.Units, w.Now+p.lasts(w.limit.LeaseDuration)
 			}
 			x := w.limit
 			x.Units = n
@@ -181,7 +181,7 @@
 	if w.Node(place) != nil && fresh >= 0 && fresh <= stale && now < x.until.Load() {
 		n = int(x.units.Load())
 	}
-	if l.Kind == Flight {
+	if l.Kind == InFlight {
 		at := 0
 		for _, r := range w.runs[place] {
 			if !r.done {
@@ -206,18 +206,18 @@
 	if w.Now < w.lowered {
 		n = max(n, w.was)
 	}
-	return n + w.limit.Over(len(w.Names))
+	return n + w.limit.MaxExcess(len(w.Names))
 }
 
 // Live has clients ask, and judges.
 func (w *world) Live() error {
-	rate := float64(w.limit.Units) / float64(max(1, w.limit.Per))
+	rate := float64(w.limit.Units) / float64(max(1, w.limit.Period))
 	w.level = min(float64(w.limit.Units), w.level+rate*float64(w.Now-w.seen))
 	for i, p := range w.procs {
 		for j := range w.runs[i] {
 			r := &w.runs[i][j]
 			if r.done = w.Now >= r.end; r.done && !(w.Stopped(i) && r.p == p) {
-				r.p.Book().Done(Scope{})
+				r.p.Limiter().Done(Scope{})
 				r.p = nil
 			}
 		}
@@ -225,24 +225,24 @@
 		if w.Node(i) == nil || w.Stopped(i) {
 			continue
 		}
-		if w.limit.Kind == Flight {
+		if w.limit.Kind == InFlight {
 			if n := p.asks - float64(len(w.runs[i])); n > 0 && w.Now/ms%10 == 0 {
 				p.due = n
 			}
 		} else if w.dice != nil {
-			if w.dice.Next() < p.asks*float64(w.Now-w.seen)/float64(w.limit.Per) {
+			if w.dice.Next() < p.asks*float64(w.Now-w.seen)/float64(w.limit.Period) {
 				p.due = 1
 			}
 		} else {
-			p.due += p.asks * float64(w.Now-w.seen) / float64(w.limit.Per)
+			p.due += p.asks * float64(w.Now-w.seen) / float64(w.limit.Period)
 		}
 		for ; p.due >= 1; p.due-- {
 			p.tried++
-			if ok, _ := p.Book().Admit(Scope{}, w.Clock(i)); ok {
+			if ok, _ := p.Limiter().Admit(Scope{}, w.Clock(i)); ok {
 				p.let++
 				w.admitted++
 				w.level--
-				if w.limit.Kind == Flight {
+				if w.limit.Kind == InFlight {
 					w.runs[i] = append(w.runs[i], run{p: p, end: w.Now + w.runFor})
 				}
 			}
@@ -340,11 +340,11 @@
 		}
 		return or
 	}
-	x = Limit{Name: "one", Units: int(num("units", 9)), Per: num("per", 250) * ms, Strict: d.HasArg("strict"),
-		Lease: num("lease", 2000) * ms,
-		Floor: int(num("floor", 0)), Linger: num("linger", 1000) * ms}
+	x = Limit{Name: "one", Units: int(num("units", 9)), Period: num("per", 250) * ms, Strict: d.HasArg("strict"),
+		LeaseDuration: num("lease", 2000) * ms,
+		Floor:         int(num("floor", 0)), MaxRequestDuration: num("linger", 1000) * ms}
 	if d.HasArg("flight") {
-		x.Kind, x.Per = Flight, 0
+		x.Kind, x.Period = InFlight, 0
 	}
 	return x, num("drift", 100), uint64(num("seed", 1))
 }
--- a/fleet/lease/wire.go
+++ b/fleet/lease/wire.go
@@ -16,8 +16,8 @@
 const (
 	// Version is a datagram's first byte; that of package peer has another, so that both share a socket.
 	Version = 0x4c
-	// Most is the longest datagram, in bytes.
-	Most = 256
+	// MaxDatagramBytes is the longest datagram, in bytes.
+	MaxDatagramBytes = 256
 
 	head, tail, mostItems = 5, 4, 5
 	mostUnits             = 1 << 30
@@ -54,16 +54,16 @@
 	Items []Item `cbor:"3,keyasint"`
 }
 
-// ErrForm is told of what is no datagram of this fleet.
-var ErrForm = errors.New("not a datagram of leases")
+// ErrMalformed is told of what is no datagram of this fleet.
+var ErrMalformed = errors.New("not a datagram of leases")
 
 var encoder, decoder = strictcbor.Modes(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
 
 // Encode gives a datagram's bytes, ErrForm where they would be too many.
 func Encode(fleet uint32, d *Datagram) ([]byte, error) {
 	body, err := encoder.Marshal(d)
-	if err != nil || head+len(body)+tail > Most {
-		return nil, ErrForm
+	if err != nil || head+len(body)+tail > MaxDatagramBytes {
+		return nil, ErrMalformed
 	}
 	b := append(binary.BigEndian.AppendUint32([]byte{Version}, fleet), body...)
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b)), nil
@@ -71,20 +71,20 @@
 
 // Decode reads one whole, or ErrForm.
 func Decode(fleet uint32, b []byte) (d Datagram, err error) {
-	if len(b) <= head+tail || len(b) > Most || b[0] != Version || binary.BigEndian.Uint32(b[1:]) != fleet {
-		return d, ErrForm
+	if len(b) <= head+tail || len(b) > MaxDatagramBytes || b[0] != Version || binary.BigEndian.Uint32(b[1:]) != fleet {
+		return d, ErrMalformed
 	}
 	whole := b[:len(b)-tail]
 	sum := crc32.ChecksumIEEE(whole)
 	if binary.BigEndian.Uint32(b[len(whole):]) != sum || decoder.Unmarshal(whole[head:], &d) != nil {
-		return Datagram{}, ErrForm
+		return Datagram{}, ErrMalformed
 	}
 	bad := d.From < 0 || d.Life == 0
 	for _, it := range d.Items {
 		bad = bad || it.Want < 0 || it.Want > mostUnits || it.Use < 0 || it.Use > mostUnits
 	}
 	if bad {
-		return Datagram{}, ErrForm
+		return Datagram{}, ErrMalformed
 	}
 	return d, nil
 }
--- a/fleet/quorum/file.go
+++ b/fleet/quorum/logfile.go
@@ -37,22 +37,22 @@
 
 // OpenFile reads what was kept and goes on behind it. The end of a write that was cut short was never acted on and is taken off; where more
 // than an end cannot be read what is before it is older than what was promised: nothing is taken, and the member comes in anew.
-func OpenFile(path string) (*File, Kept, error) {
+func OpenFile(path string) (*File, PersistentState, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
-		return nil, Kept{}, err
+		return nil, PersistentState{}, err
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, Kept{}, err
+		return nil, PersistentState{}, err
 	}
 	b, err := io.ReadAll(f)
 	if err != nil {
 		_ = f.Close()
-		return nil, Kept{}, err
+		return nil, PersistentState{}, err
 	}
 	k, good, torn := read(b)
 	if good == 0 || !torn {
-		k, good = Kept{}, 0
+		k, good = PersistentState{}, 0
 	}
 	if err = f.Truncate(int64(good)); err == nil {
 		_, err = f.Seek(int64(good), io.SeekStart)
@@ -62,13 +62,13 @@
 	}
 	if err != nil {
 		_ = f.Close()
-		return nil, Kept{}, err
+		return nil, PersistentState{}, err
 	}
 	return &File{f}, k, nil
 }
 
 // read gives what is whole, how many bytes that is, and whether what is behind it is no more than the end of a write that was cut short.
-func read(b []byte) (k Kept, good int, torn bool) {
+func read(b []byte) (k PersistentState, good int, torn bool) {
 	if len(b) < len(title) || string(b[:len(title)]) != title {
 		return k, 0, len(b) < len(title)
 	}
@@ -88,7 +88,7 @@
 			return k, good, len(rest) == prefix+n
 		}
 		batch := Batch{ID: l.ID}
-		if batch.Hard.Unmarshal(l.Hard) != nil {
+		if batch.HardState.Unmarshal(l.Hard) != nil {
 			return k, good, false
 		}
 		for _, e := range l.Entries {
@@ -98,7 +98,7 @@
 			}
 			batch.Entries = append(batch.Entries, x)
 		}
-		k.Keep(&batch)
+		k.Apply(&batch)
 		good += prefix + n
 	}
 }
@@ -107,7 +107,7 @@
 func (x *File) Write(b *Batch) error {
 	l := line{ID: b.ID}
 	var err error
-	if l.Hard, err = b.Hard.Marshal(); err != nil {
+	if l.Hard, err = b.HardState.Marshal(); err != nil {
 		return err
 	}
 	for _, e := range b.Entries {
--- a/fleet/quorum/file_test.go
+++ b/fleet/quorum/logfile_test.go
@@ -10,14 +10,14 @@
 )
 
 func batches() (all []Batch) {
-	return []Batch{{ID: 7}, {Hard: raftpb.HardState{Term: 2, Vote: 7, Commit: 1}, Entries: []raftpb.Entry{{Index: 2, Term: 2, Data: []byte("a")}, {Index: 3, Term: 2}}},
-		{Hard: raftpb.HardState{Term: 3, Vote: 7, Commit: 2}, Entries: []raftpb.Entry{{Index: 3, Term: 3, Data: []byte("b")}}}}
+	return []Batch{{ID: 7}, {HardState: raftpb.HardState{Term: 2, Vote: 7, Commit: 1}, Entries: []raftpb.Entry{{Index: 2, Term: 2, Data: []byte("a")}, {Index: 3, Term: 2}}},
+		{HardState: raftpb.HardState{Term: 3, Vote: 7, Commit: 2}, Entries: []raftpb.Entry{{Index: 3, Term: 3, Data: []byte("b")}}}}
 }
 
 // However a write was cut short, what was written before is whole; a file damaged further up counts as lost.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plans", "log")
-	var want []Kept
+	var want []PersistentState
 	var ends []int
 	f, k, err := OpenFile(path)
 	if err != nil || k.ID != 0 {
@@ -27,8 +27,8 @@
 		if err := f.Write(&b); err != nil {
 			t.Fatal(err)
 		}
-		k.Keep(&b)
-		want = append(want, Kept{k.ID, k.Hard, append([]raftpb.Entry{}, k.Entries...)})
+		k.Apply(&b)
+		want = append(want, PersistentState{k.ID, k.HardState, append([]raftpb.Entry{}, k.Entries...)})
 		info, _ := os.Stat(path)
 		ends = append(ends, int(info.Size()))
 	}
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	for n := range len(whole) + 1 {
-		var at Kept
+		var at PersistentState
 		for i, end := range ends {
 			if n >= end {
 				at = want[i]
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		if got.ID != at.ID || !reflect.DeepEqual(got.Hard, at.Hard) || len(got.Entries) != len(at.Entries) {
+		if got.ID != at.ID || !reflect.DeepEqual(got.HardState, at.HardState) || len(got.Entries) != len(at.Entries) {
 			t.Fatalf("of %d bytes: got %+v, want %+v", n, got, at)
 		}
 	}
--- a/fleet/quorum/quorum.go
+++ b/fleet/quorum/quorum.go
@@ -31,19 +31,19 @@
 // ErrNoLeader is told where nothing can be proposed here.
 var ErrNoLeader = errors.New("this member does not lead")
 
-// Terms is what a member is told.
-type Terms struct {
-	Me, Of int
-	Voters int    // the first so many places vote from the start; the others follow
-	Life   uint64 // another at each start of this member
-	Seed   uint64
+// Config is what a member is told.
+type Config struct {
+	Self, Members int
+	Voters        int    // the first so many places vote from the start; the others follow
+	Incarnation   uint64 // another at each start of this member
+	Seed          uint64
 }
 
-// Kept is what a member has written down.
-type Kept struct {
-	ID      uint64 // number under which it takes part; 0: nothing is written down
-	Hard    raftpb.HardState
-	Entries []raftpb.Entry
+// PersistentState is what a member has written down.
+type PersistentState struct {
+	ID        uint64 // number under which it takes part; 0: nothing is written down
+	HardState raftpb.HardState
+	Entries   []raftpb.Entry
 }
 
 // Entry is a command that was agreed on.
@@ -54,15 +54,15 @@
 
 // Batch is what is to be done now: write down, then send and apply, then call Written.
 type Batch struct {
-	ID      uint64 // 0: as it is. With another all that was agreed on is handed over again, from the start
-	Hard    raftpb.HardState
-	Entries []raftpb.Entry
-	Sends   []Send
-	Agreed  []Entry
+	ID        uint64 // 0: as it is. With another all that was agreed on is handed over again, from the start
+	HardState raftpb.HardState
+	Entries   []raftpb.Entry
+	Messages  []Message
+	Committed []Entry
 }
 
-// Send is a message for a member.
-type Send struct {
+// Message is a message for a member.
+type Message struct {
 	To   int
 	Body []byte
 }
@@ -81,7 +81,7 @@
 
 // Node is one member's.
 type Node struct {
-	t       Terms
+	t       Config
 	id      uint64        // 0: it has none yet
 	raw     *raft.RawNode // nil until it has
 	store   *raft.MemoryStorage
@@ -94,27 +94,27 @@
 	wait    int    // ticks until it stands for election
 	ticks   int
 	joins   map[int]uint64 // newcomers by place; emptied as they are in
-	out     []Send         // beside Raft's
+	out     []Message      // beside Raft's
 	pending raft.Ready
 	ready   bool // pending is one
 	busy    bool
 }
 
 // New begins with what was written down.
-func New(t Terms, k Kept) (*Node, error) {
-	n := &Node{t: t, dice: rng.Source{Seed: t.Seed ^ uint64(t.Me+1)<<40}, joins: map[int]uint64{}}
+func New(t Config, k PersistentState) (*Node, error) {
+	n := &Node{t: t, dice: rng.Source{Seed: t.Seed ^ uint64(t.Self+1)<<40}, joins: map[int]uint64{}}
 	n.rest()
 	switch {
 	case k.ID != 0:
 		return n, n.open(k)
-	case t.Me >= t.Voters:
+	case t.Self >= t.Voters:
 		return n, n.newcomer()
 	}
 	return n, nil
 }
 
 // open begins to take part under a number.
-func (n *Node) open(k Kept) error {
+func (n *Node) open(k PersistentState) error {
 	n.store, n.conf = raft.NewMemoryStorage(), raftpb.ConfState{}
 	for i := range n.t.Voters {
 		n.conf.Voters = append(n.conf.Voters, uint64(i+1))
@@ -122,8 +122,8 @@
 	if err := n.store.ApplySnapshot(raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: n.conf}}); err != nil {
 		return err
 	}
-	if !raft.IsEmptyHardState(k.Hard) {
-		if err := n.store.SetHardState(k.Hard); err != nil {
+	if !raft.IsEmptyHardState(k.HardState) {
+		if err := n.store.SetHardState(k.HardState); err != nil {
 			return err
 		}
 	}
@@ -142,7 +142,7 @@
 // newcomer takes a number that nobody has had.
 func (n *Node) newcomer() error {
 	n.vowed = true
-	return n.open(Kept{ID: uint64(n.t.Me+1) | n.t.Life<<placeBits})
+	return n.open(PersistentState{ID: uint64(n.t.Self+1) | n.t.Incarnation<<placeBits})
 }
 
 // place is that of a number.
@@ -159,11 +159,11 @@
 // in says whether its number takes part at all.
 func (n *Node) in() bool { return n.votes() || slices.Contains(n.conf.Learners, n.id) }
 
-// Lost says whether this member has lost what it had written down, and came in as another.
-func (n *Node) Lost() bool { return n.lost }
+// LostState says whether this member has lost what it had written down, and came in as another.
+func (n *Node) LostState() bool { return n.lost }
 
-// Leads says whether this member leads, and in which term.
-func (n *Node) Leads() (bool, uint64) {
+// IsLeader says whether this member leads, and in which term.
+func (n *Node) IsLeader() (bool, uint64) {
 	if n.raw == nil {
 		return false, 0
 	}
@@ -186,7 +186,7 @@
 		n.hello()
 		return
 	}
-	if leads, _ := n.Leads(); leads {
+	if leads, _ := n.IsLeader(); leads {
 		n.raw.Tick()
 		n.admit()
 		return
@@ -194,9 +194,9 @@
 	n.raw.TickQuiesced()
 	if !n.in() && n.ticks%joinEvery == 0 {
 		b := binary.BigEndian.AppendUint64([]byte{byJoin}, n.id)
-		for i := range n.t.Of {
-			if i != n.t.Me && n.isVoter(i) {
-				n.out = append(n.out, Send{i, b})
+		for i := range n.t.Members {
+			if i != n.t.Self && n.isVoter(i) {
+				n.out = append(n.out, Message{i, b})
 			}
 		}
 	}
@@ -246,10 +246,10 @@
 
 // hello tells the other voters what this one has seen.
 func (n *Node) hello() {
-	n.see(n.t.Me, n.seen)
+	n.see(n.t.Self, n.seen)
 	for i := range n.t.Voters {
-		if i != n.t.Me {
-			n.out = append(n.out, Send{i, n.greeting()})
+		if i != n.t.Self {
+			n.out = append(n.out, Message{i, n.greeting()})
 		}
 	}
 }
@@ -271,7 +271,7 @@
 		n.all |= 1 << who
 	}
 	if n.seen == n.everybody() {
-		n.all |= 1 << n.t.Me
+		n.all |= 1 << n.t.Self
 	}
 	if n.all == n.everybody() {
 		n.begin()
@@ -280,7 +280,7 @@
 
 // begin ends the first gathering: all voters were there at once with nothing written down, so that none has ever voted.
 func (n *Node) begin() {
-	if n.raw == nil && n.open(Kept{ID: uint64(n.t.Me + 1)}) == nil {
+	if n.raw == nil && n.open(PersistentState{ID: uint64(n.t.Self + 1)}) == nil {
 		n.vowed = true
 		n.rest()
 	}
@@ -288,14 +288,14 @@
 
 // Step takes a message of another; one that is not of the form is dropped.
 func (n *Node) Step(from int, b []byte) {
-	if len(b) < 2 || from < 0 || from >= n.t.Of || from == n.t.Me {
+	if len(b) < 2 || from < 0 || from >= n.t.Members || from == n.t.Self {
 		return
 	}
 	switch b[0] {
 	case byHello:
 		n.greeted(from, b[1:])
 	case byJoin:
-		if leads, _ := n.Leads(); leads && len(b) == 9 {
+		if leads, _ := n.IsLeader(); leads && len(b) == 9 {
 			if id := binary.BigEndian.Uint64(b[1:]); place(id) == from {
 				n.joins[from] = id
 			}
@@ -339,7 +339,7 @@
 	seen := binary.BigEndian.Uint64(b[1:])
 	switch begun := b[0] == 1; {
 	case n.raw != nil && !begun:
-		n.out = append(n.out, Send{from, n.greeting()})
+		n.out = append(n.out, Message{from, n.greeting()})
 	case n.raw != nil:
 	case begun && n.seen == n.everybody():
 		n.begin() // it was there as well
@@ -353,14 +353,14 @@
 
 // Propose puts a command to be agreed on, where this member leads.
 func (n *Node) Propose(data []byte) error {
-	if leads, _ := n.Leads(); !leads {
+	if leads, _ := n.IsLeader(); !leads {
 		return ErrNoLeader
 	}
 	return n.raw.Propose(data)
 }
 
-// HandOn gives the lead to another voter, as before this member ends.
-func (n *Node) HandOn(to int) {
+// TransferLeadership gives the lead to another voter, as before this member ends.
+func (n *Node) TransferLeadership(to int) {
 	if n.raw == nil {
 		return
 	}
@@ -380,13 +380,13 @@
 	if n.vowed {
 		b.ID, n.vowed = n.id, false
 	}
-	b.Sends, n.out = n.out, nil
+	b.Messages, n.out = n.out, nil
 	if n.ready = has; has {
 		n.pending = n.raw.Ready()
-		b.Hard, b.Entries = n.pending.HardState, n.pending.Entries
+		b.HardState, b.Entries = n.pending.HardState, n.pending.Entries
 		for _, m := range n.pending.Messages {
 			if body, err := m.Marshal(); err == nil {
-				b.Sends = append(b.Sends, Send{place(m.To), append([]byte{byRaft}, body...)})
+				b.Messages = append(b.Messages, Message{place(m.To), append([]byte{byRaft}, body...)})
 			}
 		}
 		for _, e := range n.pending.CommittedEntries {
@@ -407,12 +407,12 @@
 	case e.Type == raftpb.EntryConfChange && v1.Unmarshal(e.Data) == nil:
 		n.conf = *n.raw.ApplyConfChange(v1)
 	case e.Type == raftpb.EntryNormal && len(e.Data) > 0:
-		b.Agreed = append(b.Agreed, Entry{e.Index, e.Term, e.Data})
+		b.Committed = append(b.Committed, Entry{e.Index, e.Term, e.Data})
 	}
 }
 
-// Written tells that what the latest batch had to be written down is, and that the rest of it was done.
-func (n *Node) Written() {
+// Advance tells that what the latest batch had to be written down is, and that the rest of it was done.
+func (n *Node) Advance() {
 	n.busy = false
 	if !n.ready {
 		return
@@ -425,13 +425,13 @@
 	n.raw.Advance(n.pending)
 }
 
-// Keep adds a batch to what was kept, as one that reads it again finds it. With another number all before is void.
-func (k *Kept) Keep(b *Batch) {
+// Apply adds a batch to what was kept, as one that reads it again finds it. With another number all before is void.
+func (k *PersistentState) Apply(b *Batch) {
 	if b.ID != 0 {
-		*k = Kept{ID: b.ID}
+		*k = PersistentState{ID: b.ID}
 	}
-	if !raft.IsEmptyHardState(b.Hard) {
-		k.Hard = b.Hard
+	if !raft.IsEmptyHardState(b.HardState) {
+		k.HardState = b.HardState
 	}
 	for _, e := range b.Entries { // a later entry of a place takes that of an earlier term, and all behind it
 		i := slices.IndexFunc(k.Entries, func(x raftpb.Entry) bool { return x.Index >= e.Index })
@@ -442,12 +442,12 @@
 	}
 }
 
-// Waits says whether this member is not in yet: it waits for others, at rest too.
-func (n *Node) Waits() bool { return n.raw == nil || !n.in() }
+// Joining says whether this member is not in yet: it waits for others, at rest too.
+func (n *Node) Joining() bool { return n.raw == nil || !n.in() }
 
-// Idle says whether a message keeps nobody awake: greetings, and what a leader and its followers tell each other while nothing is to be
+// IsIdleMessage says whether a message keeps nobody awake: greetings, and what a leader and its followers tell each other while nothing is to be
 // agreed on.
-func Idle(b []byte) bool {
+func IsIdleMessage(b []byte) bool {
 	if len(b) == 0 || b[0] == byHello {
 		return true
 	}
--- a/fleet/quorum/quorum_test.go
+++ b/fleet/quorum/quorum_test.go
@@ -11,7 +11,7 @@
 type cluster struct {
 	of, voters int
 	nodes      []*Node // nil: dead
-	kept       []Kept
+	kept       []PersistentState
 	wires      []wire
 	applied    [][]string
 	cut        map[[2]int]bool // nothing passes from one to another
@@ -26,7 +26,7 @@
 }
 
 func newCluster(of, voters int) *cluster {
-	c := &cluster{of: of, voters: voters, nodes: make([]*Node, of), kept: make([]Kept, of), applied: make([][]string, of), cut: map[[2]int]bool{}}
+	c := &cluster{of: of, voters: voters, nodes: make([]*Node, of), kept: make([]PersistentState, of), applied: make([][]string, of), cut: map[[2]int]bool{}}
 	for i := range of {
 		c.start(i)
 	}
@@ -35,7 +35,7 @@
 
 func (c *cluster) start(i int) {
 	c.lives++
-	n, err := New(Terms{Me: i, Of: c.of, Voters: c.voters, Life: c.lives, Seed: 5}, c.kept[i])
+	n, err := New(Config{Self: i, Members: c.of, Voters: c.voters, Incarnation: c.lives, Seed: 5}, c.kept[i])
 	if err != nil {
 		panic(err)
 	}
@@ -43,7 +43,7 @@
 }
 
 // lose empties a member's folder.
-func (c *cluster) lose(i int) { c.kept[i] = Kept{} }
+func (c *cluster) lose(i int) { c.kept[i] = PersistentState{} }
 
 func (c *cluster) work(i int) {
 	n := c.nodes[i]
@@ -55,14 +55,14 @@
 		if b.ID != 0 { // it is another now: what was agreed on comes again from the start
 			c.applied[i] = nil
 		}
-		c.kept[i].Keep(&b)
-		for _, s := range b.Sends {
+		c.kept[i].Apply(&b)
+		for _, s := range b.Messages {
 			c.wires = append(c.wires, wire{i, s.To, s.Body})
 		}
-		for _, e := range b.Agreed {
+		for _, e := range b.Committed {
 			c.apply(i, fmt.Sprintf("%d %d %s", e.Index, e.Term, e.Data))
 		}
-		n.Written()
+		n.Advance()
 	}
 }
 
@@ -110,7 +110,7 @@
 func (c *cluster) leader() int {
 	for i, n := range c.nodes {
 		if n != nil {
-			if leads, _ := n.Leads(); leads {
+			if leads, _ := n.IsLeader(); leads {
 				return i
 			}
 		}
@@ -181,8 +181,8 @@
 	c.lose(lost)
 	c.start(lost)
 	c.calm(60)
-	if !c.nodes[lost].Lost() || len(c.applied[lost]) != 1 || !c.propose("b") {
-		t.Fatalf("lost %v, applied %v", c.nodes[lost].Lost(), c.applied[lost])
+	if !c.nodes[lost].LostState() || len(c.applied[lost]) != 1 || !c.propose("b") {
+		t.Fatalf("lost %v, applied %v", c.nodes[lost].LostState(), c.applied[lost])
 	}
 	if c.calm(30); !c.nodes[lost].votes() {
 		t.Error("it does not vote again")
@@ -224,8 +224,8 @@
 	c.nodes[who], c.kept[who] = nil, old
 	c.start(who)
 	c.calm(100)
-	if !c.nodes[who].Lost() || len(c.applied[who]) != 6 || c.broken != "" {
-		t.Errorf("lost %v, applied %v; %s", c.nodes[who].Lost(), c.applied[who], c.broken)
+	if !c.nodes[who].LostState() || len(c.applied[who]) != 6 || c.broken != "" {
+		t.Errorf("lost %v, applied %v; %s", c.nodes[who].LostState(), c.applied[who], c.broken)
 	}
 }
 
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -17,7 +17,7 @@
 // limits is the event loop's state of the fleet-wide limits.
 type limits struct {
 	*lease.Member
-	terms        lease.Terms
+	terms        lease.Config
 	lastTick     int64
 	timer        *timer
 	badDatagrams int64 // undecodable datagrams and those with a wrong sender
@@ -32,9 +32,9 @@
 // reconfigureLimits applies new limits. If the members changed, the core starts anew, after what was held is given
 // back.
 func (p *Proxy) reconfigureLimits(cfg *FleetConfig, now int64) {
-	var terms lease.Terms
+	var terms lease.Config
 	if cfg != nil && len(cfg.Limits) > 0 {
-		terms = lease.Terms{Me: cfg.Terms.Me, Of: len(cfg.Peers), Voters: cfg.Voters, Drift: cfg.Drift,
+		terms = lease.Config{Self: cfg.Terms.Me, Members: len(cfg.Peers), Voters: cfg.Voters, DriftPPM: cfg.Drift,
 			Limits: cfg.Limits}
 	}
 	if l := p.limits; l != nil {
@@ -46,11 +46,11 @@
 		}
 		p.releaseLimits(now)
 	}
-	if terms.Of == 0 {
+	if terms.Members == 0 {
 		return
 	}
 	l := &limits{terms: terms, lastTick: now}
-	terms.Life, terms.Seed = swim.LifeOf(now), p.terms.Seed^4
+	terms.Incarnation, terms.Seed = swim.LifeOf(now), p.terms.Seed^4
 	l.Member = lease.New(terms, now)
 	p.limits = l
 	p.tickLimits(now)
@@ -75,7 +75,7 @@
 	l.lastTick = now
 	p.sendLimits()
 	p.stop(l.timer)
-	l.timer = p.after(now, lease.TickEvery, p.tickLimits)
+	l.timer = p.after(now, lease.TickInterval, p.tickLimits)
 }
 
 // handleLimitDatagram handles a datagram of the lease protocol.
@@ -90,7 +90,7 @@
 		l.badDatagrams++
 		return
 	}
-	l.Heard(&d, now)
+	l.Receive(&d, now)
 	p.sendLimits()
 }
 
@@ -122,7 +122,7 @@
 		p.tickLimits(now)
 		now = p.now()
 	}
-	book := l.Book()
+	book := l.Limiter()
 	admitted, retryAfter := book.Admit(lease.Scope{RuleSet: r.msg.RuleSet, Tenant: r.msg.Tenant}, now)
 	if admitted {
 		r.limitBook = book
