--- a/fleet/shed/shed_test.go
+++ b/fleet/shed/shed_test.go
@@ -4,13 +4,13 @@
 	"math"
 	"testing"
 
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
 )
 
 // four rule sets of rising worth, one tenant.
 func four() Terms { return Terms{Values: []float64{1, 2, 4, 8}, Shares: []float64{1}, Over: 0.2} }
 
-func offer(c *Cut, by ...float64) (l fold.Load) {
+func offer(c *Cut, by ...float64) (l aggregate.Load) {
 	for set, x := range by {
 		l.Offered[c.Class(set, 0)] += x
 	}
@@ -24,7 +24,7 @@
 	now   int64
 }
 
-func (o *overload) step(l fold.Load) {
+func (o *overload) step(l aggregate.Load) {
 	o.now += 250 * ms
 	let := 0.0
 	for i, x := range l.Offered {
@@ -34,7 +34,7 @@
 		let += x
 	}
 	l.Served = min(let, o.bears)
-	l.Lacked = let - l.Served
+	l.Unserved = let - l.Served
 	o.c.Step(&l, 12, o.now)
 }
 
@@ -94,7 +94,7 @@
 			c := New(four())
 			c.Calm = x.calm
 			l := offer(c, 40, 30, 20, 10)
-			l.Served, l.Lacked, l.Limits, l.Limit = 70, 30, x.of, 100*x.of
+			l.Served, l.Unserved, l.LimitCount, l.Limit = 70, 30, x.of, 100*x.of
 			for now := sec; now <= sec+x.after; now += 250 * ms {
 				c.Step(&l, 12, now)
 			}
@@ -108,7 +108,7 @@
 // Within its share a tenant's reqs go before those that another asks past its own, of whatever value within the same worth.
 func TestShares(t *testing.T) {
 	o := &overload{c: New(Terms{Values: []float64{1}, Shares: []float64{0.7, 0.3}, Over: 0.2}), bears: 100, now: sec}
-	var l fold.Load
+	var l aggregate.Load
 	l.Offered[o.c.Class(0, 0)], l.Offered[o.c.Class(0, 1)] = 60, 120
 	for range 120 {
 		o.step(l)
@@ -140,7 +140,7 @@
 	c := New(four())
 	c.Calm = 0.1
 	l := offer(c, 72, 54, 36, 18)
-	l.Served, l.Lacked = 100, 80
+	l.Served, l.Unserved = 100, 80
 	c.Step(&l, 12, 1)
 	c.Step(&l, 12, sec)
 	half := offer(c, 36, 27, 18, 9)
@@ -149,7 +149,7 @@
 	if math.Abs(c.Part-100.0/180) > 0.02 {
 		t.Errorf("part %.2f let in by a half", c.Part)
 	}
-	l.Lacked = 0
+	l.Unserved = 0
 	c.Step(&l, 12, sec+500*ms)
 	if math.Abs(c.Part-100.0/180) > 0.03 {
 		t.Errorf("part %.2f let in after", c.Part)
@@ -164,7 +164,7 @@
 	c := New(many)
 	for set := range 40 {
 		for tenant := range 40 {
-			if x := c.Class(set, tenant); x < 0 || x >= fold.Classes {
+			if x := c.Class(set, tenant); x < 0 || x >= aggregate.Classes {
 				t.Fatalf("class %d", x)
 			}
 		}
@@ -183,7 +183,7 @@
 	if s.Left() != 9 {
 		t.Errorf("%d left of 95 first ones, want 9", s.Left())
 	}
-	own := fold.Load{First: 10}
+	own := aggregate.Load{First: 10}
 	s.Step(&own, &own, sec) // alone: what it has saved up is a short burst
 	if s.Left() != 2 {
 		t.Errorf("%d left after a step, want no more than a burst", s.Left())
@@ -192,8 +192,8 @@
 		s.Further()
 	}
 	// One that wants more gets a part of what others leave; those that want nothing get nothing.
-	all := fold.Load{First: 110, Wanted: 20}
-	want := fold.Load{First: 10, Wanted: 20}
+	all := aggregate.Load{First: 110, RetriesWanted: 20}
+	want := aggregate.Load{First: 10, RetriesWanted: 20}
 	for i := range int64(10) {
 		s.Step(&all, &want, sec+(i+1)*100*ms)
 	}
@@ -211,7 +211,7 @@
 	// Where most dispatches of the fleet fail there is no further one.
 	s.First()
 	s.tokens = 5
-	bad := fold.Load{First: 100, Failed: 60}
+	bad := aggregate.Load{First: 100, Failed: 60}
 	if s.Step(&bad, &own, 5*sec); s.Left() != 0 {
 		t.Errorf("%d left while all fail", s.Left())
 	}
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -34,7 +34,7 @@
 func (p *Proxy) reconfigureLimits(cfg *FleetConfig, now int64) {
 	var terms lease.Config
 	if cfg != nil && len(cfg.Limits) > 0 {
-		terms = lease.Config{Self: cfg.Terms.Me, Members: len(cfg.Peers), Voters: cfg.Voters, DriftPPM: cfg.Drift,
+		terms = lease.Config{Self: cfg.Terms.Index, Members: len(cfg.Peers), Voters: cfg.Voters, DriftPPM: cfg.Drift,
 			Limits: cfg.Limits}
 	}
 	if l := p.limits; l != nil {
@@ -50,7 +50,7 @@
 		return
 	}
 	l := &limits{terms: terms, lastTick: now}
-	terms.Incarnation, terms.Seed = swim.LifeOf(now), p.terms.Seed^4
+	terms.Incarnation, terms.Seed = swim.IncarnationAt(now), p.terms.Seed^4
 	l.Member = lease.New(terms, now)
 	p.limits = l
 	p.tickLimits(now)
