--- a/fleet/crew/crew.go
+++ b/fleet/crew/crew.go
@@ -114,7 +114,7 @@
 
 // New begins with what was written down.
 func New(t Terms, k quorum.PersistentState, now int64) (*Crew, error) {
-	n, err := quorum.New(quorum.Config{Self: t.Me, Members: t.Of, Voters: t.Voters, Incarnation: t.Life, Seed: t.Seed}, k)
+	n, err := quorum.New(quorum.Config{Index: t.Me, Members: t.Of, Voters: t.Voters, Incarnation: t.Life, Seed: t.Seed}, k)
 	return &Crew{t: t, node: n, state: &order.State{}, reports: map[int]heard{}, wakeful: now + awake, leader: -1}, err
 }
 
--- a/fleet/lease/election.go
+++ b/fleet/lease/election.go
@@ -42,7 +42,7 @@
 // stood answers one that would own.
 func (m *Member) stood(l *limit, from int, life uint64, it Item) {
 	v := &l.vote
-	if m.t.Self >= m.t.Voters || from >= m.t.Voters || m.sure < v.mute {
+	if m.t.Index >= m.t.Voters || from >= m.t.Voters || m.sure < v.mute {
 		return
 	}
 	if it.Term < v.seen || m.sure < v.end && (v.to != from || v.life != life) {
@@ -50,8 +50,8 @@
 		return
 	}
 	if it.Count == 0 {
-		if l.bid.on && from != m.t.Self { // both would: the one of lower rank goes on
-			if l.rank[from] > l.rank[m.t.Self] {
+		if l.bid.on && from != m.t.Index { // both would: the one of lower rank goes on
+			if l.rank[from] > l.rank[m.t.Index] {
 				m.post(from, l, Item{Kind: Refuse, Term: v.seen})
 				return
 			}
@@ -114,7 +114,7 @@
 // stand tries to own a limit that nobody seems to, and stays its owner.
 func (m *Member) stand(l *limit, now int64) {
 	b, v := &l.bid, &l.vote
-	if m.t.Self >= m.t.Voters {
+	if m.t.Index >= m.t.Voters {
 		return
 	}
 	switch {
@@ -131,7 +131,7 @@
 		return
 	default:
 		b.on, b.from, b.count, b.would = true, m.sure, 0, 0
-		b.term = (max(v.seen, b.seen)>>6+1)<<6 | uint64(m.t.Self)
+		b.term = (max(v.seen, b.seen)>>6+1)<<6 | uint64(m.t.Index)
 		b.oks = slices.Repeat([]int64{never}, m.t.Voters)
 		m.say(l, Item{Kind: Stand, Term: b.term})
 		return
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -87,7 +87,7 @@
 
 func (g *graphState) start(i int, f flaw) {
 	g.lives[i]++
-	t := Config{Self: i, Members: three, Voters: three, Incarnation: g.lives[i], DriftPPM: 100, Limits: []Limit{walked}}
+	t := Config{Index: i, Members: three, Voters: three, Incarnation: g.lives[i], DriftPPM: 100, Limits: []Limit{walked}}
 	g.procs[i] = &process{Member: New(t, g.now), flaw: f}
 }
 
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -74,7 +74,7 @@
 
 // Config is what a member is told.
 type Config struct {
-	Self, Members int
+	Index, Members int
 	Voters        int    // the first so many places
 	Incarnation   uint64 // another, later one at each start
 	Seed          uint64
@@ -117,7 +117,7 @@
 
 // New begins. Nothing is known of an earlier life: what that may have promised is waited for.
 func New(t Config, now int64) *Member {
-	m := &Member{t: t, last: now, dice: rng.Source{Seed: t.Seed ^ uint64(t.Self+1)<<40 ^ t.Incarnation}}
+	m := &Member{t: t, last: now, dice: rng.Source{Seed: t.Seed ^ uint64(t.Index+1)<<40 ^ t.Incarnation}}
 	m.Limits(t.Limits, now)
 	return m
 }
@@ -164,10 +164,10 @@
 
 // late is by how much this member waits for those that stand before it.
 func (m *Member) late(l *limit) int64 {
-	if m.t.Self >= m.t.Voters {
+	if m.t.Index >= m.t.Voters {
 		return 0
 	}
-	return l.rank[m.t.Self] * standApart
+	return l.rank[m.t.Index] * standApart
 }
 
 // clock lets time pass. A clock that was set back voids all that is held here by it.
@@ -202,7 +202,7 @@
 // counted.
 func (m *Member) Receive(d *Datagram, now int64) {
 	m.clock(now)
-	if d.From == m.t.Self || d.From < 0 || d.From >= m.t.Members {
+	if d.From == m.t.Index || d.From < 0 || d.From >= m.t.Members {
 		m.Count.Place++
 		return
 	}
@@ -217,7 +217,7 @@
 	for len(m.self) > 0 {
 		it := m.self[0]
 		m.self = m.self[1:]
-		m.take(m.t.Self, m.t.Incarnation, it, now)
+		m.take(m.t.Index, m.t.Incarnation, it, now)
 	}
 }
 
@@ -250,7 +250,7 @@
 
 func (m *Member) post(to int, l *limit, it Item) {
 	it.Limit = l.id
-	if to == m.t.Self {
+	if to == m.t.Index {
 		m.self = append(m.self, it)
 	} else {
 		m.todo = append(m.todo, post{to, it})
@@ -262,7 +262,7 @@
 	if len(m.todo) == 0 {
 		return 0, d, false
 	}
-	to, d = m.todo[0].to, Datagram{From: m.t.Self, Life: m.t.Incarnation}
+	to, d = m.todo[0].to, Datagram{From: m.t.Index, Life: m.t.Incarnation}
 	m.todo = slices.DeleteFunc(m.todo, func(p post) bool {
 		if p.to != to || len(d.Items) == mostItems {
 			return false
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -263,7 +263,7 @@
 	}
 	var all []*Member
 	for i := range 3 {
-		all = append(all, New(Config{Self: i, Members: 3, Voters: 3, Incarnation: 1, Limits: limits}, 0))
+		all = append(all, New(Config{Index: i, Members: 3, Voters: 3, Incarnation: 1, Limits: limits}, 0))
 	}
 	full := 0
 	now := int64(0)
@@ -297,7 +297,7 @@
 		held := 0
 		for _, m := range all {
 			if m.owns(m.limits[i], now) {
-				owners[m.t.Self]++
+				owners[m.t.Index]++
 				held++
 			}
 		}
@@ -324,7 +324,7 @@
 		if err != nil {
 			return
 		}
-		m := New(Config{Self: 0, Members: 3, Voters: 3, Incarnation: 1, Limits: []Limit{strict}}, 1)
+		m := New(Config{Index: 0, Members: 3, Voters: 3, Incarnation: 1, Limits: []Limit{strict}}, 1)
 		m.Receive(&d, 2)
 		m.Tick(3)
 		for _, out, ok := m.Next(); ok; _, out, ok = m.Next() {
@@ -402,7 +402,7 @@
 		x.Name = strconv.Itoa(i)
 		all = append(all, x)
 	}
-	m := New(Config{Self: 5, Members: 12, Voters: 3, Incarnation: 1, Limits: all}, 1)
+	m := New(Config{Index: 5, Members: 12, Voters: 3, Incarnation: 1, Limits: all}, 1)
 	b.ReportAllocs()
 	for i := range b.N {
 		m.Tick(int64(i) * TickInterval)
@@ -436,7 +436,7 @@
 
 func BenchmarkAdmit(b *testing.B) {
 	x := Limit{Name: "x", RuleSet: "web", Units: 1 << 29, Period: ms, LeaseDuration: sec, Strict: true}
-	m := New(Config{Self: 0, Members: 1, Voters: 1, Incarnation: 1, Limits: []Limit{x}}, 1)
+	m := New(Config{Index: 0, Members: 1, Voters: 1, Incarnation: 1, Limits: []Limit{x}}, 1)
 	now := int64(1)
 	for range 400 {
 		now += TickInterval
--- a/fleet/lease/owner.go
+++ b/fleet/lease/owner.go
@@ -73,7 +73,7 @@
 func (m *Member) cry(l *limit) {
 	o := l.own
 	for end := min(m.t.Members, o.cried+criesMost); o.cried < end; o.cried++ {
-		m.post(o.cried, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Self})
+		m.post(o.cried, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Index})
 	}
 }
 
@@ -82,12 +82,12 @@
 	o := l.own
 	switch {
 	case !m.owns(l, now):
-		if v := &l.vote; m.sure < v.end && v.to != m.t.Self {
+		if v := &l.vote; m.sure < v.end && v.to != m.t.Index {
 			m.post(from, l, Item{Kind: Hint, Term: v.term, Epoch: v.life, Use: v.to})
 		}
 		return
 	case it.Term != o.term || it.Epoch != m.t.Incarnation:
-		m.post(from, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Self})
+		m.post(from, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Index})
 		return
 	}
 	h := &o.who[from]
--- a/fleet/lease/rate_test.go
+++ b/fleet/lease/rate_test.go
@@ -5,7 +5,7 @@
 // holding makes a member of two that holds some units of a rate from another one, with a full bucket.
 func holdingMember(t *testing.T, units int) (m *Member, l *limit, now int64) {
 	t.Helper()
-	m = New(Config{Self: 0, Members: 2, Voters: 2, Incarnation: 1, Limits: []Limit{{Name: "one", Units: 6, Period: 250 * ms, LeaseDuration: 100 * sec, Strict: true}}}, sec)
+	m = New(Config{Index: 0, Members: 2, Voters: 2, Incarnation: 1, Limits: []Limit{{Name: "one", Units: 6, Period: 250 * ms, LeaseDuration: 100 * sec, Strict: true}}}, sec)
 	l, now = m.limits[0], sec
 	l.hold.owner, l.hold.term, l.hold.epoch = 1, 1, 1
 	for range 2 { // the first count begins with nothing
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -123,7 +123,7 @@
 		p.asks, p.claim, p.let, p.tried = old.asks, old.claim, old.let, old.tried
 	}
 	of := len(w.Names)
-	p.Member = New(Config{Self: place, Members: of, Voters: min(3, of), Incarnation: life, Seed: 1, DriftPPM: w.drift,
+	p.Member = New(Config{Index: place, Members: of, Voters: min(3, of), Incarnation: life, Seed: 1, DriftPPM: w.drift,
 		Limits: []Limit{w.limit}}, now)
 	w.procs[place] = p
 	return p
--- a/fleet/quorum/quorum.go
+++ b/fleet/quorum/quorum.go
@@ -33,7 +33,7 @@
 
 // Config is what a member is told.
 type Config struct {
-	Self, Members int
+	Index, Members int
 	Voters        int    // the first so many places vote from the start; the others follow
 	Incarnation   uint64 // another at each start of this member
 	Seed          uint64
@@ -102,12 +102,12 @@
 
 // New begins with what was written down.
 func New(t Config, k PersistentState) (*Node, error) {
-	n := &Node{t: t, dice: rng.Source{Seed: t.Seed ^ uint64(t.Self+1)<<40}, joins: map[int]uint64{}}
+	n := &Node{t: t, dice: rng.Source{Seed: t.Seed ^ uint64(t.Index+1)<<40}, joins: map[int]uint64{}}
 	n.rest()
 	switch {
 	case k.ID != 0:
 		return n, n.open(k)
-	case t.Self >= t.Voters:
+	case t.Index >= t.Voters:
 		return n, n.newcomer()
 	}
 	return n, nil
@@ -142,7 +142,7 @@
 // newcomer takes a number that nobody has had.
 func (n *Node) newcomer() error {
 	n.vowed = true
-	return n.open(PersistentState{ID: uint64(n.t.Self+1) | n.t.Incarnation<<placeBits})
+	return n.open(PersistentState{ID: uint64(n.t.Index+1) | n.t.Incarnation<<placeBits})
 }
 
 // place is that of a number.
@@ -195,7 +195,7 @@
 	if !n.in() && n.ticks%joinEvery == 0 {
 		b := binary.BigEndian.AppendUint64([]byte{byJoin}, n.id)
 		for i := range n.t.Members {
-			if i != n.t.Self && n.isVoter(i) {
+			if i != n.t.Index && n.isVoter(i) {
 				n.out = append(n.out, Message{i, b})
 			}
 		}
@@ -246,9 +246,9 @@
 
 // hello tells the other voters what this one has seen.
 func (n *Node) hello() {
-	n.see(n.t.Self, n.seen)
+	n.see(n.t.Index, n.seen)
 	for i := range n.t.Voters {
-		if i != n.t.Self {
+		if i != n.t.Index {
 			n.out = append(n.out, Message{i, n.greeting()})
 		}
 	}
@@ -271,7 +271,7 @@
 		n.all |= 1 << who
 	}
 	if n.seen == n.everybody() {
-		n.all |= 1 << n.t.Self
+		n.all |= 1 << n.t.Index
 	}
 	if n.all == n.everybody() {
 		n.begin()
@@ -280,7 +280,7 @@
 
 // begin ends the first gathering: all voters were there at once with nothing written down, so that none has ever voted.
 func (n *Node) begin() {
-	if n.raw == nil && n.open(PersistentState{ID: uint64(n.t.Self + 1)}) == nil {
+	if n.raw == nil && n.open(PersistentState{ID: uint64(n.t.Index + 1)}) == nil {
 		n.vowed = true
 		n.rest()
 	}
@@ -288,7 +288,7 @@
 
 // Step takes a message of another; one that is not of the form is dropped.
 func (n *Node) Step(from int, b []byte) {
-	if len(b) < 2 || from < 0 || from >= n.t.Members || from == n.t.Self {
+	if len(b) < 2 || from < 0 || from >= n.t.Members || from == n.t.Index {
 		return
 	}
 	switch b[0] {
--- a/fleet/quorum/quorum_test.go
+++ b/fleet/quorum/quorum_test.go
@@ -35,7 +35,7 @@
 
 func (c *cluster) start(i int) {
 	c.lives++
-	n, err := New(Config{Self: i, Members: c.of, Voters: c.voters, Incarnation: c.lives, Seed: 5}, c.kept[i])
+	n, err := New(Config{Index: i, Members: c.of, Voters: c.voters, Incarnation: c.lives, Seed: 5}, c.kept[i])
 	if err != nil {
 		panic(err)
 	}
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -34,7 +34,7 @@
 func (p *Proxy) reconfigureLimits(cfg *FleetConfig, now int64) {
 	var terms lease.Config
 	if cfg != nil && len(cfg.Limits) > 0 {
-		terms = lease.Config{Self: cfg.Terms.Index, Members: len(cfg.Peers), Voters: cfg.Voters, DriftPPM: cfg.Drift,
+		terms = lease.Config{Index: cfg.Terms.Index, Members: len(cfg.Peers), Voters: cfg.Voters, DriftPPM: cfg.Drift,
 			Limits: cfg.Limits}
 	}
 	if l := p.limits; l != nil {
