--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -75,12 +75,12 @@
 // Config is what a member is told.
 type Config struct {
 	Index, Members int
-	Voters        int    // the first so many places
-	Incarnation   uint64 // another, later one at each start
-	Seed          uint64
-	DriftPPM      int64 // by how many millionths a clock may run too fast or too slow
-	Weight        []int // by place; nil: all alike
-	Limits        []Limit
+	Voters         int    // the first so many places
+	Incarnation    uint64 // another, later one at each start
+	Seed           uint64
+	DriftPPM       int64 // by how many millionths a clock may run too fast or too slow
+	Weight         []int // by place; nil: all alike
+	Limits         []Limit
 }
 
 // Count is what a member has dropped, by cause.
--- a/fleet/quorum/quorum.go
+++ b/fleet/quorum/quorum.go
@@ -34,9 +34,9 @@
 // Config is what a member is told.
 type Config struct {
 	Index, Members int
-	Voters        int    // the first so many places vote from the start; the others follow
-	Incarnation   uint64 // another at each start of this member
-	Seed          uint64
+	Voters         int    // the first so many places vote from the start; the others follow
+	Incarnation    uint64 // another at each start of this member
+	Seed           uint64
 }
 
 // PersistentState is what a member has written down.
