--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -105,7 +105,7 @@
 	var wire []letter
 	send := func(i int) {
 		for p := g.procs[i]; ; {
-			to, d, ok := p.Member.Next()
+			to, d, ok := p.Member.NextDatagram()
 			if !ok {
 				return
 			}
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -118,13 +118,13 @@
 // New begins. Nothing is known of an earlier life: what that may have promised is waited for.
 func New(t Config, now int64) *Member {
 	m := &Member{t: t, last: now, dice: rng.Source{Seed: t.Seed ^ uint64(t.Index+1)<<40 ^ t.Incarnation}}
-	m.Limits(t.Limits, now)
+	m.SetLimits(t.Limits, now)
 	return m
 }
 
-// Limits takes the limits as they are from now on. One whose units alone differ goes on; any other begins
+// SetLimits takes the limits as they are from now on. One whose units alone differ goes on; any other begins
 // anew.
-func (m *Member) Limits(all []Limit, now int64) {
+func (m *Member) SetLimits(all []Limit, now int64) {
 	old := m.limits
 	m.limits = nil
 	for _, x := range all {
@@ -257,8 +257,8 @@
 	}
 }
 
-// Next gives the next datagram and for whom it is; false when there is none.
-func (m *Member) Next() (to int, d Datagram, ok bool) {
+// NextDatagram gives the next datagram and for whom it is; false when there is none.
+func (m *Member) NextDatagram() (to int, d Datagram, ok bool) {
 	if len(m.todo) == 0 {
 		return 0, d, false
 	}
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -274,7 +274,7 @@
 		for again := true; again; {
 			again = false
 			for _, m := range all {
-				for to, d, ok := m.Next(); ok; to, d, ok = m.Next() {
+				for to, d, ok := m.NextDatagram(); ok; to, d, ok = m.NextDatagram() {
 					b, err := Encode(fleetName, &d)
 					if err != nil {
 						t.Fatal(err)
@@ -327,7 +327,7 @@
 		m := New(Config{Index: 0, Members: 3, Voters: 3, Incarnation: 1, Limits: []Limit{strict}}, 1)
 		m.Receive(&d, 2)
 		m.Tick(3)
-		for _, out, ok := m.Next(); ok; _, out, ok = m.Next() {
+		for _, out, ok := m.NextDatagram(); ok; _, out, ok = m.NextDatagram() {
 			if _, err := Encode(fleetName, &out); err != nil {
 				t.Errorf("%+v cannot be sent", out)
 			}
@@ -406,7 +406,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		m.Tick(int64(i) * TickInterval)
-		for _, _, ok := m.Next(); ok; _, _, ok = m.Next() {
+		for _, _, ok := m.NextDatagram(); ok; _, _, ok = m.NextDatagram() {
 		}
 	}
 }
@@ -429,7 +429,7 @@
 			m.Tick(now)
 		}
 		m.Receive(&Datagram{From: 1 + i%1999, Life: 1, Items: []Item{it}}, now)
-		for _, _, ok := m.Next(); ok; _, _, ok = m.Next() {
+		for _, _, ok := m.NextDatagram(); ok; _, _, ok = m.NextDatagram() {
 		}
 	}
 }
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -71,7 +71,7 @@
 }
 
 func (p *process) Next() (to int, body []byte, ok bool) {
-	to, d, ok := p.Member.Next()
+	to, d, ok := p.Member.NextDatagram()
 	for i := range d.Items {
 		if it := &d.Items[i]; it.Kind == Ask && p.claim > 0 {
 			it.Want, it.Use = it.Want*p.claim, it.Use*p.claim
@@ -160,7 +160,7 @@
 			}
 			x := w.limit
 			x.Units = n
-			p.Member.Limits([]Limit{x}, w.Clock(i))
+			p.Member.SetLimits([]Limit{x}, w.Clock(i))
 		default:
 			return errors.New("no such verb")
 		}
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -41,7 +41,7 @@
 		unchanged := l.terms
 		if unchanged.Limits = terms.Limits; reflect.DeepEqual(unchanged, terms) {
 			l.terms = terms
-			l.Member.Limits(terms.Limits, now)
+			l.Member.SetLimits(terms.Limits, now)
 			return
 		}
 		p.releaseLimits(now)
@@ -97,7 +97,7 @@
 // sendLimits sends the core's datagrams; without peers they are lost, as any datagram may be.
 func (p *Proxy) sendLimits() {
 	ps := p.peers
-	for to, d, ok := p.limits.Next(); ok; to, d, ok = p.limits.Next() {
+	for to, d, ok := p.limits.NextDatagram(); ok; to, d, ok = p.limits.NextDatagram() {
 		if ps == nil || to >= len(ps.Peers) {
 			continue
 		}
