--- a/fleet/aggregate/aggregate.go
+++ b/fleet/aggregate/aggregate.go
@@ -65,7 +65,7 @@
 // A figure takes two bytes: steps of a 256th of an octave, 0.3%, from 0.004 up.
 const (
 	stepsPerOctave = 256
-	stepOffset = 8*stepsPerOctave + 1
+	stepOffset     = 8*stepsPerOctave + 1
 )
 
 func pack(b []byte, x float64) []byte {
@@ -123,17 +123,17 @@
 }
 
 type blockSum struct {
-	measuredAt   int64 // when it was measured; long ago: none
-	members   int
+	measuredAt  int64 // when it was measured; long ago: none
+	members     int
 	incarnation uint64 // level 0: of the member
-	load Load
+	load        Load
 }
 
 // Fold is one member's picture.
 type Aggregate struct {
-	cfg          Config
-	siblings     []blockSum // by level: of the block beside one's own; emptied as they age
-	Own        Load
+	cfg         Config
+	siblings    []blockSum // by level: of the block beside one's own; emptied as they age
+	Own         Load
 	Implausible int // sums not believed
 }
 
--- a/fleet/assign/assign.go
+++ b/fleet/assign/assign.go
@@ -22,18 +22,18 @@
 
 // duty is one, by the id of what it is about.
 type task struct {
-	id     string
-	candidates  []int // members, first the one whose it is
-	doneAt  int64 // when it was last done, as far as is known
-	ownDoneAt   int64 // when it was last done here
-	knownSince  int64 // since when it is known here
-	jitter int64 // drawn length of the present pause
+	id         string
+	candidates []int // members, first the one whose it is
+	doneAt     int64 // when it was last done, as far as is known
+	ownDoneAt  int64 // when it was last done here
+	knownSince int64 // since when it is known here
+	jitter     int64 // drawn length of the present pause
 }
 
 // Roster is one member's.
 type Roster struct {
-	cfg      Config
-	index     int
+	cfg   Config
+	index int
 	tasks []task // by id; set by Set
 	rng   rng.Source
 }
--- a/fleet/holds/holds.go
+++ b/fleet/holds/holds.go
@@ -33,10 +33,10 @@
 
 // Store is the file and what it held when last looked at.
 type Store struct {
-	path  string
-	mu    sync.Mutex
-	table Table
-	fileInfo  os.FileInfo // of the file that the table is from
+	path     string
+	mu       sync.Mutex
+	table    Table
+	fileInfo os.FileInfo // of the file that the table is from
 }
 
 // Open reads the file, if there is one. One that cannot be read counts as none, and is told of.
--- a/fleet/shed/retrybudget.go
+++ b/fleet/shed/retrybudget.go
@@ -11,22 +11,24 @@
 
 const (
 	burstWindow  = 2 * sec // what may be saved up: the earnings of so long,
-	minBurst = 2.0     // and this at the least
-	lendFraction   = 0.7     // of what others leave; the rest is for what the picture is late to tell
+	minBurst     = 2.0     // and this at the least
+	lendFraction = 0.7     // of what others leave; the rest is for what the picture is late to tell
 	stopAbove    = 0.5     // part of dispatches that fail at which a further one helps nobody
-	resumeBelow   = 0.3     // until it is down to this
+	resumeBelow  = 0.3     // until it is down to this
 )
 
 // Spare is one member's part of the budget, in dispatches.
 type RetryBudget struct {
-	Ratio    float64 // further dispatches to a first one
-	tokens  float64
-	steppedAt      int64
-	Stopped bool // most dispatches of the fleet fail
+	Ratio     float64 // further dispatches to a first one
+	tokens    float64
+	steppedAt int64
+	Stopped   bool // most dispatches of the fleet fail
 }
 
 // NewSpare begins with one to spend.
-func NewRetryBudget(ratio float64, now int64) *RetryBudget { return &RetryBudget{Ratio: ratio, tokens: 1, steppedAt: now} }
+func NewRetryBudget(ratio float64, now int64) *RetryBudget {
+	return &RetryBudget{Ratio: ratio, tokens: 1, steppedAt: now}
+}
 
 // First earns for a first dispatch.
 func (b *RetryBudget) EarnFirst() { b.tokens += b.Ratio }
--- a/fleet/shed/shed_test.go
+++ b/fleet/shed/shed_test.go
@@ -8,7 +8,9 @@
 )
 
 // four rule sets of rising worth, one tenant.
-func four() Config { return Config{Values: []float64{1, 2, 4, 8}, Shares: []float64{1}, OverShareFactor: 0.2} }
+func four() Config {
+	return Config{Values: []float64{1, 2, 4, 8}, Shares: []float64{1}, OverShareFactor: 0.2}
+}
 
 func offer(c *Shedder, by ...float64) (l aggregate.Load) {
 	for set, x := range by {
--- a/fleet/shed/shedder.go
+++ b/fleet/shed/shedder.go
@@ -16,62 +16,62 @@
 	ms, sec = int64(1e6), int64(1e9)
 
 	correctionInterval = 500 * ms  // between corrections of the limit
-	startLoss     = 0.10      // part of what was let in and not served from which there is a cut,
-	startAfter   = 500 * ms  // once for so long,
+	startLoss          = 0.10      // part of what was let in and not served from which there is a cut,
+	startAfter         = 500 * ms  // once for so long,
 	startAfterUnknown  = 5 * sec   // or so long where neither calm was ever seen nor anybody has a cut: processes that begin turn reqs away while they learn
-	targetLoss  = 0.05      // part that a cut in force aims at: alone each denies a little more than it had to
-	minCostRate     = 2.0       // cost a second below which nothing is an overload
-	maxFall      = 0.05      // most that a step takes off the limit
-	firstRise      = 0.01      // what a step without losses adds while reqs are shed; twice that with the next, and so on
-	maxRise  = 0.04      // up to this
-	fastRise      = 1.0       // what a step adds while answers come as fast as in calm: there is room, whatever is lost,
-	fastLatencyFactor     = 1.25      // that is, within this multiple of the time that they took without a cut
-	baselineWeight  = 0.02      // weight of the newest such time
-	idleRise      = 0.004     // the same while none are: what was borne then says little of what can be
-	peerLimitWeight      = 0.3       // part of the way to the others' limit that a step goes
-	slackBelow  = 0.9       // of the limit: less than this offered for long enough ends the cut
-	firstEndAfter = 10 * sec  // for so long at first, which costs nothing, as nobody is denied; each cut that comes back within the time below takes
-	endAfterFactor = 6         // so many times longer to end,
-	maxEndAfter  = 300 * sec // up to this
-	restartWindow  = 60 * sec
-	averagePerChange  = 0.15      // seconds, times the square of the moves of late, over which demand is averaged: who swings is looked at longer
-	changeWindow = 120 * sec // over which moves are forgotten
-	minChange  = 0.125     // changes of the part let in smaller than this are no moves
-	minResize    = 0.2       // change of the members counted, as a part, at which the limit goes with them
+	targetLoss         = 0.05      // part that a cut in force aims at: alone each denies a little more than it had to
+	minCostRate        = 2.0       // cost a second below which nothing is an overload
+	maxFall            = 0.05      // most that a step takes off the limit
+	firstRise          = 0.01      // what a step without losses adds while reqs are shed; twice that with the next, and so on
+	maxRise            = 0.04      // up to this
+	fastRise           = 1.0       // what a step adds while answers come as fast as in calm: there is room, whatever is lost,
+	fastLatencyFactor  = 1.25      // that is, within this multiple of the time that they took without a cut
+	baselineWeight     = 0.02      // weight of the newest such time
+	idleRise           = 0.004     // the same while none are: what was borne then says little of what can be
+	peerLimitWeight    = 0.3       // part of the way to the others' limit that a step goes
+	slackBelow         = 0.9       // of the limit: less than this offered for long enough ends the cut
+	firstEndAfter      = 10 * sec  // for so long at first, which costs nothing, as nobody is denied; each cut that comes back within the time below takes
+	endAfterFactor     = 6         // so many times longer to end,
+	maxEndAfter        = 300 * sec // up to this
+	restartWindow      = 60 * sec
+	averagePerChange   = 0.15      // seconds, times the square of the moves of late, over which demand is averaged: who swings is looked at longer
+	changeWindow       = 120 * sec // over which moves are forgotten
+	minChange          = 0.125     // changes of the part let in smaller than this are no moves
+	minResize          = 0.2       // change of the members counted, as a part, at which the limit goes with them
 )
 
 // Terms is what a cut goes by.
 type Config struct {
-	Values []float64 // billing value of each rule set
-	Shares []float64 // of each tenant; 0: none was agreed
-	OverShareFactor   float64   // part of the worth that is left past a tenant's share
+	Values          []float64 // billing value of each rule set
+	Shares          []float64 // of each tenant; 0: none was agreed
+	OverShareFactor float64   // part of the worth that is left past a tenant's share
 }
 
 // Cut is one member's.
 type Shedder struct {
-	cfg     Config
-	values []float64 // values that are told apart, the highest first
+	cfg         Config
+	values      []float64 // values that are told apart, the highest first
 	valueIndex  []int     // of each rule set
 	tenantSlots int       // tenants that are told apart
 
-	Active     bool
-	BaselineLatency   float64                    // mean time of an answer without a cut, in seconds; 0: not known
-	Latency   float64                    // the same of late
-	Limit  float64                    // cost a second that all counted members together can bear
-	AdmittedPart   float64                    // of what is offered that is let in
-	AdmittedByClass   [aggregate.Classes]float64 // the same by class
-	Changes  int                        // times that it came, went or moved by a step
-	lastPart  float64                    // Part at the latest move
-	correctedAt int64
-	demand   aggregate.Load // demand as it is averaged
-	demandAt int64
-	recentChanges  decay.Counter
-	nextRise   float64 // of the next step
-	lossSince  int64   // since when what is let in is not served; 0: it is
-	slackSince  int64   // since when little is offered; 0: it is not
-	endAfter   int64
-	endedAt  int64
-	members     float64 // members counted at the latest step
+	Active          bool
+	BaselineLatency float64                    // mean time of an answer without a cut, in seconds; 0: not known
+	Latency         float64                    // the same of late
+	Limit           float64                    // cost a second that all counted members together can bear
+	AdmittedPart    float64                    // of what is offered that is let in
+	AdmittedByClass [aggregate.Classes]float64 // the same by class
+	Changes         int                        // times that it came, went or moved by a step
+	lastPart        float64                    // Part at the latest move
+	correctedAt     int64
+	demand          aggregate.Load // demand as it is averaged
+	demandAt        int64
+	recentChanges   decay.Counter
+	nextRise        float64 // of the next step
+	lossSince       int64   // since when what is let in is not served; 0: it is
+	slackSince      int64   // since when little is offered; 0: it is not
+	endAfter        int64
+	endedAt         int64
+	members         float64 // members counted at the latest step
 }
 
 // New begins without a cut.
@@ -107,7 +107,9 @@
 }
 
 // Lets says whether a req of a class is let in; luck, between 0 and 1, belongs to what stays the same over its client's retries.
-func (s *Shedder) Admits(class int, clientHash float64) bool { return !s.Active || class < 0 || clientHash < s.AdmittedByClass[class] }
+func (s *Shedder) Admits(class int, clientHash float64) bool {
+	return !s.Active || class < 0 || clientHash < s.AdmittedByClass[class]
+}
 
 // Step takes the picture of all counted members. It is to be called several times a second.
 func (s *Shedder) Step(load *aggregate.Load, members int, now int64) {
--- a/fleet/snapshot/snapshot.go
+++ b/fleet/snapshot/snapshot.go
@@ -19,10 +19,10 @@
 
 const (
 	fileName    = "memory.snap"
-	magic   = "IVYSNAP"
-	version = 1 // of the form; a field more does not change it
-	headerSize    = len(magic) + 1 + 8
-	trailerSize    = 8
+	magic       = "IVYSNAP"
+	version     = 1 // of the form; a field more does not change it
+	headerSize  = len(magic) + 1 + 8
+	trailerSize = 8
 	// Most bytes of a file: about 10,000 servers.
 	MaxBytes = 4 << 20
 )
--- a/fleet/swim/swim.go
+++ b/fleet/swim/swim.go
@@ -102,7 +102,7 @@
 	pingOrder      []int    // in which they are pinged; drawn anew when it is through
 	nextPing       int
 	pings          []pendingPing // emptied as they are answered or over
-	out            []Outgoing        // emptied by Out
+	out            []Outgoing    // emptied by Out
 	changes        []Change
 	pendingUpdates []int // members whose news has not gone out often enough; emptied as it does
 	suspects       []int // suspects; emptied as they are cleared or dead
--- a/fleet/warmstart/warmstart.go
+++ b/fleet/warmstart/warmstart.go
@@ -17,17 +17,17 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	rateMaxAge   = 60 * sec             // rates fade over this time
-	latencyMaxAge   = 10 * 60 * sec        // times of answers are of use for so long
-	listMaxAge   = 60 * 60 * sec        // a list older than this is worse than that of the start
-	maxClockLead = 5 * sec              // a snapshot may be from the future by so much
-	ejectionStreak   = 2                    // failures in a row that eject: one less is the state of a server that comes back from an ejection
-	suspectHealth      = 0.5                  // health of a server that one other holds to be out
-	minReporters    = 2                    // others that have to say so before it is
-	fullServicePart  = 0.95                 // of the service before from which it counts as full
-	fullServiceTime  = 3 * sec              // for so long
-	sliceLength = 250 * ms             // service is counted by such pieces
-	sliceCount    = 10 * sec / sliceLength // of them, that service before an end is taken over
+	rateMaxAge      = 60 * sec               // rates fade over this time
+	latencyMaxAge   = 10 * 60 * sec          // times of answers are of use for so long
+	listMaxAge      = 60 * 60 * sec          // a list older than this is worse than that of the start
+	maxClockLead    = 5 * sec                // a snapshot may be from the future by so much
+	ejectionStreak  = 2                      // failures in a row that eject: one less is the state of a server that comes back from an ejection
+	suspectHealth   = 0.5                    // health of a server that one other holds to be out
+	minReporters    = 2                      // others that have to say so before it is
+	fullServicePart = 0.95                   // of the service before from which it counts as full
+	fullServiceTime = 3 * sec                // for so long
+	sliceLength     = 250 * ms               // service is counted by such pieces
+	sliceCount      = 10 * sec / sliceLength // of them, that service before an end is taken over
 )
 
 // Host is one entry of a list.
@@ -166,9 +166,9 @@
 
 // Belief is one server in it.
 type Belief struct {
-	Server  balance.ServerSnapshot // Health, Left, Draining, Since and Met alone
-	HeardAt int64                  // when
-	StartTime   uint32                 // of the server's process as it came; Since is what the returner's own list has for it
+	Server    balance.ServerSnapshot // Health, Left, Draining, Since and Met alone
+	HeardAt   int64                  // when
+	StartTime uint32                 // of the server's process as it came; Since is what the returner's own list has for it
 }
 
 // Match keeps what is said of processes that the returner's own list names; since gives a server's start there, and its form on the wire.
@@ -250,7 +250,7 @@
 	PreviousService float64 // service before the end of the process before; 0: not known
 	FullAfter       int64   // from the start until service was full; 0: not yet
 	slices          [sliceCount]struct{ served, all float64 }
-	newest              int64 // number of the newest piece
+	newest          int64 // number of the newest piece
 }
 
 // Add takes a final answer's worth.
