--- a/fleet/aggregate/aggregate.go
+++ b/fleet/aggregate/aggregate.go
@@ -1,10 +1,10 @@
-// Package aggregate adds up what all members see into one picture that each of them holds, without any of them hearing from all. Places
-// form blocks of 1, 2, 4 and so on, as in a tournament: at each level a member needs one sum, that of the block beside its own.
-// It owns these sums, at most one for each level, and their ages. Free of I/O. It must never count a member twice, nor one that
-// has gone.
+// Package aggregate sums up the loads of all members, so that each member has the total without hearing from every
+// other one. The members' indexes form blocks of 1, 2, 4 and so on, as in a tournament. At each level a member
+// needs one sum, that of its sibling block. The package is free of I/O. It never counts a member twice, nor one
+// that is gone.
 //
-// The way is that of aggregation over a hierarchy (van Renesse, Birman, Vogels: Astrolabe, 2003), with blocks fixed by place, so
-// that no two sums overlap and the newest of a block simply replaces the one before.
+// The method is aggregation over a hierarchy (van Renesse, Birman, Vogels: Astrolabe, 2003) with blocks fixed by
+// index, so that no two sums overlap and the newest sum of a block replaces the one before.
 package aggregate
 
 import (
@@ -16,34 +16,34 @@
 	"ivybank/fleet/peer"
 )
 
-// Classes is how many classes of reqs a load tells apart at the most.
+// Classes is the maximum number of request classes that a load distinguishes.
 const Classes = 24
 
-// Load is what is told of a member or a block, each a rate in a second but for Limit and Limits.
+// Load is the load of a member or a block. Each figure is a rate per second except Limit and LimitCount.
 type Load struct {
-	First         float64 // reqs dispatched for the first time
-	Retries       float64 // dispatches beyond a req's first
-	RetriesWanted float64 // further dispatches that were wanted, whether or not they were allowed
+	First         float64 // first dispatches of requests
+	Retries       float64 // dispatches after the first of a request
+	RetriesWanted float64 // retries that were wanted, whether or not they were allowed
 	Probes        float64
-	Refused       float64          // dispatches turned away by servers
+	Refused       float64          // dispatches refused by servers
 	TimedOut      float64          // dispatches without an answer in time
-	Failed        float64          // dispatches that ended otherwise than served
-	Unserved      float64          // cost of reqs that were let in, were not served in time, and whose clients have not come again
-	Served        float64          // cost of reqs that were served in time
-	Limit         float64          // sum of what members hold the fleet can bear, cost a second,
-	LimitCount    float64          // and how many hold one
-	ServerTime    float64          // seconds that dispatches which were served took at servers, in a second
-	Offered       [Classes]float64 // cost of reqs that came, by class, clients' retries left out
+	Failed        float64          // dispatches with any outcome other than served
+	Unserved      float64          // cost of requests that were admitted, not served in time, and not retried by their clients
+	Served        float64          // cost of requests that were served in time
+	Limit         float64          // sum of the members' estimates of what the fleet can bear, in cost per second
+	LimitCount    float64          // number of members with such an estimate
+	ServerTime    float64          // seconds per second that served dispatches took at servers
+	Offered       [Classes]float64 // cost of received requests by class, without clients' retries
 }
 
-// fixed is how many figures of a load come before its classes.
+// fixedFigures is the number of figures of a load before its classes.
 const fixedFigures = 12
 
 func (l *Load) figures() [fixedFigures]*float64 {
 	return [fixedFigures]*float64{&l.First, &l.Retries, &l.RetriesWanted, &l.Probes, &l.Refused, &l.TimedOut, &l.Failed, &l.Unserved, &l.Served, &l.Limit, &l.LimitCount, &l.ServerTime}
 }
 
-// Add adds a part of another load.
+// Add adds a fraction of another load.
 func (l *Load) Add(x *Load, part float64) {
 	to, from := l.figures(), x.figures()
 	for i := range to {
@@ -54,7 +54,7 @@
 	}
 }
 
-// All is the cost offered over all classes.
+// TotalOffered returns the cost offered in all classes.
 func (l *Load) TotalOffered() (sum float64) {
 	for _, x := range l.Offered {
 		sum += x
@@ -62,7 +62,7 @@
 	return sum
 }
 
-// A figure takes two bytes: steps of a 256th of an octave, 0.3%, from 0.004 up.
+// An encoded figure takes two bytes: a logarithm in steps of a 256th of an octave, 0.3%, from 0.004 up.
 const (
 	stepsPerOctave = 256
 	stepOffset     = 8*stepsPerOctave + 1
@@ -83,7 +83,7 @@
 	return math.Exp2((float64(n) - stepOffset) / stepsPerOctave)
 }
 
-// Bytes is a load as it stands on the wire; classes at the end that have nothing are left out.
+// Bytes encodes a load. Classes of zero at the end are left out.
 func (l *Load) Bytes() []byte {
 	b := make([]byte, 0, 2*(fixedFigures+Classes))
 	for _, x := range l.figures() {
@@ -98,7 +98,7 @@
 	return b
 }
 
-// Parse reads one; false where it is cut or has more figures than there are.
+// Parse decodes a load. It returns false if the encoding is cut short or has too many figures.
 func Parse(b []byte) (l Load, ok bool) {
 	if len(b) > 2*(fixedFigures+Classes) || len(b)%2 != 0 {
 		return l, false
@@ -115,54 +115,55 @@
 	return l, true
 }
 
-// Terms is what a member's fold goes by. Times are nanoseconds.
+// Config is the configuration of an Aggregate. Times are in nanoseconds.
 type Config struct {
 	Index, Members int
-	MaxAge         int64   // a sum older than this counts no more; from half of it on it counts less and less
-	MaxMemberRate  float64 // cost a second past which no single member's word is believed
+	MaxAge         int64   // an older sum does not count; from half of this age on its weight falls
+	MaxMemberRate  float64 // cost per second above which a member's report is not believed
 }
 
 type blockSum struct {
-	measuredAt  int64 // when it was measured; long ago: none
+	measuredAt  int64 // time of the measurement; never: there is none
 	members     int
 	incarnation uint64 // level 0: of the member
 	load        Load
 }
 
-// Fold is one member's picture.
+// Aggregate is one member's view of the fleet's load.
 type Aggregate struct {
 	cfg         Config
-	siblings    []blockSum // by level: of the block beside one's own; emptied as they age
+	siblings    []blockSum // sum of the sibling block at each level; expires with age
 	Own         Load
-	Implausible int // sums not believed
+	Implausible int // sums that were not believed
 }
 
-// Levels is how many blocks there are beside the own one among so many places.
+// Levels returns the number of sibling blocks of a member in a fleet of a size.
 func Levels(members int) int { return bits.Len(uint(members - 1)) }
 
-// New begins without a picture.
+// New returns an Aggregate without sums.
 func New(cfg Config) *Aggregate {
 	a := &Aggregate{cfg: cfg, siblings: make([]blockSum, Levels(cfg.Members))}
 	a.Reset()
 	return a
 }
 
-// Levels is how many blocks there are beside one's own.
+// Levels returns the number of sibling blocks.
 func (a *Aggregate) Levels() int { return len(a.siblings) }
 
-// Beside gives the places of the block beside one's own at a level: from, to.
+// Sibling returns the range [from, to) of indexes of the sibling block at a level.
 func (a *Aggregate) Sibling(level int) (from, to int) {
 	block := a.cfg.Index>>level ^ 1
 	return block << level, min(a.cfg.Members, (block+1)<<level)
 }
 
-// weight is what a sum still counts for.
+// weight returns the weight of a sum by its age, from 0 to 1.
 func (a *Aggregate) weight(s *blockSum, now int64) float64 {
 	left := float64(s.measuredAt+a.cfg.MaxAge-now) / float64(a.cfg.MaxAge)
 	return max(0, min(1, 2*left))
 }
 
-// whole is the sum of one's own block at a level: one's own load and the sums beside it below that level.
+// ownBlock returns the sum of the member's own block at a level: its own load and the sibling sums below that
+// level.
 func (a *Aggregate) ownBlock(level int, now int64) blockSum {
 	all := blockSum{measuredAt: now, members: 1, load: a.Own}
 	age := 0.0
@@ -174,21 +175,21 @@
 			age += float64(now-s.measuredAt) * float64(s.members)
 		}
 	}
-	all.measuredAt = now - int64(age/float64(all.members)) // its members' mean age
+	all.measuredAt = now - int64(age/float64(all.members)) // mean age of the members
 	return all
 }
 
-// Picture is the load of all members that are counted, and how many they are.
+// FleetLoad returns the load of all counted members and their number.
 func (a *Aggregate) FleetLoad(now int64) (Load, int) {
 	all := a.ownBlock(len(a.siblings), now)
 	return all.load, all.members
 }
 
-// Age is the mean age of what the picture counts.
+// Age returns the mean age of the counted loads in nanoseconds.
 func (a *Aggregate) Age(now int64) int64 { return now - a.ownBlock(len(a.siblings), now).measuredAt }
 
-// Tell gives what one of the block beside one's own at a level is told: the sum of one's own block, and those of higher blocks
-// beside it, which stand beside the other's as well. Fresh ones come first.
+// SumsFor returns the sums for a member of the sibling block at a level: that of the own block, and those of
+// siblings at higher levels, which are the other member's siblings too. The newest come first.
 func (a *Aggregate) SumsFor(level int, incarnation uint64, room *peer.Room, now int64) (sums []peer.LoadSum) {
 	add := func(level, block int, s *blockSum) {
 		b := s.load.Bytes()
@@ -216,7 +217,8 @@
 	return sums
 }
 
-// Heard takes sums. One that is not of a block beside one's own, older than the one held, or impossible says nothing.
+// Receive stores sums. A sum is ignored if it is not of a sibling block, older than the stored one, or
+// implausible.
 func (a *Aggregate) Receive(sums []peer.LoadSum, now int64) {
 	for _, x := range sums {
 		level := int(x.Level)
@@ -235,7 +237,8 @@
 	}
 }
 
-// possible says whether so many members could have such a load. Figures are rounded, and rates of a moment swing.
+// plausible reports whether so many members could have such a load. It allows for rounding and for momentary
+// swings of rates.
 func (a *Aggregate) plausible(l *Load, members int) bool {
 	const slack = 1.3
 	limit := a.cfg.MaxMemberRate * float64(members) * slack
@@ -243,7 +246,7 @@
 		l.LimitCount <= float64(members)*slack && l.Limit <= limit
 }
 
-// Gone drops the sums of blocks in which nobody is alive, and that of one whose process is another by now.
+// DropGone drops the sums of blocks without an alive member, and that of a member which has been restarted.
 func (a *Aggregate) DropGone(alive func(place int) bool, life func(place int) uint64) {
 	for i := range a.siblings {
 		from, to := a.Sibling(i)
@@ -257,7 +260,7 @@
 	}
 }
 
-// Forget drops all that was heard.
+// Reset drops all received sums.
 func (a *Aggregate) Reset() {
 	for i := range a.siblings {
 		a.siblings[i] = blockSum{measuredAt: never}
--- a/fleet/assign/assign.go
+++ b/fleet/assign/assign.go
@@ -1,6 +1,6 @@
-// Package assign divides standing duties among members without a leader: each member works out the same order of members for each
-// duty. It owns that order and when one whose turn it is not takes over. Free of I/O. Two who do the same are borne; it must never
-// leave a duty to one who has not done it for too long.
+// Package assign assigns recurring tasks to members without a leader: each member computes the same ranking of
+// members for each task, by rendezvous hashing. The package is free of I/O. Two members may do the same task, but
+// a task is never left for too long to a member that does not do it.
 package assign
 
 import (
@@ -11,39 +11,41 @@
 	"ivybank/internal/rng"
 )
 
-// Ranks is how many members stand ready for a duty.
+// MaxCandidates is how many members are candidates for a task.
 const MaxCandidates = 3
 
-// Terms is when a duty is due. Times are nanoseconds.
+// Config says when tasks are due. Times are in nanoseconds.
 type Config struct {
-	Interval      int64 // between two times that it is done
-	TakeOverAfter int64 // without word of it for so long the next in rank does it, for twice as long the one after
+	Interval int64 // between two runs of a task
+	// If a task was not reported done for this long the second candidate takes over, and after twice this time the
+	// third.
+	TakeOverAfter int64
 }
 
-// duty is one, by the id of what it is about.
+// task is one task, by the id of what it concerns.
 type task struct {
 	id         string
-	candidates []int // members, first the one whose it is
-	doneAt     int64 // when it was last done, as far as is known
-	ownDoneAt  int64 // when it was last done here
-	knownSince int64 // since when it is known here
-	jitter     int64 // drawn length of the present pause
+	candidates []int // members by rank
+	doneAt     int64 // latest run by any member, as far as known
+	ownDoneAt  int64 // latest run by this member
+	knownSince int64 // time from which this member knows the task
+	jitter     int64 // random delay of the next takeover
 }
 
-// Roster is one member's.
+// Roster is one member's table of tasks.
 type Roster struct {
 	cfg   Config
 	index int
-	tasks []task // by id; set by Set
+	tasks []task // sorted by id; set by Set
 	rng   rng.Source
 }
 
-// New begins without duties.
+// New returns a roster without tasks.
 func New(cfg Config, index int, seed uint64) *Roster {
 	return &Roster{cfg: cfg, index: index, rng: rng.Source{Seed: seed}}
 }
 
-// Set takes what there is to do, ids in order, and the members among whom it is divided.
+// Set sets the tasks by their ids, in sorted order, and the members to which they are assigned.
 func (r *Roster) Set(ids []string, members []int, now int64) {
 	next := make([]task, 0, len(ids))
 	for _, id := range ids {
@@ -59,7 +61,7 @@
 
 func byID(d task, id string) int { return cmp.Compare(d.id, id) }
 
-// rank orders the members of a duty by the hash of both, the highest first.
+// rankMembers returns the candidates of a task, ordered by the hash of both ids with the highest first.
 func rankMembers(id string, members []int) []int {
 	type scored struct {
 		member int
@@ -86,22 +88,23 @@
 	return out
 }
 
-// Done tells that a duty was done at a time, here or elsewhere.
+// Done records that a task was done at a time by any member.
 func (r *Roster) Done(id string, at int64) {
 	if i, had := slices.BinarySearchFunc(r.tasks, id, byID); had {
 		r.tasks[i].doneAt = max(r.tasks[i].doneAt, at)
 	}
 }
 
-// Stood tells that this process did not run for so long: what it did not hear meanwhile may have been said.
+// Resume accounts for a stall of the process: reports may have been missed during it.
 func (r *Roster) Resume(stalled int64) {
 	for i := range r.tasks {
 		r.tasks[i].doneAt += stalled
 	}
 }
 
-// Due gives the ids of what is to be done here now, and notes that it is. The first in rank does it at its pace; the next when
-// nothing was heard of it for the time after, each with some chance, so that those who see the same do not start as one.
+// Due returns the ids of the tasks that this member has to do now, and records them as done. The first candidate
+// does a task at the interval. The others do it if it was not reported done for the take-over time plus a random
+// delay, so that members with the same view do not start at the same time.
 func (r *Roster) Due(now int64) (ids []string) {
 	for i := range r.tasks {
 		d := &r.tasks[i]
@@ -119,7 +122,7 @@
 	return ids
 }
 
-// Owner says who is first in rank of a duty, whether that is this member, and when it was last done; -1 where it is not known.
+// Owner returns the first candidate of a task and the time of the latest run; -1 if the task is not known.
 func (r *Roster) Owner(id string) (member int, at int64) {
 	i, had := slices.BinarySearchFunc(r.tasks, id, byID)
 	if !had || len(r.tasks[i].candidates) == 0 {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet is what a client proxy makes of its peers: who is a member, what the fleet bears, who sheds, how many further
-// dispatches there may be, who probes which server, and of which servers care is due. It is driven by events and a clock handed
-// in, and hands out small typed actions; the proxy, the emulator and tests run the same code. All of it is advice: with no peer
-// heard it says what one proxy alone would.
+// Package fleet coordinates a client proxy with its peers: membership, the fleet's load, joint load shedding, the
+// retry budget, the assignment of health probes, and reports of failing servers. It is driven by events and a
+// clock passed in, and returns typed actions, so that the proxy, the emulator and tests run the same code. All
+// results are advice: a proxy that hears no peer gets the advice that fits a single proxy.
 //
-// This file owns the order in which its parts are asked. It must never touch a socket, and never permit what the decision module
+// This file holds Fleet, which combines the parts. It never uses a socket and never permits what the balancer
 // would not.
 package fleet
 
@@ -28,56 +28,60 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	adviseInterval    = 100 * ms // between advice to the module
-	shedInterval      = 250 * ms // between looks at the picture
-	rateWindow        = 600 * ms // over which what is told of rates is remembered
-	pushFraction      = 0.5      // of the datagrams that a member may send; the rest is for pings and answers
-	minPushInterval   = 50 * ms
-	maxAgeRounds      = 12       // sums are held for so many rounds of telling all levels
-	minMaxAge         = 3 * sec  // and so long at the least
-	stallThreshold    = 500 * ms // a process that did not run for so long judges all it holds anew,
-	ignoreAfterStall  = 100 * ms // and takes nothing that waited for it
-	clientRetryWindow = 20 * sec // a client that was sent away is known to come again for so long
-	maxDebtSeconds    = 1.0      // seconds of its datagrams that questions and answers may go ahead of the rate
-	minBurst          = 4.0      // datagrams beyond the rate at once
-	minRetryAfterPart = 0.35     // of the longest wait that a client honours: those sent away come back spread from here to it
+	adviseInterval  = 100 * ms // between updates of the balancer's advice
+	shedInterval    = 250 * ms // between updates of shedding from the fleet's load
+	rateWindow      = 600 * ms // decay time of the rates that are reported
+	pushFraction    = 0.5      // of the datagram limit; the rest is for pings and answers
+	minPushInterval = 50 * ms
+	// A load sum is kept for this many rounds of pushes to all levels, and for at least minMaxAge.
+	maxAgeRounds = 12
+	minMaxAge    = 3 * sec
+	// A process that did not run for this long discards the state that may be outdated.
+	stallThreshold    = 500 * ms
+	ignoreAfterStall  = 100 * ms // datagrams that arrive within this time after a stall are dropped
+	clientRetryWindow = 20 * sec // how long a rejected client's retry is recognised
+	// Pings and answers may exceed the datagram rate by as many seconds' worth.
+	maxDebtSeconds = 1.0
+	minBurst       = 4.0 // datagrams that may be sent at once beyond the rate
+	// Rejected clients are told to wait between this part of MaxRetryAfter and all of it, to spread their retries.
+	minRetryAfterPart = 0.35
 )
 
-// Terms is what a member is told. Times are nanoseconds.
+// Config is the configuration of a member. Times are in nanoseconds.
 type Config struct {
 	Index, Members     int
-	Incarnation        uint64 // swim.LifeOf this process's start
+	Incarnation        uint64 // swim.IncarnationAt of this process's start
 	Seed               uint64
-	DatagramsPerSecond float64 // that it may send in a second
+	DatagramsPerSecond float64 // limit on what the member sends
 	AckTimeout         int64
 	MinSilence         int64
 	RuleSets           []balance.RuleSet
 	Tenants            []balance.Tenant
-	OverShareFactor    float64 // part of the worth that is left past a tenant's share
-	MaxRetryAfter      int64   // the longest wait that a client honours, 0 where none is advised
+	OverShareFactor    float64 // factor on the value of requests beyond a tenant's share
+	MaxRetryAfter      int64   // longest wait that clients honour; 0 if none is advised
 	Overload           *Overload
 	Probes             *assign.Config
-	Learn              *LearnConfig // nil: a returner asks nobody, and nobody is taught
+	Learn              *LearnConfig // nil: a restarted member queries nobody, and nobody is answered
 }
 
-// Overload is what operators set on shedding as one.
+// Overload configures joint shedding.
 type Overload struct {
-	RetryRatio    float64 // dispatches beyond a req's first, as a part of first ones
-	MaxMemberRate float64 // reqs a second past which no member's word is believed
+	RetryRatio    float64 // retries as a fraction of first dispatches
+	MaxMemberRate float64 // requests per second above which a member's load report is not believed
 }
 
-// Kind is what an action asks of the host.
+// ActionKind says what an action asks the host to do.
 type ActionKind int
 
-// The kinds.
+// The kinds of actions.
 const (
-	Send             ActionKind = iota // a datagram to a member
-	Probe                              // ask a server whether it is well, and tell Probed
-	Advise                             // the module's advice has changed
-	Log                                // a line for the log
-	ApplyPeerReports                   // Told is what was learnt of others so far
-	AnswerQuery                        // one that comes back asks: Answer it with what the module holds
-	Deliver                            // a letter came of member To
+	Send             ActionKind = iota // send Datagram to member To
+	Probe                              // probe Server and call ProbeEnded
+	Advise                             // the advice to the balancer has changed
+	Log                                // write Text and Fields to the log
+	ApplyPeerReports                   // Reports holds what peers have reported about servers so far
+	AnswerQuery                        // member To has queried this one: call SendBeliefs with the balancer's state
+	Deliver                            // Message was received from member To
 )
 
 // Action is one thing for the host to do. Only the fields of its kind are set.
@@ -91,17 +95,17 @@
 	Fields   map[string]any
 	Reports  []warmstart.PeerReport
 	Message  []byte
-	due      bool // a sum at its time, which has a part of the datagrams for itself
+	due      bool // a scheduled datagram, which is not subject to the limit on pings and answers
 }
 
-// sent is one client's req that was sent away, by what stays the same over its retries.
+// recentClient is a client that was rejected or not served in time, by the hash that its retries share.
 type recentClient struct {
 	hash     float64
 	at       int64
-	unserved bool // it counts among those not served
+	unserved bool // the request is counted in Fleet.unserved
 }
 
-// Fleet is one member's.
+// Fleet is one member's state.
 type Fleet struct {
 	cfg         Config
 	swim        *swim.Membership
@@ -117,12 +121,12 @@
 
 	offered                                                                                        [aggregate.Classes]decay.Counter
 	first, retries, retriesWanted, probes, refused, timedOut, failed, unserved, served, serverTime decay.Counter
-	recentClients                                                                                  [4096]recentClient // a new one takes an old one's place
-	servers                                                                                        []string           // by id; set by Servers
-	membershipVersion                                                                              int                // of the members that duties were divided among
+	recentClients                                                                                  [4096]recentClient // indexed by client hash; a new entry replaces an older one
+	servers                                                                                        []string           // sorted ids; set by SetServers
+	membershipVersion                                                                              int                // version of the membership at the last assignment of probes
 	assignAt, adviseAt, shedAt, pushAt, lastTick, ignoreUntil                                      int64
-	pushLevel                                                                                      int         // whose turn it is to be told
-	tokens                                                                                         tokenBucket // datagrams that may go now
+	pushLevel                                                                                      int         // level of the latest push
+	tokens                                                                                         tokenBucket // for datagrams
 	advice                                                                                         balance.Advice
 	logged                                                                                         struct {
 		active, stopped bool
@@ -131,14 +135,15 @@
 	Count Counts
 }
 
-// Counts is what a member has sent, heard and done since its start.
+// Counts holds what a member has sent, received and done since its start. Its fields are encoded under these
+// names.
 type Counts struct {
-	Sent, Heard, Held, Stale int // datagrams; Held: kept back by the limit; Stale: waited while this process did not run
-	Shed, Retries            int // reqs denied by the cut; clients that came again
+	Sent, Heard, Held, Stale int // datagrams; Held: not sent because of the limit; Stale: received after a stall and dropped
+	Shed, Retries            int // requests rejected by shedding; retries of clients
 	Probes                   int
 }
 
-// bucket is what may still go out, filled as time passes; below 0 it is a debt.
+// tokenBucket limits a rate. Its level may be negative where the sender was allowed to borrow.
 type tokenBucket struct {
 	tokens   float64
 	filledAt int64
@@ -149,10 +154,10 @@
 	b.filledAt = now
 }
 
-// New begins alone.
+// New returns a member that has heard from no peer yet.
 func New(cfg Config, now int64) *Fleet {
 	f := &Fleet{cfg: cfg, rng: rng.Source{Seed: cfg.Seed}, lastTick: now, pushAt: now, tokens: tokenBucket{minBurst, now}}
-	period := int64(6 / cfg.DatagramsPerSecond * float64(sec)) // a ping and its answer are a third of what may be sent
+	period := int64(6 / cfg.DatagramsPerSecond * float64(sec)) // a ping and its answer use about a third of the datagram limit
 	f.swim = swim.New(swim.Config{Index: cfg.Index, Members: cfg.Members, Period: period, AckTimeout: cfg.AckTimeout, MinSilence: cfg.MinSilence, Seed: cfg.Seed ^ 1}, cfg.Incarnation, now)
 	maxRate, retryRatio := math.Inf(1), math.Inf(1)
 	if cfg.Overload != nil {
@@ -173,7 +178,7 @@
 	return max(minPushInterval, int64(float64(sec)/(pushFraction*f.cfg.DatagramsPerSecond)))
 }
 
-// Servers takes the ids of all listed servers, in order.
+// SetServers sets the ids of all listed servers, in sorted order.
 func (f *Fleet) SetServers(ids []string, now int64) {
 	if slices.Equal(ids, f.servers) {
 		return
@@ -183,15 +188,16 @@
 	f.assignProbes(now)
 }
 
-// divide divides the probes anew.
+// assignProbes assigns the probes anew after a change of the members or servers.
 func (f *Fleet) assignProbes(now int64) {
 	if f.membershipVersion = f.swim.Version(); f.probeRoster != nil {
 		f.probeRoster.Set(f.servers, f.swim.AliveMembers(), now)
 	}
 }
 
-// Arrive counts a req of a rule set and tenant, by their places, and says whether the fleet sheds it and for how long its client is
-// to stay away. Luck, between 0 and 1, belongs to what stays the same over its client's retries; marked where it says that it is one.
+// Admit counts a request of a rule set and tenant, given by index. It returns whether the fleet sheds the request
+// and how many nanoseconds its client should wait. clientHash, between 0 and 1, is the same for all retries of a
+// client's request; markedRetry says that the request is marked as a retry.
 func (f *Fleet) Admit(ruleSet, tenant int, clientHash float64, markedRetry bool, now int64) (shed bool, wait int64) {
 	if f.cfg.Overload == nil {
 		return false, 0
@@ -200,12 +206,12 @@
 	previous := &f.recentClients[int(clientHash*float64(len(f.recentClients)))]
 	known := previous.hash == clientHash && now-previous.at < clientRetryWindow
 	if known || markedRetry {
-		f.Count.Retries++ // load, but no further demand
+		f.Count.Retries++ // retries add load but no demand
 	} else if class >= 0 {
 		f.offered[class].Add(now, rateWindow)
 	}
 	if known && previous.unserved {
-		f.unserved.AddAmount(-math.Exp(-float64(now-previous.at)/float64(rateWindow)), now, rateWindow) // not lost yet
+		f.unserved.AddAmount(-math.Exp(-float64(now-previous.at)/float64(rateWindow)), now, rateWindow) // the client is still trying, so the request is not lost yet
 		previous.unserved = false
 	}
 	if f.shedder.Admits(class, clientHash) {
@@ -216,14 +222,14 @@
 	return true, int64(float64(f.cfg.MaxRetryAfter) * (minRetryAfterPart + (1-minRetryAfterPart)*f.rng.Next()))
 }
 
-// Lost tells that a req that was let in was not served in time. Should its client come again, that is no further demand, and nothing
-// is lost yet.
+// Missed records that an admitted request was not served in time. If its client retries, the retry adds no demand
+// and the request is no longer counted as unserved.
 func (f *Fleet) Missed(clientHash float64, now int64) {
 	f.unserved.Add(now, rateWindow)
 	f.recentClients[int(clientHash*float64(len(f.recentClients)))] = recentClient{clientHash, now, true}
 }
 
-// Sent tells of a dispatch; further where it is not its req's first.
+// Dispatched records a dispatch; retry is set if it is not the first of its request.
 func (f *Fleet) Dispatched(server string, retry bool, now int64) {
 	if retry {
 		f.retries.Add(now, rateWindow)
@@ -235,14 +241,15 @@
 	f.reports.dispatched(server, now)
 }
 
-// Finished tells how a dispatch ended, whether its req has ended as well, and how long it took. Cancelled ones say nothing.
+// DispatchEnded records the outcome of a dispatch, whether its request has ended too, and how long the dispatch
+// took in nanoseconds. Outcomes that say nothing about the server are ignored.
 func (f *Fleet) DispatchEnded(server string, outcome balance.Outcome, ended bool, took, now int64) {
 	switch outcome {
 	case balance.Cancelled, balance.NotSent, balance.Unknown:
 		return
 	case balance.Served:
 		f.reports.served(server, now)
-		f.serverTime.AddAmount(float64(took)/float64(sec), now, rateWindow) // without what the req waited here: servers alone say what they bear
+		f.serverTime.AddAmount(float64(took)/float64(sec), now, rateWindow) // without the time that the request waited in the proxy, which says nothing about what servers can bear
 		return
 	case balance.Refused:
 		f.refused.Add(now, rateWindow)
@@ -256,24 +263,24 @@
 	}
 }
 
-// Done tells that a req was served within its response target.
+// ServedInTime records that a request was served within its response target.
 func (f *Fleet) ServedInTime(now int64) { f.served.Add(now, rateWindow) }
 
-// Probed tells what came of a probe.
+// ProbeEnded records the result of a probe.
 func (f *Fleet) ProbeEnded(server string, healthy bool, now int64) {
 	f.reports.probed(f.cfg.Index, server, healthy, now)
 }
 
-// Same says whether a member goes by these rule sets and tenants, and this longest advice.
+// SameConfig reports whether the member runs with these rule sets and tenants and this longest wait.
 func (f *Fleet) SameConfig(ruleSets []balance.RuleSet, tenants []balance.Tenant, maxRetryAfter int64) bool {
 	return reflect.DeepEqual(f.cfg.RuleSets, ruleSets) && slices.Equal(f.cfg.Tenants, tenants) &&
 		f.cfg.MaxRetryAfter == maxRetryAfter
 }
 
-// Heard takes a datagram that came from the address of the member that it names.
+// Receive handles a datagram. The caller has checked that it came from the address of the member that it names.
 func (f *Fleet) Receive(d *peer.Datagram, now int64) {
 	if now-f.lastTick > stallThreshold || now < f.ignoreUntil {
-		// It may have waited for as long as this process stood still: its ages say nothing.
+		// The datagram may have waited for as long as this process was stalled, so the ages in it mean nothing.
 		f.Count.Stale++
 		return
 	}
@@ -296,24 +303,24 @@
 	f.queueDatagrams()
 }
 
-// Leave tells the others of the end of this process.
+// Leave tells the other members that this process ends.
 func (f *Fleet) Leave() {
 	f.swim.Leave()
 	f.queueDatagrams()
 }
 
-// Tick does what is due and says when to come again. What the process did not live through is settled first.
+// Tick does what is due and returns when to call it again. It handles a stall of the process first.
 func (f *Fleet) Tick(now int64) (next int64) {
 	elapsed := now - f.lastTick
 	if elapsed > stallThreshold {
-		f.stalled(elapsed, now)
+		f.handleStall(elapsed, now)
 	}
 	f.lastTick = now
 	f.tokens.fill((1-pushFraction)*f.cfg.DatagramsPerSecond, max(minBurst, f.cfg.DatagramsPerSecond/4), now)
 	next = f.swim.Tick(now)
 	if f.swim.Version() != f.membershipVersion {
 		f.load.DropGone(f.swim.Alive, func(p int) uint64 { return f.swim.Member(p).Incarnation })
-		if now >= f.assignAt { // it is work for all servers: not for each change of many
+		if now >= f.assignAt { // it takes time in proportion to the servers, so it does not run for each of many changes
 			f.assignAt = now + sec
 			f.assignProbes(now)
 		}
@@ -339,11 +346,13 @@
 	}
 	f.logChanges()
 	f.queueDatagrams()
-	return next // what else is due may wait for it: each waking costs the proxy more than the work done in it
+	// Other due work waits for the next tick of membership: a wakeup costs the proxy more than the work done in
+	// it.
+	return next
 }
 
-// stood settles what this process holds against the present, having not run for a time.
-func (f *Fleet) stalled(stalled, now int64) {
+// handleStall discards state that became outdated while this process did not run.
+func (f *Fleet) handleStall(stalled, now int64) {
 	f.load.Reset()
 	f.reports.reset()
 	f.ignoreUntil = now + ignoreAfterStall
@@ -354,15 +363,15 @@
 	if f.probeRoster != nil {
 		f.probeRoster.Resume(stalled)
 	}
-	f.log("this process did not run for a time", map[string]any{"ms": stalled / ms})
+	f.log("the process did not run for a while; outdated state discarded", map[string]any{"ms": stalled / ms})
 	if f.shedder.Active {
 		moves := f.shedder.Changes + 1
-		f.shedder = shed.New(f.cfg.shedConfig()) // an old cut binds nobody
+		f.shedder = shed.New(f.cfg.shedConfig()) // shedding decided before the stall no longer applies
 		f.shedder.Changes = moves
 	}
 }
 
-// shed is what the cut goes by.
+// shedConfig returns the configuration of the shedder.
 func (c *Config) shedConfig() shed.Config {
 	s := shed.Config{OverShareFactor: c.OverShareFactor}
 	for _, r := range c.RuleSets {
@@ -382,7 +391,7 @@
 	return all
 }
 
-// measure brings this member's own load up to date.
+// updateOwnLoad updates this member's own load.
 func (f *Fleet) updateOwnLoad(now int64) {
 	rate := func(c *decay.Counter) float64 { return c.Now(now, rateWindow) * float64(sec) / float64(rateWindow) }
 	o := &f.load.Own
@@ -392,11 +401,11 @@
 		o.Offered[i] = rate(&f.offered[i])
 	}
 	if f.shedder.Active {
-		o.Limit, o.LimitCount = f.shedder.Limit/float64(f.cfg.Members), 1 // a part for each place, so that sums of it stay in what a figure holds
+		o.Limit, o.LimitCount = f.shedder.Limit/float64(f.cfg.Members), 1 // each member reports its part, so that sums stay within the range of an encoded figure
 	}
 }
 
-// look has the cut and the budget follow the picture.
+// updateShedding updates the shedder and the retry budget from the fleet's load.
 func (f *Fleet) updateShedding(now int64) {
 	f.updateOwnLoad(now)
 	all, counted := f.load.FleetLoad(now)
@@ -405,7 +414,7 @@
 	f.retryBudget.Step(&all, &f.load.Own, now)
 }
 
-// push tells one member of the block beside this one's at the next level; all levels have their turn.
+// push sends load sums to one member of the sibling block at the next level, so that all levels take turns.
 func (f *Fleet) push(now int64) {
 	if f.load.Levels() == 0 {
 		return
@@ -424,7 +433,7 @@
 	}
 }
 
-// oneThat draws one of the places from one to before another that suit; -1 where none does.
+// randomMember returns a random member in [from, to) that suits, or -1 if none does.
 func (f *Fleet) randomMember(from, to int, suits func(i int) bool) int {
 	if n := to - from; n > 0 {
 		start := int(f.rng.Next() * float64(n))
@@ -437,22 +446,22 @@
 	return -1
 }
 
-// fill adds sums and hints where there is room.
+// addPayload adds load sums, membership updates and hints as far as there is room.
 func (f *Fleet) addPayload(d *peer.Datagram, room *peer.Room, level int, now int64) {
-	f.swim.AddUpdates(d, room, 1) // of many pieces of news most wait for pings and their answers, lest they crowd out the sums
+	f.swim.AddUpdates(d, room, 1) // only one update before the sums: many updates would crowd them out, and pings and answers carry the rest
 	d.Sums = append(d.Sums, f.load.SumsFor(level, f.swim.Incarnation(), room, now)...)
 	f.swim.AddUpdates(d, room, 1)
 	d.Hints = append(d.Hints, f.reports.hintsToSend(f.cfg.Index, int(math.Ceil(3*math.Log2(float64(f.swim.AliveCount())+1))), room, now)...)
 }
 
-// send hands out what the members' part wants sent, within the limit. Answers and questions carry what there is room for.
+// queueDatagrams queues the datagrams of the membership protocol. Next applies the limit.
 func (f *Fleet) queueDatagrams() {
 	for _, s := range f.swim.TakeDatagrams() {
 		f.actions = append(f.actions, Action{Kind: Send, To: s.To, Datagram: s.Datagram})
 	}
 }
 
-// advise has the module know what has changed.
+// updateAdvice emits the advice to the balancer if it has changed.
 func (f *Fleet) updateAdvice(now int64) {
 	a := balance.Advice{RetriesLimited: f.cfg.Overload != nil, ShareFactors: f.reports.shareFactors(f.cfg.Index, f.swim.Alive, now)}
 	if a.RetriesLimited {
@@ -465,38 +474,40 @@
 	f.actions = append(f.actions, Action{Kind: Advise, Advice: a})
 }
 
-// tell has a line logged.
+// log emits a line for the log.
 func (f *Fleet) log(text string, fields map[string]any) {
 	f.actions = append(f.actions, Action{Kind: Log, Text: text, Fields: fields})
 }
 
-// note logs what has changed: members, the cut, the budget.
+// logChanges logs changes of the members, the shedder and the retry budget.
 func (f *Fleet) logChanges() {
 	for _, c := range f.swim.TakeChanges() {
 		if c.To != peer.Suspect && c.From != swim.StateName(peer.Suspect) || c.To == peer.Dead {
-			f.log("member", map[string]any{"member": c.Member, "from": c.From, "to": swim.StateName(c.To), "by": c.By, "members": f.swim.AliveCount()})
+			f.log("member changed its state", map[string]any{"member": c.Member, "from": c.From, "to": swim.StateName(c.To), "by": c.By, "members": f.swim.AliveCount()})
 		}
 	}
 	if f.shedder.Active != f.logged.active || f.shedder.Changes != f.logged.changes {
 		f.logged.active, f.logged.changes = f.shedder.Active, f.shedder.Changes
-		f.log("cut", map[string]any{"in_force": f.shedder.Active, "limit": math.Round(f.shedder.Limit), "let_in": math.Round(f.shedder.AdmittedPart*100) / 100, "moves": f.shedder.Changes})
+		f.log("load shedding changed", map[string]any{"in_force": f.shedder.Active, "limit": math.Round(f.shedder.Limit), "let_in": math.Round(f.shedder.AdmittedPart*100) / 100, "moves": f.shedder.Changes})
 	}
 	if f.retryBudget.Stopped != f.logged.stopped {
 		f.logged.stopped = f.retryBudget.Stopped
-		f.log("further dispatches", map[string]any{"stopped": f.retryBudget.Stopped})
+		f.log("retry budget changed", map[string]any{"stopped": f.retryBudget.Stopped})
 	}
 }
 
-// Next gives the next action; false when there is none. A datagram past the limit is kept back for good: what it says has an age.
+// Next returns the next action, or false if there is none. A datagram beyond the limit is dropped instead of
+// delayed, because its content ages.
 func (f *Fleet) Next() (a Action, ok bool) {
 	for len(f.actions) > 0 {
 		a, f.actions = f.actions[0], f.actions[1:]
 		if a.Kind != Send {
 			return a, true
 		}
-		// A question or an answer that is kept back is a suspicion, of another or of oneself: these may run into debt, which the rest pays.
-		isProbe := a.Datagram.Kind != peer.Push
-		if !a.due && (f.tokens.tokens < -maxDebtSeconds*f.cfg.DatagramsPerSecond || !isProbe && f.tokens.tokens < 1) {
+		// A ping or an answer that is not sent causes a suspicion of this or another member. These datagrams may
+		// therefore exceed the rate, at the expense of later pushes.
+		mayBorrow := a.Datagram.Kind != peer.Push
+		if !a.due && (f.tokens.tokens < -maxDebtSeconds*f.cfg.DatagramsPerSecond || !mayBorrow && f.tokens.tokens < 1) {
 			f.Count.Held++
 			continue
 		}
@@ -508,7 +519,7 @@
 	return Action{}, false
 }
 
-// Status is what operators see of a member.
+// Status is a member's state as shown to operators.
 type Status struct {
 	Index           int               `json:"me"`
 	Incarnation     uint64            `json:"life"`
@@ -535,7 +546,7 @@
 	StalledMs       int64             `json:"not_run_ms"`
 }
 
-// Seen is one member in a view.
+// MemberStatus is one member as seen by another.
 type MemberStatus struct {
 	Member      int    `json:"member"`
 	State       string `json:"state"`
@@ -544,30 +555,30 @@
 	HeardMs     int64  `json:"heard_ms"` // ago
 }
 
-// CutStatus is the cut in force.
+// SheddingStatus is the state of shedding.
 type SheddingStatus struct {
 	Active          bool    `json:"in_force"`
 	Limit           float64 `json:"limit"`
 	AdmittedPart    float64 `json:"let_in"`
 	Changes         int     `json:"moves"`
-	BaselineLatency float64 `json:"calm_s"` // mean time of an answer without a cut
-	Latency         float64 `json:"took_s"` // and of late
+	BaselineLatency float64 `json:"calm_s"` // mean answer time while nothing is shed
+	Latency         float64 `json:"took_s"` // recent mean answer time
 }
 
-// SpareStatus is the budget of this member.
+// RetryBudgetStatus is the state of this member's retry budget.
 type RetryBudgetStatus struct {
 	Available int  `json:"left"`
 	Stopped   bool `json:"stopped"`
 }
 
-// Owner is who probes a server, and how long ago it was done.
+// ProbeOwner is the member that probes a server, and the time since the last probe.
 type ProbeOwner struct {
 	Server string `json:"server"`
 	Member int    `json:"member"`
 	AgeMs  int64  `json:"age_ms"`
 }
 
-// Status gives a member's view.
+// Status returns the member's state.
 func (f *Fleet) Status(now int64) Status {
 	all, counted := f.load.FleetLoad(now)
 	s := Status{Index: f.cfg.Index, Incarnation: f.swim.Incarnation(), HealthScore: f.swim.Health(), Alive: f.swim.AliveCount(), Counted: counted, LoadAgeMs: f.load.Age(now) / ms,
@@ -596,11 +607,11 @@
 	return s
 }
 
-// Members is the view of who takes part, for those who rehearse.
+// Membership returns the member's view of the membership, for rehearsals and the host.
 func (f *Fleet) Membership() *swim.Membership { return f.swim }
 
-// Picture is what is counted, for those who rehearse.
+// FleetLoad returns the load of all counted members and their number.
 func (f *Fleet) FleetLoad(now int64) (aggregate.Load, int) { return f.load.FleetLoad(now) }
 
-// Sheds says whether a cut is in force that denies anything.
+// Shedding reports whether shedding rejects any requests.
 func (f *Fleet) Shedding() bool { return f.shedder.Active && f.shedder.AdmittedPart < 1 }
--- a/fleet/holds/holds.go
+++ b/fleet/holds/holds.go
@@ -1,6 +1,6 @@
-// Package holds keeps which hosts operators have taken out by hand, in one file that outlives the process and that
-// both processes of an upgrade follow. It owns that file. It must never judge whether an id is known, and never
-// leave a file that is half written.
+// Package holds stores which hosts operators have taken out manually, in one file that outlives the process and is
+// shared by both processes of an upgrade. It never judges whether an id is known, and never leaves a file
+// incomplete.
 package holds
 
 import (
@@ -15,38 +15,39 @@
 	"time"
 )
 
-// keepBack is how long a return is remembered: discovery may be late to tell that the host was restarted.
+// returnRetention is how long a return is remembered, because discovery may be late to report that the host was
+// restarted.
 const returnRetention = int64(10 * time.Minute)
 
-// Hold is what is known of one host. Times are Unix nanoseconds.
+// Hold is the state of one host. Times are in Unix nanoseconds.
 type Hold struct {
 	Out        bool  `json:"out"`
-	Since      int64 `json:"from"` // since when it was out
-	ReturnedAt int64 `json:"back"` // when it was put back
+	Since      int64 `json:"from"` // when it was taken out
+	ReturnedAt int64 `json:"back"` // when it was returned
 }
 
-// Table is all holds. A version is never used twice.
+// Table holds the state of all hosts. A version is never used twice.
 type Table struct {
 	Version int64           `json:"version"`
-	Hosts   map[string]Hold `json:"hosts"` // emptied of what was put back long ago at each change
+	Hosts   map[string]Hold `json:"hosts"` // old returns are removed at each change
 }
 
-// Store is the file and what it held when last looked at.
+// Store is the file and its latest known content.
 type Store struct {
 	path     string
 	mu       sync.Mutex
 	table    Table
-	fileInfo os.FileInfo // of the file that the table is from
+	fileInfo os.FileInfo // of the file that was read or written last
 }
 
-// Open reads the file, if there is one. One that cannot be read counts as none, and is told of.
+// Open reads the file if there is one. A file that cannot be read counts as empty, and the error is returned.
 func Open(path string) (*Store, error) {
 	s := &Store{path: path, table: Table{Hosts: map[string]Hold{}}}
-	_, err := s.refresh()
+	_, err := s.reload()
 	return s, err
 }
 
-// Table gives what was last read or written.
+// Table returns what was last read or written.
 func (s *Store) Table() Table {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,16 +56,16 @@
 
 func (t Table) copy() Table { return Table{t.Version, maps.Clone(t.Hosts)} }
 
-// Follow looks whether the other process has changed the file.
+// Refresh reads the file if the other process has changed it, and reports whether it had.
 func (s *Store) Refresh() (Table, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed, _ := s.refresh()
+	changed, _ := s.reload()
 	return s.table.copy(), changed
 }
 
-// refresh reads the file anew where it is another one than before.
-func (s *Store) refresh() (bool, error) {
+// reload reads the file if it is not the one read last.
+func (s *Store) reload() (bool, error) {
 	info, err := os.Stat(s.path)
 	if err != nil || s.fileInfo != nil && os.SameFile(info, s.fileInfo) && info.ModTime().Equal(s.fileInfo.ModTime()) {
 		if errors.Is(err, fs.ErrNotExist) {
@@ -91,14 +92,14 @@
 	return true, nil
 }
 
-// Set takes a host out or puts it back, and gives the table as it is then. With an error the table holds for this
-// process alone. One that is set already, or that was never out, changes nothing.
+// Set takes a host out or returns it, and returns the new table. With an error the table applies to this process
+// only. Nothing changes if the host already has the state, or was never out.
 func (s *Store) Set(id string, out bool, now int64) (Table, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	unlock, err := s.lock()
 	defer unlock()
-	_, _ = s.refresh()
+	_, _ = s.reload()
 	if s.table.Hosts[id].Out == out {
 		return s.table.copy(), nil
 	}
@@ -117,7 +118,8 @@
 	return t.copy(), err
 }
 
-// Restore takes a newer table that was kept elsewhere, as when the file was lost; false where this one is no older.
+// Restore adopts a newer table that was stored elsewhere, for example after the file was lost. It returns false if
+// the table is not newer than this one.
 func (s *Store) Restore(t Table) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +136,7 @@
 	return true
 }
 
-// lock keeps the other process from changing the file between our reading and writing it.
+// lock keeps the other process from changing the file between a read and a write.
 func (s *Store) lock() (unlock func(), err error) {
 	f, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/fleet/learn.go
+++ b/fleet/learn.go
@@ -1,7 +1,8 @@
 package fleet
 
-// This file owns what a member that has just begun asks of those that live longer, and what these tell it. It must never teach what was
-// not met in this life, nor let askers have more than their part of what a member may send.
+// This file holds how a member that has just started queries older members about servers, and how those answer. A
+// member never reports what it has not observed in its own lifetime, and answers use no more than their fraction
+// of its datagram limit.
 
 import (
 	"slices"
@@ -12,33 +13,33 @@
 )
 
 const (
-	queryInterval     = 100 * ms // between questions to one other each
-	minTeacherAge     = 5 * sec  // of life from which a member teaches: before, it has met too little
-	maxObservationAge = 30 * sec // what was met longer ago is not taught
-	answerFraction    = 0.25     // of its datagrams a second that a member teaches with, and a second's worth of all at once
-	healthyAbove      = 0.9      // a server in use with more health than this is told of last
+	queryInterval     = 100 * ms // between queries, each to another member
+	minTeacherAge     = 5 * sec  // a younger member does not answer: it has observed too little
+	maxObservationAge = 30 * sec // older observations are not reported
+	answerFraction    = 0.25     // of the datagram limit, with a burst of one second's worth of datagrams
+	healthyAbove      = 0.9      // healthier servers in use are reported last
 )
 
-// Learn is what operators set on learning from others.
+// LearnConfig configures learning from peers.
 type LearnConfig struct {
-	MinPeers int   // that have to answer
-	Timeout  int64 // for so long after the start they are asked
+	MinPeers int   // how many peers have to answer
+	Timeout  int64 // how long after its start a member queries peers
 }
 
-// learn is what a member has asked and heard, and how much it may still teach.
+// learner holds the queries and answers of a member, and the limit on its own answers.
 type learner struct {
 	until           int64
 	queryAt         int64
-	queried         []bool                 // by place
-	reports         []warmstart.PeerReport // by who tells; emptied when the time is over
-	answerTokens    tokenBucket            // answers that may go now
-	newestKeys      []uint64               // by place: Unix ms of the newest idempotency key that it has told of
-	ownKey          uint64                 // the own one
-	reportedKey     uint64                 // the newest that another has heard from this place before
+	queried         []bool                 // by member
+	reports         []warmstart.PeerReport // by reporting member
+	answerTokens    tokenBucket            // for answers
+	newestKeys      []uint64               // by member: Unix ms of the newest idempotency key that it has reported
+	ownKey          uint64                 // Unix ms of this member's newest key
+	reportedKey     uint64                 // Unix ms of the newest key that peers remember from an earlier process of this member
 	startedAt       int64
-	queriesSent     int // questions asked
-	answersSent     int // answers given
-	answersReceived int // answers that came
+	queriesSent     int
+	answersSent     int
+	answersReceived int
 }
 
 func newLearner(cfg Config, now int64) learner {
@@ -49,25 +50,25 @@
 	return l
 }
 
-// Learns says whether answers are still waited for.
+// Learning reports whether this member still waits for answers.
 func (f *Fleet) Learning(now int64) bool {
 	return f.cfg.Learn != nil && now < f.learner.until && len(f.learner.reports) < f.cfg.Learn.MinPeers
 }
 
-// ask asks one other, until enough have answered.
+// queryPeer queries one peer at a time until enough have answered.
 func (f *Fleet) queryPeer(now int64) {
 	l := &f.learner
 	if !f.Learning(now) || now < l.queryAt {
 		return
 	}
 	l.queryAt = now + queryInterval
-	// Who is known to have begun about now knows nothing either.
+	// Members that are known to have started at about the same time have nothing to report.
 	target := f.randomMember(0, f.cfg.Members, func(i int) bool {
 		m := f.swim.Member(i)
 		return i != f.cfg.Index && !l.queried[i] && m.Alive() && !(m.Known && m.Incarnation>>8 != 0 && int64(m.Incarnation>>8)*ms > f.startedAt()-minTeacherAge)
 	})
 	if target < 0 {
-		clear(l.queried) // all were: some may not have heard
+		clear(l.queried) // all were queried; some may not have received it
 		return
 	}
 	l.queried[target] = true
@@ -76,10 +77,10 @@
 	f.actions = append(f.actions, Action{Kind: Send, To: target, Datagram: d, due: true})
 }
 
-// startedAt is this process's start by the clock of the day, as lives have it.
+// startedAt is this process's start by wall time, as encoded in its incarnation.
 func (f *Fleet) startedAt() int64 { return int64(f.swim.Incarnation()>>8) * ms }
 
-// lesson takes what a datagram asks or answers about servers.
+// receiveLearning handles queries and answers about servers.
 func (f *Fleet) receiveLearning(d *peer.Datagram, now int64) {
 	l := &f.learner
 	if f.cfg.Learn == nil || d.From == f.cfg.Index || d.From >= f.cfg.Members {
@@ -111,7 +112,7 @@
 			l.reports[i].Beliefs = append(l.reports[i].Beliefs, warmstart.Belief{HeardAt: now, StartTime: b.Since, Server: balance.ServerSnapshot{ID: id,
 				Health: float64(b.Health) / 100, EjectionLeft: peer.Nanoseconds(b.EjectionLeft), Draining: b.Draining, LastOutcomeAge: peer.Nanoseconds(b.Age)}})
 		}
-		if len(l.reports[i].Beliefs) > len(f.servers) { // it said some things twice
+		if len(l.reports[i].Beliefs) > len(f.servers) { // the peer reported some servers more than once
 			l.reports[i].Beliefs = l.reports[i].Beliefs[len(l.reports[i].Beliefs)-len(f.servers):]
 		}
 		f.actions = append(f.actions, Action{Kind: ApplyPeerReports, Reports: slices.Clone(l.reports)})
@@ -122,7 +123,8 @@
 	}
 }
 
-// Answer tells one that comes back what this process has met itself: what is out or drains first, then what is unwell.
+// SendBeliefs answers a query with what this process has observed itself. Ejected and draining servers come first,
+// then unhealthy ones.
 func (f *Fleet) SendBeliefs(to int, servers []balance.ServerSnapshot, now int64) {
 	observed := slices.DeleteFunc(slices.Clone(servers), func(server balance.ServerSnapshot) bool {
 		return now-f.learner.startedAt < minTeacherAge || !server.Draining && (server.LastOutcomeAge < 0 || server.LastOutcomeAge > maxObservationAge || server.EjectionLeft == 0 && server.Health > healthyAbove)
@@ -154,25 +156,26 @@
 	return 2
 }
 
-// mark adds how new the newest idempotency key is: should this process lose its ledger, others know that there were such.
+// addNewestKey adds the time of the newest idempotency key. If this process loses its ledger, peers know that such
+// keys existed.
 func (f *Fleet) addNewestKey(d *peer.Datagram, room *peer.Room) {
 	if f.cfg.Learn != nil && f.learner.ownKey > 0 && room.NewestKey() {
 		d.NewestKey = f.learner.ownKey
 	}
 }
 
-// Keyed tells of an idempotency key's beginning, in Unix ns.
+// RecordKey records the start of an idempotency key, in Unix ns.
 func (f *Fleet) RecordKey(startedAt int64) {
 	f.learner.ownKey = max(f.learner.ownKey, uint64(startedAt/ms))
 }
 
-// Witnessed is the beginning of the newest key, in Unix ns, that others have heard this place tell of before it began anew; and whether
-// anybody has answered.
+// ReportedKey returns the start, in Unix ns, of the newest key that peers remember from an earlier process of this
+// member, and whether any peer has answered.
 func (f *Fleet) ReportedKey() (newest int64, heard bool) {
 	return int64(f.learner.reportedKey) * ms, f.learner.answersReceived > 0
 }
 
-// Lessons is how often this member has asked, was answered and has answered.
+// LearnCounts returns how often this member has queried, was answered and has answered.
 func (f *Fleet) LearnCounts() (asked, answers, taught int) {
 	return f.learner.queriesSent, f.learner.answersReceived, f.learner.answersSent
 }
--- a/fleet/messages.go
+++ b/fleet/messages.go
@@ -1,7 +1,8 @@
 package fleet
 
-// This file owns letters: what is longer than a datagram goes out in pieces and is put together again. A letter of which a piece is lost is
-// lost; who needs it sends it again. It must never keep more than a few unfinished letters of a member.
+// This file splits messages that are longer than a datagram into parts and reassembles them. If a part is lost the
+// message is lost, and its sender has to send it again. No more than maxIncomplete incomplete messages are kept
+// per sender.
 
 import (
 	"slices"
@@ -10,19 +11,19 @@
 )
 
 const (
-	partRateFactor = 8.0 // pieces a second, as a multiple of the datagrams that a member sends without letters
-	maxIncomplete  = 4   // letters of one member that are waited for
+	partRateFactor = 8.0 // parts per second, as a multiple of the datagram limit
+	maxIncomplete  = 4   // incomplete messages kept per sender
 )
 
-// post is the letters of one member.
+// messageQueue holds the messages that are being sent and received.
 type messageQueue struct {
 	seq        uint32
 	tokens     tokenBucket
-	incomplete []partialMessage // emptied as they are whole, or by newer ones
-	dropped    int              // letters not sent as there were too many
+	incomplete []partialMessage // removed when complete, or replaced by newer ones
+	dropped    int              // messages not sent because of the limit
 }
 
-// half is a letter that is not whole yet.
+// partialMessage is a message of which parts are missing.
 type partialMessage struct {
 	from        int
 	incarnation uint64
@@ -31,7 +32,7 @@
 	missing     int
 }
 
-// Post sends a letter; one past what letters may take is dropped whole.
+// SendMessage sends a message to a member. A message beyond the limit is dropped whole.
 func (f *Fleet) SendMessage(to int, body []byte, now int64) {
 	m := &f.messages
 	rate := partRateFactor * f.cfg.DatagramsPerSecond
@@ -45,18 +46,18 @@
 	m.seq++
 	for i := range n {
 		d, _ := f.swim.Datagram(peer.MessagePart)
-		d.Seq, d.Subject, d.Piece = m.seq, i<<8|n, body[i*peer.MaxPartBytes:min(len(body), (i+1)*peer.MaxPartBytes)]
+		d.Seq, d.Subject, d.Part = m.seq, i<<8|n, body[i*peer.MaxPartBytes:min(len(body), (i+1)*peer.MaxPartBytes)]
 		f.actions = append(f.actions, Action{Kind: Send, To: to, Datagram: d, due: true})
 	}
 }
 
-// piece takes a piece of a letter.
+// receivePart handles one part of a message.
 func (f *Fleet) receivePart(d *peer.Datagram) {
 	if d.Kind != peer.MessagePart {
 		return
 	}
 	index, count := d.Subject>>8, d.Subject&255
-	if count == 0 || index >= count || len(d.Piece) > peer.MaxPartBytes || index < count-1 && len(d.Piece) != peer.MaxPartBytes {
+	if count == 0 || index >= count || len(d.Part) > peer.MaxPartBytes || index < count-1 && len(d.Part) != peer.MaxPartBytes {
 		return
 	}
 	m := &f.messages
@@ -65,7 +66,7 @@
 	})
 	if i < 0 {
 		fromSender := 0
-		for j := len(m.incomplete) - 1; j >= 0; j-- { // the oldest of this member's go
+		for j := len(m.incomplete) - 1; j >= 0; j-- { // remove the sender's oldest
 			if m.incomplete[j].from == d.From {
 				if fromSender++; fromSender >= maxIncomplete {
 					m.incomplete = slices.Delete(m.incomplete, j, j+1)
@@ -79,7 +80,7 @@
 	if partial.parts[index] != nil {
 		return
 	}
-	partial.parts[index] = append([]byte{}, d.Piece...)
+	partial.parts[index] = append([]byte{}, d.Part...)
 	if partial.missing--; partial.missing > 0 {
 		return
 	}
--- a/fleet/messages_test.go
+++ b/fleet/messages_test.go
@@ -74,7 +74,7 @@
 		}
 	})
 	t.Run("not of the form", func(t *testing.T) {
-		for _, d := range []peer.Datagram{{Kind: peer.MessagePart}, {Kind: peer.MessagePart, Subject: 3<<8 | 2, Piece: []byte("x")}, {Kind: peer.MessagePart, Subject: 2, Piece: []byte("x")}} {
+		for _, d := range []peer.Datagram{{Kind: peer.MessagePart}, {Kind: peer.MessagePart, Subject: 3<<8 | 2, Part: []byte("x")}, {Kind: peer.MessagePart, Subject: 2, Part: []byte("x")}} {
 			other.receivePart(&d)
 		}
 		if len(letters(other)) > 0 {
--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer is what client proxies tell one another: one small typed value to a datagram of 256 bytes at most and back. It
-// owns the form on the wire and its version. It must never decide what a datagram means, nor hand on one in part.
+// Package peer defines the datagrams that client proxies exchange: their content, encoding and version. A datagram
+// is at most 256 bytes long. This package never decides what a datagram means, and never returns part of one.
 package peer
 
 import (
@@ -12,41 +12,43 @@
 	"ivybank/internal/strictcbor"
 )
 
-// Most is the longest datagram, in bytes, that the platform carries between proxies.
+// MaxDatagramBytes is the size of the longest datagram that the platform carries between proxies.
 const MaxDatagramBytes = 256
 
-// version is that of the form: builds with another one ignore each other. A field more does not change it, as fields that are not
-// known are skipped.
+// version is the version of the encoding; builds with different versions ignore each other. An additional field
+// does not change it, because unknown fields are skipped.
 const version = 1
 
 const (
-	headerSize  = 5 // version and the fleet's name as a number
+	headerSize  = 5 // version and hash of the fleet's name
 	trailerSize = 4 // checksum
-	// What the parts of a datagram take at the most, in bytes; Pack goes by them.
+	// Upper bounds of the encoded size of each part, in bytes. Room counts with them.
 	baseSize, updateSize, sumSize, hintSize, beliefSize, newestKeySize = 44, 28, 16, 20, 22, 10
 )
 
-// Kind is what a datagram asks or answers.
+// Kind says what a datagram asks or answers.
 type Kind uint8
 
-// The kinds. All of them may carry news, sums and hints.
+// The kinds of datagrams. All of them may carry updates, load sums and hints.
 const (
-	Push        Kind = iota // wants no answer
-	Ping                    // wants an Ack with its number
-	Ack                     // answers a Ping; with About the one that was pinged on behalf of another
-	PingRequest             // asks to ping About on the sender's behalf
-	Nack                    // About has not answered the one that was asked
+	Push        Kind = iota // needs no answer
+	Ping                    // to be answered by an Ack with the same Seq
+	Ack                     // answers a Ping; for an indirect ping, Subject is the member that was pinged
+	PingRequest             // asks the receiver to ping Subject on the sender's behalf
+	Nack                    // Subject has not answered an indirect ping
 	Leave                   // the sender ends
-	Query                   // the sender has just begun, and asks what servers are worth
-	Answer                  // answers a Want with what the sender has met itself
-	MessagePart             // a piece of something longer than a datagram; Seq numbers the letter, About is the piece's place and how many there are
+	Query                   // the sender has just started and asks for observations of servers
+	Answer                  // answers a Query with the sender's own observations
+	// Part of a message that is longer than a datagram. Seq numbers the message; Subject holds the index of the
+	// part and the number of parts.
+	MessagePart
 	kindCount
 )
 
-// State is what is said of a member.
+// State is the state of a member.
 type State uint8
 
-// The states, in the order in which one of a life overrules another.
+// The states. Within one incarnation a later one overrides an earlier one.
 const (
 	Alive State = iota
 	Suspect
@@ -55,28 +57,28 @@
 	stateCount
 )
 
-// News is one thing said of a member.
+// MemberUpdate reports the state of one member.
 type MemberUpdate struct {
 	_           struct{} `cbor:",toarray"`
 	Member      int
 	State       State
-	Incarnation uint64 // of Who: its start in Unix milliseconds, more where it had to refute
-	Origin      int    // who says so first
-	Silence     uint16 // Suspect: for so many hundredths of a second By has heard nothing of Who
+	Incarnation uint64 // of Member: its start in Unix milliseconds and its number of refutations
+	Origin      int    // member that reported it first
+	Silence     uint16 // Suspect: time for which Origin has not heard Member, in hundredths of a second
 }
 
-// Sum is the load of a block of members, folded.
+// LoadSum is the load of a block of members.
 type LoadSum struct {
 	_           struct{} `cbor:",toarray"`
-	Level       uint8    // a block of 2^Level members
-	Block       int      // which
+	Level       uint8    // the block has 2^Level members
+	Block       int      // index of the block
 	Incarnation uint64   // Level 0: of the member
-	Age         uint16   // hundredths of a second since it was measured
-	Members     int      // members counted
+	Age         uint16   // time since the measurement, in hundredths of a second
+	Members     int      // number of members counted
 	Load        []byte
 }
 
-// Hint is what one member has met at a server.
+// Hint is one member's observation of a server.
 type Hint struct {
 	_           struct{} `cbor:",toarray"`
 	Server      uint32   // hash of its id
@@ -85,36 +87,36 @@
 	Age         uint16 // hundredths of a second
 }
 
-// Seen is what a hint says.
+// Observation is the content of a hint.
 type Observation uint8
 
-// What may have been seen.
+// The observations.
 const (
-	DispatchesLost  Observation = iota // several dispatches in a short time were lost or turned away
-	ProbeAnswered                      // a probe was answered
-	ProbeUnanswered                    // a probe was not answered
+	DispatchesLost Observation = iota // several dispatches in a short time were lost or refused
+	ProbeAnswered
+	ProbeUnanswered
 	observationCount
 )
 
-// Belief is what one member holds of a server's process, by what it has met there itself.
+// Belief is what one member knows of a server's process from its own observations.
 type Belief struct {
 	_            struct{} `cbor:",toarray"`
 	Server       uint32   // hash of its id
-	Since        uint32   // the low bits of its start in milliseconds, see Start
+	Since        uint32   // low bits of its start in milliseconds, see StartTime
 	Health       uint8    // in hundredths
-	EjectionLeft uint16   // hundredths of a second of its ejection; 0: it is in use
-	Draining     bool     // as the list told it
-	Age          uint16   // hundredths of a second since it was last met
+	EjectionLeft uint16   // rest of its ejection in hundredths of a second; 0: it is in use
+	Draining     bool     // as reported by discovery
+	Age          uint16   // time since the latest outcome, in hundredths of a second
 }
 
-// Start is a server's start as it stands on the wire.
+// StartTime encodes a server's start, given in ns.
 func StartTime(since int64) uint32 { return uint32(since / 1e6) }
 
-// Datagram is one message.
+// Datagram is one message between members.
 type Datagram struct {
 	From        int            `cbor:"1,keyasint"`
 	Incarnation uint64         `cbor:"2,keyasint"`
-	Number      uint64         `cbor:"3,keyasint"` // of this life; no two are the same
+	Number      uint64         `cbor:"3,keyasint"` // unique within the incarnation
 	Kind        Kind           `cbor:"4,keyasint,omitempty"`
 	Seq         uint32         `cbor:"5,keyasint,omitempty"`
 	Subject     int            `cbor:"6,keyasint,omitempty"`
@@ -122,29 +124,31 @@
 	Sums        []LoadSum      `cbor:"8,keyasint,omitempty"`
 	Hints       []Hint         `cbor:"9,keyasint,omitempty"`
 
-	Beliefs   []Belief `cbor:"10,keyasint,omitempty"` // Teach
-	Piece     []byte   `cbor:"12,keyasint,omitempty"` // Letter
-	NewestKey uint64   `cbor:"11,keyasint,omitempty"` // Unix ms of the newest idempotency key; Teach: as the one that asks had told it
+	Beliefs []Belief `cbor:"10,keyasint,omitempty"` // of an Answer
+	Part    []byte   `cbor:"12,keyasint,omitempty"` // of a MessagePart
+	// Unix ms of the newest idempotency key. In an Answer: the newest key that the querying member reported
+	// before.
+	NewestKey uint64 `cbor:"11,keyasint,omitempty"`
 }
 
-// The reasons for which a datagram is dropped.
+// Reasons for which a datagram is dropped.
 var (
-	ErrLength   = errors.New("cut short or too long")
+	ErrLength   = errors.New("length is out of bounds")
 	ErrChecksum = errors.New("garbled")
-	ErrVersion  = errors.New("of another version")
-	ErrFleet    = errors.New("of another fleet")
-	ErrFormat   = errors.New("not of the form")
+	ErrVersion  = errors.New("unknown version")
+	ErrFleet    = errors.New("belongs to another fleet")
+	ErrFormat   = errors.New("content is malformed")
 )
 
 var encoder, decoder = strictcbor.Modes(cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: 64, MaxMapPairs: 32})
 
-// Fleet is a fleet's name as it stands on the wire.
+// FleetHash encodes a fleet's name.
 func FleetHash(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) }
 
-// Server is a server's id as it stands on the wire.
+// ServerHash encodes a server's id.
 func ServerHash(id string) uint32 { return crc32.ChecksumIEEE([]byte(id)) }
 
-// Encode gives the bytes of a datagram, ErrShort where they would be too many.
+// Encode returns the bytes of a datagram, or ErrLength if it is too long.
 func Encode(fleet uint32, d *Datagram) ([]byte, error) {
 	body, err := encoder.Marshal(d)
 	if err != nil {
@@ -158,7 +162,7 @@
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b)), nil
 }
 
-// Decode reads a datagram whole, or says why it is dropped.
+// Decode decodes a datagram as a whole, or returns the reason for which it is dropped.
 func Decode(fleet uint32, b []byte) (d Datagram, err error) {
 	if len(b) < headerSize+trailerSize+1 || len(b) > MaxDatagramBytes {
 		return d, ErrLength
@@ -195,13 +199,13 @@
 	return ok
 }
 
-// Room is what a datagram still has room for, in bytes.
+// Room is the room left in a datagram, in bytes.
 type Room int
 
-// Whole is the room of a datagram that carries nothing yet.
+// FullRoom returns the room of a datagram without content.
 func FullRoom() Room { return MaxDatagramBytes - headerSize - trailerSize - baseSize }
 
-// Take says whether so many bytes fit, and takes them.
+// Take reports whether n bytes fit, and reserves them.
 func (r *Room) Take(n int) bool {
 	if Room(n) > *r {
 		return false
@@ -210,30 +214,31 @@
 	return true
 }
 
-// News says whether one thing more said of a member fits, and takes its room.
+// MemberUpdate reports whether another update fits, and reserves its room.
 func (r *Room) MemberUpdate() bool { return r.Take(updateSize) }
 
-// Sum is the same for a sum with so many bytes of load.
+// LoadSum reports whether a sum with so many bytes of load fits, and reserves its room.
 func (r *Room) LoadSum(load int) bool { return r.Take(sumSize + 10 + load) }
 
-// Hint is the same for a hint.
+// Hint reports whether a hint fits, and reserves its room.
 func (r *Room) Hint() bool { return r.Take(hintSize) }
 
-// Belief is the same for a belief.
+// Belief reports whether a belief fits, and reserves its room.
 func (r *Room) Belief() bool { return r.Take(beliefSize) }
 
-// Mark is the same for a mark.
+// NewestKey reports whether the newest key fits, and reserves its room.
 func (r *Room) NewestKey() bool { return r.Take(newestKeySize) }
 
-// PieceMost is the longest piece of a letter, in bytes, and MostPieces how many a letter may have.
+// MaxPartBytes is the size of the longest part of a message, and MaxParts the number of parts that a message may
+// have.
 const (
 	MaxPartBytes = MaxDatagramBytes - headerSize - trailerSize - baseSize - 4
 	MaxParts     = 255
 )
 
-// Hundredths gives a time in ns as it stands on the wire, the longest where it is longer. It is rounded up: what is passed on from one to
-// another must not look fresher each time.
+// Hundredths encodes a time in ns; times that are too long become the longest. It rounds up, because an age that
+// is forwarded from member to member must not become smaller.
 func Hundredths(ns int64) uint16 { return uint16(min(max(0, (ns+1e7-1)/1e7), 1<<16-1)) }
 
-// Ns is the time that Hundredths stands for.
+// Nanoseconds decodes the result of Hundredths.
 func Nanoseconds(h uint16) int64 { return int64(h) * 1e7 }
--- a/fleet/serverreports.go
+++ b/fleet/serverreports.go
@@ -1,7 +1,8 @@
 package fleet
 
-// This file owns what members have met at servers: reports of dispatches lost, results of probes, and of which servers care is
-// due. It must never have one member's word alone make another wary, nor eject anybody.
+// This file holds what members observed at servers: lost dispatches and results of probes, and which servers get a
+// reduced share because of them. One member's report alone never reduces a server's share at others, and nothing
+// here ejects a server.
 
 import (
 	"cmp"
@@ -12,20 +13,24 @@
 )
 
 const (
-	minLost           = 3.0     // dispatches lost lately at a server,
-	minLostPart       = 0.5     // and this part of all lately, are reported
-	lossWindow        = 1 * sec // lately
-	reportMaxAge      = 3 * sec // a report counts for so long
-	probeMaxAge       = 5 * sec // and the result of a probe
-	maxReporters      = 4       // reports that are kept of a server, the newest
-	minReporters      = 2       // members that have to say the same
-	maxReportedPart   = 0.34    // one who reports more of the servers than this has a trouble of its own
-	reducedShare      = 0.5     // part of its share that a server gets of which care is due,
-	lowestShare       = 0.25    // and where still more report it
+	// A member reports a server when it lost at least this many dispatches and this part of all dispatches to it
+	// within lossWindow.
+	minLost      = 3.0
+	minLostPart  = 0.5
+	lossWindow   = 1 * sec // decay time of the counts of dispatches
+	reportMaxAge = 3 * sec // how long a report of losses counts
+	probeMaxAge  = 5 * sec // how long the result of a probe counts
+	maxReporters = 4       // newest reports kept per server
+	minReporters = 2       // members that have to report the same server
+	// Reports of a member that reports more than this part of all servers are ignored: its own link is probably
+	// broken.
+	maxReportedPart   = 0.34
+	reducedShare      = 0.5  // factor on the share of a server that minReporters members report,
+	lowestShare       = 0.25 // and of one that more members report
 	repeatReportAfter = 500 * ms
 )
 
-// report is one member's word on a server.
+// report is one member's observation of a server.
 type report struct {
 	member      int
 	observation peer.Observation
@@ -33,22 +38,22 @@
 	timesSent   int
 }
 
-// met is what is known of one server.
+// serverRecord holds what is known of one server.
 type serverRecord struct {
 	id              string
 	hash            uint32
 	sent, lost      decay.Counter
-	lastServed      int64    // a dispatch of this member was served there
-	reports, probes []report // of each member at most one; emptied as they age
+	lastServed      int64    // time of the latest dispatch of this member that was served
+	reports, probes []report // at most one per member; removed as they age
 }
 
-// wary is the table of servers; it holds those on the list and no others.
+// serverReports holds the records of all listed servers.
 type serverReports struct {
-	servers []serverRecord // by id
-	byHash  map[uint32]int // place of each; -1 where two have the same
+	servers []serverRecord // sorted by id
+	byHash  map[uint32]int // index of each server; -1 if two share a hash
 }
 
-// list takes the servers that there are.
+// setServers sets the listed servers.
 func (w *serverReports) setServers(ids []string) {
 	next := make([]serverRecord, 0, len(ids))
 	w.byHash = make(map[uint32]int, len(ids))
@@ -67,7 +72,7 @@
 	w.servers = next
 }
 
-// id is the server that a hash stands for; "" where none does, or more than one.
+// idOf returns the id of the server with a hash, or "" if there is none or more than one.
 func (w *serverReports) idOf(hash uint32) string {
 	if i, ok := w.byHash[hash]; ok && i >= 0 {
 		return w.servers[i].id
@@ -111,10 +116,10 @@
 	}
 }
 
-// put keeps a member's newest word, and the newest members' words.
+// insertReport keeps the newest report of each member, and those of the maxReporters newest members.
 func insertReport(all []report, r report) []report {
 	if i := slices.IndexFunc(all, func(x report) bool { return x.member == r.member }); i >= 0 {
-		if r.at > all[i].at+10*ms || r.observation != all[i].observation && r.at >= all[i].at { // the same once more by another way is not news
+		if r.at > all[i].at+10*ms || r.observation != all[i].observation && r.at >= all[i].at { // the same report received again by another route is not newer
 			all[i] = r
 		}
 		return all
@@ -132,7 +137,7 @@
 	return all
 }
 
-// heard takes a hint; it gives the server and the time of a probe.
+// receiveHint records a hint. For the result of a probe it returns the server and the probe's time.
 func (w *serverReports) receiveHint(h peer.Hint, now int64) (id string, at int64, probe bool) {
 	i, ok := w.byHash[h.Server]
 	if !ok || i < 0 {
@@ -152,7 +157,7 @@
 	return m.id, r.at, true
 }
 
-// own brings up to date what this member itself has to report.
+// updateOwnReports updates what this member itself reports.
 func (w *serverReports) updateOwnReports(index int, now int64) {
 	for i := range w.servers {
 		m := &w.servers[i]
@@ -168,7 +173,7 @@
 	}
 }
 
-// tell adds the hints that went out least often.
+// hintsToSend returns the hints that were sent least often, as far as there is room.
 func (w *serverReports) hintsToSend(index, maxSends int, room *peer.Room, now int64) (hints []peer.Hint) {
 	w.updateOwnReports(index, now)
 	type item struct {
@@ -197,8 +202,8 @@
 	return hints
 }
 
-// care says what part of its share each server gets of which care is due; nil where there is none. A server that has just served
-// this member is known better here than by any report.
+// shareFactors returns the factors on the shares of reported servers, or nil if there are none. A server that has
+// just served this member is not reduced by the reports of others.
 func (w *serverReports) shareFactors(index int, alive func(int) bool, now int64) (factors map[string]float64) {
 	w.updateOwnReports(index, now)
 	serversReported := map[int]int{}
@@ -209,7 +214,7 @@
 	}
 	for i := range w.servers {
 		m := &w.servers[i]
-		var reporters []int // each member's word counts once
+		var reporters []int // each member counts once
 		for _, r := range m.reports {
 			if (r.member == index || alive(r.member)) && float64(serversReported[r.member]) <= max(1, maxReportedPart*float64(len(w.servers))) {
 				reporters = append(reporters, r.member)
@@ -235,7 +240,7 @@
 	return factors
 }
 
-// forget drops what was heard and met.
+// reset discards all reports and counts.
 func (w *serverReports) reset() {
 	for i := range w.servers {
 		m := &w.servers[i]
--- a/fleet/shed/retrybudget.go
+++ b/fleet/shed/retrybudget.go
@@ -1,7 +1,7 @@
 package shed
 
-// This file owns the budget for further dispatches: what each first dispatch earns, what others leave, and when there is none at
-// all. It must never lend what its owner may still spend in full, nor hold more than a short burst.
+// This file holds the retry budget: what each first dispatch earns, what other members leave unused, and when
+// retries stop. A member never lends what it may still spend, and no more than a short burst is saved up.
 
 import (
 	"math"
@@ -10,33 +10,34 @@
 )
 
 const (
-	burstWindow  = 2 * sec // what may be saved up: the earnings of so long,
-	minBurst     = 2.0     // and this at the least
-	lendFraction = 0.7     // of what others leave; the rest is for what the picture is late to tell
-	stopAbove    = 0.5     // part of dispatches that fail at which a further one helps nobody
-	resumeBelow  = 0.3     // until it is down to this
+	// A member may save up what it earns in burstWindow, and at least minBurst.
+	burstWindow  = 2 * sec
+	minBurst     = 2.0
+	lendFraction = 0.7 // of what others leave unused; the rest allows for the delay of their reports
+	stopAbove    = 0.5 // failing part of the dispatches above which a retry helps nobody
+	resumeBelow  = 0.3 // failing part at which retries resume
 )
 
-// Spare is one member's part of the budget, in dispatches.
+// RetryBudget is one member's part of the budget, in dispatches.
 type RetryBudget struct {
-	Ratio     float64 // further dispatches to a first one
+	Ratio     float64 // retries per first dispatch
 	tokens    float64
 	steppedAt int64
 	Stopped   bool // most dispatches of the fleet fail
 }
 
-// NewSpare begins with one to spend.
+// NewRetryBudget returns a budget with one retry to spend.
 func NewRetryBudget(ratio float64, now int64) *RetryBudget {
 	return &RetryBudget{Ratio: ratio, tokens: 1, steppedAt: now}
 }
 
-// First earns for a first dispatch.
+// EarnFirst adds what a first dispatch earns.
 func (b *RetryBudget) EarnFirst() { b.tokens += b.Ratio }
 
-// Further spends for a further one.
+// SpendRetry takes one retry.
 func (b *RetryBudget) SpendRetry() { b.tokens-- }
 
-// Left is how many may go now.
+// Available returns how many retries are allowed now.
 func (b *RetryBudget) Available() int {
 	if b.Stopped {
 		return 0
@@ -44,8 +45,9 @@
 	return int(max(0, math.Floor(b.tokens)))
 }
 
-// Step lends what the others leave to those that want more than they have, in proportion; all is the picture, own this member's
-// part of it. Alone or cut off, all is own, and nothing is lent.
+// Step lends what other members leave unused to those that want more retries than they have, in proportion. all is
+// the load of the fleet, and own this member's part of it. For a member that is alone or cut off they are equal,
+// and nothing is lent.
 func (b *RetryBudget) Step(all, own *aggregate.Load, now int64) {
 	elapsed := float64(now-b.steppedAt) / float64(sec)
 	b.steppedAt = now
--- a/fleet/shed/shedder.go
+++ b/fleet/shed/shedder.go
@@ -1,6 +1,6 @@
-// Package shed says which reqs a fleet denies that cannot serve all, and how many further dispatches it can bear: the same code at
-// each member, from a picture that all of them hold nearly alike. It owns the cut and the budget; free of I/O. It must never make
-// anybody less strict than it would be alone: what it lets in the decision module may still deny.
+// Package shed decides which requests an overloaded fleet rejects and how many retries it can bear. All members
+// run the same code on nearly the same load of the fleet. The package is free of I/O. It never makes a member less
+// strict than it would be alone: the balancer may still deny what a Shedder admits.
 package shed
 
 import (
@@ -15,71 +15,83 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	correctionInterval = 500 * ms  // between corrections of the limit
-	startLoss          = 0.10      // part of what was let in and not served from which there is a cut,
-	startAfter         = 500 * ms  // once for so long,
-	startAfterUnknown  = 5 * sec   // or so long where neither calm was ever seen nor anybody has a cut: processes that begin turn reqs away while they learn
-	targetLoss         = 0.05      // part that a cut in force aims at: alone each denies a little more than it had to
-	minCostRate        = 2.0       // cost a second below which nothing is an overload
-	maxFall            = 0.05      // most that a step takes off the limit
-	firstRise          = 0.01      // what a step without losses adds while reqs are shed; twice that with the next, and so on
-	maxRise            = 0.04      // up to this
-	fastRise           = 1.0       // what a step adds while answers come as fast as in calm: there is room, whatever is lost,
-	fastLatencyFactor  = 1.25      // that is, within this multiple of the time that they took without a cut
-	baselineWeight     = 0.02      // weight of the newest such time
-	idleRise           = 0.004     // the same while none are: what was borne then says little of what can be
-	peerLimitWeight    = 0.3       // part of the way to the others' limit that a step goes
-	slackBelow         = 0.9       // of the limit: less than this offered for long enough ends the cut
-	firstEndAfter      = 10 * sec  // for so long at first, which costs nothing, as nobody is denied; each cut that comes back within the time below takes
-	endAfterFactor     = 6         // so many times longer to end,
-	maxEndAfter        = 300 * sec // up to this
-	restartWindow      = 60 * sec
-	averagePerChange   = 0.15      // seconds, times the square of the moves of late, over which demand is averaged: who swings is looked at longer
-	changeWindow       = 120 * sec // over which moves are forgotten
-	minChange          = 0.125     // changes of the part let in smaller than this are no moves
-	minResize          = 0.2       // change of the members counted, as a part, at which the limit goes with them
+	correctionInterval = 500 * ms // between corrections of the limit
+	// Shedding starts when this fraction of what was admitted is not served for startAfter.
+	startLoss  = 0.10
+	startAfter = 500 * ms
+	// Replaces startAfter if neither a baseline latency nor a peer that sheds is known: new processes reject
+	// requests while they learn.
+	startAfterUnknown = 5 * sec
+	targetLoss        = 0.05 // loss that active shedding aims at: each member's balancer denies a little more than it has to
+	minCostRate       = 2.0  // cost per second below which nothing is an overload
+	maxFall           = 0.05 // largest fraction that one correction takes off the limit
+	// The first correction without losses raises the limit by firstRise while requests are shed. Each further one
+	// doubles the rise, up to maxRise.
+	firstRise = 0.01
+	maxRise   = 0.04
+	// Rise while the latency is within fastLatencyFactor of the baseline: there is room, whatever the losses are.
+	fastRise          = 1.0
+	fastLatencyFactor = 1.25
+	baselineWeight    = 0.02  // weight of the newest baseline sample
+	idleRise          = 0.004 // rise while nothing is shed: what is served then says little about what could be
+	peerLimitWeight   = 0.3   // part of the distance to the peers' mean limit that a correction goes
+	// Shedding ends after less than this fraction of the limit was offered for firstEndAfter. Waiting costs
+	// nothing, because nothing is rejected then.
+	slackBelow    = 0.9
+	firstEndAfter = 10 * sec
+	// Each time that shedding restarts within restartWindow it takes this many times longer to end, up to
+	// maxEndAfter.
+	endAfterFactor = 6
+	maxEndAfter    = 300 * sec
+	restartWindow  = 60 * sec
+	// Demand is averaged over this many seconds times the square of the recent changes, so that swinging demand is
+	// averaged for longer.
+	averagePerChange = 0.15
+	changeWindow     = 120 * sec // decay time of the count of changes
+	minChange        = 0.125     // smaller changes of the admitted part do not count as changes
+	minResize        = 0.2       // relative change of the counted members at which the limit is scaled with them
 )
 
-// Terms is what a cut goes by.
+// Config is the configuration of a Shedder.
 type Config struct {
 	Values          []float64 // billing value of each rule set
-	Shares          []float64 // of each tenant; 0: none was agreed
-	OverShareFactor float64   // part of the worth that is left past a tenant's share
+	Shares          []float64 // share of each tenant; 0: none was agreed
+	OverShareFactor float64   // factor on the value of requests beyond a tenant's share
 }
 
-// Cut is one member's.
+// Shedder is one member's state of load shedding.
 type Shedder struct {
 	cfg         Config
-	values      []float64 // values that are told apart, the highest first
-	valueIndex  []int     // of each rule set
-	tenantSlots int       // tenants that are told apart
+	values      []float64 // values that are distinguished, in descending order
+	valueIndex  []int     // index into values, by rule set
+	tenantSlots int       // number of tenants that are distinguished
 
 	Active          bool
-	BaselineLatency float64                    // mean time of an answer without a cut, in seconds; 0: not known
-	Latency         float64                    // the same of late
-	Limit           float64                    // cost a second that all counted members together can bear
-	AdmittedPart    float64                    // of what is offered that is let in
-	AdmittedByClass [aggregate.Classes]float64 // the same by class
-	Changes         int                        // times that it came, went or moved by a step
-	lastPart        float64                    // Part at the latest move
+	BaselineLatency float64                    // mean answer time without shedding, in seconds; 0: not known
+	Latency         float64                    // recent mean answer time, in seconds
+	Limit           float64                    // cost per second that all counted members together can bear
+	AdmittedPart    float64                    // part of the offered load that is admitted
+	AdmittedByClass [aggregate.Classes]float64 // by class
+	Changes         int                        // how often shedding started, ended or changed its admitted part by minChange
+	lastPart        float64                    // AdmittedPart at the latest change
 	correctedAt     int64
-	demand          aggregate.Load // demand as it is averaged
+	demand          aggregate.Load // averaged demand
 	demandAt        int64
 	recentChanges   decay.Counter
-	nextRise        float64 // of the next step
-	lossSince       int64   // since when what is let in is not served; 0: it is
-	slackSince      int64   // since when little is offered; 0: it is not
+	nextRise        float64 // of the next correction
+	lossSince       int64   // time since which losses exceed startLoss; 0: they do not
+	slackSince      int64   // time since which little is offered; 0: it is not
 	endAfter        int64
 	endedAt         int64
-	members         float64 // members counted at the latest step
+	members         float64 // counted at the latest step
 }
 
-// New begins without a cut.
+// New returns a Shedder that is not active.
 func New(cfg Config) *Shedder {
 	s := &Shedder{cfg: cfg, endAfter: firstEndAfter, AdmittedPart: 1, lastPart: 1, endedAt: math.MinInt64 / 2}
 	s.tenantSlots = max(1, min(len(cfg.Shares), aggregate.Classes))
 	distinct := slices.Compact(slices.SortedFunc(slices.Values(cfg.Values), func(x, y float64) int { return cmp.Compare(y, x) }))
-	s.values = distinct[:min(len(distinct), aggregate.Classes/s.tenantSlots)] // the least valuable share the last band
+	s.values = distinct[:min(len(distinct), aggregate.Classes/s.tenantSlots)] // all smaller values share the last one
 	for _, v := range cfg.Values {
 		i := slices.IndexFunc(s.values, func(b float64) bool { return v >= b })
 		if i < 0 {
@@ -91,7 +103,8 @@
 	return s
 }
 
-// Class is that of a rule set's and tenant's reqs, by their places; -1 where the rule set is not known.
+// Class returns the class of the requests of a rule set and tenant, given by index, or -1 if the rule set is not
+// known.
 func (s *Shedder) Class(ruleSet, tenant int) int {
 	if ruleSet < 0 || ruleSet >= len(s.valueIndex) {
 		return -1
@@ -106,12 +119,13 @@
 	}
 }
 
-// Lets says whether a req of a class is let in; luck, between 0 and 1, belongs to what stays the same over its client's retries.
+// Admits reports whether a request of a class is admitted. clientHash, between 0 and 1, is the same for all
+// retries of a client's request.
 func (s *Shedder) Admits(class int, clientHash float64) bool {
 	return !s.Active || class < 0 || clientHash < s.AdmittedByClass[class]
 }
 
-// Step takes the picture of all counted members. It is to be called several times a second.
+// Step updates the shedder with the load of all counted members. It has to be called several times a second.
 func (s *Shedder) Step(load *aggregate.Load, members int, now int64) {
 	offered := load.TotalOffered()
 	loss := 0.0
@@ -138,7 +152,7 @@
 		return
 	}
 	if n := float64(members); math.Abs(n-s.members) > minResize*s.members {
-		s.Limit *= n / s.members // what members bear goes with them: a half is not the whole
+		s.Limit *= n / s.members // what the fleet bears is in proportion to its members
 		for i := range s.demand.Offered {
 			s.demand.Offered[i] *= n / s.members
 		}
@@ -169,7 +183,7 @@
 	s.recentChanges.Add(now, changeWindow)
 }
 
-// average follows demand, at once where the cut has hardly moved of late.
+// averageDemand updates the averaged demand, without delay if the shedder has hardly changed recently.
 func (s *Shedder) averageDemand(load *aggregate.Load, now int64) {
 	window := averagePerChange * math.Pow(s.recentChanges.Now(now, changeWindow), 2) * float64(sec)
 	weight := 1 - math.Exp(-float64(now-s.demandAt)/max(1, window))
@@ -186,7 +200,7 @@
 		s.endAfter = firstEndAfter
 	}
 	s.Active, s.Limit, s.members, s.correctedAt, s.slackSince, s.lossSince, s.nextRise = true, load.Served, float64(members), now, 0, 0, firstRise
-	if load.LimitCount >= 1 { // others have one already
+	if load.LimitCount >= 1 { // peers shed already
 		s.Limit = max(s.Limit, load.Limit/load.LimitCount)
 	}
 	s.countChange(now)
@@ -202,7 +216,7 @@
 	s.lastPart = 1
 }
 
-// correct moves the limit by what became of what was let in, and towards what the others hold.
+// correctLimit corrects the limit by the outcome of what was admitted, and moves it towards the peers' limits.
 func (s *Shedder) correctLimit(load *aggregate.Load, loss, latency, offered float64) {
 	switch {
 	case s.BaselineLatency > 0 && latency > 0 && latency < fastLatencyFactor*s.BaselineLatency && offered > s.Limit:
@@ -221,14 +235,14 @@
 	}
 }
 
-// piece is a part of a class that is worth the same throughout.
+// demandPart is a part of a class in which all requests have the same value.
 type demandPart struct {
 	class       int
 	worth, cost float64
 }
 
-// share works out what part of each class is let in: the most worth first, where what a tenant asks past its share counts for
-// less, and in proportion among pieces of the same worth.
+// allocate computes the part of each class that is admitted. The highest value comes first, where requests beyond
+// a tenant's share have a reduced value. Parts of the same value are admitted in proportion.
 func (s *Shedder) allocate(load *aggregate.Load, offered float64) {
 	if offered <= s.Limit {
 		s.admitAll()
@@ -275,8 +289,8 @@
 	s.AdmittedPart = s.Limit / offered
 }
 
-// like is the part of a class of which nothing is offered: that of the next more valuable one of its tenant which has some, so that
-// what begins to come of it is no way past the cut.
+// idleClassPart returns the admitted part of a class without offered load. It is that of the next more valuable
+// class of the tenant which has some, so that new requests of the class are no way around shedding.
 func (s *Shedder) idleClassPart(load *aggregate.Load, class int, admitted [aggregate.Classes]float64) float64 {
 	for x := class; x >= class/len(s.values)*len(s.values); x-- {
 		if load.Offered[x] > 0 {
--- a/fleet/snapshot/snapshot.go
+++ b/fleet/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps one memory of a proxy in a folder: versioned, with a checksum, written whole beside the old one and renamed. It
-// owns those files and their form. It must never leave a half-written one in the old one's place, nor give one that is not whole.
+// Package snapshot stores one snapshot of a proxy in a file with a version and a checksum. A new one is written
+// next to the old one and then renamed. An incomplete file never replaces a complete one, and is never returned.
 package snapshot
 
 import (
@@ -20,28 +20,28 @@
 const (
 	fileName    = "memory.snap"
 	magic       = "IVYSNAP"
-	version     = 1 // of the form; a field more does not change it
+	version     = 1 // of the format; an additional field does not change it
 	headerSize  = len(magic) + 1 + 8
 	trailerSize = 8
-	// Most bytes of a file: about 10,000 servers.
+	// MaxBytes is the maximum size of a file: about 10,000 servers.
 	MaxBytes = 4 << 20
 )
 
-// What can be wrong with a file. All of them mean: start without it.
+// Reasons for which a file is not usable. With each of them the proxy starts without a snapshot.
 var (
 	ErrNotSnapshot = errors.New("not a snapshot")
-	ErrVersion     = errors.New("of another version")
-	ErrLength      = errors.New("cut short or too long")
-	ErrChecksum    = errors.New("its checksum does not hold")
-	ErrFormat      = errors.New("its content is not of the form")
+	ErrVersion     = errors.New("unsupported format version")
+	ErrLength      = errors.New("length is not the stated one or too large")
+	ErrChecksum    = errors.New("checksum mismatch")
+	ErrFormat      = errors.New("content is malformed or out of range")
 )
 
 var encoder, decoder = strictcbor.Modes(cbor.DecOptions{})
 
-// Path is the file in a folder.
+// Path returns the path of the file in a folder.
 func Path(folder string) string { return filepath.Join(folder, fileName) }
 
-// Encode gives the bytes of a file.
+// Encode returns the content of a file, or ErrLength if it is too long.
 func Encode(m *warmstart.Snapshot) ([]byte, error) {
 	body, err := encoder.Marshal(m)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), nil
 }
 
-// Decode reads a file's bytes, or says what is wrong with them.
+// Decode decodes the content of a file, or returns the reason for which it is not usable.
 func Decode(b []byte) (m warmstart.Snapshot, err error) {
 	switch {
 	case len(b) < len(magic) || string(b[:len(magic)]) != magic:
@@ -74,7 +74,7 @@
 	return m, nil
 }
 
-// Read reads the file of a folder; fs.ErrNotExist where there is none.
+// Read reads the file in a folder. The error is fs.ErrNotExist if there is none.
 func Read(folder string) (warmstart.Snapshot, error) {
 	info, err := os.Stat(Path(folder))
 	if err != nil {
@@ -94,7 +94,7 @@
 	return m, err
 }
 
-// Write puts a memory in the place of the one before, which stays where that fails.
+// Write replaces the file in a folder. The old file stays if that fails.
 func Write(folder string, m *warmstart.Snapshot) error {
 	b, err := Encode(m)
 	if err != nil {
@@ -108,8 +108,9 @@
 	if err != nil {
 		return err
 	}
-	// It is not waited for the disk: a process that is killed meanwhile could not end, nor the next begin, before that is done. What a
-	// machine's end tears the checksum shows, and by then it would be too old.
+	// No fsync: a process that is killed meanwhile could not end, and its successor not start, before it
+	// completes. The checksum detects what a crash of the machine damages, and by then the snapshot would be too
+	// old anyway.
 	_, err = f.Write(b)
 	if closeErr := f.Close(); err == nil {
 		err = closeErr
--- a/fleet/swim/swim.go
+++ b/fleet/swim/swim.go
@@ -1,6 +1,6 @@
-// Package swim says who is a member of the fleet: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health (Dadgar,
-// Phillips, Currey, 2018), free of I/O. It is handed datagrams and the time, and hands out datagrams. It owns the table of
-// members. It must never let what it says of a member hold up a req, nor declare one dead that it has just heard.
+// Package swim implements fleet membership: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health
+// (Dadgar, Phillips, Currey, 2018), free of I/O. It is passed datagrams and the time, and returns datagrams.
+// Membership never delays a request, and never declares a member dead that it has just heard.
 package swim
 
 import (
@@ -14,113 +14,118 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	indirectPingers      = 3  // members asked to ping on one's behalf
-	maxConfirmations     = 2  // further members whose suspicion brings the death forward to its least time
-	updateSendFactor     = 3  // a piece of news goes out so many times the logarithm of the members
-	maxHealthScore       = 6  // steps by which trouble of one's own lengthens one's waits
-	probeNonMembersEvery = 4  // every so many periods one who is not a member is pinged
-	partitionDivisor     = 20 // where more than one in so many is away one of them is pinged each period: a partition may be over
-	updatesPerDatagram   = 3  // pieces of news in an answer or a question
+	indirectPingers      = 3 // members that are asked for an indirect ping
+	maxConfirmations     = 2 // further suspecting members that reduce the suspicion timeout to its minimum
+	updateSendFactor     = 3 // an update is sent this factor times the binary logarithm of the members
+	maxHealthScore       = 6 // limit of the health score, which lengthens this process's timeouts
+	probeNonMembersEvery = 4 // a non-member is pinged every this many periods
+	// If more than one in this many members is absent, an absent one is pinged each period: a partition may have
+	// ended.
+	partitionDivisor     = 20
+	updatesPerDatagram   = 3 // in a ping or an answer
 	remindInterval       = 1 * sec
-	leaveCopies          = 2                                             // times that each of a few is told of the end
-	suspectAfterTimeouts = 3                                             // waits from a ping until the one is suspected
-	stallThreshold       = 30 * ms                                       // a tick later than this is time in which this process did not run
-	maxSilence           = 600 * sec                                     // silences longer than this are told as this
-	replayWindow         = 64                                            // datagrams of one life that may come out of order
-	tickInterval         = 50 * ms                                       // between looks at what is due
-	largeFleetLog        = 1.2                                           // logarithm, to 10, of the members from which patience grows
-	maxUpdatesTaken      = 8                                             // pieces of news that one member's word may add in one datagram
-	never                = -1 << 62                                      // before anything was heard
-	smallFleet           = 16                                            // so few tell all others of their end
-	maxIncarnationLead   = 1000 * 3600 * 24 * 365 * 10 << refutationBits // past this one's own start no life can be
+	leaveCopies          = 2                                             // sent to each receiver of a leave
+	suspectAfterTimeouts = 3                                             // in timeouts from the ping
+	stallThreshold       = 30 * ms                                       // a tick later than this shows that the process did not run
+	maxSilence           = 600 * sec                                     // longest silence that is reported
+	replayWindow         = 64                                            // datagrams of one incarnation that may arrive out of order
+	tickInterval         = 50 * ms                                       // between checks of what is due
+	largeFleetLog        = 1.2                                           // decimal logarithm of the members above which suspicion timeouts grow
+	maxUpdatesTaken      = 8                                             // updates accepted from one datagram
+	never                = -1 << 62                                      // time before anything was heard
+	smallFleet           = 16                                            // in a fleet of this size all others are told of a leave
+	maxIncarnationLead   = 1000 * 3600 * 24 * 365 * 10 << refutationBits // an incarnation further ahead of this process's own is invalid
 )
 
-// Terms is what a member is told of the fleet. Times are nanoseconds.
+// Config is the configuration of a member. Times are in nanoseconds.
 type Config struct {
-	Index, Members int   // own place, places in all
+	Index, Members int   // own index, and size of the fleet
 	Period         int64 // between pings
-	AckTimeout     int64 // for an answer, directly and by way of others
-	MinSilence     int64 // nobody is dead who was heard within so long
+	AckTimeout     int64 // for the answer to a ping, direct or indirect
+	MinSilence     int64 // a member heard within this time is not declared dead
 	Seed           uint64
 }
 
-// Member is what is known of one.
+// Member is what is known of one member.
 type Member struct {
-	Known       bool // was heard of since this process's start; else it is presumed to be there, as it is configured
+	Known       bool // heard of since this process started; otherwise it is presumed alive because it is configured
 	State       peer.State
 	Incarnation uint64
-	Since       int64 // when it came to its state
-	LastHeard   int64 // latest sign of its life that this process has had
-	SuspectedBy int   // who suspected it first
+	Since       int64 // time of the latest change of state
+	LastHeard   int64 // time of the latest sign of life known to this process
+	SuspectedBy int   // member that reported the suspicion
 }
 
-// Alive says whether it takes part. A suspect does, until it is dead.
+// Alive reports whether the member takes part. A suspect does until it is declared dead.
 func (m Member) Alive() bool { return !m.Known || m.State <= peer.Suspect }
 
 type member struct {
 	Member
-	suspectedBy  []int  // who suspects it; emptied with the suspicion
-	timesSent    int    // times that its news went out
-	pending      bool   // its news has not gone out often enough
-	start        uint64 // of the process whose datagrams are counted; its life may be known from others before it is heard
-	newestNumber uint64 // newest datagram of that,
-	remindedAt   int64  // when it was last told what is said of it
-	received     uint64 // and which of those before it came, as bits
-}
-
-// ping is one that waits for its answer.
+	suspectedBy []int // members that suspect it; emptied when the suspicion ends
+	timesSent   int   // how often its update was sent
+	pending     bool  // its update was not sent often enough yet
+	// Start of the process that the following fields belong to. Its incarnation may be known from others before
+	// its first datagram arrives.
+	start        uint64
+	newestNumber uint64 // newest datagram number received
+	remindedAt   int64  // time at which it was last told what is said about it
+	received     uint64 // bit set of the numbers before newestNumber that were received
+}
+
+// pendingPing is a ping that waits for its answer.
 type pendingPing struct {
 	seq           uint32
 	target        int
 	sentAt        int64
-	helpRequested bool // helpers were asked
-	nacks         int  // of them, who has answered that there is no answer
-	requester     int  // pinged for another: who; -1 for oneself
+	helpRequested bool // indirect pings were requested
+	nacks         int  // helpers that reported no answer
+	requester     int  // member that asked for this indirect ping; -1 for an own ping
 	requesterSeq  uint32
 }
 
-// Send is a datagram for a member.
+// Outgoing is a datagram to be sent to a member.
 type Outgoing struct {
 	To int
 	peer.Datagram
 }
 
-// Change is one that came to another state.
+// Change is a change of a member's state.
 type Change struct {
 	Member int
-	From   string // "" where it was not known
+	From   string // "" if the member was not known
 	To     peer.State
 	By     int
 	At     int64
 }
 
-// Swim is one member's view of all.
+// Membership is one member's view of the fleet.
 type Membership struct {
 	cfg            Config
 	incarnation    uint64
-	members        []member // one for each place
-	pingOrder      []int    // in which they are pinged; drawn anew when it is through
+	members        []member // by index
+	pingOrder      []int    // shuffled anew at each end
 	nextPing       int
-	pings          []pendingPing // emptied as they are answered or over
-	out            []Outgoing    // emptied by Out
+	pings          []pendingPing // removed when answered or timed out
+	out            []Outgoing    // emptied by TakeDatagrams
 	changes        []Change
-	pendingUpdates []int // members whose news has not gone out often enough; emptied as it does
-	suspects       []int // suspects; emptied as they are cleared or dead
+	pendingUpdates []int // members whose updates were not sent often enough yet
+	suspects       []int // removed when cleared or dead
 	rng            rng.Source
 	seq            uint32
 	sentNumber     uint64
 	pingAt         int64
 	lastTick       int64
-	healthScore    int // 0: well; how much longer this process waits as it seems to be slow itself
+	healthScore    int // 0: healthy; a slow process lengthens its timeouts by it (Lifeguard)
 	periods        int
 	left           bool
-	version        int // counts changes of who is alive
+	version        int // number of changes of who is alive
 	alive          int
-	Stalled        int64 // time in which this process did not run, as far as it noticed
+	Stalled        int64 // ns in which this process did not run, as far as it noticed
 	Dropped        struct{ Duplicates, Outdated, UnknownSender int }
 }
 
-// New begins a life. Who is configured is presumed to be there, and found missing by the same pings as any.
+// New starts an incarnation. Configured members are presumed alive; those that are absent are detected by the
+// usual pings.
 func New(cfg Config, incarnation uint64, now int64) *Membership {
 	s := &Membership{cfg: cfg, incarnation: incarnation, members: make([]member, cfg.Members), rng: rng.Source{Seed: cfg.Seed}, lastTick: now}
 	s.pingAt = now + int64(s.rng.Next()*float64(cfg.Period))
@@ -133,25 +138,25 @@
 	return s
 }
 
-// Life is this process's, higher each time that it had to refute.
+// Incarnation returns this process's incarnation, which grows with each refutation.
 func (s *Membership) Incarnation() uint64 { return s.incarnation }
 
-// Health is how slow this process takes itself to be, 0 for not at all.
+// Health returns the local health score; 0 means that the process is not slow.
 func (s *Membership) Health() int { return s.healthScore }
 
-// Version changes whenever somebody comes to be alive or no longer is.
+// Version changes whenever a member becomes alive or stops being alive.
 func (s *Membership) Version() int { return s.version }
 
-// Count is how many are alive, this one included.
+// AliveCount returns the number of alive members, including this one.
 func (s *Membership) AliveCount() int { return s.alive }
 
-// Member is what is known of a place.
+// Member returns what is known of a member.
 func (s *Membership) Member(i int) Member { return s.members[i].Member }
 
-// Alive says whether a place's member takes part.
+// Alive reports whether a member takes part.
 func (s *Membership) Alive(i int) bool { return s.members[i].Alive() }
 
-// Living are the places of all that take part, in order.
+// AliveMembers returns the indexes of all members that take part, in order.
 func (s *Membership) AliveMembers() (all []int) {
 	for i := range s.members {
 		if s.members[i].Alive() {
@@ -161,27 +166,28 @@
 	return all
 }
 
-// Out hands over what is to be sent; Changes who came to another state. Both begin anew with it.
+// TakeDatagrams returns the datagrams to be sent since the last call.
 func (s *Membership) TakeDatagrams() []Outgoing {
 	out := s.out
 	s.out = nil
 	return out
 }
 
-// Changes hands over who came to another state since the last call.
+// TakeChanges returns the changes of state since the last call.
 func (s *Membership) TakeChanges() []Change {
 	c := s.changes
 	s.changes = nil
 	return c
 }
 
-// Datagram begins one of this life, which carries nothing yet.
+// Datagram returns a new datagram of this incarnation without content, and the room left in it.
 func (s *Membership) Datagram(k peer.Kind) (peer.Datagram, peer.Room) {
 	s.sentNumber++
 	return peer.Datagram{From: s.cfg.Index, Incarnation: s.incarnation, Number: s.sentNumber, Kind: k}, peer.FullRoom()
 }
 
-// Tell adds so many pieces of news at the most, those that went out least often. The table of members is also that of news: each has one.
+// AddUpdates adds up to n updates, those first that were sent least often. Each member has one update, built from
+// the table of members.
 func (s *Membership) AddUpdates(d *peer.Datagram, room *peer.Room, n int) {
 	slices.SortStableFunc(s.pendingUpdates, func(x, y int) int { return s.members[x].timesSent - s.members[y].timesSent })
 	maxSends := int(math.Ceil(updateSendFactor * math.Log2(float64(s.alive)+1)))
@@ -215,7 +221,8 @@
 	s.out = append(s.out, Outgoing{to, d})
 }
 
-// Fresh says whether a datagram is a member's, of its present life and not met before; else it is to be dropped and says nothing.
+// Accept reports whether a datagram comes from the present incarnation of a member and was not received before.
+// Other datagrams must be dropped.
 func (s *Membership) Accept(d *peer.Datagram) bool {
 	if d.From >= s.cfg.Members || d.From == s.cfg.Index || d.Incarnation > s.incarnation+maxIncarnationLead {
 		s.Dropped.UnknownSender++
@@ -226,7 +233,8 @@
 	case m.Known && (d.Incarnation>>refutationBits < m.Incarnation>>refutationBits || m.State == peer.Left && d.Incarnation <= m.Incarnation):
 		s.Dropped.Outdated++
 		if d.Kind == peer.Ping {
-			// One whose clock was set back begins with a life that is past. It is told, and takes a later one.
+			// A process whose clock was set back starts with an outdated incarnation. It is told so and takes a
+			// later one.
 			s.remind(d.From, s.updateOf(d.From))
 		}
 		return false
@@ -256,18 +264,19 @@
 	return true
 }
 
-// lifeBits of a life count refutations, the others the start. A life handed to New holds the start alone.
+// The lower refutationBits of an incarnation count refutations, the upper bits hold the start time. The
+// incarnation passed to New holds the start time only.
 const refutationBits = 8
 
-// LifeOf is the life of a process that starts at a clock time.
+// IncarnationAt returns the incarnation of a process that starts at a wall time in ns.
 func IncarnationAt(unixNs int64) uint64 { return uint64(max(1, unixNs/ms)) << refutationBits }
 
-// After is the least life of a process that begins after one of a life.
+// NextIncarnation returns the lowest incarnation of a process that starts after one with the given incarnation.
 func NextIncarnation(incarnation uint64) uint64 {
 	return (incarnation>>refutationBits + 1) << refutationBits
 }
 
-// Heard takes a fresh datagram.
+// Receive handles a datagram that Accept accepted.
 func (s *Membership) Receive(d *peer.Datagram, now int64) {
 	m := &s.members[d.From]
 	m.LastHeard = now
@@ -278,7 +287,8 @@
 	case !m.Known || d.Incarnation > m.Incarnation:
 		s.setState(d.From, peer.Alive, d.Incarnation, d.From, now)
 	case m.State == peer.Dead || m.State == peer.Suspect:
-		// What was just heard lives, whatever is said. It is told what is said of it, so that it can refute that to all.
+		// A member that was just heard is alive, whatever others report. It is told what is said about it, so that
+		// it can refute it.
 		s.sendUpdateAgain(d.From)
 		n := s.updateOf(d.From)
 		if m.State == peer.Dead {
@@ -303,7 +313,7 @@
 	}
 }
 
-// remind tells a member what is said of it.
+// remind tells a member what is said about it, so that it can refute it.
 func (s *Membership) remind(member int, n peer.MemberUpdate) {
 	m := &s.members[member]
 	if s.lastTick-m.remindedAt < remindInterval {
@@ -315,7 +325,7 @@
 	s.out = append(s.out, Outgoing{member, d})
 }
 
-// answered ends a ping, or passes its answer on to the one on whose behalf it was.
+// receiveAnswer completes a ping, or forwards its answer to the member that requested the ping.
 func (s *Membership) receiveAnswer(d *peer.Datagram, now int64) {
 	i := slices.IndexFunc(s.pings, func(p pendingPing) bool { return p.seq == d.Seq })
 	if i < 0 {
@@ -330,7 +340,7 @@
 		return
 	}
 	if s.members[p.target].Known {
-		s.members[p.target].LastHeard = now // by way of another
+		s.members[p.target].LastHeard = now // by an indirect ping
 	}
 	if p.requester >= 0 {
 		s.send(p.requester, peer.Ack, p.requesterSeq, p.target)
@@ -344,20 +354,20 @@
 	s.seq++
 	s.pings = append(s.pings, pendingPing{seq: s.seq, target: target, sentAt: now, requester: requester, requesterSeq: requesterSeq})
 	if m := &s.members[target]; m.Known && m.State != peer.Alive {
-		s.sendUpdateAgain(target) // it is told, to refute
+		s.sendUpdateAgain(target) // so that the member can refute its state
 	}
 	s.send(target, peer.Ping, s.seq, target)
 }
 
-// learn takes one piece of news.
+// applyUpdate applies one update.
 func (s *Membership) applyUpdate(update peer.MemberUpdate, now int64) {
 	if update.Member >= s.cfg.Members || update.Origin >= s.cfg.Members || update.Incarnation > s.incarnation+maxIncarnationLead {
 		return
 	}
 	if update.Member == s.cfg.Index {
 		if update.Incarnation >= s.incarnation && (update.State != peer.Alive || update.Incarnation > s.incarnation) && !s.left {
-			// Refuted by the living. Being suspected is a sign of being slow oneself; a life beyond one's own is an earlier process's
-			// whose clock was ahead.
+			// The update about this process is refuted with a higher incarnation. A suspicion is a sign that this
+			// process is slow. A higher incarnation belongs to an earlier process whose clock was ahead.
 			if update.State == peer.Suspect {
 				s.healthScore = min(maxHealthScore, s.healthScore+1)
 			}
@@ -368,7 +378,7 @@
 		return
 	}
 	m := &s.members[update.Member]
-	lastSign := now - peer.Nanoseconds(update.Silence) // latest sign of life that By had
+	lastSign := now - peer.Nanoseconds(update.Silence) // latest sign of life known to the reporting member
 	switch {
 	case !m.Known:
 		m.LastHeard = max(m.LastHeard, lastSign)
@@ -383,24 +393,25 @@
 		m.LastHeard = max(m.LastHeard, lastSign)
 		s.setState(update.Member, update.State, update.Incarnation, update.Origin, now)
 		if silence := now - heard; silence > s.cfg.MinSilence/2 && silence < 2*s.cfg.MinSilence {
-			s.confirmSuspicion(update.Member, s.cfg.Index) // it used to be heard here, and is not
+			s.confirmSuspicion(update.Member, s.cfg.Index) // it used to be heard here and no longer is
 		}
 		s.pingSoon(update.Member)
 	case update.State == peer.Dead && now-m.LastHeard < s.cfg.MinSilence/2:
-		// It was heard here just now: one that others cannot reach is not dead. It is told, and refutes.
+		// It was heard here just now. A member that others cannot reach is not dead; it is pinged and refutes the
+		// update.
 		if update.Incarnation > m.Incarnation {
 			s.setState(update.Member, peer.Alive, update.Incarnation, update.Origin, now)
 		}
 		s.pingSoon(update.Member)
 	default:
 		if update.State == peer.Alive {
-			m.LastHeard = max(m.LastHeard, now-s.cfg.MinSilence/2) // it lived a while ago
+			m.LastHeard = max(m.LastHeard, now-s.cfg.MinSilence/2) // it was alive a while ago
 		}
 		s.setState(update.Member, update.State, update.Incarnation, update.Origin, now)
 	}
 }
 
-// look has one pinged next.
+// pingSoon moves a member to the front of the ping order.
 func (s *Membership) pingSoon(member int) {
 	if i := slices.Index(s.pingOrder, member); i > s.nextPing {
 		s.pingOrder[s.nextPing], s.pingOrder[i] = s.pingOrder[i], s.pingOrder[s.nextPing]
@@ -409,17 +420,17 @@
 	}
 }
 
-// doubt adds one more who suspects a member.
+// confirmSuspicion adds a member that suspects another.
 func (s *Membership) confirmSuspicion(member, by int) {
 	m := &s.members[member]
 	if !slices.Contains(m.suspectedBy, by) && len(m.suspectedBy) <= maxConfirmations {
 		m.suspectedBy = append(m.suspectedBy, by)
 		m.SuspectedBy = by
-		s.sendUpdateAgain(member) // passed on, as it is further evidence
+		s.sendUpdateAgain(member) // forwarded, because it is further evidence
 	}
 }
 
-// rouse has a member's news go out again.
+// sendUpdateAgain restarts the sending of a member's update.
 func (s *Membership) sendUpdateAgain(i int) {
 	if m := &s.members[i]; !m.pending {
 		m.pending = true
@@ -428,7 +439,7 @@
 	s.members[i].timesSent = 0
 }
 
-// become brings a member to a state.
+// setState changes a member's state.
 func (s *Membership) setState(i int, state peer.State, incarnation uint64, by int, now int64) {
 	m := &s.members[i]
 	was, from, presumed := m.Alive(), "", !m.Known
@@ -440,19 +451,19 @@
 		s.changes = append(s.changes, Change{i, from, state, by, now})
 	}
 	if incarnation>>refutationBits > m.Incarnation>>refutationBits && m.Known {
-		s.version++ // another process at the same place
+		s.version++ // another process at the same index
 	}
 	m.Known, m.State, m.Incarnation, m.SuspectedBy, m.suspectedBy = true, state, incarnation, by, nil
 	if state == peer.Suspect {
 		m.suspectedBy = []int{by}
 		if silence := now - m.LastHeard; by == s.cfg.Index && silence > 2*s.cfg.MinSilence {
-			m.LastHeard = now - suspectAfterTimeouts*s.cfg.AckTimeout // it was not heard here for long anyway: its silence counts from the ping
+			m.LastHeard = now - suspectAfterTimeouts*s.cfg.AckTimeout // it was not heard here for long, so its silence counts from the ping
 		}
 		if !slices.Contains(s.suspects, i) {
 			s.suspects = append(s.suspects, i)
 		}
 	}
-	if !presumed || state != peer.Alive { // that one is there who is configured is no news
+	if !presumed || state != peer.Alive { // that a configured member is present is not worth an update
 		s.sendUpdateAgain(i)
 	}
 	if m.Alive() != was {
@@ -466,15 +477,16 @@
 	}
 }
 
-// Tick does what is due and says when to come again. It is to be called often: a tick that comes late shows that this process did
-// not run meanwhile, and then nobody else's silence counts.
+// Tick does what is due and returns when to call it again. It has to be called often: a late tick shows that this
+// process did not run, and then the silence of others does not count.
 func (s *Membership) Tick(now int64) (next int64) {
 	if late := now - s.lastTick - tickInterval; late > stallThreshold {
 		s.resume(late, now)
 	}
 	late := now - s.lastTick - tickInterval
 	s.lastTick = now
-	if late > s.cfg.MinSilence/3 { // some may doubt by now that this process lives: it shows at once that it does
+	// Others may suspect this process by now, so it shows at once that it is alive.
+	if late > s.cfg.MinSilence/3 {
 		for _, to := range s.randomAlive(smallFleet, -1) {
 			s.sendPing(to, -1, 0, now)
 		}
@@ -488,7 +500,7 @@
 	return now + tickInterval
 }
 
-// stood takes account of time in which this process did not run.
+// resume excludes the time in which this process did not run from all silences and timeouts.
 func (s *Membership) resume(stalled, now int64) {
 	s.Stalled += stalled
 	s.healthScore = min(maxHealthScore, s.healthScore+1)
@@ -502,10 +514,10 @@
 	}
 }
 
-// wait lengthens a time while this process seems to be slow itself.
+// scaleByHealth lengthens a time by the health score.
 func (s *Membership) scaleByHealth(t int64) int64 { return t + t*int64(s.healthScore)/2 }
 
-// round pings the next in order.
+// pingNext pings the next member in the ping order.
 func (s *Membership) pingNext(now int64) {
 	s.periods++
 	if s.periods%probeNonMembersEvery == 0 || s.alive == 1 || s.cfg.Members-s.alive > s.cfg.Members/partitionDivisor {
@@ -528,7 +540,7 @@
 	}
 }
 
-// knockAtOne pings one that is not a member: it may have come, or be on this side again after a partition.
+// pingNonMember pings an absent member: it may have started, or be reachable again after a partition.
 func (s *Membership) pingNonMember(now int64) {
 	var absent []int
 	for i := range s.members {
@@ -548,27 +560,27 @@
 	}
 }
 
-// some draws members that take part, other than two.
+// randomAlive returns up to n random alive members other than this one and except.
 func (s *Membership) randomAlive(n, except int) []int {
 	all := slices.DeleteFunc(s.AliveMembers(), func(i int) bool { return i == s.cfg.Index || i == except || s.members[i].State != peer.Alive })
 	s.shuffle(all)
 	return all[:min(n, len(all))]
 }
 
-// overdue looks after pings that have no answer: others are asked, then the one is suspected.
+// checkPings handles overdue pings: it requests indirect pings, then suspects the target.
 func (s *Membership) checkPings(now int64) {
 	timeout := s.scaleByHealth(s.cfg.AckTimeout)
 	s.pings = slices.DeleteFunc(s.pings, func(p pendingPing) bool {
 		switch {
-		case p.requester >= 0 && now >= p.sentAt+s.cfg.AckTimeout*3/4: // however slow this one is, the asker counts on it
-			s.send(p.requester, peer.Nack, p.requesterSeq, p.target) // in time for the one who asked
+		case p.requester >= 0 && now >= p.sentAt+s.cfg.AckTimeout*3/4: // without scaling by health, because the requester waits
+			s.send(p.requester, peer.Nack, p.requesterSeq, p.target) // arrives before the requester's timeout
 			return true
 		case now < p.sentAt+timeout:
 			return false
 		}
 		return p.requester < 0 && !s.members[p.target].Alive()
 	})
-	// The others may send, which must not change the table that is walked through.
+	// A separate loop, because sending must not change the table during the deletion above.
 	for i := range s.pings {
 		p := &s.pings[i]
 		if now < p.sentAt+timeout || p.helpRequested {
@@ -588,7 +600,7 @@
 		s.pings = slices.Delete(s.pings, i, i+1)
 		m := &s.members[p.target]
 		if p.nacks == 0 && s.alive > 2 {
-			s.healthScore = min(maxHealthScore, s.healthScore+1) // no helper has said a word: the fault may be here
+			s.healthScore = min(maxHealthScore, s.healthScore+1) // no helper answered at all, so the fault may be local
 		}
 		switch {
 		case m.LastHeard > p.sentAt:
@@ -600,23 +612,24 @@
 	}
 }
 
-// slow lengthens a time for fleets in which word takes longer to get about.
+// scaleBySize lengthens a time for large fleets, in which updates spread more slowly.
 func (s *Membership) scaleBySize(t int64) int64 {
 	return int64(float64(t) * max(1, math.Log10(float64(s.alive))/largeFleetLog))
 }
 
-// Patience is how long a suspect may be silent: it falls from its most to its least as further members confirm (Lifeguard).
+// SuspicionTimeout returns how long a suspect may be silent. It falls from its maximum to its minimum as further
+// members confirm the suspicion (Lifeguard).
 func (s *Membership) SuspicionTimeout(suspecting int) int64 {
 	least := float64(s.scaleBySize(s.cfg.MinSilence))
 	most := 2 * least
 	k, part := float64(min(maxConfirmations, s.alive-2)), 1.0
-	if k > 0 { // somebody is there to confirm
+	if k > 0 { // there are members that can confirm
 		part = math.Log(float64(max(1, suspecting))) / math.Log(k+1)
 	}
 	return s.scaleByHealth(int64(max(least, most-(most-least)*part)))
 }
 
-// bury declares those dead that were suspected and silent for long enough.
+// checkSuspects declares suspects dead that were silent for long enough.
 func (s *Membership) checkSuspects(now int64) {
 	for _, i := range s.suspects {
 		m := &s.members[i]
@@ -625,7 +638,7 @@
 		case silence >= s.SuspicionTimeout(len(m.suspectedBy)) && now-m.Since >= s.scaleBySize(suspectAfterTimeouts*s.cfg.AckTimeout): // it had time to refute
 			s.setState(i, peer.Dead, m.Incarnation, s.cfg.Index, now)
 		case silence < s.cfg.AckTimeout && m.Since < m.LastHeard:
-			// Heard since it was suspected. It refutes to all; here its word is enough.
+			// It was heard since it was suspected. It refutes the suspicion to all; here the datagram is enough.
 			m.State, m.suspectedBy, m.Since = peer.Alive, nil, now
 			s.changes = append(s.changes, Change{i, StateName(peer.Suspect), peer.Alive, i, now})
 		}
@@ -633,7 +646,7 @@
 	s.suspects = slices.DeleteFunc(s.suspects, func(i int) bool { return s.members[i].State != peer.Suspect })
 }
 
-// Leave tells of the end of this process.
+// Leave tells other members that this process ends.
 func (s *Membership) Leave() {
 	s.left = true
 	n := indirectPingers
@@ -647,7 +660,7 @@
 	}
 }
 
-// Word is a state's name.
+// StateName returns the name of a state.
 func StateName(s peer.State) string {
 	return [...]string{peer.Alive: "alive", peer.Suspect: "suspect", peer.Dead: "dead", peer.Left: "left"}[s]
 }
--- a/fleet/warmstart/warmstart.go
+++ b/fleet/warmstart/warmstart.go
@@ -1,6 +1,7 @@
-// Package warmstart says what a client proxy that comes back may still believe: of what it wrote down itself, by its age and by whether
-// what it speaks of is the same, and of what others tell, by how many say so. Free of I/O. It must never make a returner less careful
-// than one that knows nothing: an ejection ends no later than it would have, and nobody's word alone puts a server out.
+// Package warmstart decides what a restarted client proxy may still trust: the content of its own snapshot by age
+// and by whether it concerns the same configuration, and the reports of peers by how many agree. The package is
+// free of I/O. It never makes a restarted proxy less careful than one without information: an ejection ends no
+// later than it would have, and no single report ejects a server.
 package warmstart
 
 import (
@@ -17,17 +18,19 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	rateMaxAge      = 60 * sec               // rates fade over this time
-	latencyMaxAge   = 10 * 60 * sec          // times of answers are of use for so long
-	listMaxAge      = 60 * 60 * sec          // a list older than this is worse than that of the start
-	maxClockLead    = 5 * sec                // a snapshot may be from the future by so much
-	ejectionStreak  = 2                      // failures in a row that eject: one less is the state of a server that comes back from an ejection
-	suspectHealth   = 0.5                    // health of a server that one other holds to be out
-	minReporters    = 2                      // others that have to say so before it is
-	fullServicePart = 0.95                   // of the service before from which it counts as full
-	fullServiceTime = 3 * sec                // for so long
-	sliceLength     = 250 * ms               // service is counted by such pieces
-	sliceCount      = 10 * sec / sliceLength // of them, that service before an end is taken over
+	rateMaxAge    = 60 * sec      // rates fade to zero over this time
+	latencyMaxAge = 10 * 60 * sec // older latencies are of no use
+	listMaxAge    = 60 * 60 * sec // an older list is worse than the configured one
+	maxClockLead  = 5 * sec       // how far in the future a snapshot may be
+	// Failures in a row that eject a server. A server that returns from an ejection is one failure short of it.
+	ejectionStreak = 2
+	suspectHealth  = 0.5 // health of a server that a single peer reports as ejected
+	minReporters   = 2   // peers that have to report an ejection before it is adopted
+	// Service counts as full when it reaches this part of the service before the restart for fullServiceTime.
+	fullServicePart = 0.95
+	fullServiceTime = 3 * sec
+	sliceLength     = 250 * ms               // service is counted in slices of this length
+	sliceCount      = 10 * sec / sliceLength // slices kept; service before a stop is measured over this time
 )
 
 // Host is one entry of a list.
@@ -36,44 +39,45 @@
 	Addr string
 }
 
-// List is the list of servers as a proxy held it.
+// List is a proxy's list of servers.
 type List struct {
 	Generation int64
-	Age        int64 // since discovery told of it, in ns
+	Age        int64 // ns since discovery reported it
 	Hosts      []Host
 }
 
-// Memory is what a proxy writes down.
+// Snapshot is the state that a proxy stores. It is encoded under the names in the tags, or else the names of the
+// fields.
 type Snapshot struct {
 	Proxy       string `json:"Whose"` // listening address
-	Incarnation uint64 `json:"Life"`  // incarnation; 0: none
-	Number      uint64 // of this life's snapshots
+	Incarnation uint64 `json:"Life"`  // 0: none
+	Number      uint64 // number of the snapshot within the incarnation
 	WallTime    int64  `json:"Wall"` // Unix ns
-	BootID      string `json:"Boot"` // the machine's start, and the time since: ages by it need no clock of the day
+	BootID      string `json:"Boot"` // id of the machine's boot; with Uptime it gives ages that do not depend on wall time
 	Uptime      int64  `json:"Up"`
-	ConfigHash  uint64 `json:"Shape"` // of the terms
+	ConfigHash  uint64 `json:"Shape"` // see ConfigHash
 	List        List
 	Balancer    balance.Snapshot `json:"Module"`
 	Holds       holds.Table
-	NewestKey   int64   `json:"Newest"` // Unix ns of the newest idempotency key's beginning; 0: none
-	Service     float64 // part of the worth that was served in time over the last seconds; 0: not known
+	NewestKey   int64   `json:"Newest"` // Unix ns of the start of the newest idempotency key; 0: none
+	Service     float64 // recent part of the value that was served in time; 0: not known
 }
 
-// Now is a point in time by the clocks that there are.
+// Clocks is a point in time on the available clocks, in ns.
 type Clocks struct {
 	WallTime int64
 	BootID   string
 	Uptime   int64
 }
 
-// Verdict is what became of one part of a memory.
+// Verdict says whether one part of a snapshot is used.
 type Verdict struct {
 	Part string `json:"part"`
 	Kept bool   `json:"kept"`
 	Why  string `json:"why"`
 }
 
-// Shape is a number for what the terms hold that a memory refers to.
+// ConfigHash returns a hash of the configuration that a snapshot refers to.
 func ConfigHash(cfg *balance.Config) uint64 {
 	h := fnv.New64a()
 	for _, r := range cfg.RuleSets {
@@ -83,7 +87,7 @@
 	return h.Sum64()
 }
 
-// Age is how old a memory is; false where that cannot be told, as it is from the future.
+// Age returns the age of a snapshot in ns, or false if the snapshot is from the future.
 func (m *Snapshot) Age(now Clocks) (int64, bool) {
 	if m.BootID != "" && m.BootID == now.BootID {
 		return now.Uptime - m.Uptime, now.Uptime >= m.Uptime
@@ -91,7 +95,8 @@
 	return max(0, now.WallTime-m.WallTime), now.WallTime >= m.WallTime-maxClockLead
 }
 
-// Weigh gives what of a memory is to be believed: each part by its age, and what is too old as not known.
+// Evaluate returns what of a snapshot can be trusted, each part according to its age. Parts that are too old are
+// emptied.
 func Evaluate(m Snapshot, proxy string, cfg *balance.Config, now Clocks, trust int64) (Snapshot, []Verdict) {
 	var out []Verdict
 	judge := func(part string, kept bool, why string, a ...any) bool {
@@ -131,16 +136,16 @@
 	return m, out
 }
 
-// fadeBelief lets time pass for what is known of one server.
+// fadeServer ages what is known of one server.
 func fadeServer(server *balance.ServerSnapshot, age, trust int64) {
 	part := max(0, 1-float64(age)/float64(trust))
 	if server.Health += (1 - server.Health) * (1 - part); !(server.Health > 0 && server.Health <= 1) {
 		server.Health = 1
 	}
-	server.LastOutcomeAge = -1 // of another process: it is not first-hand any more
+	server.LastOutcomeAge = -1 // observed by another process, so not first-hand
 	if server.EjectionLeft > age {
 		server.EjectionLeft -= age
-	} else if server.EjectionLeft > 0 { // its time is over: it is one failure away from the next, as the module would have it
+	} else if server.EjectionLeft > 0 { // the ejection is over: one failure ejects the server again, as in the balancer
 		server.EjectionLeft, server.Streak, server.InflightCap = 0, ejectionStreak-1, 1
 	}
 	if age > latencyMaxAge {
@@ -149,8 +154,8 @@
 	server.InflightCap = 1 + (max(1, server.InflightCap)-1)*part
 }
 
-// Later lets time pass for what was believed of servers.
-func Age(own []balance.ServerSnapshot, age, trust int64) []balance.ServerSnapshot {
+// AgeServers ages what is known of servers.
+func AgeServers(own []balance.ServerSnapshot, age, trust int64) []balance.ServerSnapshot {
 	own = slices.Clone(own)
 	for i := range own {
 		fadeServer(&own[i], age, trust)
@@ -158,20 +163,21 @@
 	return own
 }
 
-// Told is what one other says: only what it has met itself in its own life.
+// PeerReport holds what one peer has observed itself in its lifetime.
 type PeerReport struct {
 	Member  int
 	Beliefs []Belief
 }
 
-// Belief is one server in it.
+// Belief is a peer's view of one server.
 type Belief struct {
-	Server    balance.ServerSnapshot // Health, Left, Draining, Since and Met alone
-	HeardAt   int64                  // when
-	StartTime uint32                 // of the server's process as it came; Since is what the returner's own list has for it
+	Server    balance.ServerSnapshot // Health, EjectionLeft, Draining, Since and LastOutcomeAge only
+	HeardAt   int64                  // time of its arrival
+	StartTime uint32                 // start of the server's process as received; Server.Since is the start in the local list
 }
 
-// Match keeps what is said of processes that the returner's own list names; since gives a server's start there, and its form on the wire.
+// MatchListed keeps the beliefs about processes that are in the local list. since returns a server's start in that
+// list and the start's encoded form.
 func MatchListed(reports []PeerReport, since func(id string) (at int64, start uint32, listed bool)) []PeerReport {
 	out := make([]PeerReport, 0, len(reports))
 	for _, report := range reports {
@@ -187,9 +193,10 @@
 	return out
 }
 
-// Learn works out what to believe of servers by others' word and one's own, which may be none. What oneself held to be out stays so. Two
-// others have to say that a server is out; where one alone does it is met as one that comes back from an ejection: the first failure
-// ejects it. What is said of another process than the latest that anybody knows is void.
+// MergeReports merges the reports of peers with what the proxy knows itself, which may be nothing. An ejection
+// that the proxy knows itself stays. minReporters peers have to report an ejection before it is adopted; a server
+// that only one reports is treated like one that returns from an ejection, so that its first failure ejects it.
+// Beliefs about any process of a server but the latest known are ignored.
 func MergeReports(own []balance.ServerSnapshot, reports []PeerReport, now int64) []balance.ServerSnapshot {
 	var order []string
 	latest, ownByID := map[string]int64{}, map[string]balance.ServerSnapshot{}
@@ -217,7 +224,7 @@
 		if known = known && l.Since == latest[id]; !known {
 			l = balance.ServerSnapshot{ID: id, Since: latest[id], Health: 1, InflightCap: 1}
 		}
-		var ejections []int64 // that others say is left of an ejection
+		var ejections []int64 // rest of the ejection according to each peer
 		for _, report := range reports {
 			for _, belief := range report.Beliefs {
 				if belief.Server.ID != id || belief.Server.Since != l.Since {
@@ -244,16 +251,16 @@
 	return out
 }
 
-// Meter measures service by pieces of time, and when it has come back.
+// ServiceMeter measures service in slices of time, and when it is full again after a start.
 type ServiceMeter struct {
 	StartedAt       int64
-	PreviousService float64 // service before the end of the process before; 0: not known
-	FullAfter       int64   // from the start until service was full; 0: not yet
+	PreviousService float64 // service before the previous process stopped; 0: not known
+	FullAfter       int64   // ns from the start until service was full; 0: not yet
 	slices          [sliceCount]struct{ served, all float64 }
-	newest          int64 // number of the newest piece
+	newest          int64 // number of the newest slice
 }
 
-// Add takes a final answer's worth.
+// Add counts the value of a final answer.
 func (m *ServiceMeter) Add(worth float64, inTime bool, now int64) {
 	m.advance(now)
 	p := &m.slices[m.newest%sliceCount]
@@ -272,11 +279,12 @@
 	}
 }
 
-// Service is the part of the worth that was served in time over the last seconds, or all that are kept; 0 where nothing was asked.
+// Service returns the part of the value that was served in time within the window or the kept slices; 0 if there
+// were no requests.
 func (m *ServiceMeter) Service(window, now int64) float64 {
 	m.advance(now)
 	served, all := 0.0, 0.0
-	for i := int64(1); i <= min(window/sliceLength, sliceCount-1); i++ { // the newest piece is not whole
+	for i := int64(1); i <= min(window/sliceLength, sliceCount-1); i++ { // the newest slice is incomplete
 		p := m.slices[(m.newest-i+sliceCount)%sliceCount]
 		served, all = served+p.served, all+p.all
 	}
@@ -286,7 +294,8 @@
 	return served / all
 }
 
-// Look says once that service is full again: how long after the start the seconds began in which it was.
+// CheckFull reports once that service is full again, with the ns from the start to the beginning of the time in
+// which it was full.
 func (m *ServiceMeter) CheckFull(now int64) (after int64, full bool) {
 	if m.FullAfter != 0 || now-m.StartedAt < fullServiceTime+sliceLength {
 		return 0, false
@@ -298,16 +307,16 @@
 	return m.FullAfter, true
 }
 
-// Sound says whether a memory's figures are some that there can be; one that was made up or is of another form is dropped whole.
+// Valid reports whether all figures are within their ranges. A snapshot that is not valid is ignored as a whole.
 func (m *Snapshot) Valid() bool {
-	for _, x := range []float64{m.Balancer.Rate, m.Balancer.LatencyRatio, m.Balancer.MeanTarget, m.Balancer.MeanValue, m.Service} {
-		if math.IsNaN(x) || x < 0 || x > 1e15 {
+	for _, figure := range []float64{m.Balancer.Rate, m.Balancer.LatencyRatio, m.Balancer.MeanTarget, m.Balancer.MeanValue, m.Service} {
+		if math.IsNaN(figure) || figure < 0 || figure > 1e15 {
 			return false
 		}
 	}
 	for _, l := range m.Balancer.Servers {
-		for _, x := range []float64{l.Health, l.SlotTime, l.Latency, l.InflightCap, l.RefutedShare} {
-			if math.IsNaN(x) || x < 0 || x > 1e15 {
+		for _, figure := range []float64{l.Health, l.SlotTime, l.Latency, l.InflightCap, l.RefutedShare} {
+			if math.IsNaN(figure) || figure < 0 || figure > 1e15 {
 				return false
 			}
 		}
@@ -323,7 +332,7 @@
 	return true
 }
 
-// Status is what an operator sees of a proxy's coming back. Times are milliseconds.
+// Status is the state of a proxy's warm start as shown to operators. Times are in milliseconds.
 type Status struct {
 	List            string    `json:"list"` // start, disk or discovery
 	ListAge         int64     `json:"list_age_ms"`
--- a/proxy/recovery.go
+++ b/proxy/recovery.go
@@ -215,7 +215,7 @@
 		}
 		return h.startTime, peer.StartTime(h.reported.Since), true
 	})
-	servers := warmstart.MergeReports(warmstart.Age(rec.snapshotServers, now-rec.meter.StartedAt, rec.Trust), reports, now)
+	servers := warmstart.MergeReports(warmstart.AgeServers(rec.snapshotServers, now-rec.meter.StartedAt, rec.Trust), reports, now)
 	for _, l := range servers {
 		if h := p.host(l.ID); l.Draining && h != nil && h.ready && !rec.drainingByPeers[l.ID] {
 			rec.drainingByPeers[l.ID] = true
--- a/rehearse/emu/return.go
+++ b/rehearse/emu/return.go
@@ -114,7 +114,7 @@
 		}
 		return st.list[i].Since, peer.StartTime(st.list[i].Since), true
 	})
-	p.Restore(balance.Snapshot{Servers: warmstart.MergeReports(warmstart.Age(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
+	p.Restore(balance.Snapshot{Servers: warmstart.MergeReports(warmstart.AgeServers(st.own, now-st.begun, max(1, st.keeps.Trust)), told, now)}, now)
 	st.decide()
 }
 
