--- a/cmd/ivybank/plan.go
+++ b/cmd/ivybank/plan.go
@@ -18,8 +18,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ivybank/fleet/crew"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planexec"
 )
 
 func planCommands() *cobra.Command {
@@ -115,7 +115,7 @@
 
 // showPlans prints a table.
 func showPlans(w io.Writer, text []byte) error {
-	var all []crew.Status
+	var all []planexec.Status
 	if err := json.Unmarshal(text, &all); err != nil {
 		return status{err, 1}
 	}
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/crew"
+	"ivybank/fleet/planexec"
 	"ivybank/fleet/snapshot"
 	"ivybank/fleet/warmstart"
 	"ivybank/rehearse/emu"
@@ -45,9 +45,9 @@
 }
 
 // plans is what a proxy tells of a plan at its door.
-func plans(r *lab.Rehearsal, proxy int) (x crew.Status, ok bool) {
+func plans(r *lab.Rehearsal, proxy int) (x planexec.Status, ok bool) {
 	text, err := knockAt(http.MethodGet, r.Door(proxy), "/plans/kernel", nil)
-	var all []crew.Status
+	var all []planexec.Status
 	if err != nil || json.Unmarshal(text, &all) != nil || len(all) != 1 {
 		return x, false
 	}
--- a/fleet/crew/crew.go
+++ b/fleet/planexec/coordinator.go
@@ -3,7 +3,7 @@
 //
 // This file owns the order in which its parts are asked, and when there is nothing to do, so that nothing is sent at rest. It must never hold
 // a server out that no plan has out, nor put one back by a time of its own.
-package crew
+package planexec
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ivybank/fleet/order"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planstate"
 	"ivybank/fleet/quorum"
 )
 
@@ -34,13 +34,13 @@
 type Terms struct {
 	Me, Of, Voters int
 	Life, Seed     uint64
-	Lead           order.Terms
+	Lead           planstate.Terms
 }
 
 // Sight is what the host sees now.
 type Sight struct {
 	Now, Wall int64
-	Servers   []order.Server
+	Servers   []planstate.Server
 	Open      map[string]int // dispatches open here, by server
 	Alive     func(member int) bool
 	Service   float64
@@ -89,7 +89,7 @@
 
 // asked is an operator's command that is not agreed on yet.
 type asked struct {
-	c    order.Command
+	c    planstate.Command
 	at   int64
 	sent int64
 }
@@ -98,8 +98,8 @@
 type Crew struct {
 	t        Terms
 	node     *quorum.Node
-	state    *order.State
-	lead     *order.Lead // nil: another leads
+	state    *planstate.State
+	lead     *planstate.Lead // nil: another leads
 	term     uint64
 	reports  map[int]heard // by place, where this one leads; emptied with the lead
 	asks     []asked       // emptied as they are agreed on or too old
@@ -115,11 +115,11 @@
 // New begins with what was written down.
 func New(t Terms, k quorum.Kept, now int64) (*Crew, error) {
 	n, err := quorum.New(quorum.Terms{Me: t.Me, Of: t.Of, Voters: t.Voters, Life: t.Life, Seed: t.Seed}, k)
-	return &Crew{t: t, node: n, state: &order.State{}, reports: map[int]heard{}, wakeful: now + awake, leader: -1}, err
+	return &Crew{t: t, node: n, state: &planstate.State{}, reports: map[int]heard{}, wakeful: now + awake, leader: -1}, err
 }
 
 // State is what was agreed on, as far as it is known here. It is to be read only.
-func (c *Crew) State() *order.State { return c.state }
+func (c *Crew) State() *planstate.State { return c.state }
 
 // Leader is the place of the one that leads; -1: nobody is known to. Lost says whether this member's folder was.
 func (c *Crew) Leader() (place int, lost bool) { return c.node.Leader(), c.node.Lost() }
@@ -145,7 +145,7 @@
 	c.node.Tick()
 	leads, term := c.node.Leads()
 	if leads && c.term != term {
-		c.lead, c.term, c.reports = order.NewLead(c.t.Lead, term), term, map[int]heard{}
+		c.lead, c.term, c.reports = planstate.NewLead(c.t.Lead, term), term, map[int]heard{}
 	} else if !leads {
 		c.lead, c.term = nil, 0
 	}
@@ -183,11 +183,11 @@
 }
 
 // view is what a leader sees.
-func (c *Crew) view(s Sight) order.View {
-	v := order.View{Now: s.Now, Wall: s.Wall, Servers: s.Servers, Service: s.Service, Cut: s.Cut}
+func (c *Crew) view(s Sight) planstate.View {
+	v := planstate.View{Now: s.Now, Wall: s.Wall, Servers: s.Servers, Service: s.Service, Cut: s.Cut}
 	for i := range c.t.Of {
 		r, had := c.reports[i]
-		m := order.Member{Place: i, Reached: i == c.t.Me || s.Alive(i)}
+		m := planstate.Member{Place: i, Reached: i == c.t.Me || s.Alive(i)}
 		if had && s.Now-r.at < reportFresh {
 			m.Index, m.Open = r.Index, r.Open
 		}
@@ -197,7 +197,7 @@
 }
 
 // Ask takes an operator's command. It is handed to the one that leads until it is agreed on.
-func (c *Crew) Ask(x order.Command, now int64) {
+func (c *Crew) Ask(x planstate.Command, now int64) {
 	c.wakeful = now + awake
 	c.asks = append(c.asks, asked{c: x, at: now})
 }
@@ -224,27 +224,27 @@
 }
 
 // Holds says whether what an operator asked for is agreed on.
-func (c *Crew) Holds(a *order.Command) bool {
+func (c *Crew) Holds(a *planstate.Command) bool {
 	w := c.state.Find(a.Plan)
 	switch {
 	case w == nil:
 		return false
-	case a.Kind == order.Submit:
+	case a.Kind == planstate.Submit:
 		return true
-	case a.Kind == order.Pause:
-		return w.Standing != order.Runs
-	case a.Kind == order.Resume:
-		return w.Standing != order.Paused
-	case a.Kind == order.Abandon:
-		return w.Standing >= order.Ended
-	case a.Kind == order.Finish:
+	case a.Kind == planstate.Pause:
+		return w.Standing != planstate.Runs
+	case a.Kind == planstate.Resume:
+		return w.Standing != planstate.Paused
+	case a.Kind == planstate.Abandon:
+		return w.Standing >= planstate.Ended
+	case a.Kind == planstate.Finish:
 		x := w.Find(a.Server)
-		return x == nil || x.Phase > order.Out
+		return x == nil || x.Phase > planstate.Out
 	}
 	return true
 }
 
-func (c *Crew) propose(x *order.Command) {
+func (c *Crew) propose(x *planstate.Command) {
 	if body, err := cbor.Marshal(x); err == nil {
 		_ = c.node.Propose(body)
 	}
@@ -279,8 +279,8 @@
 			c.reports[from] = heard{r, now}
 		}
 	case byCommand:
-		var x order.Command
-		if cbor.Unmarshal(body[1:], &x) != nil || x.Kind == 0 || x.Kind >= order.Take {
+		var x planstate.Command
+		if cbor.Unmarshal(body[1:], &x) != nil || x.Kind == 0 || x.Kind >= planstate.Take {
 			c.Count.Refused++
 			return
 		}
@@ -311,7 +311,7 @@
 func (c *Crew) Written(b *quorum.Batch, now int64) {
 	c.writing = false
 	if b.ID != 0 {
-		c.state = &order.State{} // it comes again from the start
+		c.state = &planstate.State{} // it comes again from the start
 	}
 	for _, s := range b.Sends {
 		c.todo = append(c.todo, Action{Kind: Send, To: s.To, Body: append([]byte{byQuorum}, s.Body...)})
@@ -328,7 +328,7 @@
 }
 
 func (c *Crew) apply(e *quorum.Entry, now int64) {
-	var x order.Command
+	var x planstate.Command
 	if err := cbor.Unmarshal(e.Data, &x); err != nil {
 		return // of another build: skipped by all of this one alike
 	}
@@ -344,7 +344,7 @@
 	if err != nil {
 		fields["refused"] = err.Error()
 	}
-	c.tell("plans: "+order.Word(x.Kind), fields)
+	c.tell("plans: "+planstate.Word(x.Kind), fields)
 }
 
 // Next gives the next action; false when there is none.
@@ -371,11 +371,11 @@
 }
 
 // Command makes an operator's command of a plan, checked against what is listed now.
-func Command(p *plan.Plan, listed []plan.Target, wall int64) (order.Command, error) {
+func Command(p *plan.Plan, listed []plan.Target, wall int64) (planstate.Command, error) {
 	if err := p.Feasible(listed); err != nil {
-		return order.Command{}, fmt.Errorf("infeasible: %w", err)
+		return planstate.Command{}, fmt.Errorf("infeasible: %w", err)
 	}
-	return order.Command{Kind: order.Submit, Plan: p.ID, At: wall, Body: p, Targets: p.Targets(listed)}, nil
+	return planstate.Command{Kind: planstate.Submit, Plan: p.ID, At: wall, Body: p, Targets: p.Targets(listed)}, nil
 }
 
 // ErrUnknown is told of a plan that nobody has handed in.
@@ -383,13 +383,13 @@
 
 // Status is a plan as operators see it.
 type Status struct {
-	Plan     string        `json:"plan"`
-	Standing string        `json:"standing"`
-	Why      string        `json:"why,omitempty"`
-	Leader   int           `json:"leader"` // place; -1: nobody is known to lead, and nothing new goes out
-	Lost     bool          `json:"folder_lost,omitempty"`
-	Steps    []StepStatus  `json:"steps"`
-	Events   []order.Event `json:"events,omitempty"`
+	Plan     string            `json:"plan"`
+	Standing string            `json:"standing"`
+	Why      string            `json:"why,omitempty"`
+	Leader   int               `json:"leader"` // place; -1: nobody is known to lead, and nothing new goes out
+	Lost     bool              `json:"folder_lost,omitempty"`
+	Steps    []StepStatus      `json:"steps"`
+	Events   []planstate.Event `json:"events,omitempty"`
 }
 
 // StepStatus is one server of it.
@@ -415,7 +415,7 @@
 		}
 		for _, step := range w.Steps {
 			y := StepStatus{Server: step.ID, Phase: step.Phase.String(), At: step.At / ms, Tries: step.Tries, Note: step.Note}
-			if step.Phase == order.Drains && c.lead != nil {
+			if step.Phase == planstate.Drains && c.lead != nil {
 				for _, m := range members {
 					switch {
 					case !m.Reached:
--- a/fleet/crew/crew_test.go
+++ b/fleet/planexec/coordinator_test.go
@@ -1,11 +1,11 @@
-package crew
+package planexec
 
 import (
 	"fmt"
 	"testing"
 
-	"ivybank/fleet/order"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planstate"
 	"ivybank/fleet/quorum"
 )
 
@@ -28,7 +28,7 @@
 }
 
 func (b *band) start(i int) {
-	c, err := New(Terms{Me: i, Of: len(b.members), Voters: 3, Life: uint64(b.now), Seed: 7, Lead: order.Terms{Grace: sec, Longest: sec, Service: 0.9, Settle: sec}}, b.kept[i], b.now)
+	c, err := New(Terms{Me: i, Of: len(b.members), Voters: 3, Life: uint64(b.now), Seed: 7, Lead: planstate.Terms{Grace: sec, Longest: sec, Service: 0.9, Settle: sec}}, b.kept[i], b.now)
 	if err != nil {
 		panic(err)
 	}
@@ -39,7 +39,7 @@
 	s := Sight{Now: b.now, Wall: b.now, Service: 1, Alive: func(i int) bool { return b.members[i] != nil }}
 	for _, t := range targets() {
 		t.Since = b.since[t.ID]
-		s.Servers = append(s.Servers, order.Server{Target: t, Listed: true, Well: true, Warm: true})
+		s.Servers = append(s.Servers, planstate.Server{Target: t, Listed: true, Well: true, Warm: true})
 	}
 	return s
 }
@@ -65,7 +65,7 @@
 					if x.Phase.Away() {
 						out++
 					}
-					if x.Phase == order.Out {
+					if x.Phase == planstate.Out {
 						b.since[x.ID] = b.now
 					}
 				}
@@ -110,7 +110,7 @@
 			continue
 		}
 		w := c.State().Find("p")
-		if w == nil || w.Standing != order.Ended {
+		if w == nil || w.Standing != planstate.Ended {
 			t.Fatalf("member %d: %+v", i, w)
 		}
 	}
--- a/fleet/order/lead.go
+++ b/fleet/planstate/leader.go
@@ -1,4 +1,4 @@
-package order
+package planstate
 
 // This file owns what a leader proposes next, by the agreed state and by what it sees now. It must never count a member's word twice, take
 // an old word for a new one, or let a time that has run stand for capacity that has come back.
--- a/fleet/order/order.go
+++ b/fleet/planstate/state.go
@@ -3,7 +3,7 @@
 //
 // This file owns the agreed state and what a command does to it. It must never let a step begin that a plan's limits forbid, nor take
 // a command of a leader whose term is over.
-package order
+package planstate
 
 import (
 	"cmp"
--- a/fleet/order/order_test.go
+++ b/fleet/planstate/state_test.go
@@ -1,4 +1,4 @@
-package order
+package planstate
 
 import (
 	"fmt"
--- a/proxy/maintenance.go
+++ b/proxy/maintenance.go
@@ -1,7 +1,7 @@
 package proxy
 
-// This file connects maintenance plans to the proxy: what the crew (package crew) sees of this process, its messages,
-// what it stores, and which hosts take no new dispatches. It must never decide what a step may do (package order
+// This file connects maintenance plans to the proxy: what the crew (package planexec) sees of this process, its messages,
+// what it stores, and which hosts take no new dispatches. It must never decide what a step may do (package planstate
 // does), nor dispatch according to what other members say.
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/sirupsen/logrus"
 
 	"ivybank/balance"
-	"ivybank/fleet/crew"
-	"ivybank/fleet/order"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planexec"
+	"ivybank/fleet/planstate"
 	"ivybank/fleet/quorum"
 	"ivybank/proxy/admin"
 )
@@ -39,7 +39,7 @@
 // planState is the event loop's state of plans; nil if there are none.
 type planState struct {
 	MaintenanceConfig
-	crew  *crew.Crew
+	crew  *planexec.Crew
 	file  *quorum.File
 	timer *timer
 }
@@ -56,9 +56,9 @@
 		return
 	}
 	plans := &planState{MaintenanceConfig: *cfg, file: file}
-	plans.crew, err = crew.New(crew.Terms{Me: ps.Terms.Index, Of: ps.Terms.Members, Voters: min(cfg.Voters, ps.Terms.Members),
+	plans.crew, err = planexec.New(planexec.Terms{Me: ps.Terms.Index, Of: ps.Terms.Members, Voters: min(cfg.Voters, ps.Terms.Members),
 		Life: ps.fleet.Membership().Incarnation(), Seed: p.terms.Seed ^ 3,
-		Lead: order.Terms{Grace: cfg.Grace, Longest: p.config.LongestTimeout, Service: cfg.Service,
+		Lead: planstate.Terms{Grace: cfg.Grace, Longest: p.config.LongestTimeout, Service: cfg.Service,
 			Settle: cfg.Settle}}, entries, now)
 	if err != nil {
 		logrus.Errorf("maintenance plans are disabled: %v", err)
@@ -104,9 +104,9 @@
 }
 
 // planView returns what the crew may know of this proxy.
-func (p *Proxy) planView(now int64) crew.Sight {
+func (p *Proxy) planView(now int64) planexec.Sight {
 	plans := p.plans
-	view := crew.Sight{Now: now, Wall: time.Now().UnixNano(), Open: map[string]int{}, Service: 1,
+	view := planexec.Sight{Now: now, Wall: time.Now().UnixNano(), Open: map[string]int{}, Service: 1,
 		Alive: func(i int) bool { return p.peers != nil && p.peers.fleet.Membership().Alive(i) }}
 	if !plans.crew.State().Busy() {
 		return view
@@ -119,7 +119,7 @@
 		if !h.listed {
 			continue
 		}
-		view.Servers = append(view.Servers, order.Server{Target: plan.Of(h.reported),
+		view.Servers = append(view.Servers, planstate.Server{Target: plan.Of(h.reported),
 			Listed: h.reported.State == balance.Running, Well: learnt[h.id].EjectionLeft == 0,
 			Warm: p.terms.RampTime <= 0 || now-h.startTime >= p.terms.RampTime, Hand: p.holds.Hosts[h.id].Out})
 	}
@@ -147,19 +147,19 @@
 	plans := p.plans
 	for action, ok := plans.crew.Next(); ok; action, ok = plans.crew.Next() {
 		switch action.Kind {
-		case crew.Send:
+		case planexec.Send:
 			if p.peers != nil {
 				p.peers.fleet.SendMessage(action.To, action.Body, now)
 				p.runPeerActions(now)
 			}
-		case crew.Write:
+		case planexec.Write:
 			go func() {
 				err := plans.file.Write(&action.Batch)
 				p.post(p.now(), nil, func(int64) { p.plansWritten(plans, &action.Batch, err, p.now()) })
 			}()
-		case crew.Hold:
+		case planexec.Hold:
 			p.refreshHosts(now)
-		case crew.Tell:
+		case planexec.Tell:
 			logrus.WithFields(action.Fields).Info(action.Text)
 		}
 	}
@@ -186,9 +186,9 @@
 	}
 	phase, step := p.plans.crew.State().Phase(s.ID)
 	switch {
-	case (phase == order.Drains || phase == order.Out) && s.State == balance.Running:
+	case (phase == planstate.Drains || phase == planstate.Out) && s.State == balance.Running:
 		s.State = balance.Draining
-	case phase == order.Back && s.Since <= step.Since:
+	case phase == planstate.Back && s.Since <= step.Since:
 		s.Since = step.At
 	}
 	return s
@@ -202,18 +202,18 @@
 	}
 	statuses := p.plans.crew.Status(id, p.planView(now))
 	if id != "" && len(statuses) == 0 {
-		return admin.Error(http.StatusNotFound, crew.ErrUnknown.Error())
+		return admin.Error(http.StatusNotFound, planexec.ErrUnknown.Error())
 	}
 	return jsonReply(statuses)
 }
 
 // planCommand submits or changes a plan and waits briefly until that is agreed on.
 func (p *Proxy) planCommand(c admin.Call) admin.Reply {
-	command := order.Command{Plan: c.Plan, Server: c.Host, At: time.Now().UnixNano(), Why: "by hand",
-		Kind: map[string]order.Kind{"submit": order.Submit, "pause": order.Pause, "resume": order.Resume,
-			"abandon": order.Abandon, "done": order.Finish}[c.Verb]}
+	command := planstate.Command{Plan: c.Plan, Server: c.Host, At: time.Now().UnixNano(), Why: "by hand",
+		Kind: map[string]planstate.Kind{"submit": planstate.Submit, "pause": planstate.Pause, "resume": planstate.Resume,
+			"abandon": planstate.Abandon, "done": planstate.Finish}[c.Verb]}
 	var body *plan.Plan
-	if command.Kind == order.Submit {
+	if command.Kind == planstate.Submit {
 		var err error
 		if body, err = plan.Read("the plan", c.Body); err != nil {
 			return admin.Error(http.StatusBadRequest, err.Error())
@@ -230,11 +230,11 @@
 		existing := p.plans.crew.State().Find(c.Plan)
 		switch {
 		case body == nil && existing == nil:
-			return admin.Error(http.StatusNotFound, crew.ErrUnknown.Error())
+			return admin.Error(http.StatusNotFound, planexec.ErrUnknown.Error())
 		case body != nil && existing == nil:
 			listed := p.listedServers(func(h *host) balance.Server { return h.reported })
 			var err error
-			if command, err = crew.Command(body, plan.Listed(listed), command.At); err != nil {
+			if command, err = planexec.Command(body, plan.Listed(listed), command.At); err != nil {
 				return admin.Error(http.StatusConflict, err.Error())
 			}
 		case body != nil && !samePlan(&existing.Plan, body):
--- a/rehearse/lab/mechanics.go
+++ b/rehearse/lab/mechanics.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ivybank/conf"
-	"ivybank/fleet/crew"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planexec"
 	"ivybank/rehearse/emu"
 )
 
@@ -128,7 +128,7 @@
 	}
 	for !m.over(over, planLook) {
 		for _, x := range m.r.procs {
-			var all []crew.Status
+			var all []planexec.Status
 			if !x.tells("/plans/"+p.ID, &all) || len(all) != 1 {
 				continue
 			}
