--- a/cmd/ivybank/plan.go
+++ b/cmd/ivybank/plan.go
@@ -125,9 +125,9 @@
 		if p.Leader < 0 {
 			leads = "nobody is known to lead: nothing new goes out"
 		}
-		fmt.Fprintf(t, "%s\t%s %s\t%s\n", p.Plan, p.Standing, p.Why, leads)
+		fmt.Fprintf(t, "%s\t%s %s\t%s\n", p.Plan, p.State, p.Reason, leads)
 		for _, s := range p.Steps {
-			fmt.Fprintf(t, "  %s\t%s %s\t%s\n", s.Server, s.Phase, s.Note, strings.Join(s.Waits, "; "))
+			fmt.Fprintf(t, "  %s\t%s %s\t%s\n", s.Server, s.Phase, s.Note, strings.Join(s.WaitingFor, "; "))
 		}
 	}
 	return t.Flush()
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -60,7 +60,7 @@
 	for end := time.Now().Add(3 * patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for i := range proxies {
 			x, ok := plans(r, i)
-			if ok && x.Standing == "ended" {
+			if ok && x.State == "ended" {
 				return
 			}
 			for _, s := range x.Steps {
@@ -155,7 +155,7 @@
 				t.Errorf("%v were worked on, %d at once", m.worked, m.most)
 			}
 			for i := range 4 {
-				eventually(t, fmt.Sprintf("proxy %d knows that it has ended", i), func() bool { x, ok := plans(r, i); return ok && x.Standing == "ended" })
+				eventually(t, fmt.Sprintf("proxy %d knows that it has ended", i), func() bool { x, ok := plans(r, i); return ok && x.State == "ended" })
 			}
 			played.Wait()
 			if f != nil && (f.Breaches != [5]int{} || f.Crashes > 0) {
--- a/fleet/plan/plan.go
+++ b/fleet/plan/plan.go
@@ -197,14 +197,14 @@
 	return nil
 }
 
-// Of is a listed server as a plan sees it.
-func Of(s balance.Server) Target { return Target{s.ID, s.Zone, s.Cell, s.Share, s.Since} }
+// TargetOf is a listed server as a plan sees it.
+func TargetOf(s balance.Server) Target { return Target{s.ID, s.Zone, s.Cell, s.Share, s.Since} }
 
-// Listed gives the targets of a list.
-func Listed(servers []balance.Server) (all []Target) {
+// ListedTargets gives the targets of a list.
+func ListedTargets(servers []balance.Server) (all []Target) {
 	for _, s := range servers {
 		if s.State != balance.Gone {
-			all = append(all, Of(s))
+			all = append(all, TargetOf(s))
 		}
 	}
 	slices.SortFunc(all, func(x, y Target) int { return cmp.Compare(x.ID, y.ID) })
--- a/fleet/planexec/coordinator.go
+++ b/fleet/planexec/coordinator.go
@@ -30,21 +30,21 @@
 	askEvery    = 200 * ms
 )
 
-// Terms is what a member is told. Times are nanoseconds.
-type Terms struct {
-	Me, Of, Voters int
-	Life, Seed     uint64
-	Lead           planstate.Terms
+// Config is what a member is told. Times are nanoseconds.
+type Config struct {
+	Self, Members, Voters int
+	Incarnation, Seed     uint64
+	Leader                planstate.LeaderConfig
 }
 
-// Sight is what the host sees now.
-type Sight struct {
+// View is what the host sees now.
+type View struct {
 	Now, Wall int64
 	Servers   []planstate.Server
 	Open      map[string]int // dispatches open here, by server
 	Alive     func(member int) bool
 	Service   float64
-	Cut       bool
+	Shedding  bool
 }
 
 // Kind is what an action asks of the host.
@@ -52,10 +52,10 @@
 
 // The kinds.
 const (
-	Send  Kind = iota // a letter
-	Write             // Batch is to be written down, then Written called
-	Hold              // which servers are held has changed
-	Tell              // a line for the log
+	Send        Kind = iota // a letter
+	Persist                 // Batch is to be written down, then Written called
+	HeldChanged             // which servers are held has changed
+	Log                     // a line for the log
 )
 
 // Action is one thing for the host to do.
@@ -94,9 +94,9 @@
 	sent int64
 }
 
-// Crew is one member's.
-type Crew struct {
-	t        Terms
+// Coordinator is one member's.
+type Coordinator struct {
+	t        Config
 	node     *quorum.Node
 	state    *planstate.State
 	lead     *planstate.Lead // nil: another leads
@@ -113,24 +113,24 @@
 }
 
 // New begins with what was written down.
-func New(t Terms, k quorum.Kept, now int64) (*Crew, error) {
-	n, err := quorum.New(quorum.Terms{Me: t.Me, Of: t.Of, Voters: t.Voters, Life: t.Life, Seed: t.Seed}, k)
-	return &Crew{t: t, node: n, state: &planstate.State{}, reports: map[int]heard{}, wakeful: now + awake, leader: -1}, err
+func New(t Config, k quorum.Kept, now int64) (*Coordinator, error) {
+	n, err := quorum.New(quorum.Terms{Me: t.Self, Of: t.Members, Voters: t.Voters, Life: t.Incarnation, Seed: t.Seed}, k)
+	return &Coordinator{t: t, node: n, state: &planstate.State{}, reports: map[int]heard{}, wakeful: now + awake, leader: -1}, err
 }
 
 // State is what was agreed on, as far as it is known here. It is to be read only.
-func (c *Crew) State() *planstate.State { return c.state }
+func (c *Coordinator) State() *planstate.State { return c.state }
 
 // Leader is the place of the one that leads; -1: nobody is known to. Lost says whether this member's folder was.
-func (c *Crew) Leader() (place int, lost bool) { return c.node.Leader(), c.node.Lost() }
+func (c *Coordinator) Leader() (place int, lost bool) { return c.node.Leader(), c.node.Lost() }
 
 // busy says whether there is anything to do.
-func (c *Crew) busy(now int64) bool {
+func (c *Coordinator) busy(now int64) bool {
 	return now < c.wakeful || len(c.asks) > 0 || c.state.Busy()
 }
 
 // Tick does what is due.
-func (c *Crew) Tick(s Sight) {
+func (c *Coordinator) Tick(s View) {
 	every := tickEvery
 	if !c.busy(s.Now) {
 		if !c.node.Waits() {
@@ -145,7 +145,7 @@
 	c.node.Tick()
 	leads, term := c.node.Leads()
 	if leads && c.term != term {
-		c.lead, c.term, c.reports = planstate.NewLead(c.t.Lead, term), term, map[int]heard{}
+		c.lead, c.term, c.reports = planstate.NewLead(c.t.Leader, term), term, map[int]heard{}
 	} else if !leads {
 		c.lead, c.term = nil, 0
 	}
@@ -164,30 +164,30 @@
 }
 
 // report says what is open here at servers that are out, to the one that leads.
-func (c *Crew) report(s Sight) {
-	if s.Now < c.reportAt || len(c.state.Away()) == 0 {
+func (c *Coordinator) report(s View) {
+	if s.Now < c.reportAt || len(c.state.Unavailable()) == 0 {
 		return
 	}
 	c.reportAt = s.Now + reportEvery
 	r := report{Index: c.state.Index, Open: map[string]int{}}
-	for _, t := range c.state.Away() {
+	for _, t := range c.state.Unavailable() {
 		if n := s.Open[t.ID]; n > 0 {
 			r.Open[t.ID] = n
 		}
 	}
 	if c.lead != nil {
-		c.reports[c.t.Me] = heard{r, s.Now}
-	} else if l := c.node.Leader(); l >= 0 && l != c.t.Me {
+		c.reports[c.t.Self] = heard{r, s.Now}
+	} else if l := c.node.Leader(); l >= 0 && l != c.t.Self {
 		c.post(l, byReport, r)
 	}
 }
 
 // view is what a leader sees.
-func (c *Crew) view(s Sight) planstate.View {
-	v := planstate.View{Now: s.Now, Wall: s.Wall, Servers: s.Servers, Service: s.Service, Cut: s.Cut}
-	for i := range c.t.Of {
+func (c *Coordinator) view(s View) planstate.View {
+	v := planstate.View{Now: s.Now, Wall: s.Wall, Servers: s.Servers, Service: s.Service, Cut: s.Shedding}
+	for i := range c.t.Members {
 		r, had := c.reports[i]
-		m := planstate.Member{Place: i, Reached: i == c.t.Me || s.Alive(i)}
+		m := planstate.Member{Place: i, Reached: i == c.t.Self || s.Alive(i)}
 		if had && s.Now-r.at < reportFresh {
 			m.Index, m.Open = r.Index, r.Open
 		}
@@ -196,14 +196,14 @@
 	return v
 }
 
-// Ask takes an operator's command. It is handed to the one that leads until it is agreed on.
-func (c *Crew) Ask(x planstate.Command, now int64) {
+// Request takes an operator's command. It is handed to the one that leads until it is agreed on.
+func (c *Coordinator) Request(x planstate.Command, now int64) {
 	c.wakeful = now + awake
 	c.asks = append(c.asks, asked{c: x, at: now})
 }
 
-func (c *Crew) ask(s Sight) {
-	c.asks = slices.DeleteFunc(c.asks, func(a asked) bool { return s.Now-a.at > askFor || c.Holds(&a.c) })
+func (c *Coordinator) ask(s View) {
+	c.asks = slices.DeleteFunc(c.asks, func(a asked) bool { return s.Now-a.at > askFor || c.Applied(&a.c) })
 	for i := range c.asks {
 		a := &c.asks[i]
 		if s.Now-a.sent < askEvery {
@@ -215,16 +215,16 @@
 			continue
 		}
 		l := c.node.Leader()
-		for i := range c.t.Of {
-			if i != c.t.Me && (i == l || l < 0 && i < c.t.Voters) {
+		for i := range c.t.Members {
+			if i != c.t.Self && (i == l || l < 0 && i < c.t.Voters) {
 				c.post(i, byCommand, &a.c)
 			}
 		}
 	}
 }
 
-// Holds says whether what an operator asked for is agreed on.
-func (c *Crew) Holds(a *planstate.Command) bool {
+// Applied says whether what an operator asked for is agreed on.
+func (c *Coordinator) Applied(a *planstate.Command) bool {
 	w := c.state.Find(a.Plan)
 	switch {
 	case w == nil:
@@ -237,31 +237,31 @@
 		return w.Standing != planstate.Paused
 	case a.Kind == planstate.Abandon:
 		return w.Standing >= planstate.Ended
-	case a.Kind == planstate.Finish:
+	case a.Kind == planstate.FinishWork:
 		x := w.Find(a.Server)
 		return x == nil || x.Phase > planstate.Out
 	}
 	return true
 }
 
-func (c *Crew) propose(x *planstate.Command) {
+func (c *Coordinator) propose(x *planstate.Command) {
 	if body, err := cbor.Marshal(x); err == nil {
 		_ = c.node.Propose(body)
 	}
 }
 
-func (c *Crew) post(to int, kind byte, v any) {
+func (c *Coordinator) post(to int, kind byte, v any) {
 	if body, err := cbor.Marshal(v); err == nil {
 		c.todo = append(c.todo, Action{Kind: Send, To: to, Body: append([]byte{kind}, body...)})
 	}
 }
 
-func (c *Crew) tell(text string, fields map[string]any) {
-	c.todo = append(c.todo, Action{Kind: Tell, Text: text, Fields: fields})
+func (c *Coordinator) tell(text string, fields map[string]any) {
+	c.todo = append(c.todo, Action{Kind: Log, Text: text, Fields: fields})
 }
 
-// Heard takes a letter; one that is not of the form is dropped and counted.
-func (c *Crew) Heard(from int, body []byte, now int64) {
+// Receive takes a letter; one that is not of the form is dropped and counted.
+func (c *Coordinator) Receive(from int, body []byte, now int64) {
 	if len(body) < 2 {
 		c.Count.Refused++
 		return
@@ -285,7 +285,7 @@
 			return
 		}
 		c.wakeful = now + awake
-		if leads, _ := c.node.Leads(); leads && !c.Holds(&x) {
+		if leads, _ := c.node.Leads(); leads && !c.Applied(&x) {
 			c.propose(&x)
 		}
 	default:
@@ -295,7 +295,7 @@
 }
 
 // carry hands out what the quorum wants.
-func (c *Crew) carry() {
+func (c *Coordinator) carry() {
 	if c.writing {
 		return
 	}
@@ -304,11 +304,11 @@
 		return
 	}
 	c.writing = true
-	c.todo = append(c.todo, Action{Kind: Write, Batch: b})
+	c.todo = append(c.todo, Action{Kind: Persist, Batch: b})
 }
 
-// Written tells that a batch is written down: only now it is sent and applied.
-func (c *Crew) Written(b *quorum.Batch, now int64) {
+// Persisted tells that a batch is written down: only now it is sent and applied.
+func (c *Coordinator) Persisted(b *quorum.Batch, now int64) {
 	c.writing = false
 	if b.ID != 0 {
 		c.state = &planstate.State{} // it comes again from the start
@@ -316,18 +316,18 @@
 	for _, s := range b.Sends {
 		c.todo = append(c.todo, Action{Kind: Send, To: s.To, Body: append([]byte{byQuorum}, s.Body...)})
 	}
-	held := len(c.state.Away())
+	held := len(c.state.Unavailable())
 	for _, e := range b.Agreed {
 		c.apply(&e, now)
 	}
 	if len(b.Agreed) > 0 || b.ID != 0 && held > 0 {
-		c.todo = append(c.todo, Action{Kind: Hold})
+		c.todo = append(c.todo, Action{Kind: HeldChanged})
 	}
 	c.node.Written()
 	c.carry()
 }
 
-func (c *Crew) apply(e *quorum.Entry, now int64) {
+func (c *Coordinator) apply(e *quorum.Entry, now int64) {
 	var x planstate.Command
 	if err := cbor.Unmarshal(e.Data, &x); err != nil {
 		return // of another build: skipped by all of this one alike
@@ -338,8 +338,8 @@
 	if x.Server != "" {
 		fields["server"] = x.Server
 	}
-	if x.Why != "" {
-		fields["why"] = x.Why
+	if x.Reason != "" {
+		fields["why"] = x.Reason
 	}
 	if err != nil {
 		fields["refused"] = err.Error()
@@ -348,7 +348,7 @@
 }
 
 // Next gives the next action; false when there is none.
-func (c *Crew) Next() (a Action, ok bool) {
+func (c *Coordinator) Next() (a Action, ok bool) {
 	if len(c.todo) == 0 {
 		return a, false
 	}
@@ -356,13 +356,13 @@
 	return a, true
 }
 
-// Leave hands the lead on to another that votes and takes part, as this process ends.
-func (c *Crew) Leave(alive func(member int) bool) {
+// TransferLeadership hands the lead on to another that votes and takes part, as this process ends.
+func (c *Coordinator) TransferLeadership(alive func(member int) bool) {
 	if leads, _ := c.node.Leads(); !leads {
 		return
 	}
 	for i := range c.t.Voters {
-		if i != c.t.Me && alive(i) {
+		if i != c.t.Self && alive(i) {
 			c.node.HandOn(i)
 			break
 		}
@@ -370,60 +370,60 @@
 	c.carry()
 }
 
-// Command makes an operator's command of a plan, checked against what is listed now.
-func Command(p *plan.Plan, listed []plan.Target, wall int64) (planstate.Command, error) {
+// SubmitCommand makes an operator's command of a plan, checked against what is listed now.
+func SubmitCommand(p *plan.Plan, listed []plan.Target, wall int64) (planstate.Command, error) {
 	if err := p.Feasible(listed); err != nil {
 		return planstate.Command{}, fmt.Errorf("infeasible: %w", err)
 	}
-	return planstate.Command{Kind: planstate.Submit, Plan: p.ID, At: wall, Body: p, Targets: p.Targets(listed)}, nil
+	return planstate.Command{Kind: planstate.Submit, Plan: p.ID, At: wall, Definition: p, Targets: p.Targets(listed)}, nil
 }
 
-// ErrUnknown is told of a plan that nobody has handed in.
-var ErrUnknown = errors.New("no such plan")
+// ErrUnknownPlan is told of a plan that nobody has handed in.
+var ErrUnknownPlan = errors.New("no such plan")
 
 // Status is a plan as operators see it.
 type Status struct {
-	Plan     string            `json:"plan"`
-	Standing string            `json:"standing"`
-	Why      string            `json:"why,omitempty"`
-	Leader   int               `json:"leader"` // place; -1: nobody is known to lead, and nothing new goes out
-	Lost     bool              `json:"folder_lost,omitempty"`
-	Steps    []StepStatus      `json:"steps"`
-	Events   []planstate.Event `json:"events,omitempty"`
+	Plan       string            `json:"plan"`
+	State      string            `json:"standing"`
+	Reason     string            `json:"why,omitempty"`
+	Leader     int               `json:"leader"` // place; -1: nobody is known to lead, and nothing new goes out
+	FolderLost bool              `json:"folder_lost,omitempty"`
+	Steps      []StepStatus      `json:"steps"`
+	Events     []planstate.Event `json:"events,omitempty"`
 }
 
 // StepStatus is one server of it.
 type StepStatus struct {
-	Server string   `json:"server"`
-	Phase  string   `json:"phase"`
-	At     int64    `json:"at_ms"`
-	Tries  int      `json:"tries,omitempty"`
-	Note   string   `json:"note,omitempty"`
-	Waits  []string `json:"waits,omitempty"` // at the one that leads: for whom
+	Server     string   `json:"server"`
+	Phase      string   `json:"phase"`
+	At         int64    `json:"at_ms"`
+	Tries      int      `json:"tries,omitempty"`
+	Note       string   `json:"note,omitempty"`
+	WaitingFor []string `json:"waits,omitempty"` // at the one that leads: for whom
 }
 
 // Status gives all plans, or one.
-func (c *Crew) Status(id string, s Sight) (all []Status) {
+func (c *Coordinator) Status(id string, s View) (all []Status) {
 	members := c.view(s).Members
 	for _, w := range c.state.Works {
 		if id != "" && w.Plan.ID != id {
 			continue
 		}
-		x := Status{Plan: w.Plan.ID, Standing: w.Standing.String(), Why: w.Why, Leader: c.node.Leader(), Lost: c.node.Lost()}
+		x := Status{Plan: w.Plan.ID, State: w.Standing.String(), Reason: w.Why, Leader: c.node.Leader(), FolderLost: c.node.Lost()}
 		if id != "" {
 			x.Events = w.Events
 		}
 		for _, step := range w.Steps {
 			y := StepStatus{Server: step.ID, Phase: step.Phase.String(), At: step.At / ms, Tries: step.Tries, Note: step.Note}
-			if step.Phase == planstate.Drains && c.lead != nil {
+			if step.Phase == planstate.Draining && c.lead != nil {
 				for _, m := range members {
 					switch {
 					case !m.Reached:
-						y.Waits = append(y.Waits, fmt.Sprintf("%d is not reached: the grace and the longest client timeout", m.Place))
+						y.WaitingFor = append(y.WaitingFor, fmt.Sprintf("%d is not reached: the grace and the longest client timeout", m.Place))
 					case m.Index < step.Index:
-						y.Waits = append(y.Waits, fmt.Sprintf("%d has not reported", m.Place))
+						y.WaitingFor = append(y.WaitingFor, fmt.Sprintf("%d has not reported", m.Place))
 					case m.Open[step.ID] > 0:
-						y.Waits = append(y.Waits, fmt.Sprintf("%d has %d open", m.Place, m.Open[step.ID]))
+						y.WaitingFor = append(y.WaitingFor, fmt.Sprintf("%d has %d open", m.Place, m.Open[step.ID]))
 					}
 				}
 			}
--- a/fleet/planexec/coordinator_test.go
+++ b/fleet/planexec/coordinator_test.go
@@ -11,7 +11,7 @@
 
 // band is some members whose letters arrive, and servers that are worked on as soon as they are out.
 type band struct {
-	members []*Crew // nil: dead
+	members []*Coordinator // nil: dead
 	kept    []quorum.Kept
 	now     int64
 	sent    int
@@ -20,7 +20,7 @@
 }
 
 func newBand(n int) *band {
-	b := &band{members: make([]*Crew, n), kept: make([]quorum.Kept, n), now: sec, since: map[string]int64{}}
+	b := &band{members: make([]*Coordinator, n), kept: make([]quorum.Kept, n), now: sec, since: map[string]int64{}}
 	for i := range n {
 		b.start(i)
 	}
@@ -28,18 +28,18 @@
 }
 
 func (b *band) start(i int) {
-	c, err := New(Terms{Me: i, Of: len(b.members), Voters: 3, Life: uint64(b.now), Seed: 7, Lead: planstate.Terms{Grace: sec, Longest: sec, Service: 0.9, Settle: sec}}, b.kept[i], b.now)
+	c, err := New(Config{Self: i, Members: len(b.members), Voters: 3, Incarnation: uint64(b.now), Seed: 7, Leader: planstate.LeaderConfig{Grace: sec, MaxClientTimeout: sec, MinService: 0.9, SettleTime: sec}}, b.kept[i], b.now)
 	if err != nil {
 		panic(err)
 	}
 	b.members[i] = c
 }
 
-func (b *band) sight() Sight {
-	s := Sight{Now: b.now, Wall: b.now, Service: 1, Alive: func(i int) bool { return b.members[i] != nil }}
+func (b *band) sight() View {
+	s := View{Now: b.now, Wall: b.now, Service: 1, Alive: func(i int) bool { return b.members[i] != nil }}
 	for _, t := range targets() {
 		t.Since = b.since[t.ID]
-		s.Servers = append(s.Servers, planstate.Server{Target: t, Listed: true, Well: true, Warm: true})
+		s.Servers = append(s.Servers, planstate.Server{Target: t, Listed: true, Healthy: true, Warm: true})
 	}
 	return s
 }
@@ -62,7 +62,7 @@
 			out := 0
 			for _, w := range c.State().Works {
 				for _, x := range w.Steps {
-					if x.Phase.Away() {
+					if x.Phase.Unavailable() {
 						out++
 					}
 					if x.Phase == planstate.Out {
@@ -85,22 +85,22 @@
 		case Send:
 			b.sent++
 			if to := b.members[a.To]; to != nil {
-				to.Heard(i, a.Body, b.now)
+				to.Receive(i, a.Body, b.now)
 				b.carry(a.To)
 			}
-		case Write:
+		case Persist:
 			b.kept[i].Keep(&a.Batch)
-			c.Written(&a.Batch, b.now)
+			c.Persisted(&a.Batch, b.now)
 		}
 	}
 }
 
 func (b *band) submit(at int) {
-	c, err := Command(&plan.Plan{ID: "p", All: true, Most: 1, Order: "zone", DoneBy: "start"}, targets(), b.now)
+	c, err := SubmitCommand(&plan.Plan{ID: "p", All: true, Most: 1, Order: "zone", DoneBy: "start"}, targets(), b.now)
 	if err != nil {
 		panic(err)
 	}
-	b.members[at].Ask(c, b.now)
+	b.members[at].Request(c, b.now)
 }
 
 func (b *band) ended(t *testing.T) {
@@ -170,14 +170,14 @@
 	b := newBand(4)
 	b.run(15 * sec)
 	b.submit(3)
-	for b.members[2].State().Find("p") == nil || len(b.members[2].State().Away()) == 0 {
+	for b.members[2].State().Find("p") == nil || len(b.members[2].State().Unavailable()) == 0 {
 		b.run(50 * ms)
 	}
 	b.members[0], b.members[1] = nil, nil
 	before := b.members[2].State().Index
 	b.run(30 * sec)
-	if len(b.members[2].State().Away()) != 1 || b.members[2].State().Index > before+1 {
-		t.Errorf("%v away, %d agreed on since", b.members[2].State().Away(), b.members[2].State().Index-before)
+	if len(b.members[2].State().Unavailable()) != 1 || b.members[2].State().Index > before+1 {
+		t.Errorf("%v away, %d agreed on since", b.members[2].State().Unavailable(), b.members[2].State().Index-before)
 	}
 	b.start(0)
 	b.start(1)
@@ -200,7 +200,7 @@
 	if leader < 0 {
 		t.Fatal("nobody leads")
 	}
-	b.members[leader].Leave(b.sight().Alive)
+	b.members[leader].TransferLeadership(b.sight().Alive)
 	b.carry(leader)
 	b.run(300 * ms)
 	b.members[leader] = nil
--- a/fleet/planstate/explore_test.go
+++ b/fleet/planstate/explore_test.go
@@ -69,7 +69,7 @@
 
 func work(log string, v variant) *State {
 	s := &State{}
-	_ = s.Apply(1, 1, &Command{Kind: Submit, Plan: "p", Body: &plan.Plan{ID: "p", Most: most, DoneBy: "start"}, Targets: targets(3)})
+	_ = s.Apply(1, 1, &Command{Kind: Submit, Plan: "p", Definition: &plan.Plan{ID: "p", Most: most, DoneBy: "start"}, Targets: targets(3)})
 	for i := 0; i+3 < len(log); i += 4 {
 		c := Command{Kind: Kind(log[i]), Plan: "p", Server: fmt.Sprint("s-", int(log[i+1])+1), Term: uint64(log[i+2]), Index: uint64(log[i+3])}
 		term := uint64(log[i+2])
@@ -122,12 +122,12 @@
 			view.Members = append(view.Members, x)
 		}
 		for i, x := range targets(3) {
-			if all.Find("p").Find(x.ID).Phase == Back || step(mine, i).Phase == Out {
+			if all.Find("p").Find(x.ID).Phase == Returning || step(mine, i).Phase == Out {
 				x.Since = 1 // the machine has been worked on as soon as it was out
 			}
-			view.Servers = append(view.Servers, Server{Target: x, Listed: true, Well: true, Warm: true})
+			view.Servers = append(view.Servers, Server{Target: x, Listed: true, Healthy: true, Warm: true})
 		}
-		for _, c := range NewLead(Terms{}, w.term).Next(mine, view) {
+		for _, c := range NewLead(LeaderConfig{}, w.term).Next(mine, view) {
 			var server int
 			_, _ = fmt.Sscanf(c.Server, "s-%d", &server)
 			p := proposal{c.Kind, server - 1, c.Index, w.term}
@@ -184,7 +184,7 @@
 		for s := range m.open {
 			if m.open[s] > 0 {
 				add(func(x *world) { x.who[i].open[s] = 0 })
-			} else if opened < open && !step(at(&w, i, v), s).Phase.Away() && m.applied >= m.behind {
+			} else if opened < open && !step(at(&w, i, v), s).Phase.Unavailable() && m.applied >= m.behind {
 				add(func(x *world) { x.who[i].open[s] = 1 })
 			}
 		}
@@ -215,7 +215,7 @@
 // wrong says what no state may be like.
 func (w world) wrong(v variant) string {
 	s := agreed(w.log, v)
-	if n := len(s.Away()); n > most {
+	if n := len(s.Unavailable()); n > most {
 		return fmt.Sprintf("%d servers are out", n)
 	}
 	for i := range 1 {
--- a/fleet/planstate/leader.go
+++ b/fleet/planstate/leader.go
@@ -12,12 +12,12 @@
 
 const sec = int64(1e9)
 
-// Terms is what a leader goes by. Times are nanoseconds.
-type Terms struct {
-	Grace   int64   // a drain binds a member so long after it was told
-	Longest int64   // the longest client timeout: after it nothing that was open still is
-	Service float64 // part of the worth that has to be served before more goes out
-	Settle  int64   // for so long
+// LeaderConfig is what a leader goes by. Times are nanoseconds.
+type LeaderConfig struct {
+	Grace            int64   // a drain binds a member so long after it was told
+	MaxClientTimeout int64   // the longest client timeout: after it nothing that was open still is
+	MinService       float64 // part of the worth that has to be served before more goes out
+	SettleTime       int64   // for so long
 }
 
 // Member is one other as the leader sees it.
@@ -31,10 +31,10 @@
 // Server is one as the leader sees it now.
 type Server struct {
 	plan.Target
-	Listed bool // as ready
-	Well   bool // not ejected, nor silent
-	Warm   bool // past its ramp
-	Hand   bool // out by hand
+	Listed      bool // as ready
+	Healthy     bool // not ejected, nor silent
+	Warm        bool // past its ramp
+	ManuallyOut bool // out by hand
 }
 
 // View is what a leader sees. Now is monotonic; Wall is Unix ns.
@@ -48,7 +48,7 @@
 
 // Lead is a leader's own memory, of one term. Waits begin anew with each leader, which is late rather than early.
 type Lead struct {
-	t     Terms
+	t     LeaderConfig
 	term  uint64
 	since map[string]int64 // by plan and server: when this leader saw the step come to its phase; emptied with the term
 	index map[string]uint64
@@ -56,19 +56,19 @@
 }
 
 // NewLead begins a term.
-func NewLead(t Terms, term uint64) *Lead {
+func NewLead(t LeaderConfig, term uint64) *Lead {
 	return &Lead{t: t, term: term, since: map[string]int64{}, index: map[string]uint64{}}
 }
 
 // Next gives what to propose now, one thing for each step that may move, and one beginning at the most.
 func (l *Lead) Next(s *State, v View) (out []Command) {
-	if v.Service < l.t.Service || v.Cut {
+	if v.Service < l.t.MinService || v.Cut {
 		l.well = 0
 	} else if l.well == 0 {
 		l.well = v.Now
 	}
 	propose := func(k Kind, w *Work, x *Step, why string) {
-		c := Command{Kind: k, Plan: w.Plan.ID, Term: l.term, At: v.Wall, Why: why}
+		c := Command{Kind: k, Plan: w.Plan.ID, Term: l.term, At: v.Wall, Reason: why}
 		if x != nil {
 			c.Server, c.Index = x.ID, x.Index
 		}
@@ -78,12 +78,12 @@
 	for _, w := range s.Works {
 		for i := range w.Steps {
 			x := &w.Steps[i]
-			if !x.Phase.Away() {
+			if !x.Phase.Unavailable() {
 				continue
 			}
 			passed := l.passed(w, x, v.Now)
 			switch x.Phase {
-			case Drains:
+			case Draining:
 				if why := l.undoes(s, w, x, &v); why != "" {
 					propose(Undo, w, x, why)
 				} else if l.clear(x, passed, &v) {
@@ -93,8 +93,8 @@
 				if why, done := l.worked(w, x, passed, &v); done {
 					propose(Return, w, x, why)
 				}
-			case Back:
-				if y, ok := v.server(x.ID); ok && y.Listed && y.Well && y.Warm && l.settled(v.Now) {
+			case Returning:
+				if y, ok := v.server(x.ID); ok && y.Listed && y.Healthy && y.Warm && l.settled(v.Now) {
 					propose(Close, w, x, "")
 				} else if note := late(w, x, passed, ok && y.Listed); note != x.Note {
 					propose(Tell, w, x, note)
@@ -125,7 +125,7 @@
 	return now - l.since[key]
 }
 
-func (l *Lead) settled(now int64) bool { return l.well > 0 && now-l.well >= l.t.Settle }
+func (l *Lead) settled(now int64) bool { return l.well > 0 && now-l.well >= l.t.SettleTime }
 
 func (v *View) server(id string) (Server, bool) {
 	i := slices.IndexFunc(v.Servers, func(s Server) bool { return s.ID == id })
@@ -143,7 +143,7 @@
 			if m.Index < x.Index || m.Open[x.ID] > 0 {
 				return false
 			}
-		} else if passed < l.t.Grace+l.t.Longest {
+		} else if passed < l.t.Grace+l.t.MaxClientTimeout {
 			return false
 		}
 	}
@@ -166,9 +166,9 @@
 
 // away are all that are out now, whatever for, the one in question last.
 func (v *View) away(s *State, last plan.Target) (out []plan.Target) {
-	planned := s.Away()
+	planned := s.Unavailable()
 	for _, y := range v.Servers {
-		if y.ID != last.ID && (!y.Listed || !y.Well || y.Hand || slices.ContainsFunc(planned, func(t plan.Target) bool { return t.ID == y.ID })) {
+		if y.ID != last.ID && (!y.Listed || !y.Healthy || y.ManuallyOut || slices.ContainsFunc(planned, func(t plan.Target) bool { return t.ID == y.ID })) {
 			out = append(out, y.Target)
 		}
 	}
@@ -203,7 +203,7 @@
 func (l *Lead) possible(w *Work, v *View) error {
 	listed := v.listed()
 	for _, x := range w.Steps {
-		if x.Phase != Waits {
+		if x.Phase != Waiting {
 			continue
 		}
 		if _, ok := v.server(x.ID); !ok {
@@ -223,11 +223,11 @@
 	}
 	for i := range w.Steps {
 		x := &w.Steps[i]
-		if x.Phase != Waits {
+		if x.Phase != Waiting {
 			continue
 		}
 		y, ok := v.server(x.ID)
-		if ok && y.Listed && !y.Hand && w.Plan.Allows(v.away(s, x.Target), v.listed()) == nil {
+		if ok && y.Listed && !y.ManuallyOut && w.Plan.Allows(v.away(s, x.Target), v.listed()) == nil {
 			return x
 		}
 	}
--- a/fleet/planstate/state.go
+++ b/fleet/planstate/state.go
@@ -16,12 +16,12 @@
 // Phase is where a step stands.
 type Phase uint8
 
-// The phases. A server counts as out from Drains until it is Done.
+// The phases. A server counts as out from Draining until it is Done.
 const (
-	Waits  Phase = iota
-	Drains       // all members are told to send it nothing new
-	Out          // nobody has anything open there: the work may begin
-	Back         // the work is done: it comes back, cold, and is warmed
+	Waiting   Phase = iota
+	Draining        // all members are told to send it nothing new
+	Out             // nobody has anything open there: the work may begin
+	Returning       // the work is done: it comes back, cold, and is warmed
 	Done
 	Dropped // the plan was abandoned before its turn, or it has gone for good
 )
@@ -30,8 +30,8 @@
 	return [...]string{"waits", "drains", "out", "back", "done", "dropped"}[min(p, Dropped)]
 }
 
-// Away says whether a server counts as out.
-func (p Phase) Away() bool { return p == Drains || p == Out || p == Back }
+// Unavailable says whether a server counts as out.
+func (p Phase) Unavailable() bool { return p == Draining || p == Out || p == Returning }
 
 // Step is one server of a plan.
 type Step struct {
@@ -92,30 +92,30 @@
 
 // The kinds. Those of operators may come by way of any member; those from Take on are a leader's alone, and are void in another term.
 const (
-	Submit  Kind = iota + 1
-	Pause        // also a leader's, where a plan can no longer be done
-	Resume       //
-	Abandon      // nothing new goes out; what is out comes back
-	Finish       // an operator says that the work at a server is done
-	Take         // a server drains
-	Undo         // it does not go out after all: other faults come first
-	Clear        // nobody has anything open there
-	Return       // its work is over
-	Close        // it is warm and serves: the step is done
-	Tell         // something to be told of a step
+	Submit     Kind = iota + 1
+	Pause           // also a leader's, where a plan can no longer be done
+	Resume          //
+	Abandon         // nothing new goes out; what is out comes back
+	FinishWork      // an operator says that the work at a server is done
+	Take            // a server drains
+	Undo            // it does not go out after all: other faults come first
+	Clear           // nobody has anything open there
+	Return          // its work is over
+	Close           // it is warm and serves: the step is done
+	Tell            // something to be told of a step
 )
 
 // Command is one thing to be agreed on.
 type Command struct {
-	Kind    Kind
-	Plan    string
-	Server  string
-	Index   uint64 // of the step when it was proposed: one that has moved on since is left alone
-	Term    uint64 // of the leader that proposes it
-	At      int64
-	Why     string
-	Body    *plan.Plan
-	Targets []plan.Target
+	Kind       Kind
+	Plan       string
+	Server     string
+	Index      uint64 // of the step when it was proposed: one that has moved on since is left alone
+	Term       uint64 // of the leader that proposes it
+	At         int64
+	Reason     string     `cbor:"Why"`
+	Definition *plan.Plan `cbor:"Body"`
+	Targets    []plan.Target
 }
 
 // leaders says whether only a leader may propose it.
@@ -139,11 +139,11 @@
 	return &w.Steps[i]
 }
 
-// Away are all servers that count as out, by all plans.
-func (s *State) Away() (all []plan.Target) {
+// Unavailable are all servers that count as out, by all plans.
+func (s *State) Unavailable() (all []plan.Target) {
 	for _, w := range s.Works {
 		for _, x := range w.Steps {
-			if x.Phase.Away() {
+			if x.Phase.Unavailable() {
 				all = append(all, x.Target)
 			}
 		}
@@ -154,17 +154,17 @@
 // Phase is where a server stands by all plans: Waits where none has it out.
 func (s *State) Phase(server string) (p Phase, x *Step) {
 	for _, w := range s.Works {
-		if x := w.Find(server); x != nil && x.Phase.Away() {
+		if x := w.Find(server); x != nil && x.Phase.Unavailable() {
 			return x.Phase, x
 		}
 	}
-	return Waits, nil
+	return Waiting, nil
 }
 
 // Busy says whether anything is to be done or is out.
 func (s *State) Busy() bool {
 	return slices.ContainsFunc(s.Works, func(w *Work) bool {
-		return w.Standing == Runs || slices.ContainsFunc(w.Steps, func(x Step) bool { return x.Phase.Away() })
+		return w.Standing == Runs || slices.ContainsFunc(w.Steps, func(x Step) bool { return x.Phase.Unavailable() })
 	})
 }
 
@@ -187,7 +187,7 @@
 		if w.Standing != Runs {
 			return fmt.Errorf("plan %s %s", c.Plan, w.Standing)
 		}
-		w.Standing, w.Why = Paused, c.Why
+		w.Standing, w.Why = Paused, c.Reason
 	case Resume:
 		if w.Standing != Paused {
 			return fmt.Errorf("plan %s %s", c.Plan, w.Standing)
@@ -197,9 +197,9 @@
 		if w.Standing >= Ended {
 			return fmt.Errorf("plan %s %s", c.Plan, w.Standing)
 		}
-		w.Standing, w.Why = Abandoned, c.Why
+		w.Standing, w.Why = Abandoned, c.Reason
 		for i := range w.Steps {
-			if w.Steps[i].Phase == Waits {
+			if w.Steps[i].Phase == Waiting {
 				w.Steps[i].Phase = Dropped
 			}
 		}
@@ -214,10 +214,10 @@
 	if had != nil {
 		return nil // handed in twice: it is the one that there is
 	}
-	if c.Body == nil || c.Body.ID != c.Plan || len(c.Targets) == 0 {
+	if c.Definition == nil || c.Definition.ID != c.Plan || len(c.Targets) == 0 {
 		return fmt.Errorf("plan %q is not whole", c.Plan)
 	}
-	w := &Work{Plan: *c.Body}
+	w := &Work{Plan: *c.Definition}
 	for _, t := range c.Targets {
 		w.Steps = append(w.Steps, Step{Target: t, Index: index})
 	}
@@ -234,7 +234,7 @@
 
 func (w *Work) away() (all []plan.Target) {
 	for _, x := range w.Steps {
-		if x.Phase.Away() {
+		if x.Phase.Unavailable() {
 			all = append(all, x.Target)
 		}
 	}
@@ -243,7 +243,7 @@
 
 // moves is what each command makes of a step, and from where.
 var moves = map[Kind]struct{ from, to Phase }{
-	Take: {Waits, Drains}, Undo: {Drains, Waits}, Clear: {Drains, Out}, Return: {Out, Back}, Finish: {Out, Back}, Close: {Back, Done},
+	Take: {Waiting, Draining}, Undo: {Draining, Waiting}, Clear: {Draining, Out}, Return: {Out, Returning}, FinishWork: {Out, Returning}, Close: {Returning, Done},
 }
 
 // step moves a step. A beginning is held against the limits of all plans that have something out, by what is agreed on alone.
@@ -253,8 +253,8 @@
 		return fmt.Errorf("plan %s has no server %q", c.Plan, c.Server)
 	}
 	if c.Kind == Tell {
-		x.Note = c.Why
-		w.note(index, c, c.Why)
+		x.Note = c.Reason
+		w.note(index, c, c.Reason)
 		return nil
 	}
 	m, known := moves[c.Kind]
@@ -274,7 +274,7 @@
 		}
 	}
 	x.Phase, x.Index, x.Term, x.At, x.Note = m.to, index, c.Term, c.At, ""
-	w.note(index, c, c.Why)
+	w.note(index, c, c.Reason)
 	if w.Standing == Runs && !slices.ContainsFunc(w.Steps, func(x Step) bool { return x.Phase < Done }) {
 		w.Standing = Ended
 		w.note(index, &Command{At: c.At}, "ended")
@@ -288,10 +288,10 @@
 	if w.Standing != Runs {
 		return fmt.Errorf("plan %s %s", w.Plan.ID, w.Standing)
 	}
-	if p, _ := s.Phase(x.ID); p != Waits {
+	if p, _ := s.Phase(x.ID); p != Waiting {
 		return fmt.Errorf("%s %s by another plan", x.ID, p)
 	}
-	out := append(s.Away(), x.Target)
+	out := append(s.Unavailable(), x.Target)
 	for _, v := range s.Works {
 		if v != w && len(v.away()) == 0 {
 			continue
@@ -303,13 +303,13 @@
 	return nil
 }
 
-var words = map[Kind]string{Submit: "submitted", Pause: "paused", Resume: "resumed", Abandon: "abandoned", Finish: "said to be done", Take: "drains", Undo: "undone",
+var words = map[Kind]string{Submit: "submitted", Pause: "paused", Resume: "resumed", Abandon: "abandoned", FinishWork: "said to be done", Take: "drains", Undo: "undone",
 	Clear: "out", Return: "back", Close: "done", Tell: "told"}
 
 func (w *Work) note(index uint64, c *Command, more string) {
 	what := cmp.Or(words[c.Kind], more)
-	if c.Why != "" {
-		what += ": " + c.Why
+	if c.Reason != "" {
+		what += ": " + c.Reason
 	}
 	w.Events = append(w.Events, Event{index, c.At, what, c.Server})
 	if len(w.Events) > mostEvents {
--- a/fleet/planstate/state_test.go
+++ b/fleet/planstate/state_test.go
@@ -17,7 +17,7 @@
 
 func submitted(most, n int) *State {
 	s := &State{}
-	if err := s.Apply(1, 1, &Command{Kind: Submit, Plan: "p", Body: &plan.Plan{ID: "p", Most: most, DoneBy: "start"}, Targets: targets(n)}); err != nil {
+	if err := s.Apply(1, 1, &Command{Kind: Submit, Plan: "p", Definition: &plan.Plan{ID: "p", Most: most, DoneBy: "start"}, Targets: targets(n)}); err != nil {
 		panic(err)
 	}
 	return s
@@ -40,7 +40,7 @@
 		want string // part of why it is refused; empty: it is taken
 	}{
 		{Clear, "s-1", "waits"}, {Take, "s-9", "no server"}, {Take, "s-1", ""}, {Take, "s-1", "drains"}, {Take, "s-2", "most_out = 1"}, {Return, "s-1", "drains"},
-		{Clear, "s-1", ""}, {Undo, "s-1", "out"}, {Finish, "s-1", ""}, {Finish, "s-1", "back"}, {Take, "s-2", "most_out = 1"}, {Close, "s-1", ""}, {Take, "s-1", "done"},
+		{Clear, "s-1", ""}, {Undo, "s-1", "out"}, {FinishWork, "s-1", ""}, {FinishWork, "s-1", "back"}, {Take, "s-2", "most_out = 1"}, {Close, "s-1", ""}, {Take, "s-1", "done"},
 		{Take, "s-2", ""}, {Undo, "s-2", ""}, {Take, "s-2", ""}, {Clear, "s-2", ""}, {Return, "s-2", ""}, {Close, "s-2", ""},
 	} {
 		err := apply(s, c.kind, c.on)
@@ -73,7 +73,7 @@
 	s := submitted(2, 3)
 	body := &plan.Plan{ID: "q", Most: 1, DoneBy: "door"}
 	for range 2 { // handed in twice
-		if err := s.Apply(s.Index+1, 1, &Command{Kind: Submit, Plan: "q", Body: body, Targets: targets(2)}); err != nil || len(s.Works) != 2 {
+		if err := s.Apply(s.Index+1, 1, &Command{Kind: Submit, Plan: "q", Definition: body, Targets: targets(2)}); err != nil || len(s.Works) != 2 {
 			t.Fatalf("got %v, %d plans", err, len(s.Works))
 		}
 	}
@@ -92,7 +92,7 @@
 	if err := take("p", "s-2"); err != nil {
 		t.Errorf("got %v", err)
 	}
-	if err := s.Apply(s.Index+1, 1, &Command{Kind: Abandon, Plan: "p"}); err != nil || s.Find("p").Find("s-3").Phase != Dropped || len(s.Away()) != 2 {
+	if err := s.Apply(s.Index+1, 1, &Command{Kind: Abandon, Plan: "p"}); err != nil || s.Find("p").Find("s-3").Phase != Dropped || len(s.Unavailable()) != 2 {
 		t.Errorf("got %v, %+v", err, s.Find("p"))
 	}
 	if err := take("p", "s-3"); err == nil {
@@ -104,7 +104,7 @@
 func sight(n int) View {
 	v := View{Now: 100 * sec, Wall: 1, Service: 1, Members: []Member{{Place: 0, Reached: true, Index: 99}, {Place: 1, Reached: true, Index: 99}}}
 	for _, x := range targets(n) {
-		v.Servers = append(v.Servers, Server{Target: x, Listed: true, Well: true, Warm: true})
+		v.Servers = append(v.Servers, Server{Target: x, Listed: true, Healthy: true, Warm: true})
 	}
 	return v
 }
@@ -112,11 +112,11 @@
 func TestLead(t *testing.T) {
 	kinds := func(all []Command) (s string) {
 		for _, c := range all {
-			s += words[c.Kind] + " " + c.Server + " " + c.Why + ";"
+			s += words[c.Kind] + " " + c.Server + " " + c.Reason + ";"
 		}
 		return s
 	}
-	terms := Terms{Grace: sec, Longest: 3 * sec, Service: 0.9, Settle: 2 * sec}
+	terms := LeaderConfig{Grace: sec, MaxClientTimeout: 3 * sec, MinService: 0.9, SettleTime: 2 * sec}
 	for name, c := range map[string]struct {
 		before []Kind // on s-1
 		change func(s *State, v *View)
@@ -127,8 +127,8 @@
 		"the first":                                   {nil, nil, 2 * sec, "drains s-1 ;"},
 		"none in an overload":                         {nil, func(_ *State, v *View) { v.Cut = true }, 2 * sec, ""},
 		"none while service is poor":                  {nil, func(_ *State, v *View) { v.Service = 0.8 }, 2 * sec, ""},
-		"one that is ejected goes first":              {nil, func(_ *State, v *View) { v.Servers[1].Well = false }, 2 * sec, "drains s-2 ;"},
-		"none while another is out by hand":           {nil, func(_ *State, v *View) { v.Servers[1].Hand = true }, 2 * sec, ""},
+		"one that is ejected goes first":              {nil, func(_ *State, v *View) { v.Servers[1].Healthy = false }, 2 * sec, "drains s-2 ;"},
+		"none while another is out by hand":           {nil, func(_ *State, v *View) { v.Servers[1].ManuallyOut = true }, 2 * sec, ""},
 		"not yet clear":                               {[]Kind{Take}, func(_ *State, v *View) { v.Members[1].Open = map[string]int{"s-1": 1} }, 9 * sec, ""},
 		"a word from before the drain does not count": {[]Kind{Take}, func(_ *State, v *View) { v.Members[1].Index = 1 }, 9 * sec, ""},
 		"clear":                                {[]Kind{Take}, nil, 0, "out s-1 ;"},
--- a/proxy/maintenance.go
+++ b/proxy/maintenance.go
@@ -1,6 +1,6 @@
 package proxy
 
-// This file connects maintenance plans to the proxy: what the crew (package planexec) sees of this process, its messages,
+// This file connects maintenance plans to the proxy: what the coordinator (package planexec) sees of this process, its messages,
 // what it stores, and which hosts take no new dispatches. It must never decide what a step may do (package planstate
 // does), nor dispatch according to what other members say.
 
@@ -39,7 +39,7 @@
 // planState is the event loop's state of plans; nil if there are none.
 type planState struct {
 	MaintenanceConfig
-	crew  *planexec.Crew
+	crew  *planexec.Coordinator
 	file  *quorum.File
 	timer *timer
 }
@@ -56,10 +56,10 @@
 		return
 	}
 	plans := &planState{MaintenanceConfig: *cfg, file: file}
-	plans.crew, err = planexec.New(planexec.Terms{Me: ps.Terms.Index, Of: ps.Terms.Members, Voters: min(cfg.Voters, ps.Terms.Members),
-		Life: ps.fleet.Membership().Incarnation(), Seed: p.terms.Seed ^ 3,
-		Lead: planstate.Terms{Grace: cfg.Grace, Longest: p.config.LongestTimeout, Service: cfg.Service,
-			Settle: cfg.Settle}}, entries, now)
+	plans.crew, err = planexec.New(planexec.Config{Self: ps.Terms.Index, Members: ps.Terms.Members, Voters: min(cfg.Voters, ps.Terms.Members),
+		Incarnation: ps.fleet.Membership().Incarnation(), Seed: p.terms.Seed ^ 3,
+		Leader: planstate.LeaderConfig{Grace: cfg.Grace, MaxClientTimeout: p.config.LongestTimeout, MinService: cfg.Service,
+			SettleTime: cfg.Settle}}, entries, now)
 	if err != nil {
 		logrus.Errorf("maintenance plans are disabled: %v", err)
 		file.Close()
@@ -82,7 +82,7 @@
 // handOverPlans passes the lead on, as this process ends.
 func (p *Proxy) handOverPlans(now int64) {
 	if plans := p.plans; plans != nil {
-		plans.crew.Leave(p.peers.fleet.Membership().Alive)
+		plans.crew.TransferLeadership(p.peers.fleet.Membership().Alive)
 		p.runPlanActions(now)
 	}
 }
@@ -104,9 +104,9 @@
 }
 
 // planView returns what the crew may know of this proxy.
-func (p *Proxy) planView(now int64) planexec.Sight {
+func (p *Proxy) planView(now int64) planexec.View {
 	plans := p.plans
-	view := planexec.Sight{Now: now, Wall: time.Now().UnixNano(), Open: map[string]int{}, Service: 1,
+	view := planexec.View{Now: now, Wall: time.Now().UnixNano(), Open: map[string]int{}, Service: 1,
 		Alive: func(i int) bool { return p.peers != nil && p.peers.fleet.Membership().Alive(i) }}
 	if !plans.crew.State().Busy() {
 		return view
@@ -119,11 +119,11 @@
 		if !h.listed {
 			continue
 		}
-		view.Servers = append(view.Servers, planstate.Server{Target: plan.Of(h.reported),
-			Listed: h.reported.State == balance.Running, Well: learnt[h.id].EjectionLeft == 0,
-			Warm: p.terms.RampTime <= 0 || now-h.startTime >= p.terms.RampTime, Hand: p.holds.Hosts[h.id].Out})
+		view.Servers = append(view.Servers, planstate.Server{Target: plan.TargetOf(h.reported),
+			Listed: h.reported.State == balance.Running, Healthy: learnt[h.id].EjectionLeft == 0,
+			Warm: p.terms.RampTime <= 0 || now-h.startTime >= p.terms.RampTime, ManuallyOut: p.holds.Hosts[h.id].Out})
 	}
-	for _, t := range plans.crew.State().Away() {
+	for _, t := range plans.crew.State().Unavailable() {
 		for _, r := range p.requests {
 			for _, d := range r.dispatches {
 				if d.outstanding && d.host != nil && d.host.id == t.ID {
@@ -137,12 +137,12 @@
 		if demand := load.Served + load.Unserved; demand > 1 {
 			view.Service = load.Served / demand
 		}
-		view.Cut = ps.fleet.Shedding()
+		view.Shedding = ps.fleet.Shedding()
 	}
 	return view
 }
 
-// runPlanActions carries out the crew's actions. It writes off the event loop, one batch at a time.
+// runPlanActions carries out the coordinator's actions. It writes off the event loop, one batch at a time.
 func (p *Proxy) runPlanActions(now int64) {
 	plans := p.plans
 	for action, ok := plans.crew.Next(); ok; action, ok = plans.crew.Next() {
@@ -152,14 +152,14 @@
 				p.peers.fleet.SendMessage(action.To, action.Body, now)
 				p.runPeerActions(now)
 			}
-		case planexec.Write:
+		case planexec.Persist:
 			go func() {
 				err := plans.file.Write(&action.Batch)
 				p.post(p.now(), nil, func(int64) { p.plansWritten(plans, &action.Batch, err, p.now()) })
 			}()
-		case planexec.Hold:
+		case planexec.HeldChanged:
 			p.refreshHosts(now)
-		case planexec.Tell:
+		case planexec.Log:
 			logrus.WithFields(action.Fields).Info(action.Text)
 		}
 	}
@@ -174,7 +174,7 @@
 		p.stop(plans.timer)
 		return
 	}
-	plans.crew.Written(batch, now)
+	plans.crew.Persisted(batch, now)
 	p.runPlanActions(now)
 }
 
@@ -186,9 +186,9 @@
 	}
 	phase, step := p.plans.crew.State().Phase(s.ID)
 	switch {
-	case (phase == planstate.Drains || phase == planstate.Out) && s.State == balance.Running:
+	case (phase == planstate.Draining || phase == planstate.Out) && s.State == balance.Running:
 		s.State = balance.Draining
-	case phase == planstate.Back && s.Since <= step.Since:
+	case phase == planstate.Returning && s.Since <= step.Since:
 		s.Since = step.At
 	}
 	return s
@@ -202,16 +202,16 @@
 	}
 	statuses := p.plans.crew.Status(id, p.planView(now))
 	if id != "" && len(statuses) == 0 {
-		return admin.Error(http.StatusNotFound, planexec.ErrUnknown.Error())
+		return admin.Error(http.StatusNotFound, planexec.ErrUnknownPlan.Error())
 	}
 	return jsonReply(statuses)
 }
 
 // planCommand submits or changes a plan and waits briefly until that is agreed on.
 func (p *Proxy) planCommand(c admin.Call) admin.Reply {
-	command := planstate.Command{Plan: c.Plan, Server: c.Host, At: time.Now().UnixNano(), Why: "by hand",
+	command := planstate.Command{Plan: c.Plan, Server: c.Host, At: time.Now().UnixNano(), Reason: "by hand",
 		Kind: map[string]planstate.Kind{"submit": planstate.Submit, "pause": planstate.Pause, "resume": planstate.Resume,
-			"abandon": planstate.Abandon, "done": planstate.Finish}[c.Verb]}
+			"abandon": planstate.Abandon, "done": planstate.FinishWork}[c.Verb]}
 	var body *plan.Plan
 	if command.Kind == planstate.Submit {
 		var err error
@@ -230,24 +230,24 @@
 		existing := p.plans.crew.State().Find(c.Plan)
 		switch {
 		case body == nil && existing == nil:
-			return admin.Error(http.StatusNotFound, planexec.ErrUnknown.Error())
+			return admin.Error(http.StatusNotFound, planexec.ErrUnknownPlan.Error())
 		case body != nil && existing == nil:
 			listed := p.listedServers(func(h *host) balance.Server { return h.reported })
 			var err error
-			if command, err = planexec.Command(body, plan.Listed(listed), command.At); err != nil {
+			if command, err = planexec.SubmitCommand(body, plan.ListedTargets(listed), command.At); err != nil {
 				return admin.Error(http.StatusConflict, err.Error())
 			}
 		case body != nil && !samePlan(&existing.Plan, body):
 			return admin.Error(http.StatusConflict, "another plan has this id")
 		}
-		p.plans.crew.Ask(command, now)
+		p.plans.crew.Request(command, now)
 		return admin.OK("")
 	}); reply.Status != http.StatusOK {
 		return reply
 	}
 	for deadline := time.Now().Add(maxAgreementWait); time.Now().Before(deadline); time.Sleep(agreementPollInterval) {
 		if reply := p.askLoop(func(int64) admin.Reply {
-			if p.plans != nil && p.plans.crew.Holds(&command) {
+			if p.plans != nil && p.plans.crew.Applied(&command) {
 				return admin.OK("agreed on")
 			}
 			return admin.Error(http.StatusAccepted, "")
--- a/rehearse/lab/mechanics.go
+++ b/rehearse/lab/mechanics.go
@@ -132,7 +132,7 @@
 			if !x.tells("/plans/"+p.ID, &all) || len(all) != 1 {
 				continue
 			}
-			if all[0].Standing == "ended" {
+			if all[0].State == "ended" {
 				m.f.Took = time.Since(begun).Seconds()
 				return
 			}
