--- a/proxy/maintenance.go
+++ b/proxy/maintenance.go
@@ -1,8 +1,8 @@
 package proxy
 
-// This file connects maintenance plans to the proxy: what the coordinator (package planexec) sees of this process, its messages,
-// what it stores, and which hosts take no new dispatches. It must never decide what a step may do (package planstate
-// does), nor dispatch according to what other members say.
+// This file connects maintenance plans to the proxy: what the coordinator (package planexec) sees of this process,
+// its messages, what it stores, and which hosts take no new dispatches. It must never decide what a step may do
+// (package planstate does), nor dispatch according to what other members say.
 
 import (
 	"encoding/json"
@@ -56,8 +56,8 @@
 		return
 	}
 	plans := &planState{MaintenanceConfig: *cfg, file: file}
-	plans.crew, err = planexec.New(planexec.Config{Self: ps.Terms.Index, Members: ps.Terms.Members, Voters: min(cfg.Voters, ps.Terms.Members),
-		Incarnation: ps.fleet.Membership().Incarnation(), Seed: p.terms.Seed ^ 3,
+	plans.crew, err = planexec.New(planexec.Config{Self: ps.Terms.Index, Members: ps.Terms.Members,
+		Voters: min(cfg.Voters, ps.Terms.Members), Incarnation: ps.fleet.Membership().Incarnation(), Seed: p.terms.Seed ^ 3,
 		Leader: planstate.LeaderConfig{Grace: cfg.Grace, MaxClientTimeout: p.config.LongestTimeout, MinService: cfg.Service,
 			SettleTime: cfg.Settle}}, entries, now)
 	if err != nil {
