--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/crew"
+	"ivybank/fleet/planexec"
 	"ivybank/fleet/snapshot"
 	"ivybank/fleet/warmstart"
 	"ivybank/rehearse/emu"
@@ -45,9 +45,9 @@
 }
 
 // plans is what a proxy tells of a plan at its door.
-func plans(r *lab.Rehearsal, proxy int) (x crew.Status, ok bool) {
+func plans(r *lab.Rehearsal, proxy int) (x planexec.Status, ok bool) {
 	text, err := knockAt(http.MethodGet, r.Door(proxy), "/plans/kernel", nil)
-	var all []crew.Status
+	var all []planexec.Status
 	if err != nil || json.Unmarshal(text, &all) != nil || len(all) != 1 {
 		return x, false
 	}
@@ -60,7 +60,7 @@
 	for end := time.Now().Add(3 * patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for i := range proxies {
 			x, ok := plans(r, i)
-			if ok && x.Standing == "ended" {
+			if ok && x.State == "ended" {
 				return
 			}
 			for _, s := range x.Steps {
@@ -155,7 +155,7 @@
 				t.Errorf("%v were worked on, %d at once", m.worked, m.most)
 			}
 			for i := range 4 {
-				eventually(t, fmt.Sprintf("proxy %d knows that it has ended", i), func() bool { x, ok := plans(r, i); return ok && x.Standing == "ended" })
+				eventually(t, fmt.Sprintf("proxy %d knows that it has ended", i), func() bool { x, ok := plans(r, i); return ok && x.State == "ended" })
 			}
 			played.Wait()
 			if f != nil && (f.Breaches != [5]int{} || f.Crashes > 0) {
--- a/control/applications_test.go
+++ b/control/applications_test.go
@@ -22,7 +22,9 @@
 func commandOf(method, target, body string) (command wire.Command, ok bool) {
 	mux := http.NewServeMux()
 	for _, call := range applicationCalls {
-		mux.HandleFunc(call.pattern, func(w http.ResponseWriter, r *http.Request) { command, ok = readCommand(w, r, call.kind) })
+		mux.HandleFunc(call.pattern, func(w http.ResponseWriter, r *http.Request) {
+			command, ok = readCommand(w, r, call.kind)
+		})
 	}
 	mux.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(method, target, strings.NewReader(body)))
 	return command, ok
@@ -34,16 +36,23 @@
 		method, target, body string
 		want                 wire.Command
 	}{
-		{"POST", "/v1/Locks.Begin/l1f", `{"holder":"a3.7","hold_ms":3000}`, wire.Command{Kind: wire.BeginLock, Name: "l1f", Holder: "a3.7", HoldMS: 3000}},
-		{"POST", "/v1/Locks.Begin/l1f", `{"holder":"a","hold_ms":0.5,"other":1}`, wire.Command{Kind: wire.BeginLock, Name: "l1f", Holder: "a", HoldMS: 1}},
-		{"POST", "/v1/Locks.Heartbeat/l", `{"holder":"a","fence":41,"hold_ms":3}`, wire.Command{Kind: wire.HeartbeatLock, Name: "l", Holder: "a", Fence: 41, HoldMS: 3}},
-		{"POST", "/v1/Locks.Finish/l", `{"holder":"a","fence":18446744073709551615}`, wire.Command{Kind: wire.FinishLock, Name: "l", Holder: "a", Fence: 1<<64 - 1}},
+		{"POST", "/v1/Locks.Begin/l1f", `{"holder":"a3.7","hold_ms":3000}`,
+			wire.Command{Kind: wire.BeginLock, Name: "l1f", Holder: "a3.7", HoldMS: 3000}},
+		{"POST", "/v1/Locks.Begin/l1f", `{"holder":"a","hold_ms":0.5,"other":1}`,
+			wire.Command{Kind: wire.BeginLock, Name: "l1f", Holder: "a", HoldMS: 1}},
+		{"POST", "/v1/Locks.Heartbeat/l", `{"holder":"a","fence":41,"hold_ms":3}`,
+			wire.Command{Kind: wire.HeartbeatLock, Name: "l", Holder: "a", Fence: 41, HoldMS: 3}},
+		{"POST", "/v1/Locks.Finish/l", `{"holder":"a","fence":18446744073709551615}`,
+			wire.Command{Kind: wire.FinishLock, Name: "l", Holder: "a", Fence: 1<<64 - 1}},
 		{"POST", "/v1/numbers/n%202", `{}`, wire.Command{Kind: wire.NextNumber, Name: "n 2"}},
-		{"POST", "/v1/Cells.Replace/g1.2d", `{"value":"v","if_revision":907}`, wire.Command{Kind: wire.ReplaceKey, Name: "g1.2d", Value: "v", IfRevision: &revision}},
-		{"POST", "/v1/Cells.Replace/g1.2d", `{"value":"v","if_revision":0}`, wire.Command{Kind: wire.ReplaceKey, Name: "g1.2d", Value: "v", IfRevision: &absent}},
+		{"POST", "/v1/Cells.Replace/g1.2d", `{"value":"v","if_revision":907}`,
+			wire.Command{Kind: wire.ReplaceKey, Name: "g1.2d", Value: "v", IfRevision: &revision}},
+		{"POST", "/v1/Cells.Replace/g1.2d", `{"value":"v","if_revision":0}`,
+			wire.Command{Kind: wire.ReplaceKey, Name: "g1.2d", Value: "v", IfRevision: &absent}},
 		{"POST", "/v1/Cells.Replace/g1.2d", `{"value":"v"}`, wire.Command{Kind: wire.ReplaceKey, Name: "g1.2d", Value: "v"}},
 		{"GET", "/v1/Cells.Get/g1.2d", "", wire.Command{Kind: wire.GetKey, Name: "g1.2d"}},
-		{"GET", "/v1/watch/g1.?after=930&wait_ms=2000", "", wire.Command{Kind: wire.WatchGroup, Name: "g1.", After: 930, WaitMS: 2000}},
+		{"GET", "/v1/watch/g1.?after=930&wait_ms=2000", "",
+			wire.Command{Kind: wire.WatchGroup, Name: "g1.", After: 930, WaitMS: 2000}},
 		{"GET", "/v1/watch/g1.", "", wire.Command{Kind: wire.WatchGroup, Name: "g1."}},
 	} {
 		command, ok := commandOf(test.method, test.target, test.body)
@@ -60,7 +69,7 @@
 		{"POST", "/v1/Locks.Begin/l", `{"holder":"a","hold_ms":-1}`},
 		{"POST", "/v1/Locks.Begin/l", `{"holder":"a","hold_ms":1e12}`},
 		{"POST", "/v1/Locks.Finish/l", `{"holder":"a","fence":-1}`},
-		{"POST", "/v1/Locks.Begin/l", `{"holder":"` + strings.Repeat("a", maxCallBytes) + `","hold_ms":1}`},
+		{"POST", "/v1/Locks.Begin/l", `{"holder":"` + strings.Repeat("a", maxCallBodyBytes) + `","hold_ms":1}`},
 		{"POST", "/v1/Cells.Replace/k", `{"value":"v","if_revision":1.5}`},
 		{"GET", "/v1/watch/g.?after=x", ""},
 		{"GET", "/v1/watch/g.?wait_ms=1s", ""},
@@ -73,7 +82,7 @@
 
 // answerOf returns the HTTP response for an answer, or false if the connection is closed instead.
 func answerOf(path string, a wire.Answer) (r *httptest.ResponseRecorder, answered bool) {
-	h := &applicationHandler{&Node{counts: newNodeCounts()}}
+	h := &applicationHandler{&Node{counters: newNodeCounters()}}
 	r = httptest.NewRecorder()
 	defer func() { answered = recover() == nil }()
 	for _, call := range applicationCalls {
@@ -102,7 +111,8 @@
 		{"Cells.Replace", wire.Answer{Outcome: wire.Full}, http.StatusTooManyRequests, `{}`},
 		{"Cells.Get", wire.Answer{Outcome: wire.Done, Value: "v", Revision: 931}, http.StatusOK, `{"value":"v","rev":931}`},
 		{"Cells.Get", wire.Answer{Outcome: wire.NotFound}, http.StatusNotFound, `{}`},
-		{"watch", wire.Answer{Outcome: wire.Done, Revision: 934, Events: []wire.Change{{Key: "g1.2d", Value: "v", Revision: 931}}},
+		{"watch", wire.Answer{Outcome: wire.Done, Revision: 934,
+			Events: []wire.Change{{Key: "g1.2d", Value: "v", Revision: 931}}},
 			http.StatusOK, `{"events":[{"name":"g1.2d","value":"v","rev":931}],"rev":934}`},
 		{"watch", wire.Answer{Outcome: wire.Done, Revision: 934}, http.StatusOK, `{"events":[],"rev":934}`},
 		{"watch", wire.Answer{Outcome: wire.Compacted}, http.StatusGone, `{}`},
@@ -128,8 +138,9 @@
 
 // pendingNode has a part without a leader whose queue is never processed, so calls stay in flight.
 func pendingNode() *Node {
-	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.GroupConfig{TargetSize: 3}, replica.PersistentState{}, rand.New(rand.NewPCG(1, 2)), 0)}
-	return &Node{counts: newNodeCounts(), env: &directEnvironment{}, replica: p.replica, parts: []*part{p}}
+	p := &part{replica: replica.New(wire.Member{ID: "a", IP: "10.0.0.1"}, replica.GroupConfig{TargetSize: 3},
+		replica.PersistentState{}, rand.New(rand.NewPCG(1, 2)), 0)}
+	return &Node{counters: newNodeCounters(), env: &directEnvironment{}, replica: p.replica, parts: []*part{p}}
 }
 
 // directEnvironment runs events immediately, with a clock that is always 0.
@@ -164,19 +175,21 @@
 
 // A call whose request context ended before its outcome was known was once answered with an empty 200, so that a
 // heartbeat, a finish or an update that was never acknowledged counted as successful.
-func TestCallLeftUnderWayGetsNoImplicitOK(t *testing.T) {
+func TestAbandonedCallGetsNoImplicitOK(t *testing.T) {
 	mux := http.NewServeMux()
 	(&applicationHandler{pendingNode()}).register(mux)
 	body := `{"holder":"a","fence":1,"hold_ms":3000}`
-	request := fmt.Sprintf("POST /v1/Locks.Heartbeat/l HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	request := fmt.Sprintf("POST /v1/Locks.Heartbeat/l HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body),
+		body)
 	assert.Equal(t, readAfterHalfClose(t, mux, request), "")
 }
 
-func TestOrderLeftUnderWayGetsNoImplicitOK(t *testing.T) {
+func TestAbandonedUpdateGetsNoImplicitOK(t *testing.T) {
 	h := newOperatorHandler(pendingNode())
-	never := func(http.ResponseWriter, *http.Request, func(verdict)) {}
+	never := func(http.ResponseWriter, *http.Request, func(response)) {}
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h.await(w, r, callReplace, never) })
-	assert.Equal(t, readAfterHalfClose(t, handler, "POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"), "")
+	assert.Equal(t, readAfterHalfClose(t, handler,
+		"POST /v1/Config.Replace HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"), "")
 }
 
 // Log entries are stored by all members, so they must not carry fields that the command doesn't use.
