--- a/fleet/learn_test.go
+++ b/fleet/learn_test.go
@@ -7,32 +7,33 @@
 	"ivybank/fleet/peer"
 )
 
-// class is a mesh in which all learn and teach; the members' servers are known to the old.
-type class struct {
-	*mesh
-	knows []balance.ServerSnapshot // that old members hold
-	heard map[int]int              // by member: the most beliefs of one other
+// learnNetwork is a testNetwork in which all members learn from peers; observed is what the balancers of old
+// members hold.
+type learnNetwork struct {
+	*testNetwork
+	observed []balance.ServerSnapshot // by old members
+	beliefs  map[int]int              // by member: the largest number of beliefs received from one peer
 }
 
-func newClass(n int) *class {
-	c := &class{mesh: newMesh(0), heard: map[int]int{}}
+func newLearnNetwork(n int) *learnNetwork {
+	c := &learnNetwork{testNetwork: newTestNetwork(0), beliefs: map[int]int{}}
 	c.members = make([]*Fleet, n)
 	for i := range n {
-		c.start(i)
+		c.startMember(i)
 	}
 	return c
 }
 
-func (c *class) start(i int) {
-	t := terms(i, len(c.members))
-	t.Learn = &LearnConfig{MinPeers: 2, Timeout: 3 * sec}
-	t.Incarnation += uint64((c.now-begun)/ms) << 8
-	c.members[i] = New(t, c.now)
-	c.members[i].SetServers(servers(10), c.now)
+func (c *learnNetwork) startMember(i int) {
+	cfg := testConfig(i, len(c.members))
+	cfg.Learn = &LearnConfig{MinPeers: 2, Timeout: 3 * sec}
+	cfg.Incarnation += uint64((c.now-start)/ms) << 8
+	c.members[i] = New(cfg, c.now)
+	c.members[i].SetServers(serverIDs(10), c.now)
 }
 
-func (c *class) run(d int64) {
-	for end := c.now + d; c.now < end; c.now += 10 * ms {
+func (c *learnNetwork) run(duration int64) {
+	for end := c.now + duration; c.now < end; c.now += 10 * ms {
 		for i, f := range c.members {
 			if f.lastTick+50*ms <= c.now {
 				f.Tick(c.now)
@@ -40,14 +41,14 @@
 			for a, ok := f.Next(); ok; a, ok = f.Next() {
 				switch a.Kind {
 				case Send:
-					if c.passes(i, a.To) {
+					if c.delivers(i, a.To) {
 						c.members[a.To].Receive(&a.Datagram, c.now)
 					}
 				case AnswerQuery:
-					f.SendBeliefs(a.To, c.knows, c.now)
+					f.SendBeliefs(a.To, c.observed, c.now)
 				case ApplyPeerReports:
 					for _, t := range a.Reports {
-						c.heard[i] = max(c.heard[i], len(t.Beliefs))
+						c.beliefs[i] = max(c.beliefs[i], len(t.Beliefs))
 					}
 				}
 			}
@@ -55,36 +56,36 @@
 	}
 }
 
-// Those that live on teach what they have met; those that have just begun do not, whatever they have heard.
-func TestLessons(t *testing.T) {
-	c := newClass(6)
+// Old members report what they have observed. Members that have just started do not, whatever they have heard.
+func TestLearningFromPeers(t *testing.T) {
+	c := newLearnNetwork(6)
 	for i := range 10 {
-		l := balance.ServerSnapshot{ID: servers(10)[i], Health: 0.3, EjectionLeft: 3 * sec, LastOutcomeAge: sec}
+		server := balance.ServerSnapshot{ID: serverIDs(10)[i], Health: 0.3, EjectionLeft: 3 * sec, LastOutcomeAge: sec}
 		switch i {
 		case 0:
-			l.LastOutcomeAge = -1 // of another's word
+			server.LastOutcomeAge = -1 // reported by another member
 		case 1:
-			l.Health, l.EjectionLeft = 1, 0 // well
+			server.Health, server.EjectionLeft = 1, 0 // healthy
 		case 2:
-			l.LastOutcomeAge, l.EjectionLeft, l.Draining = -1, 0, true // as the list told it
+			server.LastOutcomeAge, server.EjectionLeft, server.Draining = -1, 0, true // reported by discovery
 		}
-		c.knows = append(c.knows, l)
+		c.observed = append(c.observed, server)
 	}
 	c.run(6 * sec)
-	if len(c.heard) > 0 {
-		t.Fatalf("%v were taught where all began at once", c.heard)
+	if len(c.beliefs) > 0 {
+		t.Fatalf("got beliefs %v though all members started at once", c.beliefs)
 	}
 	for i := 2; i < 6; i++ {
-		c.start(i)
+		c.startMember(i)
 	}
 	c.run(2 * sec)
 	for i := 2; i < 6; i++ {
-		if c.heard[i] != 8 {
-			t.Errorf("member %d has heard %d beliefs, want the eight that somebody has met or that drain", i, c.heard[i])
+		if c.beliefs[i] != 8 {
+			t.Errorf("member %d got %d beliefs, want the 8 that were observed or are draining", i, c.beliefs[i])
 		}
 		asked, answers, taught := c.members[i].LearnCounts()
 		if asked > 20 || answers < 2 || taught > 0 {
-			t.Errorf("member %d has asked %d times, was answered %d times, has taught %d", i, asked, answers, taught)
+			t.Errorf("member %d: %d queries, %d answers received, %d sent", i, asked, answers, taught)
 		}
 	}
 	before := map[int]int{}
@@ -94,14 +95,15 @@
 	c.run(5 * sec)
 	for i := range c.members {
 		if asked, _, _ := c.members[i].LearnCounts(); asked != before[i] {
-			t.Errorf("member %d asks on", i)
+			t.Errorf("member %d still sends queries", i)
 		}
 	}
 }
 
-// Askers get no more of a member than a second's worth of its datagrams at once, and a quarter of them from then on.
-func TestLessonsBounded(t *testing.T) {
-	c := newClass(2)
+// A member answers with at most one second's worth of its datagram limit at once, and with a quarter of the limit
+// from then on.
+func TestAnswerLimit(t *testing.T) {
+	c := newLearnNetwork(2)
 	f := c.members[0]
 	c.run(6 * sec)
 	answers := 0
@@ -115,20 +117,20 @@
 			f.actions = f.actions[1:]
 		}
 	}
-	if most := f.cfg.DatagramsPerSecond * (1 + 10*answerFraction); float64(answers) > most+1 || answers == 0 {
-		t.Errorf("%d answers in 10 s, want %.0f at the most", answers, most)
+	if limit := f.cfg.DatagramsPerSecond * (1 + 10*answerFraction); float64(answers) > limit+1 || answers == 0 {
+		t.Errorf("%d answers in 10 s, want at most %.0f", answers, limit)
 	}
 }
 
-// What one had told of its newest key comes back to it when it has forgotten.
-func TestWitness(t *testing.T) {
-	c := newClass(3)
+// A member that has lost its ledger gets back the time of its newest key from peers to which it had reported it.
+func TestReportedKey(t *testing.T) {
+	c := newLearnNetwork(3)
 	c.run(3 * sec)
 	c.members[1].RecordKey(42 * sec)
 	c.run(4 * sec)
-	c.start(1)
+	c.startMember(1)
 	if _, heard := c.members[1].ReportedKey(); heard {
-		t.Error("it has heard of nobody yet")
+		t.Error("an answer before any peer was heard")
 	}
 	c.run(2 * sec)
 	if newest, heard := c.members[1].ReportedKey(); !heard || newest != 42*sec {
--- a/fleet/snapshot/snapshot_test.go
+++ b/fleet/snapshot/snapshot_test.go
@@ -13,7 +13,7 @@
 	"ivybank/internal/decay"
 )
 
-func memory(n uint64) *warmstart.Snapshot {
+func testSnapshot(n uint64) *warmstart.Snapshot {
 	m := &warmstart.Snapshot{Proxy: "127.0.0.1:80", Incarnation: 7, Number: n, WallTime: 1e18, BootID: "b", Uptime: 5e9, ConfigHash: 3, Service: 0.9, NewestKey: 12,
 		List:  warmstart.List{Generation: 4, Age: 1e9, Hosts: []warmstart.Host{{Server: balance.Server{ID: "s-1", Zone: "a", Cell: 2, State: balance.Draining, Share: 1, Since: 9}, Addr: "127.0.0.1:81"}}},
 		Holds: holds.Table{Version: 2, Hosts: map[string]holds.Hold{"s-9": {Out: true, Since: 3}}}}
@@ -22,72 +22,72 @@
 	return m
 }
 
-func TestThereAndBack(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	folder := t.TempDir() + "/state"
 	if _, err := Read(folder); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("got %v of an empty folder", err)
+		t.Errorf("got %v for a folder without a snapshot", err)
 	}
 	for n := range uint64(3) {
-		if err := Write(folder, memory(n)); err != nil {
+		if err := Write(folder, testSnapshot(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	got, err := Read(folder)
-	if err != nil || !reflect.DeepEqual(&got, memory(2)) {
+	if err != nil || !reflect.DeepEqual(&got, testSnapshot(2)) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if all, _ := os.ReadDir(folder); len(all) != 1 {
-		t.Errorf("%d files in the folder, want the one", len(all))
+		t.Errorf("%d files in the folder, want 1", len(all))
 	}
 }
 
-// A file that was being written when the process was killed ends anywhere: no part of one is taken for a whole.
-func TestCutAnywhere(t *testing.T) {
-	b, err := Encode(memory(1))
+// A process that is killed while it writes may leave a file of any length. No incomplete file is accepted.
+func TestTruncated(t *testing.T) {
+	b, err := Encode(testSnapshot(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range b {
 		if _, err := Decode(b[:n]); err == nil {
-			t.Fatalf("the first %d of %d bytes were taken", n, len(b))
+			t.Fatalf("the first %d of %d bytes were accepted", n, len(b))
 		}
 	}
 	if _, err := Decode(append(b, 0)); !errors.Is(err, ErrLength) {
-		t.Errorf("got %v of one with more behind it", err)
+		t.Errorf("got %v for a file with a trailing byte", err)
 	}
 }
 
-func TestAnyBitTurned(t *testing.T) {
-	b, err := Encode(memory(1))
+func TestFlippedBits(t *testing.T) {
+	b, err := Encode(testSnapshot(1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 8 * len(b) {
 		b[i/8] ^= 1 << (i % 8)
 		if _, err := Decode(b); err == nil {
-			t.Fatalf("taken with bit %d turned", i)
+			t.Fatalf("accepted with bit %d flipped", i)
 		}
 		b[i/8] ^= 1 << (i % 8)
 	}
 }
 
-func TestWhatIsWrong(t *testing.T) {
-	good, err := Encode(memory(1))
+func TestDecodeErrors(t *testing.T) {
+	good, err := Encode(testSnapshot(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := append([]byte{}, good...)
-	next[len(magic)]++
-	bad := memory(1)
+	laterVersion := append([]byte{}, good...)
+	laterVersion[len(magic)]++
+	bad := testSnapshot(1)
 	bad.Balancer.Servers[0].Health = -1
-	odd, err := Encode(bad)
+	invalid, err := Encode(bad)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-	}{"empty": {nil, ErrNotSnapshot}, "another file": {[]byte("[log]\nlevel = 1"), ErrNotSnapshot}, "a later form": {next, ErrVersion}, "figures that cannot be": {odd, ErrFormat}} {
+	}{"empty": {nil, ErrNotSnapshot}, "other file": {[]byte("[log]\nlevel = 1"), ErrNotSnapshot}, "later version": {laterVersion, ErrVersion}, "figures out of range": {invalid, ErrFormat}} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Decode(c.b); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
@@ -96,38 +96,38 @@
 	}
 }
 
-// Where nothing can be written the old one stays.
-func TestFull(t *testing.T) {
+// If the new file can't be written the old one stays.
+func TestFailedWrite(t *testing.T) {
 	folder := t.TempDir()
-	if err := Write(folder, memory(1)); err != nil {
+	if err := Write(folder, testSnapshot(1)); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.MkdirAll(Path(folder)+".new/full", 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if Write(folder, memory(2)) == nil {
-		t.Error("written where nothing can be")
+	if Write(folder, testSnapshot(2)) == nil {
+		t.Error("no error though the file can't be written")
 	}
 	if m, err := Read(folder); err != nil || m.Number != 1 {
-		t.Errorf("got %d, %v, want the old one", m.Number, err)
+		t.Errorf("got snapshot %d, %v, want the old one", m.Number, err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	b, err := Encode(memory(1))
+	b, err := Encode(testSnapshot(1))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if m, err := Decode(b); err == nil && !m.Valid() {
-			t.Error("taken, and not sound")
+			t.Error("an invalid snapshot was accepted")
 		}
 	})
 }
 
 func BenchmarkRead(b *testing.B) {
-	m := memory(1)
+	m := testSnapshot(1)
 	for i := range 200 {
 		l := m.Balancer.Servers[0]
 		l.ID = string(rune('a' + i))
--- a/fleet/swim/swim.go
+++ b/fleet/swim/swim.go
@@ -30,7 +30,7 @@
 	maxSilence           = 600 * sec                                     // longest silence that is reported
 	replayWindow         = 64                                            // datagrams of one incarnation that may arrive out of order
 	tickInterval         = 50 * ms                                       // between checks of what is due
-	largeFleetLog        = 1.2                                           // decimal logarithm of the members above which suspicion timeouts grow
+	largeFleetLog        = 1.2                                           // base 10 logarithm of the members above which suspicion timeouts grow
 	maxUpdatesTaken      = 8                                             // updates accepted from one datagram
 	never                = -1 << 62                                      // time before anything was heard
 	smallFleet           = 16                                            // in a fleet of this size all others are told of a leave
