--- a/fleet/aggregate/aggregate.go
+++ b/fleet/aggregate/aggregate.go
@@ -25,22 +25,24 @@
 	Retries       float64 // dispatches after the first of a request
 	RetriesWanted float64 // retries that were wanted, whether or not they were allowed
 	Probes        float64
-	Refused       float64          // dispatches refused by servers
-	TimedOut      float64          // dispatches without an answer in time
-	Failed        float64          // dispatches with any outcome other than served
-	Unserved      float64          // cost of requests that were admitted, not served in time, and not retried by their clients
-	Served        float64          // cost of requests that were served in time
-	Limit         float64          // sum of the members' estimates of what the fleet can bear, in cost per second
-	LimitCount    float64          // number of members with such an estimate
-	ServerTime    float64          // seconds per second that served dispatches took at servers
-	Offered       [Classes]float64 // cost of received requests by class, without clients' retries
+	Refused       float64 // dispatches refused by servers
+	TimedOut      float64 // dispatches without an answer in time
+	Failed        float64 // dispatches with any outcome other than served
+	// Cost of requests that were admitted, not served in time, and not retried by their clients.
+	Unserved   float64
+	Served     float64          // cost of requests that were served in time
+	Limit      float64          // sum of the members' estimates of what the fleet can bear, in cost per second
+	LimitCount float64          // number of members with such an estimate
+	ServerTime float64          // seconds per second that served dispatches took at servers
+	Offered    [Classes]float64 // cost of received requests by class, without clients' retries
 }
 
 // fixedFigures is the number of figures of a load before its classes.
 const fixedFigures = 12
 
 func (l *Load) figures() [fixedFigures]*float64 {
-	return [fixedFigures]*float64{&l.First, &l.Retries, &l.RetriesWanted, &l.Probes, &l.Refused, &l.TimedOut, &l.Failed, &l.Unserved, &l.Served, &l.Limit, &l.LimitCount, &l.ServerTime}
+	return [fixedFigures]*float64{&l.First, &l.Retries, &l.RetriesWanted, &l.Probes, &l.Refused, &l.TimedOut,
+		&l.Failed, &l.Unserved, &l.Served, &l.Limit, &l.LimitCount, &l.ServerTime}
 }
 
 // Add adds a fraction of another load.
@@ -165,24 +167,24 @@
 // ownBlock returns the sum of the member's own block at a level: its own load and the sibling sums below that
 // level.
 func (a *Aggregate) ownBlock(level int, now int64) blockSum {
-	all := blockSum{measuredAt: now, members: 1, load: a.Own}
+	total := blockSum{measuredAt: now, members: 1, load: a.Own}
 	age := 0.0
 	for i := range a.siblings[:level] {
 		s := &a.siblings[i]
 		if w := a.weight(s, now); w > 0 {
-			all.load.Add(&s.load, w)
-			all.members += s.members
+			total.load.Add(&s.load, w)
+			total.members += s.members
 			age += float64(now-s.measuredAt) * float64(s.members)
 		}
 	}
-	all.measuredAt = now - int64(age/float64(all.members)) // mean age of the members
-	return all
+	total.measuredAt = now - int64(age/float64(total.members)) // mean age of the members
+	return total
 }
 
 // FleetLoad returns the load of all counted members and their number.
 func (a *Aggregate) FleetLoad(now int64) (Load, int) {
-	all := a.ownBlock(len(a.siblings), now)
-	return all.load, all.members
+	total := a.ownBlock(len(a.siblings), now)
+	return total.load, total.members
 }
 
 // Age returns the mean age of the counted loads in nanoseconds.
@@ -194,7 +196,8 @@
 	add := func(level, block int, s *blockSum) {
 		b := s.load.Bytes()
 		if room.LoadSum(len(b)) {
-			x := peer.LoadSum{Level: uint8(level), Block: block, Members: s.members, Age: peer.Hundredths(now - s.measuredAt), Load: b}
+			x := peer.LoadSum{Level: uint8(level), Block: block, Members: s.members,
+				Age: peer.Hundredths(now - s.measuredAt), Load: b}
 			if level == 0 {
 				x.Incarnation = s.incarnation
 			}
@@ -210,7 +213,8 @@
 			higher = append(higher, i)
 		}
 	}
-	slices.SortStableFunc(higher, func(x, y int) int { return int(min(1, max(-1, a.siblings[y].measuredAt-a.siblings[x].measuredAt))) })
+	slices.SortStableFunc(higher,
+		func(x, y int) int { return int(min(1, max(-1, a.siblings[y].measuredAt-a.siblings[x].measuredAt))) })
 	for _, i := range higher {
 		add(i, a.cfg.Index>>i^1, &a.siblings[i])
 	}
@@ -239,22 +243,23 @@
 
 // plausible reports whether so many members could have such a load. It allows for rounding and for momentary
 // swings of rates.
-func (a *Aggregate) plausible(l *Load, members int) bool {
+func (a *Aggregate) plausible(load *Load, members int) bool {
 	const slack = 1.3
 	limit := a.cfg.MaxMemberRate * float64(members) * slack
-	return l.TotalOffered() <= limit && l.Served <= limit && l.First <= limit && l.Unserved <= limit && l.Retries <= limit &&
-		l.LimitCount <= float64(members)*slack && l.Limit <= limit
+	return load.TotalOffered() <= limit && load.Served <= limit && load.First <= limit && load.Unserved <= limit &&
+		load.Retries <= limit &&
+		load.LimitCount <= float64(members)*slack && load.Limit <= limit
 }
 
 // DropGone drops the sums of blocks without an alive member, and that of a member which has been restarted.
 func (a *Aggregate) DropGone(alive func(place int) bool, life func(place int) uint64) {
 	for i := range a.siblings {
 		from, to := a.Sibling(i)
-		any := false
-		for p := from; p < to && !any; p++ {
-			any = alive(p)
+		anyAlive := false
+		for p := from; p < to && !anyAlive; p++ {
+			anyAlive = alive(p)
 		}
-		if !any || i == 0 && life(from) > a.siblings[0].incarnation {
+		if !anyAlive || i == 0 && life(from) > a.siblings[0].incarnation {
 			a.siblings[i] = blockSum{measuredAt: never}
 		}
 	}
--- a/fleet/aggregate/aggregate_test.go
+++ b/fleet/aggregate/aggregate_test.go
@@ -64,7 +64,8 @@
 		f.rounds(30)
 		for i, x := range f.members {
 			got, of := x.FleetLoad(f.now)
-			if want := float64(10 * n); of != n || math.Abs(got.TotalOffered()/want-1) > 0.06 || math.Abs(got.First/want-1) > 0.06 {
+			if want := float64(10 * n); of != n || math.Abs(got.TotalOffered()/want-1) > 0.06 ||
+				math.Abs(got.First/want-1) > 0.06 {
 				t.Fatalf("%d members: member %d counts %d with %.1f offered, want %.1f", n, i, of, got.TotalOffered(), want)
 			}
 		}
@@ -133,13 +134,13 @@
 		taken       bool
 		implausible int
 	}{
-		"the sibling":                     {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: encodedLoad(90)}, true, 0},
-		"not a sibling block":             {peer.LoadSum{Level: 1, Block: 3, Members: 2, Load: encodedLoad(90)}, false, 0},
-		"own block":                       {peer.LoadSum{Level: 0, Block: 0, Members: 1, Load: encodedLoad(90)}, false, 0},
-		"more members than the block has": {peer.LoadSum{Level: 0, Block: 1, Members: 2, Load: encodedLoad(90)}, false, 0},
-		"beyond the highest level":        {peer.LoadSum{Level: 9, Block: 0, Members: 1, Load: encodedLoad(90)}, false, 0},
-		"implausible":                     {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: excessive.Bytes()}, false, 1},
-		"too many figures":                {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: make([]byte, 98)}, false, 1},
+		"the sibling":              {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: encodedLoad(90)}, true, 0},
+		"not a sibling block":      {peer.LoadSum{Level: 1, Block: 3, Members: 2, Load: encodedLoad(90)}, false, 0},
+		"own block":                {peer.LoadSum{Level: 0, Block: 0, Members: 1, Load: encodedLoad(90)}, false, 0},
+		"too many members":         {peer.LoadSum{Level: 0, Block: 1, Members: 2, Load: encodedLoad(90)}, false, 0},
+		"beyond the highest level": {peer.LoadSum{Level: 9, Block: 0, Members: 1, Load: encodedLoad(90)}, false, 0},
+		"implausible":              {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: excessive.Bytes()}, false, 1},
+		"too many figures":         {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: make([]byte, 98)}, false, 1},
 	} {
 		f := New(Config{Index: 0, Members: 4, MaxAge: second, MaxMemberRate: 1000})
 		f.Receive([]peer.LoadSum{c.sum}, second)
--- a/fleet/assign/assign.go
+++ b/fleet/assign/assign.go
@@ -49,17 +49,17 @@
 func (r *Roster) Set(ids []string, members []int, now int64) {
 	next := make([]task, 0, len(ids))
 	for _, id := range ids {
-		d := task{id: id, knownSince: now, doneAt: now - r.cfg.Interval, ownDoneAt: now - r.cfg.Interval}
-		if i, had := slices.BinarySearchFunc(r.tasks, id, byID); had {
-			d = r.tasks[i]
+		t := task{id: id, knownSince: now, doneAt: now - r.cfg.Interval, ownDoneAt: now - r.cfg.Interval}
+		if i, found := slices.BinarySearchFunc(r.tasks, id, byID); found {
+			t = r.tasks[i]
 		}
-		d.candidates = rankMembers(id, members)
-		next = append(next, d)
+		t.candidates = rankMembers(id, members)
+		next = append(next, t)
 	}
 	r.tasks = next
 }
 
-func byID(d task, id string) int { return cmp.Compare(d.id, id) }
+func byID(t task, id string) int { return cmp.Compare(t.id, id) }
 
 // rankMembers returns the candidates of a task, ordered by the hash of both ids with the highest first.
 func rankMembers(id string, members []int) []int {
@@ -70,10 +70,10 @@
 	var best [MaxCandidates]scored
 	n := 0
 	for _, m := range members {
-		x := scored{m, rng.Hash(id, strconv.Itoa(m))}
+		candidate := scored{m, rng.Hash(id, strconv.Itoa(m))}
 		for i := range best {
-			if i >= n || x.score > best[i].score {
-				best[i], x = x, best[i]
+			if i >= n || candidate.score > best[i].score {
+				best[i], candidate = candidate, best[i]
 			}
 			if i >= n {
 				n++
@@ -90,7 +90,7 @@
 
 // Done records that a task was done at a time by any member.
 func (r *Roster) Done(id string, at int64) {
-	if i, had := slices.BinarySearchFunc(r.tasks, id, byID); had {
+	if i, found := slices.BinarySearchFunc(r.tasks, id, byID); found {
 		r.tasks[i].doneAt = max(r.tasks[i].doneAt, at)
 	}
 }
@@ -107,25 +107,25 @@
 // delay, so that members with the same view do not start at the same time.
 func (r *Roster) Due(now int64) (ids []string) {
 	for i := range r.tasks {
-		d := &r.tasks[i]
-		rank := slices.Index(d.candidates, r.index)
-		if rank < 0 || now-d.ownDoneAt < r.cfg.Interval {
+		t := &r.tasks[i]
+		rank := slices.Index(t.candidates, r.index)
+		if rank < 0 || now-t.ownDoneAt < r.cfg.Interval {
 			continue
 		}
-		if rank > 0 && now-max(d.doneAt, d.knownSince) < int64(rank)*r.cfg.TakeOverAfter+d.jitter {
+		if rank > 0 && now-max(t.doneAt, t.knownSince) < int64(rank)*r.cfg.TakeOverAfter+t.jitter {
 			continue
 		}
-		d.ownDoneAt, d.doneAt = now, max(d.doneAt, now)
-		d.jitter = int64(r.rng.Next() * float64(r.cfg.Interval) / 2)
-		ids = append(ids, d.id)
+		t.ownDoneAt, t.doneAt = now, max(t.doneAt, now)
+		t.jitter = int64(r.rng.Next() * float64(r.cfg.Interval) / 2)
+		ids = append(ids, t.id)
 	}
 	return ids
 }
 
 // Owner returns the first candidate of a task and the time of the latest run; -1 if the task is not known.
 func (r *Roster) Owner(id string) (member int, at int64) {
-	i, had := slices.BinarySearchFunc(r.tasks, id, byID)
-	if !had || len(r.tasks[i].candidates) == 0 {
+	i, found := slices.BinarySearchFunc(r.tasks, id, byID)
+	if !found || len(r.tasks[i].candidates) == 0 {
 		return -1, 0
 	}
 	return r.tasks[i].candidates[0], r.tasks[i].doneAt
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -119,16 +119,21 @@
 	actions     []Action // emptied by Next
 	rng         rng.Source
 
-	offered                                                                                        [aggregate.Classes]decay.Counter
+	offered [aggregate.Classes]decay.Counter
+
 	first, retries, retriesWanted, probes, refused, timedOut, failed, unserved, served, serverTime decay.Counter
-	recentClients                                                                                  [4096]recentClient // indexed by client hash; a new entry replaces an older one
-	servers                                                                                        []string           // sorted ids; set by SetServers
-	membershipVersion                                                                              int                // version of the membership at the last assignment of probes
-	assignAt, adviseAt, shedAt, pushAt, lastTick, ignoreUntil                                      int64
-	pushLevel                                                                                      int         // level of the latest push
-	tokens                                                                                         tokenBucket // for datagrams
-	advice                                                                                         balance.Advice
-	logged                                                                                         struct {
+
+	recentClients     [4096]recentClient // indexed by client hash; a new entry replaces an older one
+	servers           []string           // sorted ids; set by SetServers
+	membershipVersion int                // version of the membership at the last assignment of probes
+
+	assignAt, adviseAt, shedAt, pushAt, lastTick, ignoreUntil int64
+
+	pushLevel int         // level of the latest push
+	tokens    tokenBucket // for datagrams
+	advice    balance.Advice
+
+	logged struct {
 		active, stopped bool
 		changes         int
 	}
@@ -138,7 +143,8 @@
 // Counts holds what a member has sent, received and done since its start. Its fields are encoded under these
 // names.
 type Counts struct {
-	Sent, Heard, Held, Stale int // datagrams; Held: not sent because of the limit; Stale: received after a stall and dropped
+	// Datagrams; Held: not sent because of the limit; Stale: received after a stall and dropped.
+	Sent, Heard, Held, Stale int
 	Shed, Retries            int // requests rejected by shedding; retries of clients
 	Probes                   int
 }
@@ -156,15 +162,19 @@
 
 // New returns a member that has heard from no peer yet.
 func New(cfg Config, now int64) *Fleet {
-	f := &Fleet{cfg: cfg, rng: rng.Source{Seed: cfg.Seed}, lastTick: now, pushAt: now, tokens: tokenBucket{minBurst, now}}
-	period := int64(6 / cfg.DatagramsPerSecond * float64(sec)) // a ping and its answer use about a third of the datagram limit
-	f.swim = swim.New(swim.Config{Index: cfg.Index, Members: cfg.Members, Period: period, AckTimeout: cfg.AckTimeout, MinSilence: cfg.MinSilence, Seed: cfg.Seed ^ 1}, cfg.Incarnation, now)
+	f := &Fleet{cfg: cfg, rng: rng.Source{Seed: cfg.Seed}, lastTick: now, pushAt: now,
+		tokens: tokenBucket{minBurst, now}}
+	// A ping and its answer use about a third of the datagram limit.
+	period := int64(6 / cfg.DatagramsPerSecond * float64(sec))
+	f.swim = swim.New(swim.Config{Index: cfg.Index, Members: cfg.Members, Period: period, AckTimeout: cfg.AckTimeout,
+		MinSilence: cfg.MinSilence, Seed: cfg.Seed ^ 1}, cfg.Incarnation, now)
 	maxRate, retryRatio := math.Inf(1), math.Inf(1)
 	if cfg.Overload != nil {
 		maxRate, retryRatio = cfg.Overload.MaxMemberRate, cfg.Overload.RetryRatio
 	}
 	maxAge := max(minMaxAge, maxAgeRounds*f.pushInterval()*int64(aggregate.Levels(cfg.Members)))
-	f.load = aggregate.New(aggregate.Config{Index: cfg.Index, Members: cfg.Members, MaxMemberRate: maxRate, MaxAge: maxAge})
+	f.load = aggregate.New(aggregate.Config{Index: cfg.Index, Members: cfg.Members, MaxMemberRate: maxRate,
+		MaxAge: maxAge})
 	f.shedder = shed.New(cfg.shedConfig())
 	f.retryBudget = shed.NewRetryBudget(retryRatio, now)
 	f.learner = newLearner(cfg, now)
@@ -211,7 +221,8 @@
 		f.offered[class].Add(now, rateWindow)
 	}
 	if known && previous.unserved {
-		f.unserved.AddAmount(-math.Exp(-float64(now-previous.at)/float64(rateWindow)), now, rateWindow) // the client is still trying, so the request is not lost yet
+		// The client is still trying, so the request is not lost yet.
+		f.unserved.AddAmount(-math.Exp(-float64(now-previous.at)/float64(rateWindow)), now, rateWindow)
 		previous.unserved = false
 	}
 	if f.shedder.Admits(class, clientHash) {
@@ -249,7 +260,8 @@
 		return
 	case balance.Served:
 		f.reports.served(server, now)
-		f.serverTime.AddAmount(float64(took)/float64(sec), now, rateWindow) // without the time that the request waited in the proxy, which says nothing about what servers can bear
+		// Without the time that the request waited in the proxy, which says nothing about what servers can bear.
+		f.serverTime.AddAmount(float64(took)/float64(sec), now, rateWindow)
 		return
 	case balance.Refused:
 		f.refused.Add(now, rateWindow)
@@ -320,7 +332,8 @@
 	next = f.swim.Tick(now)
 	if f.swim.Version() != f.membershipVersion {
 		f.load.DropGone(f.swim.Alive, func(p int) uint64 { return f.swim.Member(p).Incarnation })
-		if now >= f.assignAt { // it takes time in proportion to the servers, so it does not run for each of many changes
+		// It takes time in proportion to the servers, so it does not run for each of many changes.
+		if now >= f.assignAt {
 			f.assignAt = now + sec
 			f.assignProbes(now)
 		}
@@ -365,9 +378,9 @@
 	}
 	f.log("the process did not run for a while; outdated state discarded", map[string]any{"ms": stalled / ms})
 	if f.shedder.Active {
-		moves := f.shedder.Changes + 1
+		changes := f.shedder.Changes + 1
 		f.shedder = shed.New(f.cfg.shedConfig()) // shedding decided before the stall no longer applies
-		f.shedder.Changes = moves
+		f.shedder.Changes = changes
 	}
 }
 
@@ -384,7 +397,8 @@
 }
 
 func (f *Fleet) counters() []*decay.Counter {
-	all := []*decay.Counter{&f.first, &f.retries, &f.retriesWanted, &f.probes, &f.refused, &f.timedOut, &f.failed, &f.unserved, &f.served, &f.serverTime}
+	all := []*decay.Counter{&f.first, &f.retries, &f.retriesWanted, &f.probes, &f.refused, &f.timedOut, &f.failed,
+		&f.unserved, &f.served, &f.serverTime}
 	for i := range f.offered {
 		all = append(all, &f.offered[i])
 	}
@@ -394,24 +408,26 @@
 // updateOwnLoad updates this member's own load.
 func (f *Fleet) updateOwnLoad(now int64) {
 	rate := func(c *decay.Counter) float64 { return c.Now(now, rateWindow) * float64(sec) / float64(rateWindow) }
-	o := &f.load.Own
-	*o = aggregate.Load{First: rate(&f.first), Retries: rate(&f.retries), RetriesWanted: rate(&f.retriesWanted), Probes: rate(&f.probes),
-		Refused: rate(&f.refused), TimedOut: rate(&f.timedOut), Failed: rate(&f.failed), Unserved: max(0, rate(&f.unserved)), Served: rate(&f.served), ServerTime: rate(&f.serverTime)}
+	own := &f.load.Own
+	*own = aggregate.Load{First: rate(&f.first), Retries: rate(&f.retries), RetriesWanted: rate(&f.retriesWanted),
+		Probes: rate(&f.probes), Refused: rate(&f.refused), TimedOut: rate(&f.timedOut), Failed: rate(&f.failed),
+		Unserved: max(0, rate(&f.unserved)), Served: rate(&f.served), ServerTime: rate(&f.serverTime)}
 	for i := range f.offered {
-		o.Offered[i] = rate(&f.offered[i])
+		own.Offered[i] = rate(&f.offered[i])
 	}
 	if f.shedder.Active {
-		o.Limit, o.LimitCount = f.shedder.Limit/float64(f.cfg.Members), 1 // each member reports its part, so that sums stay within the range of an encoded figure
+		// Each member reports its part, so that sums stay within the range of an encoded figure.
+		own.Limit, own.LimitCount = f.shedder.Limit/float64(f.cfg.Members), 1
 	}
 }
 
 // updateShedding updates the shedder and the retry budget from the fleet's load.
 func (f *Fleet) updateShedding(now int64) {
 	f.updateOwnLoad(now)
-	all, counted := f.load.FleetLoad(now)
-	all.Limit *= float64(f.cfg.Members)
-	f.shedder.Step(&all, counted, now)
-	f.retryBudget.Step(&all, &f.load.Own, now)
+	total, counted := f.load.FleetLoad(now)
+	total.Limit *= float64(f.cfg.Members)
+	f.shedder.Step(&total, counted, now)
+	f.retryBudget.Step(&total, &f.load.Own, now)
 }
 
 // push sends load sums to one member of the sibling block at the next level, so that all levels take turns.
@@ -448,10 +464,12 @@
 
 // addPayload adds load sums, membership updates and hints as far as there is room.
 func (f *Fleet) addPayload(d *peer.Datagram, room *peer.Room, level int, now int64) {
-	f.swim.AddUpdates(d, room, 1) // only one update before the sums: many updates would crowd them out, and pings and answers carry the rest
+	// Only one update before the sums: many updates would crowd them out, and pings and answers carry the rest.
+	f.swim.AddUpdates(d, room, 1)
 	d.Sums = append(d.Sums, f.load.SumsFor(level, f.swim.Incarnation(), room, now)...)
 	f.swim.AddUpdates(d, room, 1)
-	d.Hints = append(d.Hints, f.reports.hintsToSend(f.cfg.Index, int(math.Ceil(3*math.Log2(float64(f.swim.AliveCount())+1))), room, now)...)
+	d.Hints = append(d.Hints, f.reports.hintsToSend(f.cfg.Index,
+		int(math.Ceil(3*math.Log2(float64(f.swim.AliveCount())+1))), room, now)...)
 }
 
 // queueDatagrams queues the datagrams of the membership protocol. Next applies the limit.
@@ -463,11 +481,13 @@
 
 // updateAdvice emits the advice to the balancer if it has changed.
 func (f *Fleet) updateAdvice(now int64) {
-	a := balance.Advice{RetriesLimited: f.cfg.Overload != nil, ShareFactors: f.reports.shareFactors(f.cfg.Index, f.swim.Alive, now)}
+	a := balance.Advice{RetriesLimited: f.cfg.Overload != nil, ShareFactors: f.reports.shareFactors(f.cfg.Index,
+		f.swim.Alive, now)}
 	if a.RetriesLimited {
 		a.RetriesLeft = f.retryBudget.Available()
 	}
-	if a.RetriesLimited == f.advice.RetriesLimited && a.RetriesLeft == f.advice.RetriesLeft && len(a.ShareFactors) == 0 && len(f.advice.ShareFactors) == 0 {
+	if a.RetriesLimited == f.advice.RetriesLimited && a.RetriesLeft == f.advice.RetriesLeft &&
+		len(a.ShareFactors) == 0 && len(f.advice.ShareFactors) == 0 {
 		return
 	}
 	f.advice = a
@@ -483,12 +503,15 @@
 func (f *Fleet) logChanges() {
 	for _, c := range f.swim.TakeChanges() {
 		if c.To != peer.Suspect && c.From != swim.StateName(peer.Suspect) || c.To == peer.Dead {
-			f.log("member changed its state", map[string]any{"member": c.Member, "from": c.From, "to": swim.StateName(c.To), "by": c.By, "members": f.swim.AliveCount()})
+			f.log("member changed its state", map[string]any{"member": c.Member, "from": c.From,
+				"to": swim.StateName(c.To), "by": c.By, "members": f.swim.AliveCount()})
 		}
 	}
 	if f.shedder.Active != f.logged.active || f.shedder.Changes != f.logged.changes {
 		f.logged.active, f.logged.changes = f.shedder.Active, f.shedder.Changes
-		f.log("load shedding changed", map[string]any{"in_force": f.shedder.Active, "limit": math.Round(f.shedder.Limit), "let_in": math.Round(f.shedder.AdmittedPart*100) / 100, "moves": f.shedder.Changes})
+		f.log("load shedding changed", map[string]any{"in_force": f.shedder.Active,
+			"limit": math.Round(f.shedder.Limit), "let_in": math.Round(f.shedder.AdmittedPart*100) / 100,
+			"moves": f.shedder.Changes})
 	}
 	if f.retryBudget.Stopped != f.logged.stopped {
 		f.logged.stopped = f.retryBudget.Stopped
@@ -580,19 +603,25 @@
 
 // Status returns the member's state.
 func (f *Fleet) Status(now int64) Status {
-	all, counted := f.load.FleetLoad(now)
-	s := Status{Index: f.cfg.Index, Incarnation: f.swim.Incarnation(), HealthScore: f.swim.Health(), Alive: f.swim.AliveCount(), Counted: counted, LoadAgeMs: f.load.Age(now) / ms,
-		Offered: all.TotalOffered(), Served: all.Served, Unserved: all.Unserved, FirstDispatches: all.First, Retries: all.Retries, Probing: all.Probes,
-		Shedding:    SheddingStatus{f.shedder.Active, f.shedder.Limit, f.shedder.AdmittedPart, f.shedder.Changes, f.shedder.BaselineLatency, f.shedder.Latency},
-		RetryBudget: RetryBudgetStatus{f.retryBudget.Available(), f.retryBudget.Stopped}, Counts: f.Count, Implausible: f.load.Implausible,
-		Duplicates: f.swim.Dropped.Duplicates, Outdated: f.swim.Dropped.Outdated, UnknownSender: f.swim.Dropped.UnknownSender, StalledMs: f.swim.Stalled / ms}
+	total, counted := f.load.FleetLoad(now)
+	s := Status{Index: f.cfg.Index, Incarnation: f.swim.Incarnation(), HealthScore: f.swim.Health(),
+		Alive: f.swim.AliveCount(), Counted: counted, LoadAgeMs: f.load.Age(now) / ms,
+		Offered: total.TotalOffered(), Served: total.Served, Unserved: total.Unserved, FirstDispatches: total.First,
+		Retries: total.Retries, Probing: total.Probes,
+		Shedding: SheddingStatus{f.shedder.Active, f.shedder.Limit, f.shedder.AdmittedPart, f.shedder.Changes,
+			f.shedder.BaselineLatency, f.shedder.Latency},
+		RetryBudget: RetryBudgetStatus{f.retryBudget.Available(), f.retryBudget.Stopped}, Counts: f.Count,
+		Implausible: f.load.Implausible,
+		Duplicates:  f.swim.Dropped.Duplicates, Outdated: f.swim.Dropped.Outdated,
+		UnknownSender: f.swim.Dropped.UnknownSender, StalledMs: f.swim.Stalled / ms}
 	for i := range f.cfg.Members {
 		m := f.swim.Member(i)
 		if !m.Known {
 			s.Members = append(s.Members, MemberStatus{Member: i, State: "presumed"})
 			continue
 		}
-		s.Members = append(s.Members, MemberStatus{i, swim.StateName(m.State), m.Incarnation, (now - m.Since) / ms, (now - m.LastHeard) / ms})
+		s.Members = append(s.Members, MemberStatus{i, swim.StateName(m.State), m.Incarnation, (now - m.Since) / ms,
+			(now - m.LastHeard) / ms})
 	}
 	if f.probeRoster != nil {
 		for _, id := range f.servers {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -16,9 +16,12 @@
 const start = int64(1e15)
 
 func testConfig(index, members int) Config {
-	return Config{Index: index, Members: members, Incarnation: swim.IncarnationAt(start) + uint64(index), Seed: uint64(index + 1), DatagramsPerSecond: 40, AckTimeout: 300 * ms, MinSilence: 2300 * ms,
-		RuleSets: []balance.RuleSet{{Name: "low", BillingValue: 1}, {Name: "high", BillingValue: 8}}, MaxRetryAfter: sec, OverShareFactor: 0.2,
-		Overload: &Overload{RetryRatio: 0.1, MaxMemberRate: 1000}, Probes: &assign.Config{Interval: sec, TakeOverAfter: 3 * sec}}
+	return Config{Index: index, Members: members, Incarnation: swim.IncarnationAt(start) + uint64(index),
+		Seed: uint64(index + 1), DatagramsPerSecond: 40, AckTimeout: 300 * ms, MinSilence: 2300 * ms,
+		RuleSets:      []balance.RuleSet{{Name: "low", BillingValue: 1}, {Name: "high", BillingValue: 8}},
+		MaxRetryAfter: sec, OverShareFactor: 0.2,
+		Overload: &Overload{RetryRatio: 0.1, MaxMemberRate: 1000},
+		Probes:   &assign.Config{Interval: sec, TakeOverAfter: 3 * sec}}
 }
 
 // testNetwork delivers datagrams between members without delay, and advances time in steps of 10 ms.
@@ -32,7 +35,8 @@
 }
 
 func newTestNetwork(n int) *testNetwork {
-	m := &testNetwork{now: start, delivers: func(int, int) bool { return true }, probes: map[string][]int{}, advice: make([]balance.Advice, n)}
+	m := &testNetwork{now: start, delivers: func(int, int) bool { return true }, probes: map[string][]int{},
+		advice: make([]balance.Advice, n)}
 	for i := range n {
 		m.members = append(m.members, New(testConfig(i, n), m.now))
 		m.members[i].SetServers(serverIDs(10), m.now)
@@ -99,7 +103,7 @@
 					ruleSet = 1
 				}
 				clientHash := random.Next()
-				if shed, _ := f.Admit(ruleSet, 0, clientHash, false, m.now); shed {
+				if rejected, _ := f.Admit(ruleSet, 0, clientHash, false, m.now); rejected {
 					continue
 				}
 				if left >= 1 {
@@ -178,16 +182,22 @@
 		alive      func(int) bool
 		want       map[string]float64
 	}{
-		"one report":                      {[]peer.Hint{lost("s-1", 1)}, "", all, nil},
-		"the same report twice":           {[]peer.Hint{lost("s-1", 1), lost("s-1", 1)}, "", all, nil},
-		"two reports":                     {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", all, map[string]float64{"s-1": reducedShare}},
-		"three reports":                   {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-1", 3)}, "", all, map[string]float64{"s-1": lowestShare}},
-		"two reports, but served here":    {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "s-1", all, nil},
-		"one of them dead":                {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", func(i int) bool { return i != 2 }, nil},
-		"one reporter with a broken link": {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-2", 2), lost("s-3", 2), lost("s-4", 2)}, "", all, nil},
-		"a prober and another member":     {[]peer.Hint{lost("s-1", 1), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, map[string]float64{"s-1": reducedShare}},
-		"a prober that reports both":      {[]peer.Hint{lost("s-1", 2), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, nil},
-		"not a listed server":             {[]peer.Hint{lost("other", 1), lost("other", 2)}, "", all, nil},
+		"one report":            {[]peer.Hint{lost("s-1", 1)}, "", all, nil},
+		"the same report twice": {[]peer.Hint{lost("s-1", 1), lost("s-1", 1)}, "", all, nil},
+		"two reports": {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", all,
+			map[string]float64{"s-1": reducedShare}},
+		"three reports": {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-1", 3)}, "", all,
+			map[string]float64{"s-1": lowestShare}},
+		"two reports, but served here": {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "s-1", all, nil},
+		"one of them dead": {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "",
+			func(i int) bool { return i != 2 }, nil},
+		"one reporter with a broken link": {[]peer.Hint{lost("s-1", 1), lost("s-1", 2),
+			lost("s-2", 2), lost("s-3", 2), lost("s-4", 2)}, "", all, nil},
+		"a prober and another member": {[]peer.Hint{lost("s-1", 1),
+			{Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, map[string]float64{"s-1": reducedShare}},
+		"a prober that reports both": {[]peer.Hint{lost("s-1", 2),
+			{Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, nil},
+		"not a listed server": {[]peer.Hint{lost("other", 1), lost("other", 2)}, "", all, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := &serverReports{}
@@ -285,7 +295,8 @@
 	m.run(2*sec, nil)
 	implausible := aggregate.Load{First: 1e9}
 	implausible.Offered[0] = 1e9
-	m.members[0].load.Receive([]peer.LoadSum{{Block: 1, Members: 1, Incarnation: 1 << 60, Load: implausible.Bytes()}}, m.now)
+	m.members[0].load.Receive([]peer.LoadSum{{Block: 1, Members: 1, Incarnation: 1 << 60, Load: implausible.Bytes()}},
+		m.now)
 	if got, _ := m.members[0].load.FleetLoad(m.now); got.TotalOffered() > 1000 {
 		t.Errorf("got an offered load of %v", got.TotalOffered())
 	}
--- a/fleet/holds/holds_test.go
+++ b/fleet/holds/holds_test.go
@@ -66,7 +66,8 @@
 		}
 	})
 	t.Run("old returns are removed", func(t *testing.T) {
-		if got := setHold(t, one, "d", true, 40+returnRetention); len(got.Hosts) != 3 || got.Hosts["a"].ReturnedAt != 0 {
+		if got := setHold(t, one, "d", true, 40+returnRetention); len(got.Hosts) != 3 ||
+			got.Hosts["a"].ReturnedAt != 0 {
 			t.Errorf("got %+v, want a gone", got)
 		}
 	})
--- a/fleet/learn.go
+++ b/fleet/learn.go
@@ -28,14 +28,15 @@
 
 // learner holds the queries and answers of a member, and the limit on its own answers.
 type learner struct {
-	until           int64
-	queryAt         int64
-	queried         []bool                 // by member
-	reports         []warmstart.PeerReport // by reporting member
-	answerTokens    tokenBucket            // for answers
-	newestKeys      []uint64               // by member: Unix ms of the newest idempotency key that it has reported
-	ownKey          uint64                 // Unix ms of this member's newest key
-	reportedKey     uint64                 // Unix ms of the newest key that peers remember from an earlier process of this member
+	until        int64
+	queryAt      int64
+	queried      []bool                 // by member
+	reports      []warmstart.PeerReport // by reporting member
+	answerTokens tokenBucket            // for answers
+	newestKeys   []uint64               // by member: Unix ms of the newest idempotency key that it has reported
+	ownKey       uint64                 // Unix ms of this member's newest key
+	// Unix ms of the newest key that peers remember from an earlier process of this member.
+	reportedKey     uint64
 	startedAt       int64
 	queriesSent     int
 	answersSent     int
@@ -45,7 +46,8 @@
 func newLearner(cfg Config, now int64) learner {
 	l := learner{startedAt: now}
 	if cfg.Learn != nil {
-		l.until, l.queried, l.newestKeys, l.answerTokens = now+cfg.Learn.Timeout, make([]bool, cfg.Members), make([]uint64, cfg.Members), tokenBucket{cfg.DatagramsPerSecond, now}
+		l.until, l.queried, l.newestKeys, l.answerTokens = now+cfg.Learn.Timeout, make([]bool, cfg.Members),
+			make([]uint64, cfg.Members), tokenBucket{cfg.DatagramsPerSecond, now}
 	}
 	return l
 }
@@ -65,7 +67,8 @@
 	// Members that are known to have started at about the same time have nothing to report.
 	target := f.randomMember(0, f.cfg.Members, func(i int) bool {
 		m := f.swim.Member(i)
-		return i != f.cfg.Index && !l.queried[i] && m.Alive() && !(m.Known && m.Incarnation>>8 != 0 && int64(m.Incarnation>>8)*ms > f.startedAt()-minTeacherAge)
+		return i != f.cfg.Index && !l.queried[i] && m.Alive() &&
+			!(m.Known && m.Incarnation>>8 != 0 && int64(m.Incarnation>>8)*ms > f.startedAt()-minTeacherAge)
 	})
 	if target < 0 {
 		clear(l.queried) // all were queried; some may not have received it
@@ -109,8 +112,10 @@
 			if id == "" || peer.Nanoseconds(b.Age) > maxObservationAge {
 				continue
 			}
-			l.reports[i].Beliefs = append(l.reports[i].Beliefs, warmstart.Belief{HeardAt: now, StartTime: b.Since, Server: balance.ServerSnapshot{ID: id,
-				Health: float64(b.Health) / 100, EjectionLeft: peer.Nanoseconds(b.EjectionLeft), Draining: b.Draining, LastOutcomeAge: peer.Nanoseconds(b.Age)}})
+			l.reports[i].Beliefs = append(l.reports[i].Beliefs, warmstart.Belief{HeardAt: now, StartTime: b.Since,
+				Server: balance.ServerSnapshot{ID: id,
+					Health: float64(b.Health) / 100, EjectionLeft: peer.Nanoseconds(b.EjectionLeft),
+					Draining: b.Draining, LastOutcomeAge: peer.Nanoseconds(b.Age)}})
 		}
 		if len(l.reports[i].Beliefs) > len(f.servers) { // the peer reported some servers more than once
 			l.reports[i].Beliefs = l.reports[i].Beliefs[len(l.reports[i].Beliefs)-len(f.servers):]
@@ -127,9 +132,12 @@
 // then unhealthy ones.
 func (f *Fleet) SendBeliefs(to int, servers []balance.ServerSnapshot, now int64) {
 	observed := slices.DeleteFunc(slices.Clone(servers), func(server balance.ServerSnapshot) bool {
-		return now-f.learner.startedAt < minTeacherAge || !server.Draining && (server.LastOutcomeAge < 0 || server.LastOutcomeAge > maxObservationAge || server.EjectionLeft == 0 && server.Health > healthyAbove)
+		return now-f.learner.startedAt < minTeacherAge ||
+			!server.Draining && (server.LastOutcomeAge < 0 || server.LastOutcomeAge > maxObservationAge ||
+				server.EjectionLeft == 0 && server.Health > healthyAbove)
 	})
-	slices.SortStableFunc(observed, func(x, y balance.ServerSnapshot) int { return beliefPriority(x) - beliefPriority(y) })
+	slices.SortStableFunc(observed,
+		func(x, y balance.ServerSnapshot) int { return beliefPriority(x) - beliefPriority(y) })
 	f.learner.answersSent++
 	for sent := false; len(observed) > 0 || !sent; sent = true {
 		d, room := f.swim.Datagram(peer.Answer)
@@ -139,8 +147,10 @@
 		for len(observed) > 0 && room.Belief() {
 			server := observed[0]
 			observed = observed[1:]
-			d.Beliefs = append(d.Beliefs, peer.Belief{Server: peer.ServerHash(server.ID), Since: peer.StartTime(server.Since), Health: uint8(100 * min(1, max(0, server.Health))),
-				EjectionLeft: uint16(min(server.EjectionLeft/1e7, 1<<16-1)), Draining: server.Draining, Age: peer.Hundredths(max(0, server.LastOutcomeAge))})
+			d.Beliefs = append(d.Beliefs, peer.Belief{Server: peer.ServerHash(server.ID),
+				Since: peer.StartTime(server.Since), Health: uint8(100 * min(1, max(0, server.Health))),
+				EjectionLeft: uint16(min(server.EjectionLeft/1e7, 1<<16-1)), Draining: server.Draining,
+				Age: peer.Hundredths(max(0, server.LastOutcomeAge))})
 		}
 		f.actions = append(f.actions, Action{Kind: Send, To: to, Datagram: d, due: !sent})
 	}
--- a/fleet/messages.go
+++ b/fleet/messages.go
@@ -57,12 +57,14 @@
 		return
 	}
 	index, count := d.Subject>>8, d.Subject&255
-	if count == 0 || index >= count || len(d.Part) > peer.MaxPartBytes || index < count-1 && len(d.Part) != peer.MaxPartBytes {
+	if count == 0 || index >= count || len(d.Part) > peer.MaxPartBytes ||
+		index < count-1 && len(d.Part) != peer.MaxPartBytes {
 		return
 	}
 	m := &f.messages
 	i := slices.IndexFunc(m.incomplete, func(partial partialMessage) bool {
-		return partial.from == d.From && partial.incarnation == d.Incarnation && partial.seq == d.Seq && len(partial.parts) == count
+		return partial.from == d.From && partial.incarnation == d.Incarnation && partial.seq == d.Seq &&
+			len(partial.parts) == count
 	})
 	if i < 0 {
 		fromSender := 0
--- a/fleet/messages_test.go
+++ b/fleet/messages_test.go
@@ -32,7 +32,8 @@
 
 func TestMessages(t *testing.T) {
 	sender, receiver := New(testConfig(0, 2), start), New(testConfig(1, 2), start)
-	for name, size := range map[string]int{"short": 3, "one part": peer.MaxPartBytes, "one part and a byte": peer.MaxPartBytes + 1, "long": 7 * peer.MaxPartBytes} {
+	for name, size := range map[string]int{"short": 3, "one part": peer.MaxPartBytes,
+		"one part and a byte": peer.MaxPartBytes + 1, "long": 7 * peer.MaxPartBytes} {
 		t.Run(name, func(t *testing.T) {
 			body := bytes.Repeat([]byte("abcdefg"), size/7+1)[:size]
 			all := partsOf(sender, 1, body, start+sec)
@@ -45,7 +46,8 @@
 				receiver.receivePart(&d)
 			}
 			got := receivedMessages(receiver)
-			if size == 3 || size == peer.MaxPartBytes { // the copy of a single part is another message, which Raft tolerates
+			// The copy of a single part is another message, which Raft tolerates.
+			if size == 3 || size == peer.MaxPartBytes {
 				got = got[:1]
 			}
 			if len(got) != 1 || !bytes.Equal(got[0], body) {
@@ -69,12 +71,14 @@
 		for range 1000 {
 			sent += len(partsOf(sender, 1, []byte("x"), start+9*sec))
 		}
-		if limit := partRateFactor * sender.cfg.DatagramsPerSecond; float64(sent) > limit || sender.messages.dropped == 0 {
+		if limit := partRateFactor * sender.cfg.DatagramsPerSecond; float64(sent) > limit ||
+			sender.messages.dropped == 0 {
 			t.Errorf("%d parts at once, want at most %.0f", sent, limit)
 		}
 	})
 	t.Run("malformed", func(t *testing.T) {
-		for _, d := range []peer.Datagram{{Kind: peer.MessagePart}, {Kind: peer.MessagePart, Subject: 3<<8 | 2, Part: []byte("x")}, {Kind: peer.MessagePart, Subject: 2, Part: []byte("x")}} {
+		for _, d := range []peer.Datagram{{Kind: peer.MessagePart},
+			{Kind: peer.MessagePart, Subject: 3<<8 | 2, Part: []byte("x")}, {Kind: peer.MessagePart, Subject: 2, Part: []byte("x")}} {
 			receiver.receivePart(&d)
 		}
 		if len(receivedMessages(receiver)) > 0 {
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/peer_test.go
@@ -9,7 +9,8 @@
 )
 
 func largestDatagram() Datagram {
-	d := Datagram{From: math.MaxInt32, Incarnation: math.MaxUint64, Number: math.MaxUint64, Kind: PingRequest, Seq: math.MaxUint32, Subject: math.MaxInt32}
+	d := Datagram{From: math.MaxInt32, Incarnation: math.MaxUint64, Number: math.MaxUint64, Kind: PingRequest,
+		Seq: math.MaxUint32, Subject: math.MaxInt32}
 	return d
 }
 
@@ -30,15 +31,18 @@
 
 // Everything that Room accepts fits, even with the largest numbers.
 func TestRoom(t *testing.T) {
-	largest := MemberUpdate{Member: math.MaxInt32, State: Left, Incarnation: math.MaxUint64, Origin: math.MaxInt32, Silence: math.MaxUint16}
+	largest := MemberUpdate{Member: math.MaxInt32, State: Left, Incarnation: math.MaxUint64, Origin: math.MaxInt32,
+		Silence: math.MaxUint16}
 	for name, fill := range map[string]func(*Datagram, *Room) bool{
 		"news": func(d *Datagram, r *Room) bool { d.Updates = append(d.Updates, largest); return r.MemberUpdate() },
 		"sums": func(d *Datagram, r *Room) bool {
-			d.Sums = append(d.Sums, LoadSum{Level: 31, Block: math.MaxInt32, Incarnation: math.MaxUint64, Age: math.MaxUint16, Members: math.MaxInt32, Load: bytes.Repeat([]byte{255}, 20)})
+			d.Sums = append(d.Sums, LoadSum{Level: 31, Block: math.MaxInt32, Incarnation: math.MaxUint64,
+				Age: math.MaxUint16, Members: math.MaxInt32, Load: bytes.Repeat([]byte{255}, 20)})
 			return r.LoadSum(20)
 		},
 		"hints": func(d *Datagram, r *Room) bool {
-			d.Hints = append(d.Hints, Hint{Server: math.MaxUint32, Origin: math.MaxInt32, Observation: ProbeUnanswered, Age: math.MaxUint16})
+			d.Hints = append(d.Hints, Hint{Server: math.MaxUint32, Origin: math.MaxInt32,
+				Observation: ProbeUnanswered, Age: math.MaxUint16})
 			return r.Hint()
 		},
 	} {
@@ -73,7 +77,8 @@
 		b    []byte
 		want error
 	}{
-		"empty": {nil, ErrLength}, "truncated": {b[:len(b)-3], ErrChecksum}, "too long": {make([]byte, MaxDatagramBytes+1), ErrLength},
+		"empty": {nil, ErrLength}, "truncated": {b[:len(b)-3], ErrChecksum},
+		"too long":      {make([]byte, MaxDatagramBytes+1), ErrLength},
 		"other version": {otherVersion, ErrVersion}, "invalid sender": {invalid, ErrFormat},
 	} {
 		if _, err := Decode(FleetHash("f"), c.b); !errors.Is(err, c.want) {
--- a/fleet/serverreports.go
+++ b/fleet/serverreports.go
@@ -81,8 +81,10 @@
 }
 
 func (w *serverReports) find(id string) *serverRecord {
-	i, had := slices.BinarySearchFunc(w.servers, id, func(m serverRecord, id string) int { return cmp.Compare(m.id, id) })
-	if !had {
+	i, found := slices.BinarySearchFunc(w.servers, id, func(m serverRecord, id string) int {
+		return cmp.Compare(m.id, id)
+	})
+	if !found {
 		return nil
 	}
 	return &w.servers[i]
@@ -119,7 +121,8 @@
 // insertReport keeps the newest report of each member, and those of the maxReporters newest members.
 func insertReport(all []report, r report) []report {
 	if i := slices.IndexFunc(all, func(x report) bool { return x.member == r.member }); i >= 0 {
-		if r.at > all[i].at+10*ms || r.observation != all[i].observation && r.at >= all[i].at { // the same report received again by another route is not newer
+		// The same report received again by another route is not newer.
+		if r.at > all[i].at+10*ms || r.observation != all[i].observation && r.at >= all[i].at {
 			all[i] = r
 		}
 		return all
@@ -167,7 +170,8 @@
 		if lost < minLost || lost < minLostPart*m.sent.Now(now, lossWindow) {
 			continue
 		}
-		if j := slices.IndexFunc(m.reports, func(r report) bool { return r.member == index }); j < 0 || now-m.reports[j].at >= repeatReportAfter {
+		if j := slices.IndexFunc(m.reports, func(r report) bool { return r.member == index }); j < 0 ||
+			now-m.reports[j].at >= repeatReportAfter {
 			m.reports = insertReport(m.reports, report{member: index, observation: peer.DispatchesLost, at: now})
 		}
 	}
@@ -197,7 +201,8 @@
 			break
 		}
 		x.r.timesSent++
-		hints = append(hints, peer.Hint{Server: x.m.hash, Origin: x.r.member, Observation: x.r.observation, Age: peer.Hundredths(now - x.r.at)})
+		hints = append(hints, peer.Hint{Server: x.m.hash, Origin: x.r.member, Observation: x.r.observation,
+			Age: peer.Hundredths(now - x.r.at)})
 	}
 	return hints
 }
@@ -216,13 +221,15 @@
 		m := &w.servers[i]
 		var reporters []int // each member counts once
 		for _, r := range m.reports {
-			if (r.member == index || alive(r.member)) && float64(serversReported[r.member]) <= max(1, maxReportedPart*float64(len(w.servers))) {
+			if (r.member == index || alive(r.member)) &&
+				float64(serversReported[r.member]) <= max(1, maxReportedPart*float64(len(w.servers))) {
 				reporters = append(reporters, r.member)
 			}
 		}
 		ownReport := slices.Contains(reporters, index)
 		for _, r := range m.probes {
-			if r.observation == peer.ProbeUnanswered && (r.member == index || alive(r.member)) && !slices.Contains(reporters, r.member) {
+			if r.observation == peer.ProbeUnanswered && (r.member == index || alive(r.member)) &&
+				!slices.Contains(reporters, r.member) {
 				reporters = append(reporters, r.member)
 			}
 		}
--- a/fleet/shed/retrybudget.go
+++ b/fleet/shed/retrybudget.go
@@ -61,7 +61,8 @@
 		b.Stopped = failing > stopAbove
 	}
 	unused := b.Ratio*(all.First-own.First) - (all.Retries - own.Retries)
-	if wantedByAll, wantedHere := all.RetriesWanted-all.Retries, own.RetriesWanted-own.Retries; unused > 0 && wantedHere > 0 && wantedByAll > 0 {
+	if wantedByAll, wantedHere := all.RetriesWanted-all.Retries, own.RetriesWanted-own.Retries; unused > 0 &&
+		wantedHere > 0 && wantedByAll > 0 {
 		b.tokens += lendFraction * unused * min(1, wantedHere/wantedByAll) * min(elapsed, 1)
 	}
 	b.tokens = min(b.tokens, max(minBurst, b.Ratio*own.First*float64(burstWindow)/float64(sec)))
--- a/fleet/shed/shed_test.go
+++ b/fleet/shed/shed_test.go
@@ -110,13 +110,15 @@
 // Requests within a tenant's share come before those that another tenant sends beyond its own share, at the same
 // value.
 func TestTenantShares(t *testing.T) {
-	o := &overload{shedder: New(Config{Values: []float64{1}, Shares: []float64{0.7, 0.3}, OverShareFactor: 0.2}), capacity: 100, now: sec}
+	o := &overload{shedder: New(Config{Values: []float64{1}, Shares: []float64{0.7, 0.3}, OverShareFactor: 0.2}),
+		capacity: 100, now: sec}
 	var l aggregate.Load
 	l.Offered[o.shedder.Class(0, 0)], l.Offered[o.shedder.Class(0, 1)] = 60, 120
 	for range 120 {
 		o.step(l)
 	}
-	if one, two := o.shedder.AdmittedByClass[o.shedder.Class(0, 0)], o.shedder.AdmittedByClass[o.shedder.Class(0, 1)]; one != 1 || math.Abs(two*120-42) > 6 {
+	if one, two := o.shedder.AdmittedByClass[o.shedder.Class(0, 0)],
+		o.shedder.AdmittedByClass[o.shedder.Class(0, 1)]; one != 1 || math.Abs(two*120-42) > 6 {
 		t.Errorf("admitted %.2f and %.2f, want all of the first and the rest of the limit for the second", one, two)
 	}
 }
--- a/fleet/shed/shedder.go
+++ b/fleet/shed/shedder.go
@@ -22,9 +22,10 @@
 	// Replaces startAfter if neither a baseline latency nor a peer that sheds is known: new processes reject
 	// requests while they learn.
 	startAfterUnknown = 5 * sec
-	targetLoss        = 0.05 // loss that active shedding aims at: each member's balancer denies a little more than it has to
-	minCostRate       = 2.0  // cost per second below which nothing is an overload
-	maxFall           = 0.05 // largest fraction that one correction takes off the limit
+	// Loss that active shedding aims at: each member's balancer denies a little more than it has to.
+	targetLoss  = 0.05
+	minCostRate = 2.0  // cost per second below which nothing is an overload
+	maxFall     = 0.05 // largest fraction that one correction takes off the limit
 	// The first correction without losses raises the limit by firstRise while requests are shed. Each further one
 	// doubles the rise, up to maxRise.
 	firstRise = 0.01
@@ -72,25 +73,27 @@
 	Limit           float64                    // cost per second that all counted members together can bear
 	AdmittedPart    float64                    // part of the offered load that is admitted
 	AdmittedByClass [aggregate.Classes]float64 // by class
-	Changes         int                        // how often shedding started, ended or changed its admitted part by minChange
-	lastPart        float64                    // AdmittedPart at the latest change
-	correctedAt     int64
-	demand          aggregate.Load // averaged demand
-	demandAt        int64
-	recentChanges   decay.Counter
-	nextRise        float64 // of the next correction
-	lossSince       int64   // time since which losses exceed startLoss; 0: they do not
-	slackSince      int64   // time since which little is offered; 0: it is not
-	endAfter        int64
-	endedAt         int64
-	members         float64 // counted at the latest step
+	// How often shedding started, ended or changed its admitted part by minChange.
+	Changes       int
+	lastPart      float64 // AdmittedPart at the latest change
+	correctedAt   int64
+	demand        aggregate.Load // averaged demand
+	demandAt      int64
+	recentChanges decay.Counter
+	nextRise      float64 // of the next correction
+	lossSince     int64   // time since which losses exceed startLoss; 0: they do not
+	slackSince    int64   // time since which little is offered; 0: it is not
+	endAfter      int64
+	endedAt       int64
+	members       float64 // counted at the latest step
 }
 
 // New returns a Shedder that is not active.
 func New(cfg Config) *Shedder {
 	s := &Shedder{cfg: cfg, endAfter: firstEndAfter, AdmittedPart: 1, lastPart: 1, endedAt: math.MinInt64 / 2}
 	s.tenantSlots = max(1, min(len(cfg.Shares), aggregate.Classes))
-	distinct := slices.Compact(slices.SortedFunc(slices.Values(cfg.Values), func(x, y float64) int { return cmp.Compare(y, x) }))
+	distinct := slices.Compact(slices.SortedFunc(slices.Values(cfg.Values),
+		func(x, y float64) int { return cmp.Compare(y, x) }))
 	s.values = distinct[:min(len(distinct), aggregate.Classes/s.tenantSlots)] // all smaller values share the last one
 	for _, v := range cfg.Values {
 		i := slices.IndexFunc(s.values, func(b float64) bool { return v >= b })
@@ -146,7 +149,8 @@
 			s.lossSince = 0
 		} else if s.lossSince == 0 {
 			s.lossSince = now
-		} else if now-s.lossSince >= startAfterUnknown || now-s.lossSince >= startAfter && (s.BaselineLatency > 0 || load.LimitCount >= 1) {
+		} else if now-s.lossSince >= startAfterUnknown ||
+			now-s.lossSince >= startAfter && (s.BaselineLatency > 0 || load.LimitCount >= 1) {
 			s.start(load, members, now)
 		}
 		return
@@ -199,7 +203,8 @@
 	} else {
 		s.endAfter = firstEndAfter
 	}
-	s.Active, s.Limit, s.members, s.correctedAt, s.slackSince, s.lossSince, s.nextRise = true, load.Served, float64(members), now, 0, 0, firstRise
+	s.Active, s.Limit, s.members, s.correctedAt, s.slackSince, s.lossSince, s.nextRise = true, load.Served,
+		float64(members), now, 0, 0, firstRise
 	if load.LimitCount >= 1 { // peers shed already
 		s.Limit = max(s.Limit, load.Limit/load.LimitCount)
 	}
@@ -259,7 +264,8 @@
 			cost := load.Offered[class]
 			within := min(cost, shareLeft)
 			shareLeft -= within
-			parts = append(parts, demandPart{class, value, within}, demandPart{class, value * s.cfg.OverShareFactor, cost - within})
+			parts = append(parts, demandPart{class, value, within},
+				demandPart{class, value * s.cfg.OverShareFactor, cost - within})
 		}
 	}
 	slices.SortStableFunc(parts, func(x, y demandPart) int { return cmp.Compare(y.worth, x.worth) })
--- a/fleet/snapshot/snapshot.go
+++ b/fleet/snapshot/snapshot.go
@@ -63,7 +63,8 @@
 		return m, ErrNotSnapshot
 	case len(b) > len(magic) && b[len(magic)] != version:
 		return m, ErrVersion
-	case len(b) < headerSize+trailerSize || len(b) > MaxBytes || binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-headerSize-trailerSize):
+	case len(b) < headerSize+trailerSize || len(b) > MaxBytes ||
+		binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-headerSize-trailerSize):
 		return m, ErrLength
 	case binary.BigEndian.Uint64(b[len(b)-trailerSize:]) != xxhash.Sum64(b[:len(b)-trailerSize]):
 		return m, ErrChecksum
--- a/fleet/snapshot/snapshot_test.go
+++ b/fleet/snapshot/snapshot_test.go
@@ -14,11 +14,16 @@
 )
 
 func testSnapshot(n uint64) *warmstart.Snapshot {
-	m := &warmstart.Snapshot{Proxy: "127.0.0.1:80", Incarnation: 7, Number: n, WallTime: 1e18, BootID: "b", Uptime: 5e9, ConfigHash: 3, Service: 0.9, NewestKey: 12,
-		List:  warmstart.List{Generation: 4, Age: 1e9, Hosts: []warmstart.Host{{Server: balance.Server{ID: "s-1", Zone: "a", Cell: 2, State: balance.Draining, Share: 1, Since: 9}, Addr: "127.0.0.1:81"}}},
+	m := &warmstart.Snapshot{Proxy: "127.0.0.1:80", Incarnation: 7, Number: n, WallTime: 1e18, BootID: "b",
+		Uptime: 5e9, ConfigHash: 3, Service: 0.9, NewestKey: 12,
+		List: warmstart.List{Generation: 4, Age: 1e9, Hosts: []warmstart.Host{
+			{Server: balance.Server{ID: "s-1", Zone: "a", Cell: 2, State: balance.Draining, Share: 1, Since: 9},
+				Addr: "127.0.0.1:81"}}},
 		Holds: holds.Table{Version: 2, Hosts: map[string]holds.Hold{"s-9": {Out: true, Since: 3}}}}
-	m.Balancer = balance.Snapshot{Rate: 12, Tenants: []balance.TenantRate{{Name: "t", Rate: 3}}, LatencyRatio: 0.1, MeanTarget: 8e8, MeanValue: 4, Keys: []decay.KeyCount{{Index: 3, N: 9}},
-		Servers: []balance.ServerSnapshot{{ID: "s-1", Since: 9, Health: 0.5, Streak: 1, EjectionLeft: 2e9, Ejections: 1, SlotTime: 1e6, Latency: 2e6, InflightCap: 4, LastOutcomeAge: 5e8}}}
+	m.Balancer = balance.Snapshot{Rate: 12, Tenants: []balance.TenantRate{{Name: "t", Rate: 3}}, LatencyRatio: 0.1,
+		MeanTarget: 8e8, MeanValue: 4, Keys: []decay.KeyCount{{Index: 3, N: 9}},
+		Servers: []balance.ServerSnapshot{{ID: "s-1", Since: 9, Health: 0.5, Streak: 1, EjectionLeft: 2e9,
+			Ejections: 1, SlotTime: 1e6, Latency: 2e6, InflightCap: 4, LastOutcomeAge: 5e8}}}
 	return m
 }
 
@@ -87,7 +92,8 @@
 	for name, c := range map[string]struct {
 		b    []byte
 		want error
-	}{"empty": {nil, ErrNotSnapshot}, "other file": {[]byte("[log]\nlevel = 1"), ErrNotSnapshot}, "later version": {laterVersion, ErrVersion}, "figures out of range": {invalid, ErrFormat}} {
+	}{"empty": {nil, ErrNotSnapshot}, "other file": {[]byte("[log]\nlevel = 1"), ErrNotSnapshot},
+		"later version": {laterVersion, ErrVersion}, "figures out of range": {invalid, ErrFormat}} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Decode(c.b); !errors.Is(err, c.want) {
 				t.Errorf("got %v, want %v", err, c.want)
--- a/fleet/swim/swim.go
+++ b/fleet/swim/swim.go
@@ -24,17 +24,22 @@
 	partitionDivisor     = 20
 	updatesPerDatagram   = 3 // in a ping or an answer
 	remindInterval       = 1 * sec
-	leaveCopies          = 2                                             // sent to each receiver of a leave
-	suspectAfterTimeouts = 3                                             // in timeouts from the ping
-	stallThreshold       = 30 * ms                                       // a tick later than this shows that the process did not run
-	maxSilence           = 600 * sec                                     // longest silence that is reported
-	replayWindow         = 64                                            // datagrams of one incarnation that may arrive out of order
-	tickInterval         = 50 * ms                                       // between checks of what is due
-	largeFleetLog        = 1.2                                           // base 10 logarithm of the members above which suspicion timeouts grow
-	maxUpdatesTaken      = 8                                             // updates accepted from one datagram
-	never                = -1 << 62                                      // time before anything was heard
-	smallFleet           = 16                                            // in a fleet of this size all others are told of a leave
-	maxIncarnationLead   = 1000 * 3600 * 24 * 365 * 10 << refutationBits // an incarnation further ahead of this process's own is invalid
+	leaveCopies          = 2 // sent to each receiver of a leave
+	suspectAfterTimeouts = 3 // in timeouts from the ping
+	// A tick later than this shows that the process did not run.
+	stallThreshold = 30 * ms
+	maxSilence     = 600 * sec // longest silence that is reported
+	// Datagrams of one incarnation that may arrive out of order.
+	replayWindow = 64
+	tickInterval = 50 * ms // between checks of what is due
+	// Base 10 logarithm of the members above which suspicion timeouts grow.
+	largeFleetLog   = 1.2
+	maxUpdatesTaken = 8        // updates accepted from one datagram
+	never           = -1 << 62 // time before anything was heard
+	// In a fleet of this size all others are told of a leave.
+	smallFleet = 16
+	// An incarnation further ahead of this process's own is invalid.
+	maxIncarnationLead = 1000 * 3600 * 24 * 365 * 10 << refutationBits
 )
 
 // Config is the configuration of a member. Times are in nanoseconds.
@@ -127,7 +132,8 @@
 // New starts an incarnation. Configured members are presumed alive; those that are absent are detected by the
 // usual pings.
 func New(cfg Config, incarnation uint64, now int64) *Membership {
-	s := &Membership{cfg: cfg, incarnation: incarnation, members: make([]member, cfg.Members), rng: rng.Source{Seed: cfg.Seed}, lastTick: now}
+	s := &Membership{cfg: cfg, incarnation: incarnation, members: make([]member, cfg.Members),
+		rng: rng.Source{Seed: cfg.Seed}, lastTick: now}
 	s.pingAt = now + int64(s.rng.Next()*float64(cfg.Period))
 	for i := range s.members {
 		s.members[i].LastHeard = never
@@ -189,7 +195,8 @@
 // AddUpdates adds up to n updates, those first that were sent least often. Each member has one update, built from
 // the table of members.
 func (s *Membership) AddUpdates(d *peer.Datagram, room *peer.Room, n int) {
-	slices.SortStableFunc(s.pendingUpdates, func(x, y int) int { return s.members[x].timesSent - s.members[y].timesSent })
+	slices.SortStableFunc(s.pendingUpdates,
+		func(x, y int) int { return s.members[x].timesSent - s.members[y].timesSent })
 	maxSends := int(math.Ceil(updateSendFactor * math.Log2(float64(s.alive)+1)))
 	for _, i := range s.pendingUpdates {
 		if n--; n < 0 || !room.MemberUpdate() {
@@ -230,7 +237,8 @@
 	}
 	m := &s.members[d.From]
 	switch {
-	case m.Known && (d.Incarnation>>refutationBits < m.Incarnation>>refutationBits || m.State == peer.Left && d.Incarnation <= m.Incarnation):
+	case m.Known && (d.Incarnation>>refutationBits < m.Incarnation>>refutationBits ||
+		m.State == peer.Left && d.Incarnation <= m.Incarnation):
 		s.Dropped.Outdated++
 		if d.Kind == peer.Ping {
 			// A process whose clock was set back starts with an outdated incarnation. It is told so and takes a
@@ -352,7 +360,8 @@
 
 func (s *Membership) sendPing(target, requester int, requesterSeq uint32, now int64) {
 	s.seq++
-	s.pings = append(s.pings, pendingPing{seq: s.seq, target: target, sentAt: now, requester: requester, requesterSeq: requesterSeq})
+	s.pings = append(s.pings, pendingPing{seq: s.seq, target: target, sentAt: now, requester: requester,
+		requesterSeq: requesterSeq})
 	if m := &s.members[target]; m.Known && m.State != peer.Alive {
 		s.sendUpdateAgain(target) // so that the member can refute its state
 	}
@@ -361,11 +370,13 @@
 
 // applyUpdate applies one update.
 func (s *Membership) applyUpdate(update peer.MemberUpdate, now int64) {
-	if update.Member >= s.cfg.Members || update.Origin >= s.cfg.Members || update.Incarnation > s.incarnation+maxIncarnationLead {
+	if update.Member >= s.cfg.Members || update.Origin >= s.cfg.Members ||
+		update.Incarnation > s.incarnation+maxIncarnationLead {
 		return
 	}
 	if update.Member == s.cfg.Index {
-		if update.Incarnation >= s.incarnation && (update.State != peer.Alive || update.Incarnation > s.incarnation) && !s.left {
+		if update.Incarnation >= s.incarnation &&
+			(update.State != peer.Alive || update.Incarnation > s.incarnation) && !s.left {
 			// The update about this process is refuted with a higher incarnation. A suspicion is a sign that this
 			// process is slow. A higher incarnation belongs to an earlier process whose clock was ahead.
 			if update.State == peer.Suspect {
@@ -457,7 +468,8 @@
 	if state == peer.Suspect {
 		m.suspectedBy = []int{by}
 		if silence := now - m.LastHeard; by == s.cfg.Index && silence > 2*s.cfg.MinSilence {
-			m.LastHeard = now - suspectAfterTimeouts*s.cfg.AckTimeout // it was not heard here for long, so its silence counts from the ping
+			// It was not heard here for long, so its silence counts from the ping.
+			m.LastHeard = now - suspectAfterTimeouts*s.cfg.AckTimeout
 		}
 		if !slices.Contains(s.suspects, i) {
 			s.suspects = append(s.suspects, i)
@@ -562,7 +574,9 @@
 
 // randomAlive returns up to n random alive members other than this one and except.
 func (s *Membership) randomAlive(n, except int) []int {
-	all := slices.DeleteFunc(s.AliveMembers(), func(i int) bool { return i == s.cfg.Index || i == except || s.members[i].State != peer.Alive })
+	all := slices.DeleteFunc(s.AliveMembers(), func(i int) bool {
+		return i == s.cfg.Index || i == except || s.members[i].State != peer.Alive
+	})
 	s.shuffle(all)
 	return all[:min(n, len(all))]
 }
@@ -572,7 +586,8 @@
 	timeout := s.scaleByHealth(s.cfg.AckTimeout)
 	s.pings = slices.DeleteFunc(s.pings, func(p pendingPing) bool {
 		switch {
-		case p.requester >= 0 && now >= p.sentAt+s.cfg.AckTimeout*3/4: // without scaling by health, because the requester waits
+		// Without scaling by health, because the requester waits.
+		case p.requester >= 0 && now >= p.sentAt+s.cfg.AckTimeout*3/4:
 			s.send(p.requester, peer.Nack, p.requesterSeq, p.target) // arrives before the requester's timeout
 			return true
 		case now < p.sentAt+timeout:
@@ -635,7 +650,9 @@
 		m := &s.members[i]
 		switch silence := now - m.LastHeard; {
 		case m.State != peer.Suspect:
-		case silence >= s.SuspicionTimeout(len(m.suspectedBy)) && now-m.Since >= s.scaleBySize(suspectAfterTimeouts*s.cfg.AckTimeout): // it had time to refute
+		// It had time to refute.
+		case silence >= s.SuspicionTimeout(len(m.suspectedBy)) &&
+			now-m.Since >= s.scaleBySize(suspectAfterTimeouts*s.cfg.AckTimeout):
 			s.setState(i, peer.Dead, m.Incarnation, s.cfg.Index, now)
 		case silence < s.cfg.AckTimeout && m.Since < m.LastHeard:
 			// It was heard since it was suspected. It refutes the suspicion to all; here the datagram is enough.
--- a/fleet/warmstart/warmstart.go
+++ b/fleet/warmstart/warmstart.go
@@ -53,14 +53,15 @@
 	Incarnation uint64 `json:"Life"`  // 0: none
 	Number      uint64 // number of the snapshot within the incarnation
 	WallTime    int64  `json:"Wall"` // Unix ns
-	BootID      string `json:"Boot"` // id of the machine's boot; with Uptime it gives ages that do not depend on wall time
-	Uptime      int64  `json:"Up"`
-	ConfigHash  uint64 `json:"Shape"` // see ConfigHash
-	List        List
-	Balancer    balance.Snapshot `json:"Module"`
-	Holds       holds.Table
-	NewestKey   int64   `json:"Newest"` // Unix ns of the start of the newest idempotency key; 0: none
-	Service     float64 // recent part of the value that was served in time; 0: not known
+	// Id of the machine's boot; with Uptime it gives ages that do not depend on wall time.
+	BootID     string `json:"Boot"`
+	Uptime     int64  `json:"Up"`
+	ConfigHash uint64 `json:"Shape"` // see ConfigHash
+	List       List
+	Balancer   balance.Snapshot `json:"Module"`
+	Holds      holds.Table
+	NewestKey  int64   `json:"Newest"` // Unix ns of the start of the newest idempotency key; 0: none
+	Service    float64 // recent part of the value that was served in time; 0: not known
 }
 
 // Clocks is a point in time on the available clocks, in ns.
@@ -98,42 +99,43 @@
 // Evaluate returns what of a snapshot can be trusted, each part according to its age. Parts that are too old are
 // emptied.
 func Evaluate(m Snapshot, proxy string, cfg *balance.Config, now Clocks, trust int64) (Snapshot, []Verdict) {
-	var out []Verdict
+	var verdicts []Verdict
 	judge := func(part string, kept bool, why string, a ...any) bool {
-		out = append(out, Verdict{part, kept, fmt.Sprintf(why, a...)})
+		verdicts = append(verdicts, Verdict{part, kept, fmt.Sprintf(why, a...)})
 		return kept
 	}
 	age, known := m.Age(now)
 	if !judge("all", known && m.Proxy == proxy, "of %s, %.1f s old", m.Proxy, float64(age)/1e9) {
-		return Snapshot{}, out
+		return Snapshot{}, verdicts
 	}
 	m.List.Age += age
-	if !judge("list", m.List.Age <= listMaxAge && len(m.List.Hosts) > 0, "%d servers, generation %d, %.1f s old", len(m.List.Hosts), m.List.Generation, float64(m.List.Age)/1e9) {
+	if !judge("list", m.List.Age <= listMaxAge && len(m.List.Hosts) > 0, "%d servers, generation %d, %.1f s old",
+		len(m.List.Hosts), m.List.Generation, float64(m.List.Age)/1e9) {
 		m.List = List{}
 	}
-	x := &m.Balancer
-	if !judge("servers", age <= trust, "what was met at %d, trusted for %.0f s", len(x.Servers), float64(trust)/1e9) {
-		x.Servers = nil
+	b := &m.Balancer
+	if !judge("servers", age <= trust, "what was met at %d, trusted for %.0f s", len(b.Servers), float64(trust)/1e9) {
+		b.Servers = nil
 	}
-	x.Servers = slices.Clone(x.Servers)
-	for i := range x.Servers {
-		fadeServer(&x.Servers[i], age, trust)
+	b.Servers = slices.Clone(b.Servers)
+	for i := range b.Servers {
+		fadeServer(&b.Servers[i], age, trust)
 	}
-	if !judge("rates", age < rateMaxAge && m.ConfigHash == ConfigHash(cfg), "%.1f answers a second", x.Rate) {
-		x.Rate, x.Tenants, x.LatencyRatio, x.MeanTarget, x.MeanValue, x.Keys = 0, nil, 0, 0, 0, nil
+	if !judge("rates", age < rateMaxAge && m.ConfigHash == ConfigHash(cfg), "%.1f answers a second", b.Rate) {
+		b.Rate, b.Tenants, b.LatencyRatio, b.MeanTarget, b.MeanValue, b.Keys = 0, nil, 0, 0, 0, nil
 	}
-	left := max(0, 1-float64(age)/float64(rateMaxAge))
-	x.Rate *= left
-	x.LatencyRatio *= left
-	x.Tenants = slices.Clone(x.Tenants)
-	for i := range x.Tenants {
-		x.Tenants[i].Rate *= left
+	weight := max(0, 1-float64(age)/float64(rateMaxAge))
+	b.Rate *= weight
+	b.LatencyRatio *= weight
+	b.Tenants = slices.Clone(b.Tenants)
+	for i := range b.Tenants {
+		b.Tenants[i].Rate *= weight
 	}
-	x.Keys = slices.Clone(x.Keys)
-	for i := range x.Keys {
-		x.Keys[i].N *= left
+	b.Keys = slices.Clone(b.Keys)
+	for i := range b.Keys {
+		b.Keys[i].N *= weight
 	}
-	return m, out
+	return m, verdicts
 }
 
 // fadeServer ages what is known of one server.
@@ -171,9 +173,10 @@
 
 // Belief is a peer's view of one server.
 type Belief struct {
-	Server    balance.ServerSnapshot // Health, EjectionLeft, Draining, Since and LastOutcomeAge only
-	HeardAt   int64                  // time of its arrival
-	StartTime uint32                 // start of the server's process as received; Server.Since is the start in the local list
+	Server  balance.ServerSnapshot // Health, EjectionLeft, Draining, Since and LastOutcomeAge only
+	HeardAt int64                  // time of its arrival
+	// Start of the server's process as received; Server.Since is the start in the local list.
+	StartTime uint32
 }
 
 // MatchListed keeps the beliefs about processes that are in the local list. since returns a server's start in that
@@ -218,7 +221,7 @@
 		}
 	}
 	slices.Sort(order)
-	var out []balance.ServerSnapshot
+	var merged []balance.ServerSnapshot
 	for _, id := range order {
 		l, known := ownByID[id]
 		if known = known && l.Since == latest[id]; !known {
@@ -246,9 +249,9 @@
 		case len(ejections) > 0:
 			l.Health, l.Streak, l.InflightCap = min(l.Health, suspectHealth), ejectionStreak-1, 1
 		}
-		out = append(out, l)
+		merged = append(merged, l)
 	}
-	return out
+	return merged
 }
 
 // ServiceMeter measures service in slices of time, and when it is full again after a start.
@@ -309,7 +312,8 @@
 
 // Valid reports whether all figures are within their ranges. A snapshot that is not valid is ignored as a whole.
 func (m *Snapshot) Valid() bool {
-	for _, figure := range []float64{m.Balancer.Rate, m.Balancer.LatencyRatio, m.Balancer.MeanTarget, m.Balancer.MeanValue, m.Service} {
+	for _, figure := range []float64{m.Balancer.Rate, m.Balancer.LatencyRatio, m.Balancer.MeanTarget,
+		m.Balancer.MeanValue, m.Service} {
 		if math.IsNaN(figure) || figure < 0 || figure > 1e15 {
 			return false
 		}
