--- a/fleet/aggregate/aggregate.go
+++ b/fleet/aggregate/aggregate.go
@@ -252,14 +252,14 @@
 }
 
 // DropGone drops the sums of blocks without an alive member, and that of a member which has been restarted.
-func (a *Aggregate) DropGone(alive func(place int) bool, life func(place int) uint64) {
+func (a *Aggregate) DropGone(alive func(index int) bool, incarnation func(index int) uint64) {
 	for i := range a.siblings {
 		from, to := a.Sibling(i)
 		anyAlive := false
 		for p := from; p < to && !anyAlive; p++ {
 			anyAlive = alive(p)
 		}
-		if !anyAlive || i == 0 && life(from) > a.siblings[0].incarnation {
+		if !anyAlive || i == 0 && incarnation(from) > a.siblings[0].incarnation {
 			a.siblings[i] = blockSum{measuredAt: never}
 		}
 	}
--- a/fleet/aggregate/aggregate_test.go
+++ b/fleet/aggregate/aggregate_test.go
@@ -63,10 +63,11 @@
 		f := newTestFleet(n)
 		f.rounds(30)
 		for i, x := range f.members {
-			got, of := x.FleetLoad(f.now)
-			if want := float64(10 * n); of != n || math.Abs(got.TotalOffered()/want-1) > 0.06 ||
+			got, counted := x.FleetLoad(f.now)
+			if want := float64(10 * n); counted != n || math.Abs(got.TotalOffered()/want-1) > 0.06 ||
 				math.Abs(got.First/want-1) > 0.06 {
-				t.Fatalf("%d members: member %d counts %d with %.1f offered, want %.1f", n, i, of, got.TotalOffered(), want)
+				t.Fatalf("%d members: member %d counts %d with %.1f offered, want %.1f", n, i, counted,
+					got.TotalOffered(), want)
 			}
 		}
 	}
@@ -79,8 +80,8 @@
 	f.dead[5], f.dead[11] = true, true
 	f.rounds(24)
 	for i, x := range f.members {
-		if got, of := x.FleetLoad(f.now); !f.dead[i] && (of != 10 || math.Abs(got.First/100-1) > 0.06) {
-			t.Errorf("member %d counts %d with %.1f", i, of, got.First)
+		if got, counted := x.FleetLoad(f.now); !f.dead[i] && (counted != 10 || math.Abs(got.First/100-1) > 0.06) {
+			t.Errorf("member %d counts %d with %.1f", i, counted, got.First)
 		}
 	}
 }
@@ -99,8 +100,8 @@
 		last = got.First
 		f.now += second
 	}
-	if _, of := x.FleetLoad(f.now); of != 1 || math.Abs(last-10) > 0.1 {
-		t.Errorf("%d counted with %v, want only the member itself", of, last)
+	if _, counted := x.FleetLoad(f.now); counted != 1 || math.Abs(last-10) > 0.1 {
+		t.Errorf("%d counted with %v, want only the member itself", counted, last)
 	}
 }
 
@@ -111,15 +112,15 @@
 	f.disconnected = func(a, b int) bool { return a%2 != b%2 }
 	f.rounds(40)
 	for i, x := range f.members {
-		if _, of := x.FleetLoad(f.now); of != 6 {
-			t.Errorf("member %d counts %d on its side, want 6", i, of)
+		if _, counted := x.FleetLoad(f.now); counted != 6 {
+			t.Errorf("member %d counts %d on its side, want 6", i, counted)
 		}
 	}
 	f.disconnected = func(a, b int) bool { return false }
 	f.rounds(40)
 	for i, x := range f.members {
-		if _, of := x.FleetLoad(f.now); of != 12 {
-			t.Errorf("member %d counts %d after the partition, want 12", i, of)
+		if _, counted := x.FleetLoad(f.now); counted != 12 {
+			t.Errorf("member %d counts %d after the partition, want 12", i, counted)
 		}
 	}
 }
@@ -131,7 +132,7 @@
 	excessive.Offered[0] = 1e5
 	for name, c := range map[string]struct {
 		sum         peer.LoadSum
-		taken       bool
+		accepted    bool
 		implausible int
 	}{
 		"the sibling":              {peer.LoadSum{Level: 0, Block: 1, Members: 1, Load: encodedLoad(90)}, true, 0},
@@ -144,8 +145,8 @@
 	} {
 		f := New(Config{Index: 0, Members: 4, MaxAge: second, MaxMemberRate: 1000})
 		f.Receive([]peer.LoadSum{c.sum}, second)
-		if _, of := f.FleetLoad(second); (of > 1) != c.taken || f.Implausible != c.implausible {
-			t.Errorf("%s: %d counted, %d implausible", name, of, f.Implausible)
+		if _, counted := f.FleetLoad(second); (counted > 1) != c.accepted || f.Implausible != c.implausible {
+			t.Errorf("%s: %d counted, %d implausible", name, counted, f.Implausible)
 		}
 	}
 	// A late older sum does not replace a newer one; that of a newer process does.
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -194,7 +194,8 @@
 		"one reporter with a broken link": {[]peer.Hint{lost("s-1", 1), lost("s-1", 2),
 			lost("s-2", 2), lost("s-3", 2), lost("s-4", 2)}, "", all, nil},
 		"a prober and another member": {[]peer.Hint{lost("s-1", 1),
-			{Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, map[string]float64{"s-1": reducedShare}},
+			{Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all,
+			map[string]float64{"s-1": reducedShare}},
 		"a prober that reports both": {[]peer.Hint{lost("s-1", 2),
 			{Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, nil},
 		"not a listed server": {[]peer.Hint{lost("other", 1), lost("other", 2)}, "", all, nil},
@@ -268,22 +269,22 @@
 	if !f.shedder.Active {
 		t.Fatal("no shedding before the stall")
 	}
-	late := peer.Datagram{From: 0, Incarnation: m.members[0].swim.Incarnation(), Number: 1 << 40, Kind: peer.Push}
+	waiting := peer.Datagram{From: 0, Incarnation: m.members[0].swim.Incarnation(), Number: 1 << 40, Kind: peer.Push}
 	now := m.now + 5*sec
-	f.Receive(&late, now)
+	f.Receive(&waiting, now)
 	if f.Count.Stale != 1 {
 		t.Error("a datagram that waited was accepted")
 	}
 	f.Tick(now)
-	if _, of := f.load.FleetLoad(now); f.shedder.Active || of != 1 {
-		t.Errorf("shedding %v, %d counted; want no state from before the stall", f.shedder.Active, of)
+	if _, counted := f.load.FleetLoad(now); f.shedder.Active || counted != 1 {
+		t.Errorf("shedding %v, %d counted; want no state from before the stall", f.shedder.Active, counted)
 	}
 	for i := range 3 {
 		if !f.swim.Alive(i) {
 			t.Errorf("the stalled process considers member %d dead", i)
 		}
 	}
-	f.Receive(&late, now+ignoreAfterStall)
+	f.Receive(&waiting, now+ignoreAfterStall)
 	if f.Count.Stale != 1 {
 		t.Error("a datagram after the stall was dropped")
 	}
--- a/fleet/learn.go
+++ b/fleet/learn.go
@@ -14,10 +14,10 @@
 
 const (
 	queryInterval     = 100 * ms // between queries, each to another member
-	minTeacherAge     = 5 * sec  // a younger member does not answer: it has observed too little
+	minAnswererAge    = 5 * sec  // a younger member does not answer: it has observed too little
 	maxObservationAge = 30 * sec // older observations are not reported
 	answerFraction    = 0.25     // of the datagram limit, with a burst of one second's worth of datagrams
-	healthyAbove      = 0.9      // healthier servers in use are reported last
+	healthyAbove      = 0.9      // healthier servers in use are not reported
 )
 
 // LearnConfig configures learning from peers.
@@ -68,7 +68,7 @@
 	target := f.randomMember(0, f.cfg.Members, func(i int) bool {
 		m := f.swim.Member(i)
 		return i != f.cfg.Index && !l.queried[i] && m.Alive() &&
-			!(m.Known && m.Incarnation>>8 != 0 && int64(m.Incarnation>>8)*ms > f.startedAt()-minTeacherAge)
+			!(m.Known && m.Incarnation>>8 != 0 && int64(m.Incarnation>>8)*ms > f.startedAt()-minAnswererAge)
 	})
 	if target < 0 {
 		clear(l.queried) // all were queried; some may not have received it
@@ -92,7 +92,7 @@
 	switch d.Kind {
 	case peer.Query:
 		l.answerTokens.fill(answerFraction*f.cfg.DatagramsPerSecond, f.cfg.DatagramsPerSecond, now)
-		if (now-l.startedAt >= minTeacherAge || l.newestKeys[d.From] > 0) && l.answerTokens.tokens >= 1 {
+		if (now-l.startedAt >= minAnswererAge || l.newestKeys[d.From] > 0) && l.answerTokens.tokens >= 1 {
 			l.answerTokens.tokens--
 			f.actions = append(f.actions, Action{Kind: AnswerQuery, To: d.From})
 		}
@@ -132,7 +132,7 @@
 // then unhealthy ones.
 func (f *Fleet) SendBeliefs(to int, servers []balance.ServerSnapshot, now int64) {
 	observed := slices.DeleteFunc(slices.Clone(servers), func(server balance.ServerSnapshot) bool {
-		return now-f.learner.startedAt < minTeacherAge ||
+		return now-f.learner.startedAt < minAnswererAge ||
 			!server.Draining && (server.LastOutcomeAge < 0 || server.LastOutcomeAge > maxObservationAge ||
 				server.EjectionLeft == 0 && server.Health > healthyAbove)
 	})
@@ -186,6 +186,6 @@
 }
 
 // LearnCounts returns how often this member has queried, was answered and has answered.
-func (f *Fleet) LearnCounts() (asked, answers, taught int) {
+func (f *Fleet) LearnCounts() (queries, received, sent int) {
 	return f.learner.queriesSent, f.learner.answersReceived, f.learner.answersSent
 }
--- a/fleet/learn_test.go
+++ b/fleet/learn_test.go
@@ -83,9 +83,9 @@
 		if c.beliefs[i] != 8 {
 			t.Errorf("member %d got %d beliefs, want the 8 that were observed or are draining", i, c.beliefs[i])
 		}
-		asked, answers, taught := c.members[i].LearnCounts()
-		if asked > 20 || answers < 2 || taught > 0 {
-			t.Errorf("member %d: %d queries, %d answers received, %d sent", i, asked, answers, taught)
+		queries, received, sent := c.members[i].LearnCounts()
+		if queries > 20 || received < 2 || sent > 0 {
+			t.Errorf("member %d: %d queries, %d answers received, %d sent", i, queries, received, sent)
 		}
 	}
 	before := map[int]int{}
@@ -94,7 +94,7 @@
 	}
 	c.run(5 * sec)
 	for i := range c.members {
-		if asked, _, _ := c.members[i].LearnCounts(); asked != before[i] {
+		if queries, _, _ := c.members[i].LearnCounts(); queries != before[i] {
 			t.Errorf("member %d still sends queries", i)
 		}
 	}
--- a/fleet/messages_test.go
+++ b/fleet/messages_test.go
@@ -78,7 +78,8 @@
 	})
 	t.Run("malformed", func(t *testing.T) {
 		for _, d := range []peer.Datagram{{Kind: peer.MessagePart},
-			{Kind: peer.MessagePart, Subject: 3<<8 | 2, Part: []byte("x")}, {Kind: peer.MessagePart, Subject: 2, Part: []byte("x")}} {
+			{Kind: peer.MessagePart, Subject: 3<<8 | 2, Part: []byte("x")}, {Kind: peer.MessagePart, Subject: 2,
+				Part: []byte("x")}} {
 			receiver.receivePart(&d)
 		}
 		if len(receivedMessages(receiver)) > 0 {
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/peer_test.go
@@ -34,7 +34,7 @@
 	largest := MemberUpdate{Member: math.MaxInt32, State: Left, Incarnation: math.MaxUint64, Origin: math.MaxInt32,
 		Silence: math.MaxUint16}
 	for name, fill := range map[string]func(*Datagram, *Room) bool{
-		"news": func(d *Datagram, r *Room) bool { d.Updates = append(d.Updates, largest); return r.MemberUpdate() },
+		"updates": func(d *Datagram, r *Room) bool { d.Updates = append(d.Updates, largest); return r.MemberUpdate() },
 		"sums": func(d *Datagram, r *Room) bool {
 			d.Sums = append(d.Sums, LoadSum{Level: 31, Block: math.MaxInt32, Incarnation: math.MaxUint64,
 				Age: math.MaxUint16, Members: math.MaxInt32, Load: bytes.Repeat([]byte{255}, 20)})
--- a/fleet/serverreports.go
+++ b/fleet/serverreports.go
@@ -34,7 +34,7 @@
 type report struct {
 	member      int
 	observation peer.Observation
-	at          int64
+	observedAt  int64
 	timesSent   int
 }
 
@@ -114,7 +114,7 @@
 		if healthy {
 			observation = peer.ProbeAnswered
 		}
-		m.probes = insertReport(m.probes, report{member: member, observation: observation, at: now})
+		m.probes = insertReport(m.probes, report{member: member, observation: observation, observedAt: now})
 	}
 }
 
@@ -122,7 +122,8 @@
 func insertReport(all []report, r report) []report {
 	if i := slices.IndexFunc(all, func(x report) bool { return x.member == r.member }); i >= 0 {
 		// The same report received again by another route is not newer.
-		if r.at > all[i].at+10*ms || r.observation != all[i].observation && r.at >= all[i].at {
+		if r.observedAt > all[i].observedAt+10*ms || r.observation != all[i].observation &&
+			r.observedAt >= all[i].observedAt {
 			all[i] = r
 		}
 		return all
@@ -131,7 +132,7 @@
 	if len(all) > maxReporters {
 		oldest := 0
 		for i := range all {
-			if all[i].at < all[oldest].at {
+			if all[i].observedAt < all[oldest].observedAt {
 				oldest = i
 			}
 		}
@@ -141,38 +142,39 @@
 }
 
 // receiveHint records a hint. For the result of a probe it returns the server and the probe's time.
-func (w *serverReports) receiveHint(h peer.Hint, now int64) (id string, at int64, probe bool) {
+func (w *serverReports) receiveHint(h peer.Hint, now int64) (id string, probedAt int64, probe bool) {
 	i, ok := w.byHash[h.Server]
 	if !ok || i < 0 {
 		return "", 0, false
 	}
 	m := &w.servers[i]
-	r := report{member: h.Origin, observation: h.Observation, at: now - peer.Nanoseconds(h.Age)}
+	r := report{member: h.Origin, observation: h.Observation, observedAt: now - peer.Nanoseconds(h.Age)}
 	if h.Observation == peer.DispatchesLost {
-		if now-r.at < reportMaxAge {
+		if now-r.observedAt < reportMaxAge {
 			m.reports = insertReport(m.reports, r)
 		}
 		return "", 0, false
 	}
-	if now-r.at < probeMaxAge {
+	if now-r.observedAt < probeMaxAge {
 		m.probes = insertReport(m.probes, r)
 	}
-	return m.id, r.at, true
+	return m.id, r.observedAt, true
 }
 
 // updateOwnReports updates what this member itself reports.
 func (w *serverReports) updateOwnReports(index int, now int64) {
 	for i := range w.servers {
 		m := &w.servers[i]
-		m.reports = slices.DeleteFunc(m.reports, func(r report) bool { return now-r.at >= reportMaxAge })
-		m.probes = slices.DeleteFunc(m.probes, func(r report) bool { return now-r.at >= probeMaxAge })
+		m.reports = slices.DeleteFunc(m.reports, func(r report) bool { return now-r.observedAt >= reportMaxAge })
+		m.probes = slices.DeleteFunc(m.probes, func(r report) bool { return now-r.observedAt >= probeMaxAge })
 		lost := m.lost.Now(now, lossWindow)
 		if lost < minLost || lost < minLostPart*m.sent.Now(now, lossWindow) {
 			continue
 		}
 		if j := slices.IndexFunc(m.reports, func(r report) bool { return r.member == index }); j < 0 ||
-			now-m.reports[j].at >= repeatReportAfter {
-			m.reports = insertReport(m.reports, report{member: index, observation: peer.DispatchesLost, at: now})
+			now-m.reports[j].observedAt >= repeatReportAfter {
+			m.reports = insertReport(m.reports, report{member: index, observation: peer.DispatchesLost,
+				observedAt: now})
 		}
 	}
 }
@@ -202,7 +204,7 @@
 		}
 		x.r.timesSent++
 		hints = append(hints, peer.Hint{Server: x.m.hash, Origin: x.r.member, Observation: x.r.observation,
-			Age: peer.Hundredths(now - x.r.at)})
+			Age: peer.Hundredths(now - x.r.observedAt)})
 	}
 	return hints
 }
--- a/fleet/shed/shedder.go
+++ b/fleet/shed/shedder.go
@@ -243,7 +243,7 @@
 // demandPart is a part of a class in which all requests have the same value.
 type demandPart struct {
 	class       int
-	worth, cost float64
+	value, cost float64
 }
 
 // allocate computes the part of each class that is admitted. The highest value comes first, where requests beyond
@@ -268,12 +268,12 @@
 				demandPart{class, value * s.cfg.OverShareFactor, cost - within})
 		}
 	}
-	slices.SortStableFunc(parts, func(x, y demandPart) int { return cmp.Compare(y.worth, x.worth) })
+	slices.SortStableFunc(parts, func(x, y demandPart) int { return cmp.Compare(y.value, x.value) })
 	var admitted [aggregate.Classes]float64
 	left := s.Limit
 	for i := 0; i < len(parts); {
 		j, cost := i, 0.0
-		for ; j < len(parts) && parts[j].worth == parts[i].worth; j++ {
+		for ; j < len(parts) && parts[j].value == parts[i].value; j++ {
 			cost += parts[j].cost
 		}
 		part := 1.0
--- a/fleet/warmstart/warmstart.go
+++ b/fleet/warmstart/warmstart.go
@@ -203,17 +203,17 @@
 func MergeReports(own []balance.ServerSnapshot, reports []PeerReport, now int64) []balance.ServerSnapshot {
 	var order []string
 	latest, ownByID := map[string]int64{}, map[string]balance.ServerSnapshot{}
-	note := func(l balance.ServerSnapshot) {
-		if since, ok := latest[l.ID]; !ok {
-			order = append(order, l.ID)
-			latest[l.ID] = l.Since
+	note := func(server balance.ServerSnapshot) {
+		if since, ok := latest[server.ID]; !ok {
+			order = append(order, server.ID)
+			latest[server.ID] = server.Since
 		} else {
-			latest[l.ID] = max(since, l.Since)
+			latest[server.ID] = max(since, server.Since)
 		}
 	}
-	for _, l := range own {
-		note(l)
-		ownByID[l.ID] = l
+	for _, server := range own {
+		note(server)
+		ownByID[server.ID] = server
 	}
 	for _, report := range reports {
 		for _, belief := range report.Beliefs {
@@ -223,33 +223,34 @@
 	slices.Sort(order)
 	var merged []balance.ServerSnapshot
 	for _, id := range order {
-		l, known := ownByID[id]
-		if known = known && l.Since == latest[id]; !known {
-			l = balance.ServerSnapshot{ID: id, Since: latest[id], Health: 1, InflightCap: 1}
+		server, known := ownByID[id]
+		if known = known && server.Since == latest[id]; !known {
+			server = balance.ServerSnapshot{ID: id, Since: latest[id], Health: 1, InflightCap: 1}
 		}
 		var ejections []int64 // rest of the ejection according to each peer
 		for _, report := range reports {
 			for _, belief := range report.Beliefs {
-				if belief.Server.ID != id || belief.Server.Since != l.Since {
+				if belief.Server.ID != id || belief.Server.Since != server.Since {
 					continue
 				}
-				l.Draining = l.Draining || belief.Server.Draining
-				if x := belief.Server.EjectionLeft - (now - belief.HeardAt); x > 0 {
-					ejections = append(ejections, x)
+				server.Draining = server.Draining || belief.Server.Draining
+				if left := belief.Server.EjectionLeft - (now - belief.HeardAt); left > 0 {
+					ejections = append(ejections, left)
 				}
 				if !known {
-					l.Health = min(l.Health, cmp.Or(belief.Server.Health, 1))
+					server.Health = min(server.Health, cmp.Or(belief.Server.Health, 1))
 				}
 			}
 		}
-		switch l.LastOutcomeAge = -1; {
-		case l.EjectionLeft > 0:
+		switch server.LastOutcomeAge = -1; {
+		case server.EjectionLeft > 0:
 		case len(ejections) >= minReporters:
-			l.EjectionLeft, l.Streak, l.Ejections = slices.Min(ejections), ejectionStreak, max(1, l.Ejections)
+			server.EjectionLeft, server.Streak, server.Ejections = slices.Min(ejections), ejectionStreak,
+				max(1, server.Ejections)
 		case len(ejections) > 0:
-			l.Health, l.Streak, l.InflightCap = min(l.Health, suspectHealth), ejectionStreak-1, 1
+			server.Health, server.Streak, server.InflightCap = min(server.Health, suspectHealth), ejectionStreak-1, 1
 		}
-		merged = append(merged, l)
+		merged = append(merged, server)
 	}
 	return merged
 }
@@ -264,11 +265,11 @@
 }
 
 // Add counts the value of a final answer.
-func (m *ServiceMeter) Add(worth float64, inTime bool, now int64) {
+func (m *ServiceMeter) Add(value float64, inTime bool, now int64) {
 	m.advance(now)
 	p := &m.slices[m.newest%sliceCount]
-	if p.all += worth; inTime {
-		p.served += worth
+	if p.all += value; inTime {
+		p.served += value
 	}
 }
 
