--- a/fleet/plan/plan.go
+++ b/fleet/plan/plan.go
@@ -1,6 +1,7 @@
-// Package plan is a plan by which servers are taken out for work: which, how many at once, what has to stay, when, and who says that the
-// work is done. It owns the file's schema and whether a plan can be done at all. Free of I/O but for the file. It must never look at what a
-// plan has come to.
+// Package plan holds maintenance plans: which servers are taken out of service for work, how many at once, what
+// capacity has to remain, when, and what tells that the work is done. It defines the schema of the plan file and
+// checks whether a plan can be done at all. It does no I/O apart from reading the file, and never looks at a plan's
+// progress.
 package plan
 
 import (
@@ -13,35 +14,36 @@
 	"ivybank/conf"
 )
 
-// Format is what a plan says it is.
+// Format is the value of the field format in a plan file.
 const Format = "ivybank/fleet/plan/1"
 
-// most servers of one plan, and bytes of its id.
 const (
-	mostTargets = 1000
-	mostID      = 64
+	maxServers = 1000 // that a plan lists by id
+	maxIDBytes = 64   // length of a plan's id
 )
 
-// Plan is a plan as operators write it.
+// Plan is a plan file as operators write it. The cbor tags keep the encoded names of its fields.
 type Plan struct {
 	Format string   `toml:"format"`
 	ID     string   `toml:"id"`
-	All    bool     `toml:"all"` // servers: all that are listed, or
-	IDs    []string `toml:"servers"`
-	Zones  []string `toml:"zones"` // those of zones and cells
-	Cells  []int64  `toml:"cells"`
-
-	Most      int     `toml:"most_out"`      // at once
-	MostZone  int     `toml:"most_out_zone"` // of one zone; 0: no bound of its own
-	MostCell  int     `toml:"most_out_cell"`
-	Least     float64 `toml:"least_capacity"` // part of the listed capacity that stays in use
-	LeastZone int     `toml:"least_zone"`     // servers that stay in use in each zone
-
-	Order  string        `toml:"order"`   // given, zone or least (least loss first)
-	DoneBy string        `toml:"done_by"` // door: a call says that a server is done; start: the list shows a newer start; time: the work's time is over
-	Work   conf.Duration `toml:"work"`
-	From   string        `toml:"from"` // a window each day, UTC, as "22:00"; empty: always
-	Until  string        `toml:"until"`
+	All    bool     `toml:"all"`     // selects all listed servers; excludes servers, zones and cells
+	IDs    []string `toml:"servers"` // selects servers by id
+	Zones  []string `toml:"zones"`   // selects the servers of these zones
+	Cells  []int64  `toml:"cells"`   // selects the servers of these cells
+
+	MaxOut        int     `toml:"most_out" cbor:"Most"`          // servers out of service at once
+	MaxOutPerZone int     `toml:"most_out_zone" cbor:"MostZone"` // servers out at once in one zone; 0: no separate limit
+	MaxOutPerCell int     `toml:"most_out_cell" cbor:"MostCell"` // servers out at once in one cell; 0: no separate limit
+	MinCapacity   float64 `toml:"least_capacity" cbor:"Least"`   // fraction of the listed capacity that stays in use
+	MinPerZone    int     `toml:"least_zone" cbor:"LeastZone"`   // servers that stay in use in each zone
+
+	Order string `toml:"order"` // given: as listed in servers; zone: by zone; least: smallest share of capacity first
+	// DoneBy tells how a server's work is found to be done. door: by a call to the administrative address; start: the
+	// list shows a newer start; time: WorkTime has passed.
+	DoneBy   string        `toml:"done_by"`
+	WorkTime conf.Duration `toml:"work" cbor:"Work"`
+	From     string        `toml:"from"` // start of a daily window in UTC, such as "22:00"; empty: no window
+	Until    string        `toml:"until"`
 }
 
 // Target is a server as a plan sees it.
@@ -49,11 +51,11 @@
 	ID    string
 	Zone  string
 	Cell  int64
-	Share float64
-	Since int64
+	Share float64 // of the fleet's capacity, relative to the other servers
+	Since int64   // when the server started, as the list reports it
 }
 
-// Read reads and checks one.
+// Read parses and validates a plan file; path is used in errors only.
 func Read(path string, text []byte) (*Plan, error) {
 	p := &Plan{}
 	f, err := conf.Read(path, text, p)
@@ -64,29 +66,37 @@
 }
 
 func (p *Plan) check(f *conf.File) error {
-	_, from := clock(p.From)
-	_, until := clock(p.Until)
+	_, from := parseTimeOfDay(p.From)
+	_, until := parseTimeOfDay(p.Until)
 	return f.CheckRules("", []conf.Rule{
 		{Violated: p.Format != Format, Field: "format", Expected: fmt.Sprintf("expected %q", Format)},
-		{Violated: p.ID == "" || len(p.ID) > mostID, Field: "id", Expected: fmt.Sprintf("expected an id of its own, %d bytes at the most", mostID)},
-		{Violated: !p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) == 0, Field: "servers", Expected: "expected servers, zones, cells or all"},
-		{Violated: p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) > 0, Field: "all", Expected: "expected nothing else that names servers beside it"},
-		{Violated: len(p.IDs) > mostTargets, Field: "servers", Expected: fmt.Sprintf("expected %d at the most", mostTargets)},
-		{Violated: p.Most < 1, Field: "most_out", Expected: "expected one at least"},
-		{Violated: p.MostZone < 0, Field: "most_out_zone", Expected: "expected 0 or more"},
-		{Violated: p.MostCell < 0, Field: "most_out_cell", Expected: "expected 0 or more"},
-		{Violated: p.Least < 0 || p.Least >= 1, Field: "least_capacity", Expected: "expected a part from 0 to below 1"},
-		{Violated: p.LeastZone < 0, Field: "least_zone", Expected: "expected 0 or more"},
-		{Violated: !slices.Contains([]string{"given", "zone", "least"}, p.Order), Field: "order", Expected: "expected given, zone or least"},
-		{Violated: !slices.Contains([]string{"door", "start", "time"}, p.DoneBy), Field: "done_by", Expected: "expected door, start or time"},
-		{Violated: p.DoneBy == "time" && p.Work <= 0, Field: "work", Expected: "expected a time above 0"},
+		{Violated: p.ID == "" || len(p.ID) > maxIDBytes, Field: "id",
+			Expected: fmt.Sprintf("expected an id of its own, %d bytes at the most", maxIDBytes)},
+		{Violated: !p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) == 0, Field: "servers",
+			Expected: "expected servers, zones, cells or all"},
+		{Violated: p.All && len(p.IDs)+len(p.Zones)+len(p.Cells) > 0, Field: "all",
+			Expected: "expected nothing else that names servers beside it"},
+		{Violated: len(p.IDs) > maxServers, Field: "servers",
+			Expected: fmt.Sprintf("expected %d at the most", maxServers)},
+		{Violated: p.MaxOut < 1, Field: "most_out", Expected: "expected one at least"},
+		{Violated: p.MaxOutPerZone < 0, Field: "most_out_zone", Expected: "expected 0 or more"},
+		{Violated: p.MaxOutPerCell < 0, Field: "most_out_cell", Expected: "expected 0 or more"},
+		{Violated: p.MinCapacity < 0 || p.MinCapacity >= 1, Field: "least_capacity",
+			Expected: "expected a part from 0 to below 1"},
+		{Violated: p.MinPerZone < 0, Field: "least_zone", Expected: "expected 0 or more"},
+		{Violated: !slices.Contains([]string{"given", "zone", "least"}, p.Order), Field: "order",
+			Expected: "expected given, zone or least"},
+		{Violated: !slices.Contains([]string{"door", "start", "time"}, p.DoneBy), Field: "done_by",
+			Expected: "expected door, start or time"},
+		{Violated: p.DoneBy == "time" && p.WorkTime <= 0, Field: "work", Expected: "expected a time above 0"},
 		{Violated: from != nil, Field: "from", Expected: "expected a time of the day as \"22:00\""},
-		{Violated: until != nil || (p.From == "") != (p.Until == ""), Field: "until", Expected: "expected a time of the day as \"06:00\", with from and only then"},
+		{Violated: until != nil || (p.From == "") != (p.Until == ""), Field: "until",
+			Expected: "expected a time of the day as \"06:00\", with from and only then"},
 	})
 }
 
-// clock reads a time of the day in minutes.
-func clock(text string) (int, error) {
+// parseTimeOfDay parses a time of day such as "22:00" and returns it in minutes since midnight; empty text gives 0.
+func parseTimeOfDay(text string) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -94,13 +104,13 @@
 	return 60*t.Hour() + t.Minute(), err
 }
 
-// Open says whether a plan's window is open at a time, in Unix ns.
-func (p *Plan) Open(wall int64) bool {
+// InWindow reports whether the plan's daily window is open at wall, in Unix ns. A plan without a window is always open.
+func (p *Plan) InWindow(wall int64) bool {
 	if p.From == "" {
 		return true
 	}
-	from, _ := clock(p.From)
-	until, _ := clock(p.Until)
+	from, _ := parseTimeOfDay(p.From)
+	until, _ := parseTimeOfDay(p.Until)
 	t := time.Unix(0, wall).UTC()
 	now := 60*t.Hour() + t.Minute()
 	if from <= until {
@@ -109,7 +119,7 @@
 	return now >= from || now < until
 }
 
-// Targets are the plan's servers among those listed, in the order in which they go.
+// Targets returns the listed servers that the plan selects, in the order in which they are taken out.
 func (p *Plan) Targets(listed []Target) []Target {
 	var out []Target
 	for _, t := range listed {
@@ -117,11 +127,11 @@
 			out = append(out, t)
 		}
 	}
-	place := func(t Target) int { return slices.Index(p.IDs, t.ID) }
+	position := func(t Target) int { return slices.Index(p.IDs, t.ID) }
 	slices.SortStableFunc(out, func(x, y Target) int {
 		switch p.Order {
 		case "given":
-			return cmp.Compare(place(x), place(y))
+			return cmp.Compare(position(x), position(y))
 		case "zone":
 			return cmp.Or(cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.ID, y.ID))
 		}
@@ -130,8 +140,8 @@
 	return out
 }
 
-// Feasible says why a plan cannot be done with the servers that are listed, naming the constraint; nil where it can.
-func (p *Plan) Feasible(listed []Target) error {
+// CheckFeasible returns an error that names the violated constraint if the plan cannot be done with the listed servers.
+func (p *Plan) CheckFeasible(listed []Target) error {
 	for _, id := range p.IDs {
 		if !slices.ContainsFunc(listed, func(t Target) bool { return t.ID == id }) {
 			return fmt.Errorf("servers: %s is not listed", id)
@@ -142,15 +152,16 @@
 		return fmt.Errorf("servers: none of those listed")
 	}
 	for _, t := range all {
-		if err := p.Allows([]Target{t}, listed); err != nil {
+		if err := p.CheckLimits([]Target{t}, listed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Within says why so many may not be out at once, whatever is listed, naming the constraint; nil where they may.
-func (p *Plan) Within(out []Target) error {
+// CheckMaxOut returns an error that names the violated constraint if the servers in out exceed the plan's limits on
+// servers that are out at once. The last of them is the one to be taken out. The list of servers plays no part.
+func (p *Plan) CheckMaxOut(out []Target) error {
 	last := out[len(out)-1]
 	zone, cell := 0, 0
 	for _, t := range out {
@@ -162,45 +173,51 @@
 		}
 	}
 	switch {
-	case len(out) > p.Most:
-		return fmt.Errorf("most_out = %d: %d would be out with %s", p.Most, len(out), last.ID)
-	case p.MostZone > 0 && zone > p.MostZone:
-		return fmt.Errorf("most_out_zone = %d: %d of zone %s would be out with %s", p.MostZone, zone, last.Zone, last.ID)
-	case p.MostCell > 0 && cell > p.MostCell:
-		return fmt.Errorf("most_out_cell = %d: %d of cell %d would be out with %s", p.MostCell, cell, last.Cell, last.ID)
+	case len(out) > p.MaxOut:
+		return fmt.Errorf("most_out = %d: %d would be out with %s", p.MaxOut, len(out), last.ID)
+	case p.MaxOutPerZone > 0 && zone > p.MaxOutPerZone:
+		return fmt.Errorf("most_out_zone = %d: %d of zone %s would be out with %s",
+			p.MaxOutPerZone, zone, last.Zone, last.ID)
+	case p.MaxOutPerCell > 0 && cell > p.MaxOutPerCell:
+		return fmt.Errorf("most_out_cell = %d: %d of cell %d would be out with %s",
+			p.MaxOutPerCell, cell, last.Cell, last.ID)
 	}
 	return nil
 }
 
-// Allows says why these servers may not be out together, naming the constraint; nil where they may.
-func (p *Plan) Allows(out []Target, listed []Target) error {
-	if err := p.Within(out); err != nil {
+// CheckLimits returns an error that names the violated constraint if the servers in out may not be out together: they
+// exceed the plan's limits on servers that are out, or too little would stay in use. The last of them is the one to
+// be taken out.
+func (p *Plan) CheckLimits(out []Target, listed []Target) error {
+	if err := p.CheckMaxOut(out); err != nil {
 		return err
 	}
 	last := out[len(out)-1]
-	total, left, stay := 0.0, 0.0, 0
+	totalShare, remainingShare, remainingInZone := 0.0, 0.0, 0
 	for _, t := range listed {
-		total += t.Share
+		totalShare += t.Share
 		if slices.ContainsFunc(out, func(x Target) bool { return x.ID == t.ID }) {
 			continue
 		}
-		if left += t.Share; t.Zone == last.Zone {
-			stay++
+		if remainingShare += t.Share; t.Zone == last.Zone {
+			remainingInZone++
 		}
 	}
 	switch {
-	case total > 0 && left < p.Least*total:
-		return fmt.Errorf("least_capacity = %.2f: %.2f would be left with %s out", p.Least, left/total, last.ID)
-	case stay < p.LeastZone:
-		return fmt.Errorf("least_zone = %d: %d would be left in zone %s with %s out", p.LeastZone, stay, last.Zone, last.ID)
+	case totalShare > 0 && remainingShare < p.MinCapacity*totalShare:
+		return fmt.Errorf("least_capacity = %.2f: %.2f would be left with %s out",
+			p.MinCapacity, remainingShare/totalShare, last.ID)
+	case remainingInZone < p.MinPerZone:
+		return fmt.Errorf("least_zone = %d: %d would be left in zone %s with %s out",
+			p.MinPerZone, remainingInZone, last.Zone, last.ID)
 	}
 	return nil
 }
 
-// TargetOf is a listed server as a plan sees it.
+// TargetOf converts a listed server into a target.
 func TargetOf(s balance.Server) Target { return Target{s.ID, s.Zone, s.Cell, s.Share, s.Since} }
 
-// ListedTargets gives the targets of a list.
+// ListedTargets returns the targets of all servers in the list that are not gone, sorted by id.
 func ListedTargets(servers []balance.Server) (all []Target) {
 	for _, s := range servers {
 		if s.State != balance.Gone {
--- a/fleet/plan/plan_test.go
+++ b/fleet/plan/plan_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-const whole = "format = \"ivybank/fleet/plan/1\"\nid = \"kernel\"\nall = true\nmost_out = 2\nmost_out_zone = 1\nleast_capacity = 0.6\norder = \"zone\"\ndone_by = \"time\"\nwork = \"2s\"\n"
+const validPlan = "format = \"ivybank/fleet/plan/1\"\nid = \"kernel\"\nall = true\nmost_out = 2\nmost_out_zone = 1\n" +
+	"least_capacity = 0.6\norder = \"zone\"\ndone_by = \"time\"\nwork = \"2s\"\n"
 
 func listed() (all []Target) {
 	for i, id := range []string{"s-1", "s-2", "s-3", "s-4"} {
@@ -16,7 +17,7 @@
 }
 
 func TestRead(t *testing.T) {
-	if _, err := Read("p.toml", []byte(whole)); err != nil {
+	if _, err := Read("p.toml", []byte(validPlan)); err != nil {
 		t.Fatal(err)
 	}
 	for change, want := range map[string]string{
@@ -33,39 +34,39 @@
 	} {
 		t.Run(change, func(t *testing.T) {
 			from, to, _ := strings.Cut(change, " -> ")
-			if _, err := Read("p.toml", []byte(strings.Replace(whole, from, to, 1))); err == nil || !strings.Contains(err.Error(), want) {
+			if _, err := Read("p.toml", []byte(strings.Replace(validPlan, from, to, 1))); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("got %v, want %s", err, want)
 			}
 		})
 	}
 }
 
-func TestFeasible(t *testing.T) {
+func TestCheckFeasible(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(p *Plan)
 		want   string
 	}{
-		"as it is":                   {func(*Plan) {}, ""},
-		"a floor above what is left": {func(p *Plan) { p.Least = 0.8 }, "least_capacity = 0.80: 0.75 would be left with s-1 out"},
-		"a floor of a zone":          {func(p *Plan) { p.LeastZone = 2 }, "least_zone = 2: 1 would be left in zone a with s-1 out"},
-		"an unknown server":          {func(p *Plan) { p.All, p.IDs = false, []string{"s-9"} }, "servers: s-9 is not listed"},
-		"an empty zone":              {func(p *Plan) { p.All, p.Zones = false, []string{"z"} }, "servers: none of those listed"},
+		"unchanged":                           {func(*Plan) {}, ""},
+		"a capacity floor above what remains": {func(p *Plan) { p.MinCapacity = 0.8 }, "least_capacity = 0.80: 0.75 would be left with s-1 out"},
+		"a floor for each zone":               {func(p *Plan) { p.MinPerZone = 2 }, "least_zone = 2: 1 would be left in zone a with s-1 out"},
+		"an unknown server":                   {func(p *Plan) { p.All, p.IDs = false, []string{"s-9"} }, "servers: s-9 is not listed"},
+		"an empty zone":                       {func(p *Plan) { p.All, p.Zones = false, []string{"z"} }, "servers: none of those listed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, err := Read("p.toml", []byte(whole))
+			p, err := Read("p.toml", []byte(validPlan))
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.change(p)
-			if err := p.Feasible(listed()); (err == nil) != (c.want == "") || err != nil && err.Error() != c.want {
+			if err := p.CheckFeasible(listed()); (err == nil) != (c.want == "") || err != nil && err.Error() != c.want {
 				t.Errorf("got %v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
-func TestAllows(t *testing.T) {
-	p, err := Read("p.toml", []byte(whole))
+func TestCheckLimits(t *testing.T) {
+	p, err := Read("p.toml", []byte(validPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,8 +74,13 @@
 	for name, c := range map[string]struct {
 		out []Target
 		ok  bool
-	}{"one": {all[:1], true}, "one of each zone, too little left": {all[:2], false}, "two of a zone": {[]Target{all[0], all[2]}, false}, "three": {all[:3], false}} {
-		if err := p.Allows(c.out, all); (err == nil) != c.ok {
+	}{
+		"one":                               {all[:1], true},
+		"one of each zone, too little left": {all[:2], false},
+		"two of a zone":                     {[]Target{all[0], all[2]}, false},
+		"three":                             {all[:3], false},
+	} {
+		if err := p.CheckLimits(c.out, all); (err == nil) != c.ok {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -83,11 +89,11 @@
 func TestOrderAndWindow(t *testing.T) {
 	p := &Plan{IDs: []string{"s-3", "s-1"}, Order: "given", From: "22:00", Until: "06:00"}
 	if got := p.Targets(listed()); len(got) != 2 || got[0].ID != "s-3" {
-		t.Errorf("got %v, want them as given", got)
+		t.Errorf("got %v, want the order of the list", got)
 	}
 	for hour, want := range map[int]bool{21: false, 22: true, 3: true, 6: false, 12: false} {
-		if got := p.Open(time.Date(2026, 1, 2, hour, 0, 0, 0, time.UTC).UnixNano()); got != want {
-			t.Errorf("at %d: open %v", hour, got)
+		if got := p.InWindow(time.Date(2026, 1, 2, hour, 0, 0, 0, time.UTC).UnixNano()); got != want {
+			t.Errorf("at %d: in window: %v", hour, got)
 		}
 	}
 }
--- a/fleet/planexec/coordinator.go
+++ b/fleet/planexec/coordinator.go
@@ -1,8 +1,11 @@
-// Package crew is one member's part in plans by which servers go out for work: the agreed history, what this member reports, and, where it
-// leads, what comes next. It is driven by ticks, letters and a clock handed in, and hands out small typed actions. Free of I/O.
+// Package planexec runs a member's part in maintenance plans: it keeps the agreed state, reports what this member has
+// open at servers that are out of service, and, if this member is the leader, proposes the next steps. It is driven
+// by ticks, messages and a clock that the caller passes in, and returns typed actions for the caller to carry out. It
+// does no I/O.
 //
-// This file owns the order in which its parts are asked, and when there is nothing to do, so that nothing is sent at rest. It must never hold
-// a server out that no plan has out, nor put one back by a time of its own.
+// This file holds the coordinator, which also decides when it is idle, so that no messages are sent while there is
+// nothing to do. It never holds a server out of service that no plan has out, and never returns one to service by a
+// timer of its own.
 package planexec
 
 import (
@@ -21,44 +24,45 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	tickEvery   = 100 * ms
-	idleEvery   = 2 * sec  // between ticks of one that is not in yet and waits for others
-	awake       = 5 * sec  // after the latest letter or call one goes on ticking
-	reportEvery = 100 * ms // of what is open, while anything drains
-	reportFresh = sec      // a report older than this does not count
-	askFor      = 10 * sec // an operator's command is handed on for so long
-	askEvery    = 200 * ms
+	tickInterval         = 100 * ms
+	joinTickInterval     = 2 * sec  // of an idle member that still waits to join the others
+	activePeriod         = 5 * sec  // how long a member ticks on after the latest message or request
+	reportInterval       = 100 * ms // while a plan has servers out of service
+	maxReportAge         = sec      // older reports are ignored
+	requestTimeout       = 10 * sec // how long an operator's command is sent to the leader
+	requestRetryInterval = 200 * ms
 )
 
-// Config is what a member is told. Times are nanoseconds.
+// Config holds a member's settings. Times are in nanoseconds. Self is the member's index in the list of Members
+// members; the first Voters of them vote.
 type Config struct {
 	Self, Members, Voters int
 	Incarnation, Seed     uint64
 	Leader                planstate.LeaderConfig
 }
 
-// View is what the host sees now.
+// View is what the caller observes now. Now is monotonic and in nanoseconds; Wall is in Unix ns.
 type View struct {
 	Now, Wall int64
 	Servers   []planstate.Server
-	Open      map[string]int // dispatches open here, by server
+	Open      map[string]int // dispatches that this process has open, by server
 	Alive     func(member int) bool
-	Service   float64
-	Shedding  bool
+	Service   float64 // recent fraction of the requested worth that was served, from 0 to 1
+	Shedding  bool    // load is being shed because of an overload
 }
 
-// Kind is what an action asks of the host.
+// Kind is the kind of an action.
 type Kind int
 
-// The kinds.
+// The kinds of actions.
 const (
-	Send        Kind = iota // a letter
-	Persist                 // Batch is to be written down, then Written called
-	HeldChanged             // which servers are held has changed
-	Log                     // a line for the log
+	Send        Kind = iota // send Body to the member To
+	Persist                 // store Batch durably, then call Persisted
+	HeldChanged             // apply the changed set of servers that plans have out
+	Log                     // log Text with Fields
 )
 
-// Action is one thing for the host to do.
+// Action is something that the caller has to do.
 type Action struct {
 	Kind   Kind
 	To     int
@@ -68,368 +72,382 @@
 	Fields map[string]any
 }
 
-// kinds of letter
+// The first byte of a message gives its kind.
 const (
-	byQuorum  = 'Q'
-	byReport  = 'P'
-	byCommand = 'C'
+	quorumMessage  = 'Q'
+	reportMessage  = 'P'
+	commandMessage = 'C'
 )
 
-// report is what a member says of itself.
+// report is what a member sends to the leader about itself.
 type report struct {
-	_     struct{} `cbor:",toarray"`
-	Index uint64
-	Open  map[string]int
+	_     struct{}       `cbor:",toarray"`
+	Index uint64         // of the latest command applied
+	Open  map[string]int // open dispatches, by server that is out of service
 }
 
-type heard struct {
+type receivedReport struct {
 	report
 	at int64
 }
 
-// asked is an operator's command that is not agreed on yet.
-type asked struct {
-	c    planstate.Command
-	at   int64
-	sent int64
+// pendingRequest is an operator's command that is not agreed on yet.
+type pendingRequest struct {
+	command    planstate.Command
+	receivedAt int64
+	sentAt     int64
 }
 
-// Coordinator is one member's.
+// Coordinator is a member's state of all maintenance plans.
 type Coordinator struct {
-	t        Config
-	node     *quorum.Node
-	state    *planstate.State
-	lead     *planstate.Lead // nil: another leads
-	term     uint64
-	reports  map[int]heard // by place, where this one leads; emptied with the lead
-	asks     []asked       // emptied as they are agreed on or too old
-	todo     []Action      // emptied by Next
-	tickAt   int64
-	reportAt int64
-	wakeful  int64 // until then it ticks
-	writing  bool
-	leader   int
-	Count    struct{ Letters, Refused int }
+	config      Config
+	node        *quorum.Node
+	state       *planstate.State
+	leader      *planstate.Leader // nil unless this member is the leader
+	term        uint64
+	reports     map[int]receivedReport // by member; kept by the leader for one term
+	requests    []pendingRequest       // removed once agreed on or too old
+	actions     []Action               // drained by Next
+	nextTick    int64
+	nextReport  int64
+	activeUntil int64 // the member keeps ticking until then
+	persisting  bool
+	knownLeader int
+	Counters    struct{ Messages, Rejected int }
 }
 
-// New begins with what was written down.
-func New(t Config, k quorum.PersistentState, now int64) (*Coordinator, error) {
-	n, err := quorum.New(quorum.Config{Index: t.Self, Members: t.Members, Voters: t.Voters, Incarnation: t.Incarnation, Seed: t.Seed}, k)
-	return &Coordinator{t: t, node: n, state: &planstate.State{}, reports: map[int]heard{}, wakeful: now + awake, leader: -1}, err
+// New returns a coordinator that starts from the stored state.
+func New(config Config, stored quorum.PersistentState, now int64) (*Coordinator, error) {
+	node, err := quorum.New(quorum.Config{Index: config.Self, Members: config.Members, Voters: config.Voters,
+		Incarnation: config.Incarnation, Seed: config.Seed}, stored)
+	return &Coordinator{config: config, node: node, state: &planstate.State{}, reports: map[int]receivedReport{},
+		activeUntil: now + activePeriod, knownLeader: -1}, err
 }
 
-// State is what was agreed on, as far as it is known here. It is to be read only.
+// State returns the agreed state as far as this member has applied it. Callers must not modify it.
 func (c *Coordinator) State() *planstate.State { return c.state }
 
-// Leader is the place of the one that leads; -1: nobody is known to. Lost says whether this member's folder was.
-func (c *Coordinator) Leader() (place int, lost bool) { return c.node.Leader(), c.node.LostState() }
+// Leader returns the index of the leading member, or -1 if no leader is known, and whether this member has lost its
+// stored state.
+func (c *Coordinator) Leader() (member int, lost bool) { return c.node.Leader(), c.node.LostState() }
 
-// busy says whether there is anything to do.
+// busy reports whether there is anything to do.
 func (c *Coordinator) busy(now int64) bool {
-	return now < c.wakeful || len(c.asks) > 0 || c.state.Busy()
+	return now < c.activeUntil || len(c.requests) > 0 || c.state.Busy()
 }
 
-// Tick does what is due.
-func (c *Coordinator) Tick(s View) {
-	every := tickEvery
-	if !c.busy(s.Now) {
+// Tick does the work that is due.
+func (c *Coordinator) Tick(view View) {
+	interval := tickInterval
+	if !c.busy(view.Now) {
 		if !c.node.Joining() {
-			return // nothing at rest
+			return // an idle member sends nothing
 		}
-		every = idleEvery
+		interval = joinTickInterval
 	}
-	if s.Now < c.tickAt {
+	if view.Now < c.nextTick {
 		return
 	}
-	c.tickAt = s.Now + every
+	c.nextTick = view.Now + interval
 	c.node.Tick()
-	leads, term := c.node.IsLeader()
-	if leads && c.term != term {
-		c.lead, c.term, c.reports = planstate.NewLead(c.t.Leader, term), term, map[int]heard{}
-	} else if !leads {
-		c.lead, c.term = nil, 0
+	isLeader, term := c.node.IsLeader()
+	if isLeader && c.term != term {
+		c.leader, c.term, c.reports = planstate.NewLeader(c.config.Leader, term), term, map[int]receivedReport{}
+	} else if !isLeader {
+		c.leader, c.term = nil, 0
 	}
-	c.report(s)
-	c.ask(s)
-	if c.lead != nil && c.state.Busy() {
-		for _, x := range c.lead.Next(c.state, c.view(s)) {
-			c.propose(&x)
+	c.sendReport(view)
+	c.sendRequests(view)
+	if c.leader != nil && c.state.Busy() {
+		for _, cmd := range c.leader.Next(c.state, c.leaderView(view)) {
+			c.propose(&cmd)
 		}
 	}
-	if l := c.node.Leader(); l != c.leader {
-		c.leader = l
-		c.tell("plans: who leads", map[string]any{"member": l})
+	if leader := c.node.Leader(); leader != c.knownLeader {
+		c.knownLeader = leader
+		c.log("plans: the leader has changed", map[string]any{"member": leader})
 	}
-	c.carry()
+	c.collectBatch()
 }
 
-// report says what is open here at servers that are out, to the one that leads.
-func (c *Coordinator) report(s View) {
-	if s.Now < c.reportAt || len(c.state.Unavailable()) == 0 {
+// sendReport tells the leader how many dispatches this member has open at servers that are out of service.
+func (c *Coordinator) sendReport(view View) {
+	if view.Now < c.nextReport || len(c.state.Unavailable()) == 0 {
 		return
 	}
-	c.reportAt = s.Now + reportEvery
+	c.nextReport = view.Now + reportInterval
 	r := report{Index: c.state.Index, Open: map[string]int{}}
 	for _, t := range c.state.Unavailable() {
-		if n := s.Open[t.ID]; n > 0 {
+		if n := view.Open[t.ID]; n > 0 {
 			r.Open[t.ID] = n
 		}
 	}
-	if c.lead != nil {
-		c.reports[c.t.Self] = heard{r, s.Now}
-	} else if l := c.node.Leader(); l >= 0 && l != c.t.Self {
-		c.post(l, byReport, r)
+	if c.leader != nil {
+		c.reports[c.config.Self] = receivedReport{r, view.Now}
+	} else if leader := c.node.Leader(); leader >= 0 && leader != c.config.Self {
+		c.send(leader, reportMessage, r)
 	}
 }
 
-// view is what a leader sees.
-func (c *Coordinator) view(s View) planstate.View {
-	v := planstate.View{Now: s.Now, Wall: s.Wall, Servers: s.Servers, Service: s.Service, Cut: s.Shedding}
-	for i := range c.t.Members {
-		r, had := c.reports[i]
-		m := planstate.Member{Place: i, Reached: i == c.t.Self || s.Alive(i)}
-		if had && s.Now-r.at < reportFresh {
-			m.Index, m.Open = r.Index, r.Open
+// leaderView returns what the leader observes, with the members' recent reports.
+func (c *Coordinator) leaderView(view View) planstate.View {
+	v := planstate.View{Now: view.Now, Wall: view.Wall, Servers: view.Servers,
+		Service: view.Service, Shedding: view.Shedding}
+	for i := range c.config.Members {
+		r, received := c.reports[i]
+		m := planstate.Member{ID: i, Reachable: i == c.config.Self || view.Alive(i)}
+		if received && view.Now-r.at < maxReportAge {
+			m.AppliedIndex, m.Open = r.Index, r.Open
 		}
 		v.Members = append(v.Members, m)
 	}
 	return v
 }
 
-// Request takes an operator's command. It is handed to the one that leads until it is agreed on.
-func (c *Coordinator) Request(x planstate.Command, now int64) {
-	c.wakeful = now + awake
-	c.asks = append(c.asks, asked{c: x, at: now})
+// Request accepts an operator's command. It is sent to the leader repeatedly until it is agreed on or times out.
+func (c *Coordinator) Request(cmd planstate.Command, now int64) {
+	c.activeUntil = now + activePeriod
+	c.requests = append(c.requests, pendingRequest{command: cmd, receivedAt: now})
 }
 
-func (c *Coordinator) ask(s View) {
-	c.asks = slices.DeleteFunc(c.asks, func(a asked) bool { return s.Now-a.at > askFor || c.Applied(&a.c) })
-	for i := range c.asks {
-		a := &c.asks[i]
-		if s.Now-a.sent < askEvery {
+// sendRequests proposes the pending requests if this member is the leader. Otherwise it sends them to the leader, or
+// to all voters if no leader is known.
+func (c *Coordinator) sendRequests(view View) {
+	c.requests = slices.DeleteFunc(c.requests, func(r pendingRequest) bool {
+		return view.Now-r.receivedAt > requestTimeout || c.Applied(&r.command)
+	})
+	for i := range c.requests {
+		r := &c.requests[i]
+		if view.Now-r.sentAt < requestRetryInterval {
 			continue
 		}
-		a.sent = s.Now
-		if c.lead != nil {
-			c.propose(&a.c)
+		r.sentAt = view.Now
+		if c.leader != nil {
+			c.propose(&r.command)
 			continue
 		}
-		l := c.node.Leader()
-		for i := range c.t.Members {
-			if i != c.t.Self && (i == l || l < 0 && i < c.t.Voters) {
-				c.post(i, byCommand, &a.c)
+		leader := c.node.Leader()
+		for i := range c.config.Members {
+			if i != c.config.Self && (i == leader || leader < 0 && i < c.config.Voters) {
+				c.send(i, commandMessage, &r.command)
 			}
 		}
 	}
 }
 
-// Applied says whether what an operator asked for is agreed on.
-func (c *Coordinator) Applied(a *planstate.Command) bool {
-	w := c.state.Find(a.Plan)
+// Applied reports whether the state already shows the effect of an operator's command.
+func (c *Coordinator) Applied(cmd *planstate.Command) bool {
+	run := c.state.Find(cmd.Plan)
 	switch {
-	case w == nil:
+	case run == nil:
 		return false
-	case a.Kind == planstate.Submit:
+	case cmd.Kind == planstate.Submit:
 		return true
-	case a.Kind == planstate.Pause:
-		return w.Standing != planstate.Runs
-	case a.Kind == planstate.Resume:
-		return w.Standing != planstate.Paused
-	case a.Kind == planstate.Abandon:
-		return w.Standing >= planstate.Ended
-	case a.Kind == planstate.FinishWork:
-		x := w.Find(a.Server)
-		return x == nil || x.Phase > planstate.Out
+	case cmd.Kind == planstate.Pause:
+		return run.Status != planstate.Running
+	case cmd.Kind == planstate.Resume:
+		return run.Status != planstate.Paused
+	case cmd.Kind == planstate.Abandon:
+		return run.Status >= planstate.Ended
+	case cmd.Kind == planstate.FinishWork:
+		step := run.Find(cmd.Server)
+		return step == nil || step.Phase > planstate.Out
 	}
 	return true
 }
 
-func (c *Coordinator) propose(x *planstate.Command) {
-	if body, err := cbor.Marshal(x); err == nil {
+func (c *Coordinator) propose(cmd *planstate.Command) {
+	if body, err := cbor.Marshal(cmd); err == nil {
 		_ = c.node.Propose(body)
 	}
 }
 
-func (c *Coordinator) post(to int, kind byte, v any) {
+func (c *Coordinator) send(to int, kind byte, v any) {
 	if body, err := cbor.Marshal(v); err == nil {
-		c.todo = append(c.todo, Action{Kind: Send, To: to, Body: append([]byte{kind}, body...)})
+		c.actions = append(c.actions, Action{Kind: Send, To: to, Body: append([]byte{kind}, body...)})
 	}
 }
 
-func (c *Coordinator) tell(text string, fields map[string]any) {
-	c.todo = append(c.todo, Action{Kind: Log, Text: text, Fields: fields})
+func (c *Coordinator) log(text string, fields map[string]any) {
+	c.actions = append(c.actions, Action{Kind: Log, Text: text, Fields: fields})
 }
 
-// Receive takes a letter; one that is not of the form is dropped and counted.
+// Receive handles a message from another member. Malformed messages are dropped and counted.
 func (c *Coordinator) Receive(from int, body []byte, now int64) {
 	if len(body) < 2 {
-		c.Count.Refused++
+		c.Counters.Rejected++
 		return
 	}
-	c.Count.Letters++
+	c.Counters.Messages++
 	switch body[0] {
-	case byQuorum:
+	case quorumMessage:
 		if !quorum.IsIdleMessage(body[1:]) {
-			c.wakeful = max(c.wakeful, now+awake)
+			c.activeUntil = max(c.activeUntil, now+activePeriod)
 		}
 		c.node.Step(from, body[1:])
-	case byReport:
+	case reportMessage:
 		var r report
-		if cbor.Unmarshal(body[1:], &r) == nil && c.lead != nil {
-			c.reports[from] = heard{r, now}
+		if cbor.Unmarshal(body[1:], &r) == nil && c.leader != nil {
+			c.reports[from] = receivedReport{r, now}
 		}
-	case byCommand:
-		var x planstate.Command
-		if cbor.Unmarshal(body[1:], &x) != nil || x.Kind == 0 || x.Kind >= planstate.Take {
-			c.Count.Refused++
+	case commandMessage:
+		var cmd planstate.Command
+		if cbor.Unmarshal(body[1:], &cmd) != nil || cmd.Kind == 0 || cmd.Kind >= planstate.StartDrain {
+			c.Counters.Rejected++
 			return
 		}
-		c.wakeful = now + awake
-		if leads, _ := c.node.IsLeader(); leads && !c.Applied(&x) {
-			c.propose(&x)
+		c.activeUntil = now + activePeriod
+		if isLeader, _ := c.node.IsLeader(); isLeader && !c.Applied(&cmd) {
+			c.propose(&cmd)
 		}
 	default:
-		c.Count.Refused++
+		c.Counters.Rejected++
 	}
-	c.carry()
+	c.collectBatch()
 }
 
-// carry hands out what the quorum wants.
-func (c *Coordinator) carry() {
-	if c.writing {
+// collectBatch hands the next batch of the quorum to the caller, unless one is being stored.
+func (c *Coordinator) collectBatch() {
+	if c.persisting {
 		return
 	}
 	b, ok := c.node.Ready()
 	if !ok {
 		return
 	}
-	c.writing = true
-	c.todo = append(c.todo, Action{Kind: Persist, Batch: b})
+	c.persisting = true
+	c.actions = append(c.actions, Action{Kind: Persist, Batch: b})
 }
 
-// Persisted tells that a batch is written down: only now it is sent and applied.
+// Persisted reports that a batch is stored durably; only now are its messages sent and its entries applied.
 func (c *Coordinator) Persisted(b *quorum.Batch, now int64) {
-	c.writing = false
+	c.persisting = false
 	if b.ID != 0 {
-		c.state = &planstate.State{} // it comes again from the start
+		c.state = &planstate.State{} // the entries are delivered again from the first one
 	}
-	for _, s := range b.Messages {
-		c.todo = append(c.todo, Action{Kind: Send, To: s.To, Body: append([]byte{byQuorum}, s.Body...)})
+	for _, m := range b.Messages {
+		c.actions = append(c.actions, Action{Kind: Send, To: m.To, Body: append([]byte{quorumMessage}, m.Body...)})
 	}
-	held := len(c.state.Unavailable())
-	for _, e := range b.Committed {
-		c.apply(&e, now)
+	unavailable := len(c.state.Unavailable())
+	for _, entry := range b.Committed {
+		c.apply(&entry, now)
 	}
-	if len(b.Committed) > 0 || b.ID != 0 && held > 0 {
-		c.todo = append(c.todo, Action{Kind: HeldChanged})
+	if len(b.Committed) > 0 || b.ID != 0 && unavailable > 0 {
+		c.actions = append(c.actions, Action{Kind: HeldChanged})
 	}
 	c.node.Advance()
-	c.carry()
+	c.collectBatch()
 }
 
-func (c *Coordinator) apply(e *quorum.Entry, now int64) {
-	var x planstate.Command
-	if err := cbor.Unmarshal(e.Data, &x); err != nil {
-		return // of another build: skipped by all of this one alike
+func (c *Coordinator) apply(entry *quorum.Entry, now int64) {
+	var cmd planstate.Command
+	if err := cbor.Unmarshal(entry.Data, &cmd); err != nil {
+		return // written by another build; all members of this build skip it
 	}
-	err := c.state.Apply(e.Index, e.Term, &x)
-	c.wakeful = max(c.wakeful, now+awake)
-	fields := map[string]any{"plan": x.Plan, "index": e.Index}
-	if x.Server != "" {
-		fields["server"] = x.Server
+	err := c.state.Apply(entry.Index, entry.Term, &cmd)
+	c.activeUntil = max(c.activeUntil, now+activePeriod)
+	fields := map[string]any{"plan": cmd.Plan, "index": entry.Index}
+	if cmd.Server != "" {
+		fields["server"] = cmd.Server
 	}
-	if x.Reason != "" {
-		fields["why"] = x.Reason
+	if cmd.Reason != "" {
+		fields["why"] = cmd.Reason
 	}
 	if err != nil {
 		fields["refused"] = err.Error()
 	}
-	c.tell("plans: "+planstate.Word(x.Kind), fields)
+	c.log("plans: "+planstate.Describe(cmd.Kind), fields)
 }
 
-// Next gives the next action; false when there is none.
+// Next returns the next action, or false if there is none.
 func (c *Coordinator) Next() (a Action, ok bool) {
-	if len(c.todo) == 0 {
+	if len(c.actions) == 0 {
 		return a, false
 	}
-	a, c.todo = c.todo[0], c.todo[1:]
+	a, c.actions = c.actions[0], c.actions[1:]
 	return a, true
 }
 
-// TransferLeadership hands the lead on to another that votes and takes part, as this process ends.
+// TransferLeadership hands the leadership over to another voter that is alive. A leader calls it before its process
+// ends.
 func (c *Coordinator) TransferLeadership(alive func(member int) bool) {
-	if leads, _ := c.node.IsLeader(); !leads {
+	if isLeader, _ := c.node.IsLeader(); !isLeader {
 		return
 	}
-	for i := range c.t.Voters {
-		if i != c.t.Self && alive(i) {
+	for i := range c.config.Voters {
+		if i != c.config.Self && alive(i) {
 			c.node.TransferLeadership(i)
 			break
 		}
 	}
-	c.carry()
+	c.collectBatch()
 }
 
-// SubmitCommand makes an operator's command of a plan, checked against what is listed now.
+// SubmitCommand returns the command that submits a plan. It returns an error if the plan is infeasible with the
+// servers listed now.
 func SubmitCommand(p *plan.Plan, listed []plan.Target, wall int64) (planstate.Command, error) {
-	if err := p.Feasible(listed); err != nil {
+	if err := p.CheckFeasible(listed); err != nil {
 		return planstate.Command{}, fmt.Errorf("infeasible: %w", err)
 	}
 	return planstate.Command{Kind: planstate.Submit, Plan: p.ID, At: wall, Definition: p, Targets: p.Targets(listed)}, nil
 }
 
-// ErrUnknownPlan is told of a plan that nobody has handed in.
+// ErrUnknownPlan is returned for a plan that was not submitted.
 var ErrUnknownPlan = errors.New("no such plan")
 
-// Status is a plan as operators see it.
+// Status is the status of a plan as operators see it.
 type Status struct {
 	Plan       string            `json:"plan"`
 	State      string            `json:"standing"`
 	Reason     string            `json:"why,omitempty"`
-	Leader     int               `json:"leader"` // place; -1: nobody is known to lead, and nothing new goes out
+	Leader     int               `json:"leader"` // member; -1: none is known, and no step starts
 	FolderLost bool              `json:"folder_lost,omitempty"`
 	Steps      []StepStatus      `json:"steps"`
 	Events     []planstate.Event `json:"events,omitempty"`
 }
 
-// StepStatus is one server of it.
+// StepStatus is the status of one server of a plan.
 type StepStatus struct {
-	Server     string   `json:"server"`
-	Phase      string   `json:"phase"`
-	At         int64    `json:"at_ms"`
-	Tries      int      `json:"tries,omitempty"`
-	Note       string   `json:"note,omitempty"`
-	WaitingFor []string `json:"waits,omitempty"` // at the one that leads: for whom
+	Server        string   `json:"server"`
+	Phase         string   `json:"phase"`
+	At            int64    `json:"at_ms"`
+	Cancellations int      `json:"tries,omitempty"`
+	Note          string   `json:"note,omitempty"`
+	WaitingFor    []string `json:"waits,omitempty"` // members for which a drain waits; known to the leader only
 }
 
-// Status gives all plans, or one.
-func (c *Coordinator) Status(id string, s View) (all []Status) {
-	members := c.view(s).Members
-	for _, w := range c.state.Works {
-		if id != "" && w.Plan.ID != id {
+// Status returns the status of the plan with the given id, with its events, or of all plans if id is empty.
+func (c *Coordinator) Status(id string, view View) (all []Status) {
+	members := c.leaderView(view).Members
+	for _, run := range c.state.Runs {
+		if id != "" && run.Plan.ID != id {
 			continue
 		}
-		x := Status{Plan: w.Plan.ID, State: w.Standing.String(), Reason: w.Why, Leader: c.node.Leader(), FolderLost: c.node.LostState()}
+		status := Status{Plan: run.Plan.ID, State: run.Status.String(), Reason: run.Reason,
+			Leader: c.node.Leader(), FolderLost: c.node.LostState()}
 		if id != "" {
-			x.Events = w.Events
+			status.Events = run.Events
 		}
-		for _, step := range w.Steps {
-			y := StepStatus{Server: step.ID, Phase: step.Phase.String(), At: step.At / ms, Tries: step.Tries, Note: step.Note}
-			if step.Phase == planstate.Draining && c.lead != nil {
+		for _, step := range run.Steps {
+			stepStatus := StepStatus{Server: step.ID, Phase: step.Phase.String(), At: step.At / ms,
+				Cancellations: step.Cancellations, Note: step.Note}
+			if step.Phase == planstate.Draining && c.leader != nil {
 				for _, m := range members {
 					switch {
-					case !m.Reached:
-						y.WaitingFor = append(y.WaitingFor, fmt.Sprintf("%d is not reached: the grace and the longest client timeout", m.Place))
-					case m.Index < step.Index:
-						y.WaitingFor = append(y.WaitingFor, fmt.Sprintf("%d has not reported", m.Place))
+					case !m.Reachable:
+						stepStatus.WaitingFor = append(stepStatus.WaitingFor,
+							fmt.Sprintf("%d is not reached: the grace and the longest client timeout", m.ID))
+					case m.AppliedIndex < step.Index:
+						stepStatus.WaitingFor = append(stepStatus.WaitingFor, fmt.Sprintf("%d has not reported", m.ID))
 					case m.Open[step.ID] > 0:
-						y.WaitingFor = append(y.WaitingFor, fmt.Sprintf("%d has %d open", m.Place, m.Open[step.ID]))
+						stepStatus.WaitingFor = append(stepStatus.WaitingFor,
+							fmt.Sprintf("%d has %d open", m.ID, m.Open[step.ID]))
 					}
 				}
 			}
-			x.Steps = append(x.Steps, y)
+			status.Steps = append(status.Steps, stepStatus)
 		}
-		all = append(all, x)
+		all = append(all, status)
 	}
 	slices.SortStableFunc(all, func(x, y Status) int { return cmp.Compare(x.Plan, y.Plan) })
 	return all
--- a/fleet/planexec/coordinator_test.go
+++ b/fleet/planexec/coordinator_test.go
@@ -9,39 +9,42 @@
 	"ivybank/fleet/quorum"
 )
 
-// band is some members whose letters arrive, and servers that are worked on as soon as they are out.
-type band struct {
-	members []*Coordinator // nil: dead
-	kept    []quorum.PersistentState
-	now     int64
-	sent    int
-	since   map[string]int64
-	most    int // servers out at once, by any member's word
+// testFleet is a set of members whose messages all arrive. The work at a server is done as soon as the server is out.
+type testFleet struct {
+	members   []*Coordinator // nil: not running
+	stored    []quorum.PersistentState
+	now       int64
+	sent      int
+	startedAt map[string]int64
+	maxOut    int // most servers that were out at once, by the state of any member
 }
 
-func newBand(n int) *band {
-	b := &band{members: make([]*Coordinator, n), kept: make([]quorum.PersistentState, n), now: sec, since: map[string]int64{}}
+func newTestFleet(n int) *testFleet {
+	fleet := &testFleet{members: make([]*Coordinator, n), stored: make([]quorum.PersistentState, n),
+		now: sec, startedAt: map[string]int64{}}
 	for i := range n {
-		b.start(i)
+		fleet.start(i)
 	}
-	return b
+	return fleet
 }
 
-func (b *band) start(i int) {
-	c, err := New(Config{Self: i, Members: len(b.members), Voters: 3, Incarnation: uint64(b.now), Seed: 7, Leader: planstate.LeaderConfig{Grace: sec, MaxClientTimeout: sec, MinService: 0.9, SettleTime: sec}}, b.kept[i], b.now)
+func (fleet *testFleet) start(i int) {
+	c, err := New(Config{Self: i, Members: len(fleet.members), Voters: 3, Incarnation: uint64(fleet.now), Seed: 7,
+		Leader: planstate.LeaderConfig{Grace: sec, MaxClientTimeout: sec, MinService: 0.9, SettleTime: sec}},
+		fleet.stored[i], fleet.now)
 	if err != nil {
 		panic(err)
 	}
-	b.members[i] = c
+	fleet.members[i] = c
 }
 
-func (b *band) sight() View {
-	s := View{Now: b.now, Wall: b.now, Service: 1, Alive: func(i int) bool { return b.members[i] != nil }}
+func (fleet *testFleet) view() View {
+	view := View{Now: fleet.now, Wall: fleet.now, Service: 1, Alive: func(i int) bool { return fleet.members[i] != nil }}
 	for _, t := range targets() {
-		t.Since = b.since[t.ID]
-		s.Servers = append(s.Servers, planstate.Server{Target: t, Listed: true, Healthy: true, Warm: true})
+		t.Since = fleet.startedAt[t.ID]
+		view.Servers = append(view.Servers, planstate.Server{Target: t, Listed: true, Healthy: true, Warm: true})
 	}
-	return s
+	return view
 }
 
 func targets() (all []plan.Target) {
@@ -51,162 +54,166 @@
 	return all
 }
 
-func (b *band) run(d int64) {
-	for end := b.now + d; b.now < end; b.now += 50 * ms {
-		for i, c := range b.members {
+// run lets the given time pass, in ns.
+func (fleet *testFleet) run(d int64) {
+	for end := fleet.now + d; fleet.now < end; fleet.now += 50 * ms {
+		for i, c := range fleet.members {
 			if c == nil {
 				continue
 			}
-			c.Tick(b.sight())
-			b.carry(i)
+			c.Tick(fleet.view())
+			fleet.deliver(i)
 			out := 0
-			for _, w := range c.State().Works {
-				for _, x := range w.Steps {
-					if x.Phase.Unavailable() {
+			for _, run := range c.State().Runs {
+				for _, step := range run.Steps {
+					if step.Phase.Unavailable() {
 						out++
 					}
-					if x.Phase == planstate.Out {
-						b.since[x.ID] = b.now
+					if step.Phase == planstate.Out {
+						fleet.startedAt[step.ID] = fleet.now
 					}
 				}
 			}
-			b.most = max(b.most, out)
+			fleet.maxOut = max(fleet.maxOut, out)
 		}
 	}
 }
 
-func (b *band) carry(i int) {
-	for c := b.members[i]; c != nil; {
+// deliver carries out a member's actions and those of the members that receive its messages.
+func (fleet *testFleet) deliver(i int) {
+	for c := fleet.members[i]; c != nil; {
 		a, ok := c.Next()
 		if !ok {
 			return
 		}
 		switch a.Kind {
 		case Send:
-			b.sent++
-			if to := b.members[a.To]; to != nil {
-				to.Receive(i, a.Body, b.now)
-				b.carry(a.To)
+			fleet.sent++
+			if to := fleet.members[a.To]; to != nil {
+				to.Receive(i, a.Body, fleet.now)
+				fleet.deliver(a.To)
 			}
 		case Persist:
-			b.kept[i].Apply(&a.Batch)
-			c.Persisted(&a.Batch, b.now)
+			fleet.stored[i].Apply(&a.Batch)
+			c.Persisted(&a.Batch, fleet.now)
 		}
 	}
 }
 
-func (b *band) submit(at int) {
-	c, err := SubmitCommand(&plan.Plan{ID: "p", All: true, Most: 1, Order: "zone", DoneBy: "start"}, targets(), b.now)
+func (fleet *testFleet) submit(at int) {
+	c, err := SubmitCommand(&plan.Plan{ID: "p", All: true, MaxOut: 1, Order: "zone", DoneBy: "start"},
+		targets(), fleet.now)
 	if err != nil {
 		panic(err)
 	}
-	b.members[at].Request(c, b.now)
+	fleet.members[at].Request(c, fleet.now)
 }
 
-func (b *band) ended(t *testing.T) {
+func (fleet *testFleet) checkEnded(t *testing.T) {
 	t.Helper()
-	for i, c := range b.members {
+	for i, c := range fleet.members {
 		if c == nil {
 			continue
 		}
-		w := c.State().Find("p")
-		if w == nil || w.Standing != planstate.Ended {
-			t.Fatalf("member %d: %+v", i, w)
+		run := c.State().Find("p")
+		if run == nil || run.Status != planstate.Ended {
+			t.Fatalf("member %d: %+v", i, run)
 		}
 	}
-	if b.most != 1 {
-		t.Errorf("%d out at once", b.most)
+	if fleet.maxOut != 1 {
+		t.Errorf("%d out at once", fleet.maxOut)
 	}
 }
 
-// A plan handed in at one that does not vote is carried through; afterwards nobody sends anything.
-func TestCarriedThrough(t *testing.T) {
-	b := newBand(5)
-	b.run(20 * sec)
-	b.sent = 0
-	b.run(20 * sec)
-	if b.sent > 0 {
-		t.Errorf("%d letters at rest, before any plan", b.sent)
-	}
-	b.submit(4)
-	b.run(30 * sec)
-	b.ended(t)
-	t.Logf("%d letters for 4 steps among 5 members", b.sent)
-	b.run(10 * sec)
-	b.sent = 0
-	b.run(20 * sec)
-	if b.sent > 0 {
-		t.Errorf("%d letters at rest, after the plan", b.sent)
+// A plan that is submitted at a non-voting member completes. No messages are sent before the plan or after it.
+func TestPlanCompletes(t *testing.T) {
+	fleet := newTestFleet(5)
+	fleet.run(20 * sec)
+	fleet.sent = 0
+	fleet.run(20 * sec)
+	if fleet.sent > 0 {
+		t.Errorf("%d messages sent before any plan", fleet.sent)
+	}
+	fleet.submit(4)
+	fleet.run(30 * sec)
+	fleet.checkEnded(t)
+	t.Logf("%d messages for 4 steps among 5 members", fleet.sent)
+	fleet.run(10 * sec)
+	fleet.sent = 0
+	fleet.run(20 * sec)
+	if fleet.sent > 0 {
+		t.Errorf("%d messages sent after the plan", fleet.sent)
 	}
 }
 
-// Whoever leads dies at each of many moments of a plan and comes back with its folder: the plan ends all the same.
-func TestLeaderDies(t *testing.T) {
+// The leader crashes at various moments of a plan and restarts with its stored state; the plan completes nevertheless.
+func TestLeaderCrash(t *testing.T) {
 	for at := int64(0); at < 6*sec; at += 250 * ms {
 		t.Run(fmt.Sprint(at/ms, " ms"), func(t *testing.T) {
-			b := newBand(4)
-			b.run(15 * sec)
-			b.submit(3)
-			b.run(at)
+			fleet := newTestFleet(4)
+			fleet.run(15 * sec)
+			fleet.submit(3)
+			fleet.run(at)
 			leader := -1
-			for i, c := range b.members {
-				if leads, _ := c.node.IsLeader(); leads {
+			for i, c := range fleet.members {
+				if isLeader, _ := c.node.IsLeader(); isLeader {
 					leader = i
 				}
 			}
 			if leader >= 0 {
-				b.members[leader] = nil
-				b.run(5 * sec)
-				b.start(leader)
+				fleet.members[leader] = nil
+				fleet.run(5 * sec)
+				fleet.start(leader)
 			}
-			b.run(60 * sec)
-			b.ended(t)
+			fleet.run(60 * sec)
+			fleet.checkEnded(t)
 		})
 	}
 }
 
-// With most voters dead nothing new goes out and what is out stays out; when they are back the plan goes on.
+// While most voters are down, no step starts and no server returns to service. When they are back, the plan continues.
 func TestNoMajority(t *testing.T) {
-	b := newBand(4)
-	b.run(15 * sec)
-	b.submit(3)
-	for b.members[2].State().Find("p") == nil || len(b.members[2].State().Unavailable()) == 0 {
-		b.run(50 * ms)
-	}
-	b.members[0], b.members[1] = nil, nil
-	before := b.members[2].State().Index
-	b.run(30 * sec)
-	if len(b.members[2].State().Unavailable()) != 1 || b.members[2].State().Index > before+1 {
-		t.Errorf("%v away, %d agreed on since", b.members[2].State().Unavailable(), b.members[2].State().Index-before)
-	}
-	b.start(0)
-	b.start(1)
-	b.run(60 * sec)
-	b.ended(t)
+	fleet := newTestFleet(4)
+	fleet.run(15 * sec)
+	fleet.submit(3)
+	for fleet.members[2].State().Find("p") == nil || len(fleet.members[2].State().Unavailable()) == 0 {
+		fleet.run(50 * ms)
+	}
+	fleet.members[0], fleet.members[1] = nil, nil
+	before := fleet.members[2].State().Index
+	fleet.run(30 * sec)
+	if len(fleet.members[2].State().Unavailable()) != 1 || fleet.members[2].State().Index > before+1 {
+		t.Errorf("%v unavailable, %d commands agreed on since", fleet.members[2].State().Unavailable(),
+			fleet.members[2].State().Index-before)
+	}
+	fleet.start(0)
+	fleet.start(1)
+	fleet.run(60 * sec)
+	fleet.checkEnded(t)
 }
 
-// One that leads and is told to end hands the lead on at once, in less than an election takes.
-func TestLeadHandedOn(t *testing.T) {
-	b := newBand(4)
-	b.run(15 * sec)
-	b.submit(3)
-	b.run(500 * ms)
+// A leader that is shut down hands the leadership over at once, faster than an election takes.
+func TestLeadershipTransfer(t *testing.T) {
+	fleet := newTestFleet(4)
+	fleet.run(15 * sec)
+	fleet.submit(3)
+	fleet.run(500 * ms)
 	leader := -1
-	for i, c := range b.members {
-		if leads, _ := c.node.IsLeader(); leads {
+	for i, c := range fleet.members {
+		if isLeader, _ := c.node.IsLeader(); isLeader {
 			leader = i
 		}
 	}
 	if leader < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("no leader")
 	}
-	b.members[leader].TransferLeadership(b.sight().Alive)
-	b.carry(leader)
-	b.run(300 * ms)
-	b.members[leader] = nil
-	if now, _ := b.members[3].Leader(); now < 0 || now == leader {
-		t.Errorf("%d leads", now)
+	fleet.members[leader].TransferLeadership(fleet.view().Alive)
+	fleet.deliver(leader)
+	fleet.run(300 * ms)
+	fleet.members[leader] = nil
+	if newLeader, _ := fleet.members[3].Leader(); newLeader < 0 || newLeader == leader {
+		t.Errorf("member %d is the leader", newLeader)
 	}
-	b.run(30 * sec)
-	b.ended(t)
+	fleet.run(30 * sec)
+	fleet.checkEnded(t)
 }
--- a/fleet/planstate/explore_test.go
+++ b/fleet/planstate/explore_test.go
@@ -7,28 +7,29 @@
 	"ivybank/fleet/plan"
 )
 
-// The step logic with three members, servers and a limit of one, explored as a graph: every order in which proposals are agreed on or lost,
-// members apply, report, send and finish, a leader is followed by another while its proposals are still on the way, one member crashes and
-// comes back knowing all or nothing, one is cut off, an overload comes and goes. In every state: nobody that is reached has anything open
-// at a server that is at work, and no more servers are out than the plan allows.
+// This file explores the step logic as a state graph, with three members, three servers and a limit of one server
+// out. It covers every order in which proposals are agreed on or lost, members apply commands, report, dispatch and
+// finish, a leader is replaced while its proposals are still in flight, one member crashes and restarts with all or
+// none of its state, one is partitioned, and an overload comes and goes. In every state, no reachable member has a
+// request open at a server on which work is done, and no more servers are out than the plan allows.
 const (
-	members = 3
-	most    = 1
-	terms   = 2 // leaders, one after another
-	open    = 1 // dispatches to servers that go out, at once
+	memberCount = 3
+	maxOut      = 1
+	maxTerms    = 2 // successive leaders
+	maxOpen     = 1 // concurrent dispatches to servers that go out
 )
 
-// world is one state. It is copied by value.
-type world struct {
-	log     string // agreed on, a byte a command: see commands
-	term    uint64
-	way     [2]proposal // on their way, of this leader and of one before; a Kind of 0 is none
-	who     [members]member
-	words   [members]word // what the leader has heard; of this term alone
-	cut     bool
-	toggled int // of the cut
-	crashed bool
-	parted  bool
+// modelState is a node of the state graph. It is copied by value.
+type modelState struct {
+	log             string // agreed commands, 4 bytes each: kind, server, term and index of the step; see replay
+	term            uint64
+	inFlight        [2]proposal // proposals of this leader and of the previous one; kind 0: none
+	members         [memberCount]member
+	reports         [memberCount]report // what the leader has heard in this term
+	overload        bool
+	overloadChanges int // how often the overload began or ended
+	crashed         bool
+	partitioned     bool
 }
 
 type proposal struct {
@@ -39,44 +40,51 @@
 }
 
 type member struct {
-	up, reached bool
-	applied     int
-	behind      int    // back with nothing known, it sends nothing before it has applied so much
-	open        [1]int // by server; the first goes out first, and a log holds no more than that
+	up, reachable bool
+	applied       int
+	// After a restart without state or a partition, the member dispatches nothing until it has applied this many
+	// commands.
+	catchUpTo int
+	// Open dispatches, by server. Only the first server counts: it goes out first, and a log holds no more than its
+	// steps.
+	open [1]int
 }
 
-type word struct {
-	index int
-	open  [1]int
-	said  int // reports that said that nothing was open, for the broken variant
+type report struct {
+	index        int
+	open         [1]int
+	emptyReports int // reports that nothing is open, for the variant countTwice
 }
 
-// variant is what is broken, for the exploration to catch it.
-type variant struct{ noFence, twice bool }
+// variant selects a fault that the exploration has to find.
+type variant struct{ noFencing, countTwice bool }
 
-// agreed gives the state of so much of a log, which is worked out once; it is only read.
-func agreed(log string, v variant) *State {
-	key := fmt.Sprint(v.noFence, log)
-	if s := known[key]; s != nil {
+// stateAfter returns the state after the commands of a log. It is cached and must not be modified.
+func stateAfter(log string, v variant) *State {
+	key := fmt.Sprint(v.noFencing, log)
+	if s := replayed[key]; s != nil {
 		return s
 	}
-	s := work(log, v)
-	known[key] = s
+	s := replay(log, v)
+	replayed[key] = s
 	return s
 }
 
-var known = map[string]*State{}
+var replayed = map[string]*State{}
 
-func work(log string, v variant) *State {
+// replay applies the commands of a log to a state with one submitted plan of three servers.
+func replay(log string, v variant) *State {
 	s := &State{}
-	_ = s.Apply(1, 1, &Command{Kind: Submit, Plan: "p", Definition: &plan.Plan{ID: "p", Most: most, DoneBy: "start"}, Targets: targets(3)})
+	_ = s.Apply(1, 1, &Command{Kind: Submit, Plan: "p",
+		Definition: &plan.Plan{ID: "p", MaxOut: maxOut, DoneBy: "start"}, Targets: targets(3)})
 	for i := 0; i+3 < len(log); i += 4 {
-		c := Command{Kind: Kind(log[i]), Plan: "p", Server: fmt.Sprint("s-", int(log[i+1])+1), Term: uint64(log[i+2]), Index: uint64(log[i+3])}
+		c := Command{Kind: Kind(log[i]), Plan: "p", Server: fmt.Sprint("s-", int(log[i+1])+1),
+			Term: uint64(log[i+2]), Index: uint64(log[i+3])}
 		term := uint64(log[i+2])
-		if term > 100 { // agreed on in a later term than proposed in
+		if term > 100 { // marks a command that was agreed on in the term after the one in which it was proposed
 			c.Term, term = term-100, term-99
 		}
-		if v.noFence {
+		if v.noFencing {
 			c.Term = term
 			c.Index = s.Find("p").Find(c.Server).Index
 		}
@@ -85,115 +93,135 @@
 	return s
 }
 
-func at(w *world, m int, v variant) *State {
-	return agreed(w.log[:min(len(w.log), 4*w.who[m].applied)], v)
+// memberState returns the state that a member has applied.
+func memberState(node *modelState, m int, v variant) *State {
+	return stateAfter(node.log[:min(len(node.log), 4*node.members[m].applied)], v)
 }
 
-func step(s *State, server int) *Step { return s.Find("p").Find(fmt.Sprint("s-", server+1)) }
+func findStep(s *State, server int) *Step { return s.Find("p").Find(fmt.Sprint("s-", server+1)) }
 
-// next gives all states that may follow.
-func (w world) next(v variant) (out []world) {
-	add := func(change func(x *world)) {
-		x := w
+// next returns all states that may follow.
+func (node modelState) next(v variant) (out []modelState) {
+	add := func(change func(x *modelState)) {
+		x := node
 		change(&x)
 		out = append(out, x)
 	}
-	all := agreed(w.log, v)
-	// The leader proposes, by what it has applied and heard; it may be behind what is agreed on.
-	leader := int(w.term-1) % members
-	if l := w.who[leader]; l.up {
-		mine := at(&w, leader, v)
-		view := View{Now: 1, Service: 1, Cut: w.cut}
-		for i, m := range w.who {
-			word := w.words[i]
-			x := Member{Place: i, Reached: m.up && m.reached, Index: uint64(1 + word.index), Open: map[string]int{}}
-			for s, n := range word.open {
+	agreed := stateAfter(node.log, v)
+	// The leader proposes by what it has applied and heard, which may lag behind what is agreed on.
+	leader := int(node.term-1) % memberCount
+	if l := node.members[leader]; l.up {
+		leaderState := memberState(&node, leader, v)
+		view := View{Now: 1, Service: 1, Shedding: node.overload}
+		for i, m := range node.members {
+			received := node.reports[i]
+			x := Member{ID: i, Reachable: m.up && m.reachable,
+				AppliedIndex: uint64(1 + received.index), Open: map[string]int{}}
+			for s, n := range received.open {
 				x.Open[fmt.Sprint("s-", s+1)] = n
 			}
-			if v.twice {
-				said := 0
-				for _, y := range w.words {
-					said += y.said
+			if v.countTwice {
+				emptyReports := 0
+				for _, y := range node.reports {
+					emptyReports += y.emptyReports
 				}
-				if said >= members {
-					x.Index, x.Open = 99, nil
+				if emptyReports >= memberCount {
+					x.AppliedIndex, x.Open = 99, nil
 				}
 			}
 			view.Members = append(view.Members, x)
 		}
 		for i, x := range targets(3) {
-			if all.Find("p").Find(x.ID).Phase == Returning || step(mine, i).Phase == Out {
-				x.Since = 1 // the machine has been worked on as soon as it was out
+			if agreed.Find("p").Find(x.ID).Phase == Returning || findStep(leaderState, i).Phase == Out {
+				x.Since = 1 // the work is done as soon as the server is out
 			}
 			view.Servers = append(view.Servers, Server{Target: x, Listed: true, Healthy: true, Warm: true})
 		}
-		for _, c := range NewLead(LeaderConfig{}, w.term).Next(mine, view) {
+		for _, c := range NewLeader(LeaderConfig{}, node.term).Next(leaderState, view) {
 			var server int
 			_, _ = fmt.Sscanf(c.Server, "s-%d", &server)
-			p := proposal{c.Kind, server - 1, c.Index, w.term}
-			if w.way[0].kind == 0 && (w.way[1] != p) {
-				add(func(x *world) { x.way[0] = p })
+			p := proposal{c.Kind, server - 1, c.Index, node.term}
+			if node.inFlight[0].kind == 0 && (node.inFlight[1] != p) {
+				add(func(x *modelState) { x.inFlight[0] = p })
 			}
 		}
 	}
-	for i, p := range w.way {
+	for i, p := range node.inFlight {
 		if p.kind == 0 {
 			continue
 		}
-		add(func(x *world) { x.way[i] = proposal{} }) // lost
-		add(func(x *world) {                          // agreed on; of a term that is over only where nothing fences
-			x.way[i] = proposal{}
+		add(func(x *modelState) { x.inFlight[i] = proposal{} }) // lost
+		// Agreed on; a proposal of an earlier term takes effect only without fencing.
+		add(func(x *modelState) {
+			x.inFlight[i] = proposal{}
 			term := byte(p.term)
-			if p.term != w.term {
+			if p.term != node.term {
 				term += 100
 			}
-			if log := w.log + string([]byte{byte(p.kind), byte(p.server), term, byte(p.index)}); changes(w.log, log, v) {
+			if log := node.log + string([]byte{byte(p.kind), byte(p.server), term, byte(p.index)}); changes(node.log, log, v) {
 				x.log = log
 			}
 		})
 	}
-	if w.term < terms {
-		add(func(x *world) { x.term++; x.words = [members]word{}; x.way = [2]proposal{{}, w.way[0]} })
+	if node.term < maxTerms {
+		add(func(x *modelState) {
+			x.term++
+			x.reports = [memberCount]report{}
+			x.inFlight = [2]proposal{{}, node.inFlight[0]}
+		})
 	}
-	if w.toggled < 2 {
-		add(func(x *world) { x.cut = !x.cut; x.toggled++ })
+	if node.overloadChanges < 2 {
+		add(func(x *modelState) { x.overload = !x.overload; x.overloadChanges++ })
 	}
 	opened := 0
-	for _, m := range w.who {
+	for _, m := range node.members {
 		opened += m.open[0]
 	}
-	for i, m := range w.who {
+	for i, m := range node.members {
 		if !m.up {
-			add(func(x *world) { x.who[i].up, x.who[i].reached = true, true; x.who[i].applied = len(w.log) / 4 }) // its folder is read first
-			add(func(x *world) { x.who[i] = member{up: true, reached: true, behind: len(w.log) / 4} })            // it knows nothing any more
+			// Restarts with its stored state, or without any.
+			add(func(x *modelState) {
+				x.members[i].up, x.members[i].reachable = true, true
+				x.members[i].applied = len(node.log) / 4
+			})
+			add(func(x *modelState) { x.members[i] = member{up: true, reachable: true, catchUpTo: len(node.log) / 4} })
 			continue
 		}
-		if !w.crashed {
-			add(func(x *world) { x.crashed = true; x.who[i].up = false; x.who[i].open = [1]int{} })
+		if !node.crashed {
+			add(func(x *modelState) { x.crashed = true; x.members[i].up = false; x.members[i].open = [1]int{} })
 		}
-		if m.reached && !w.parted && i != leader {
-			add(func(x *world) { x.parted = true; x.who[i].reached = false; x.who[i].open = [1]int{} }) // its time is over: what was open is not any more
+		if m.reachable && !node.partitioned && i != leader {
+			// The grace and the client timeout have passed, so nothing is open any more.
+			add(func(x *modelState) {
+				x.partitioned = true
+				x.members[i].reachable = false
+				x.members[i].open = [1]int{}
+			})
 		}
-		if !m.reached {
-			add(func(x *world) { x.who[i].reached, x.who[i].behind = true, len(w.log)/4 }) // it hears what was agreed on before it goes on
-			continue                                                                       // the list has told it of the drain, which binds it
+		if !m.reachable {
+			// When reachable again, it catches up before it dispatches. A drain binds it meanwhile, as the host list
+			// announced it.
+			add(func(x *modelState) { x.members[i].reachable, x.members[i].catchUpTo = true, len(node.log)/4 })
+			continue
 		}
-		if 4*m.applied < len(w.log) {
-			add(func(x *world) { x.who[i].applied++ })
+		if 4*m.applied < len(node.log) {
+			add(func(x *modelState) { x.members[i].applied++ })
 		}
 		for s := range m.open {
 			if m.open[s] > 0 {
-				add(func(x *world) { x.who[i].open[s] = 0 })
-			} else if opened < open && !step(at(&w, i, v), s).Phase.Unavailable() && m.applied >= m.behind {
-				add(func(x *world) { x.who[i].open[s] = 1 })
+				add(func(x *modelState) { x.members[i].open[s] = 0 })
+			} else if opened < maxOpen && !findStep(memberState(&node, i, v), s).Phase.Unavailable() &&
+				m.applied >= m.catchUpTo {
+				add(func(x *modelState) { x.members[i].open[s] = 1 })
 			}
 		}
-		said := w.words[i]
-		if said.index != m.applied || said.open != m.open || v.twice && said.said < members {
-			add(func(x *world) {
-				x.words[i] = word{index: m.applied, open: m.open}
-				if v.twice && m.open == [1]int{} {
-					x.words[i].said = said.said + 1
+		lastReport := node.reports[i]
+		if lastReport.index != m.applied || lastReport.open != m.open ||
+			v.countTwice && lastReport.emptyReports < memberCount {
+			add(func(x *modelState) {
+				x.reports[i] = report{index: m.applied, open: m.open}
+				if v.countTwice && m.open == [1]int{} {
+					x.reports[i].emptyReports = lastReport.emptyReports + 1
 				}
 			})
 		}
@@ -201,53 +229,55 @@
 	return out
 }
 
-// changes says whether a command changed anything: one that was refused leaves no trace, as its place says nothing.
+// changes reports whether the last command of a log changed the state. Rejected commands are left out of the log, as
+// they do not matter.
 func changes(before, after string, v variant) bool {
-	x, y := agreed(before, v), agreed(after, v)
-	for i := range x.Works[0].Steps {
-		if x.Works[0].Steps[i].Phase != y.Works[0].Steps[i].Phase {
+	x, y := stateAfter(before, v), stateAfter(after, v)
+	for i := range x.Runs[0].Steps {
+		if x.Runs[0].Steps[i].Phase != y.Runs[0].Steps[i].Phase {
 			return true
 		}
 	}
-	return x.Works[0].Standing != y.Works[0].Standing
+	return x.Runs[0].Status != y.Runs[0].Status
 }
 
-// wrong says what no state may be like.
-func (w world) wrong(v variant) string {
-	s := agreed(w.log, v)
-	if n := len(s.Unavailable()); n > most {
+// violation returns which invariant the state violates; empty: none.
+func (node modelState) violation(v variant) string {
+	s := stateAfter(node.log, v)
+	if n := len(s.Unavailable()); n > maxOut {
 		return fmt.Sprintf("%d servers are out", n)
 	}
 	for i := range 1 {
-		if step(s, i).Phase != Out {
+		if findStep(s, i).Phase != Out {
 			continue
 		}
-		for m, x := range w.who {
-			if x.up && x.reached && x.open[i] > 0 {
-				return fmt.Sprintf("member %d has something open at s-%d, which is at work", m, i+1)
+		for m, x := range node.members {
+			if x.up && x.reachable && x.open[i] > 0 {
+				return fmt.Sprintf("member %d has requests open at s-%d, on which work is done", m, i+1)
 			}
 		}
 	}
 	return ""
 }
 
-// explore walks the graph from a state and gives the first wrong one, how many there are, and whether that is all of them.
-func explore(first world, v variant, limit int) (wrong string, states int, whole bool) {
+// explore walks the graph breadth-first from a state. It returns the first violation, the number of states visited,
+// and whether the graph was explored completely.
+func explore(first modelState, v variant, limit int) (problem string, states int, complete bool) {
 	first.term = 1
-	for i := range first.who {
-		first.who[i] = member{up: true, reached: true}
+	for i := range first.members {
+		first.members[i] = member{up: true, reachable: true}
 	}
-	seen := map[world]bool{first: true}
-	queue := []world{first}
+	seen := map[modelState]bool{first: true}
+	queue := []modelState{first}
 	for len(queue) > 0 {
-		w := queue[0]
+		node := queue[0]
 		queue = queue[1:]
-		for _, x := range w.next(v) {
-			if len(x.log) > 4*4 || seen[x] { // one server through all its phases, or one that is undone and begins again
+		for _, x := range node.next(v) {
+			if len(x.log) > 4*4 || seen[x] { // enough for one server's phases, or for a cancelled drain and a new one
 				continue
 			}
-			if what := x.wrong(v); what != "" {
-				return what, len(seen), false
+			if problem := x.violation(v); problem != "" {
+				return problem, len(seen), false
 			}
 			if seen[x] = true; len(seen) >= limit {
 				return "", len(seen), false
@@ -258,29 +288,32 @@
 	return "", len(seen), true
 }
 
-func TestExplored(t *testing.T) {
-	// What may still happen; each alone, so that the graph is walked whole.
-	crash := world{parted: true, toggled: 2}
-	part := world{crashed: true, toggled: 2}
-	cut := world{crashed: true, parted: true}
-	for name, first := range map[string]world{"a crash": crash, "a partition": part, "an overload": cut} {
+func TestExploration(t *testing.T) {
+	// Each fault is explored alone, so that the graph is small enough to be explored completely.
+	crash := modelState{partitioned: true, overloadChanges: 2}
+	partition := modelState{crashed: true, overloadChanges: 2}
+	overload := modelState{crashed: true, partitioned: true}
+	for name, first := range map[string]modelState{"a crash": crash, "a partition": partition, "an overload": overload} {
 		t.Run(name, func(t *testing.T) {
-			wrong, states, whole := explore(first, variant{}, 400_000)
-			t.Logf("%d states, all of them: %v", states, whole)
-			if wrong != "" {
-				t.Errorf("after %d states: %s", states, wrong)
+			problem, states, complete := explore(first, variant{}, 400_000)
+			t.Logf("%d states, explored completely: %v", states, complete)
+			if problem != "" {
+				t.Errorf("after %d states: %s", states, problem)
 			}
 		})
 	}
 	for name, c := range map[string]struct {
 		variant
-		first world
-	}{"no fencing": {variant{noFence: true}, cut}, "a member counted twice": {variant{twice: true}, world{crashed: true, parted: true, toggled: 2}}} {
+		first modelState
+	}{
+		"no fencing":             {variant{noFencing: true}, overload},
+		"a member counted twice": {variant{countTwice: true}, modelState{crashed: true, partitioned: true, overloadChanges: 2}},
+	} {
 		t.Run(name, func(t *testing.T) {
-			wrong, states, _ := explore(c.first, c.variant, 1_000_000)
-			t.Logf("%d states until: %s", states, wrong)
-			if wrong == "" {
-				t.Errorf("it is not caught in %d states", states)
+			problem, states, _ := explore(c.first, c.variant, 1_000_000)
+			t.Logf("%d states until: %s", states, problem)
+			if problem == "" {
+				t.Errorf("the fault was not found in %d states", states)
 			}
 		})
 	}
--- a/fleet/planstate/leader.go
+++ b/fleet/planstate/leader.go
@@ -1,7 +1,8 @@
 package planstate
 
-// This file owns what a leader proposes next, by the agreed state and by what it sees now. It must never count a member's word twice, take
-// an old word for a new one, or let a time that has run stand for capacity that has come back.
+// This file holds the leader's scheduler: what the leader proposes next, judged by the agreed state and by what it
+// observes now. It counts each member's report once, never takes a report from before a drain as one about that
+// drain, and never takes elapsed time as a sign that capacity has come back.
 
 import (
 	"fmt"
@@ -12,120 +13,125 @@
 
 const sec = int64(1e9)
 
-// LeaderConfig is what a leader goes by. Times are nanoseconds.
+// LeaderConfig holds the leader's settings. Times are in nanoseconds.
 type LeaderConfig struct {
-	Grace            int64   // a drain binds a member so long after it was told
-	MaxClientTimeout int64   // the longest client timeout: after it nothing that was open still is
-	MinService       float64 // part of the worth that has to be served before more goes out
-	SettleTime       int64   // for so long
+	Grace            int64   // how long after hearing of a drain a member may take to comply
+	MaxClientTimeout int64   // the longest client timeout, after which no request that was open before is still open
+	MinService       float64 // fraction of the requested worth that is served before another server may go out
+	SettleTime       int64   // how long service has to be that good
 }
 
-// Member is one other as the leader sees it.
+// Member is a member of the fleet as the leader sees it.
 type Member struct {
-	Place   int
-	Reached bool           // it takes part and its word is fresh
-	Index   uint64         // up to which it has applied what was agreed on
-	Open    map[string]int // dispatches that it has open, by server that is out
+	ID           int            // index in the configured list of members
+	Reachable    bool           // the member takes part and was heard from recently
+	AppliedIndex uint64         // of the latest command that the member reports to have applied
+	Open         map[string]int // dispatches that the member has open, by server that is out of service
 }
 
-// Server is one as the leader sees it now.
+// Server is a server as the leader sees it now.
 type Server struct {
 	plan.Target
 	Listed      bool // as ready
-	Healthy     bool // not ejected, nor silent
+	Healthy     bool // neither ejected nor silent
 	Warm        bool // past its ramp
-	ManuallyOut bool // out by hand
+	ManuallyOut bool // an operator has taken it out by hand
 }
 
-// View is what a leader sees. Now is monotonic; Wall is Unix ns.
+// View is what the leader observes. Now is monotonic and in nanoseconds; Wall is in Unix ns.
 type View struct {
 	Now, Wall int64
-	Members   []Member // all that are configured, itself among them
-	Servers   []Server // by id
-	Service   float64  // of late, 0 to 1
-	Cut       bool     // a cut against an overload is in force
+	Members   []Member // all configured members, the leader included
+	Servers   []Server // sorted by id
+	Service   float64  // recent fraction of the requested worth that was served, from 0 to 1
+	Shedding  bool     // load is being shed because of an overload
 }
 
-// Lead is a leader's own memory, of one term. Waits begin anew with each leader, which is late rather than early.
-type Lead struct {
-	t     LeaderConfig
-	term  uint64
-	since map[string]int64 // by plan and server: when this leader saw the step come to its phase; emptied with the term
-	index map[string]uint64
-	well  int64 // since when service is as it should be; 0: it is not
+// Leader is the state that a leader keeps for one term. Each new leader starts its waits anew, which makes a step
+// late rather than early.
+type Leader struct {
+	config       LeaderConfig
+	term         uint64
+	phaseSince   map[string]int64  // by plan and server: when this leader saw the step enter its phase
+	phaseIndex   map[string]uint64 // by plan and server: the index of the step at that time
+	healthySince int64             // when service became good enough; 0: it is not
 }
 
-// NewLead begins a term.
-func NewLead(t LeaderConfig, term uint64) *Lead {
-	return &Lead{t: t, term: term, since: map[string]int64{}, index: map[string]uint64{}}
+// NewLeader returns the state of a leader whose term begins.
+func NewLeader(config LeaderConfig, term uint64) *Leader {
+	return &Leader{config: config, term: term, phaseSince: map[string]int64{}, phaseIndex: map[string]uint64{}}
 }
 
-// Next gives what to propose now, one thing for each step that may move, and one beginning at the most.
-func (l *Lead) Next(s *State, v View) (out []Command) {
-	if v.Service < l.t.MinService || v.Cut {
-		l.well = 0
-	} else if l.well == 0 {
-		l.well = v.Now
+// Next returns the commands to propose now: one for each step that may move on, and at most one that starts a step.
+func (l *Leader) Next(s *State, v View) (out []Command) {
+	if v.Service < l.config.MinService || v.Shedding {
+		l.healthySince = 0
+	} else if l.healthySince == 0 {
+		l.healthySince = v.Now
 	}
-	propose := func(k Kind, w *Work, x *Step, why string) {
-		c := Command{Kind: k, Plan: w.Plan.ID, Term: l.term, At: v.Wall, Reason: why}
-		if x != nil {
-			c.Server, c.Index = x.ID, x.Index
+	propose := func(k Kind, run *PlanRun, step *Step, reason string) {
+		cmd := Command{Kind: k, Plan: run.Plan.ID, Term: l.term, At: v.Wall, Reason: reason}
+		if step != nil {
+			cmd.Server, cmd.Index = step.ID, step.Index
 		}
-		out = append(out, c)
+		out = append(out, cmd)
 	}
-	begun := false
-	for _, w := range s.Works {
-		for i := range w.Steps {
-			x := &w.Steps[i]
-			if !x.Phase.Unavailable() {
+	started := false
+	for _, run := range s.Runs {
+		for i := range run.Steps {
+			step := &run.Steps[i]
+			if !step.Phase.Unavailable() {
 				continue
 			}
-			passed := l.passed(w, x, v.Now)
-			switch x.Phase {
+			timeInPhase := l.timeInPhase(run, step, v.Now)
+			switch step.Phase {
 			case Draining:
-				if why := l.undoes(s, w, x, &v); why != "" {
-					propose(Undo, w, x, why)
-				} else if l.clear(x, passed, &v) {
-					propose(Clear, w, x, "")
+				if reason := l.cancelReason(s, run, step, &v); reason != "" {
+					propose(CancelDrain, run, step, reason)
+				} else if l.drained(step, timeInPhase, &v) {
+					propose(ConfirmDrained, run, step, "")
 				}
 			case Out:
-				if why, done := l.worked(w, x, passed, &v); done {
-					propose(Return, w, x, why)
+				if reason, done := l.workDone(run, step, timeInPhase, &v); done {
+					propose(StartReturn, run, step, reason)
 				}
 			case Returning:
-				if y, ok := v.server(x.ID); ok && y.Listed && y.Healthy && y.Warm && l.settled(v.Now) {
-					propose(Close, w, x, "")
-				} else if note := late(w, x, passed, ok && y.Listed); note != x.Note {
-					propose(Tell, w, x, note)
+				if server, ok := v.server(step.ID); ok && server.Listed && server.Healthy && server.Warm &&
+					l.settled(v.Now) {
+					propose(Complete, run, step, "")
+				} else if note := overdueNote(run, step, timeInPhase, ok && server.Listed); note != step.Note {
+					propose(SetNote, run, step, note)
 				}
 			}
 		}
-		if w.Standing != Runs {
+		if run.Status != Running {
 			continue
 		}
-		if err := l.possible(w, &v); err != nil {
-			propose(Pause, w, nil, "infeasible: "+err.Error())
+		if err := l.checkFeasible(run, &v); err != nil {
+			propose(Pause, run, nil, "infeasible: "+err.Error())
 			continue
 		}
-		if x := l.ready(s, w, &v); x != nil && !begun {
-			begun = true
-			propose(Take, w, x, "")
+		if step := l.nextStep(s, run, &v); step != nil && !started {
+			started = true
+			propose(StartDrain, run, step, "")
 		}
 	}
 	return out
 }
 
-// passed is how long this leader has seen a step in its phase.
-func (l *Lead) passed(w *Work, x *Step, now int64) int64 {
-	key := w.Plan.ID + "\x00" + x.ID
-	if l.index[key] != x.Index {
-		l.index[key], l.since[key] = x.Index, now
+// timeInPhase returns how long this leader has seen a step in its phase, in ns.
+func (l *Leader) timeInPhase(run *PlanRun, step *Step, now int64) int64 {
+	key := run.Plan.ID + "\x00" + step.ID
+	if l.phaseIndex[key] != step.Index {
+		l.phaseIndex[key], l.phaseSince[key] = step.Index, now
 	}
-	return now - l.since[key]
+	return now - l.phaseSince[key]
 }
 
-func (l *Lead) settled(now int64) bool { return l.well > 0 && now-l.well >= l.t.SettleTime }
+// settled reports whether service has been good enough for the settle time.
+func (l *Leader) settled(now int64) bool {
+	return l.healthySince > 0 && now-l.healthySince >= l.config.SettleTime
+}
 
 func (v *View) server(id string) (Server, bool) {
 	i := slices.IndexFunc(v.Servers, func(s Server) bool { return s.ID == id })
@@ -135,44 +141,47 @@
 	return v.Servers[i], true
 }
 
-// clear says whether nothing is open at a draining server: each member that is reached has said so since it applied the drain, and those
-// that are not have had the grace and the longest client timeout, which bound what they may still have there.
-func (l *Lead) clear(x *Step, passed int64, v *View) bool {
+// drained reports whether no request is open at a draining server: each reachable member has reported so since it
+// applied the drain, and for the others the grace and the longest client timeout have passed, after which they can
+// have nothing open there.
+func (l *Leader) drained(step *Step, timeInPhase int64, v *View) bool {
 	for _, m := range v.Members {
-		if m.Reached {
-			if m.Index < x.Index || m.Open[x.ID] > 0 {
+		if m.Reachable {
+			if m.AppliedIndex < step.Index || m.Open[step.ID] > 0 {
 				return false
 			}
-		} else if passed < l.t.Grace+l.t.MaxClientTimeout {
+		} else if timeInPhase < l.config.Grace+l.config.MaxClientTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// undoes says why a step that has not come to its work goes back: other faults come first.
-func (l *Lead) undoes(s *State, w *Work, x *Step, v *View) string {
-	if w.Standing == Abandoned {
+// cancelReason returns why a draining server goes back into service before its work begins: other faults take
+// precedence over plans. It returns an empty string if the drain goes on.
+func (l *Leader) cancelReason(s *State, run *PlanRun, step *Step, v *View) string {
+	if run.Status == Abandoned {
 		return "the plan was abandoned"
 	}
-	if v.Cut {
+	if v.Shedding {
 		return "an overload is met with a cut"
 	}
-	if err := w.Plan.Allows(v.away(s, x.Target), v.listed()); err != nil {
+	if err := run.Plan.CheckLimits(v.unavailable(s, step.Target), v.listed()); err != nil {
 		return err.Error()
 	}
 	return ""
 }
 
-// away are all that are out now, whatever for, the one in question last.
-func (v *View) away(s *State, last plan.Target) (out []plan.Target) {
+// unavailable returns all servers that are out now for any reason, with the given one last.
+func (v *View) unavailable(s *State, last plan.Target) (out []plan.Target) {
 	planned := s.Unavailable()
-	for _, y := range v.Servers {
-		if y.ID != last.ID && (!y.Listed || !y.Healthy || y.ManuallyOut || slices.ContainsFunc(planned, func(t plan.Target) bool { return t.ID == y.ID })) {
-			out = append(out, y.Target)
+	for _, server := range v.Servers {
+		if server.ID != last.ID && (!server.Listed || !server.Healthy || server.ManuallyOut ||
+			slices.ContainsFunc(planned, func(t plan.Target) bool { return t.ID == server.ID })) {
+			out = append(out, server.Target)
 		}
 	}
-	for _, t := range planned { // what has left the list is out all the same
+	for _, t := range planned { // servers that a plan has out and that have left the list are out as well
 		if _, listed := v.server(t.ID); !listed && t.ID != last.ID {
 			out = append(out, t)
 		}
@@ -181,63 +190,66 @@
 }
 
 func (v *View) listed() (all []plan.Target) {
-	for _, y := range v.Servers {
-		all = append(all, y.Target)
+	for _, server := range v.Servers {
+		all = append(all, server.Target)
 	}
 	return all
 }
 
-// worked says whether a server's work is over, by who is to say so.
-func (l *Lead) worked(w *Work, x *Step, passed int64, v *View) (why string, done bool) {
-	switch w.Plan.DoneBy {
+// workDone reports whether the work at a server is over, by the plan's criterion, and why.
+func (l *Leader) workDone(run *PlanRun, step *Step, timeInPhase int64, v *View) (reason string, done bool) {
+	switch run.Plan.DoneBy {
 	case "time":
-		return "its time is over", passed >= int64(w.Plan.Work)
+		return "its time is over", timeInPhase >= int64(run.Plan.WorkTime)
 	case "start":
-		y, ok := v.server(x.ID)
-		return "the list shows a new start", ok && y.Listed && y.Since > x.Since
+		server, ok := v.server(step.ID)
+		return "the list shows a new start", ok && server.Listed && server.Since > step.Since
 	}
-	return "", false // a call at a door
+	return "", false // an operator's call reports it
 }
 
-// possible says why the rest of a plan can no longer be done by what is listed.
-func (l *Lead) possible(w *Work, v *View) error {
+// checkFeasible returns an error if the rest of a plan can no longer be done with the servers that are listed.
+func (l *Leader) checkFeasible(run *PlanRun, v *View) error {
 	listed := v.listed()
-	for _, x := range w.Steps {
-		if x.Phase != Waiting {
+	for _, step := range run.Steps {
+		if step.Phase != Waiting {
 			continue
 		}
-		if _, ok := v.server(x.ID); !ok {
-			return fmt.Errorf("servers: %s is no longer listed", x.ID)
+		if _, ok := v.server(step.ID); !ok {
+			return fmt.Errorf("servers: %s is no longer listed", step.ID)
 		}
-		if err := w.Plan.Allows([]plan.Target{x.Target}, listed); err != nil {
+		if err := run.Plan.CheckLimits([]plan.Target{step.Target}, listed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ready is the next step that may begin; nil where none may: the window is closed, service has not come back, or too much is out already.
-func (l *Lead) ready(s *State, w *Work, v *View) *Step {
-	if !w.Plan.Open(v.Wall) || v.Cut || !l.settled(v.Now) {
+// nextStep returns the next step that may start. It returns nil if the plan's window is closed, service has not
+// recovered, or too many servers are out already.
+func (l *Leader) nextStep(s *State, run *PlanRun, v *View) *Step {
+	if !run.Plan.InWindow(v.Wall) || v.Shedding || !l.settled(v.Now) {
 		return nil
 	}
-	for i := range w.Steps {
-		x := &w.Steps[i]
-		if x.Phase != Waiting {
+	for i := range run.Steps {
+		step := &run.Steps[i]
+		if step.Phase != Waiting {
 			continue
 		}
-		y, ok := v.server(x.ID)
-		if ok && y.Listed && !y.ManuallyOut && w.Plan.Allows(v.away(s, x.Target), v.listed()) == nil {
-			return x
+		server, ok := v.server(step.ID)
+		if ok && server.Listed && !server.ManuallyOut &&
+			run.Plan.CheckLimits(v.unavailable(s, step.Target), v.listed()) == nil {
+			return step
 		}
 	}
 	return nil
 }
 
-// late is what is told of a server that does not come back.
-func late(w *Work, x *Step, passed int64, listed bool) string {
-	if passed < 10*sec+2*int64(w.Plan.Work) {
-		return x.Note
+// overdueNote returns the note of a step whose server is returning. Once that has taken longer than 10 s plus twice
+// the plan's work time, the note says why the server is not in service yet; until then it stays as it is.
+func overdueNote(run *PlanRun, step *Step, timeInPhase int64, listed bool) string {
+	if timeInPhase < 10*sec+2*int64(run.Plan.WorkTime) {
+		return step.Note
 	}
 	if !listed {
 		return "its work is over and it is not listed as ready"
--- a/fleet/planstate/state.go
+++ b/fleet/planstate/state.go
@@ -1,8 +1,9 @@
-// Package order is the history by which servers go out for work, as all members see it the same: commands that were agreed on, applied one
-// after another, and what a leader proposes next by what it sees. Free of I/O and of consensus: package quorum agrees on the commands.
+// Package planstate is the replicated state machine of maintenance plans: the commands that all members agreed on,
+// applied one after another, and the scheduler by which the leader proposes the next ones. It does no I/O and no
+// consensus: package quorum agrees on the commands.
 //
-// This file owns the agreed state and what a command does to it. It must never let a step begin that a plan's limits forbid, nor take
-// a command of a leader whose term is over.
+// This file holds the agreed state and what each command does to it. No step starts if a plan's limits forbid it, and
+// no command of a leader whose term is over is applied.
 package planstate
 
 import (
@@ -13,309 +14,316 @@
 	"ivybank/fleet/plan"
 )
 
-// Phase is where a step stands.
+// Phase is the phase of a step.
 type Phase uint8
 
-// The phases. A server counts as out from Draining until it is Done.
+// The phases of a step, in order. A server counts as out of service from Draining until it is Done.
 const (
 	Waiting   Phase = iota
-	Draining        // all members are told to send it nothing new
-	Out             // nobody has anything open there: the work may begin
-	Returning       // the work is done: it comes back, cold, and is warmed
+	Draining        // all members are told to send the server no new requests
+	Out             // no member has a request open at the server: the work may begin
+	Returning       // the work is done: the server starts cold and is warmed up
 	Done
-	Dropped // the plan was abandoned before its turn, or it has gone for good
+	Dropped // the plan was abandoned before the work at the server began
 )
 
 func (p Phase) String() string {
 	return [...]string{"waits", "drains", "out", "back", "done", "dropped"}[min(p, Dropped)]
 }
 
-// Unavailable says whether a server counts as out.
+// Unavailable reports whether a server in this phase counts as out of service.
 func (p Phase) Unavailable() bool { return p == Draining || p == Out || p == Returning }
 
-// Step is one server of a plan.
+// Step is the part of a plan that concerns one server.
 type Step struct {
 	plan.Target
-	Phase Phase
-	Index uint64 // of the command that brought it there
-	Term  uint64
-	At    int64  // Unix ns by the clock of who proposed it: for people
-	Tries int    // times that it was undone
-	Note  string // what has to be told of it
+	Phase         Phase
+	Index         uint64 // of the command that set the phase
+	Term          uint64
+	At            int64  // Unix ns by the proposer's clock; for display only
+	Cancellations int    // drains that were cancelled
+	Note          string // what an operator should know about the step
 }
 
-// Standing is where a plan stands.
-type Standing uint8
+// PlanStatus is the status of a plan.
+type PlanStatus uint8
 
-// The standings.
+// The statuses of a plan.
 const (
-	Runs Standing = iota
+	Running PlanStatus = iota
 	Paused
 	Ended
 	Abandoned
 )
 
-func (s Standing) String() string {
+func (s PlanStatus) String() string {
 	return [...]string{"runs", "paused", "ended", "abandoned"}[min(s, Abandoned)]
 }
 
-// Work is a plan and what it has come to.
-type Work struct {
-	Plan     plan.Plan
-	Standing Standing
-	Why      string // it is paused
-	Steps    []Step
-	Events   []Event // the latest, mostEvents of them
+// PlanRun is a submitted plan and its progress.
+type PlanRun struct {
+	Plan   plan.Plan
+	Status PlanStatus
+	Reason string // why the plan was paused or abandoned
+	Steps  []Step
+	Events []Event // the latest ones, at most maxEvents
 }
 
-// Event is one thing that has happened to a plan.
+// Event is an entry of a plan's history. It is sent to operators as JSON under the names of its fields.
 type Event struct {
-	Index uint64
-	At    int64
-	What  string
-	About string // a server
+	Index  uint64
+	At     int64 // Unix ns by the proposer's clock
+	What   string
+	Server string `json:"About"` // empty if the event concerns the whole plan
 }
 
 const (
-	mostEvents = 400 // of a plan
-	mostWorks  = 32  // plans that are remembered; the oldest that has ended goes first
+	maxEvents = 400 // kept for each plan
+	maxPlans  = 32  // kept in the state; beyond that the oldest plans that are over are removed
 )
 
-// State is what all members agree on.
+// State is the state that all members agree on.
 type State struct {
 	Index uint64 // of the latest command applied
-	Works []*Work
+	Runs  []*PlanRun
 }
 
-// Kind is what a command does.
+// Kind is the kind of a command.
 type Kind uint8
 
-// The kinds. Those of operators may come by way of any member; those from Take on are a leader's alone, and are void in another term.
+// The kinds of commands. Operators' commands, which come before StartDrain, are accepted by any member. StartDrain
+// and those after it are proposed by a leader only, and are void in another term.
 const (
-	Submit     Kind = iota + 1
-	Pause           // also a leader's, where a plan can no longer be done
-	Resume          //
-	Abandon         // nothing new goes out; what is out comes back
-	FinishWork      // an operator says that the work at a server is done
-	Take            // a server drains
-	Undo            // it does not go out after all: other faults come first
-	Clear           // nobody has anything open there
-	Return          // its work is over
-	Close           // it is warm and serves: the step is done
-	Tell            // something to be told of a step
+	Submit         Kind = iota + 1
+	Pause               // starts no new steps; a leader also proposes it if the plan has become infeasible
+	Resume              // continues a paused plan
+	Abandon             // starts no new steps; servers that are out return
+	FinishWork          // an operator reports that the work at a server is done
+	StartDrain          // the server starts to drain
+	CancelDrain         // the server stays in service after all, because of other faults
+	ConfirmDrained      // no member has a request open at the server
+	StartReturn         // the work at the server is over
+	Complete            // the server is warm and in service: the step is done
+	SetNote             // sets the note of a step
 )
 
-// Command is one thing to be agreed on.
+// Command is a command that the members agree on. The cbor tags keep the encoded names of its fields.
 type Command struct {
 	Kind       Kind
 	Plan       string
 	Server     string
-	Index      uint64 // of the step when it was proposed: one that has moved on since is left alone
-	Term       uint64 // of the leader that proposes it
-	At         int64
+	Index      uint64     // of the step when proposed; the command is rejected if the step has moved on
+	Term       uint64     // of the leader that proposes the command
+	At         int64      // Unix ns by the proposer's clock
 	Reason     string     `cbor:"Why"`
 	Definition *plan.Plan `cbor:"Body"`
 	Targets    []plan.Target
 }
 
-// leaders says whether only a leader may propose it.
-func (c *Command) leaders() bool { return c.Kind >= Take }
+// leaderOnly reports whether only a leader may propose the command.
+func (cmd *Command) leaderOnly() bool { return cmd.Kind >= StartDrain }
 
-// Find finds a plan by its id; nil where there is none.
-func (s *State) Find(id string) *Work {
-	i := slices.IndexFunc(s.Works, func(w *Work) bool { return w.Plan.ID == id })
+// Find returns the plan with the given id, or nil.
+func (s *State) Find(id string) *PlanRun {
+	i := slices.IndexFunc(s.Runs, func(run *PlanRun) bool { return run.Plan.ID == id })
 	if i < 0 {
 		return nil
 	}
-	return s.Works[i]
+	return s.Runs[i]
 }
 
-// Find finds the step of a server; nil where there is none.
-func (w *Work) Find(server string) *Step {
-	i := slices.IndexFunc(w.Steps, func(x Step) bool { return x.ID == server })
+// Find returns the step of a server, or nil.
+func (run *PlanRun) Find(server string) *Step {
+	i := slices.IndexFunc(run.Steps, func(step Step) bool { return step.ID == server })
 	if i < 0 {
 		return nil
 	}
-	return &w.Steps[i]
+	return &run.Steps[i]
 }
 
-// Unavailable are all servers that count as out, by all plans.
+// Unavailable returns the servers that count as out of service, across all plans.
 func (s *State) Unavailable() (all []plan.Target) {
-	for _, w := range s.Works {
-		for _, x := range w.Steps {
-			if x.Phase.Unavailable() {
-				all = append(all, x.Target)
+	for _, run := range s.Runs {
+		for _, step := range run.Steps {
+			if step.Phase.Unavailable() {
+				all = append(all, step.Target)
 			}
 		}
 	}
 	return all
 }
 
-// Phase is where a server stands by all plans: Waits where none has it out.
-func (s *State) Phase(server string) (p Phase, x *Step) {
-	for _, w := range s.Works {
-		if x := w.Find(server); x != nil && x.Phase.Unavailable() {
-			return x.Phase, x
+// Phase returns the phase and the step of a server that a plan has out of service, or Waiting and nil if no plan has.
+func (s *State) Phase(server string) (p Phase, step *Step) {
+	for _, run := range s.Runs {
+		if step := run.Find(server); step != nil && step.Phase.Unavailable() {
+			return step.Phase, step
 		}
 	}
 	return Waiting, nil
 }
 
-// Busy says whether anything is to be done or is out.
+// Busy reports whether any plan is running or has a server out of service.
 func (s *State) Busy() bool {
-	return slices.ContainsFunc(s.Works, func(w *Work) bool {
-		return w.Standing == Runs || slices.ContainsFunc(w.Steps, func(x Step) bool { return x.Phase.Unavailable() })
+	return slices.ContainsFunc(s.Runs, func(run *PlanRun) bool {
+		return run.Status == Running ||
+			slices.ContainsFunc(run.Steps, func(step Step) bool { return step.Phase.Unavailable() })
 	})
 }
 
-// Apply takes a command that was agreed on, in the term in which it was. It says what came of it; a command that no longer fits changes
-// nothing. The same commands give the same state at all members.
-func (s *State) Apply(index, term uint64, c *Command) error {
+// Apply applies the command that was agreed on at index in term. If the command no longer fits the state, Apply
+// returns an error that says why and changes nothing else. The same commands give the same state at all members.
+func (s *State) Apply(index, term uint64, cmd *Command) error {
 	s.Index = index
-	if c.leaders() && c.Term != term {
-		return fmt.Errorf("of term %d, agreed on in %d: its leader is no more", c.Term, term)
+	if cmd.leaderOnly() && cmd.Term != term {
+		return fmt.Errorf("of term %d, agreed on in %d: its leader is no more", cmd.Term, term)
 	}
-	w := s.Find(c.Plan)
-	if c.Kind == Submit {
-		return s.submit(index, w, c)
+	run := s.Find(cmd.Plan)
+	if cmd.Kind == Submit {
+		return s.submit(index, run, cmd)
 	}
-	if w == nil {
-		return fmt.Errorf("no plan %q", c.Plan)
+	if run == nil {
+		return fmt.Errorf("no plan %q", cmd.Plan)
 	}
-	switch c.Kind {
+	switch cmd.Kind {
 	case Pause:
-		if w.Standing != Runs {
-			return fmt.Errorf("plan %s %s", c.Plan, w.Standing)
+		if run.Status != Running {
+			return fmt.Errorf("plan %s %s", cmd.Plan, run.Status)
 		}
-		w.Standing, w.Why = Paused, c.Reason
+		run.Status, run.Reason = Paused, cmd.Reason
 	case Resume:
-		if w.Standing != Paused {
-			return fmt.Errorf("plan %s %s", c.Plan, w.Standing)
+		if run.Status != Paused {
+			return fmt.Errorf("plan %s %s", cmd.Plan, run.Status)
 		}
-		w.Standing, w.Why = Runs, ""
+		run.Status, run.Reason = Running, ""
 	case Abandon:
-		if w.Standing >= Ended {
-			return fmt.Errorf("plan %s %s", c.Plan, w.Standing)
+		if run.Status >= Ended {
+			return fmt.Errorf("plan %s %s", cmd.Plan, run.Status)
 		}
-		w.Standing, w.Why = Abandoned, c.Reason
-		for i := range w.Steps {
-			if w.Steps[i].Phase == Waiting {
-				w.Steps[i].Phase = Dropped
+		run.Status, run.Reason = Abandoned, cmd.Reason
+		for i := range run.Steps {
+			if run.Steps[i].Phase == Waiting {
+				run.Steps[i].Phase = Dropped
 			}
 		}
 	default:
-		return s.step(index, w, c)
+		return s.moveStep(index, run, cmd)
 	}
-	w.note(index, c, "")
+	run.recordEvent(index, cmd, "")
 	return nil
 }
 
-func (s *State) submit(index uint64, had *Work, c *Command) error {
-	if had != nil {
-		return nil // handed in twice: it is the one that there is
+func (s *State) submit(index uint64, existing *PlanRun, cmd *Command) error {
+	if existing != nil {
+		return nil // submitting a plan again has no effect
 	}
-	if c.Definition == nil || c.Definition.ID != c.Plan || len(c.Targets) == 0 {
-		return fmt.Errorf("plan %q is not whole", c.Plan)
+	if cmd.Definition == nil || cmd.Definition.ID != cmd.Plan || len(cmd.Targets) == 0 {
+		return fmt.Errorf("plan %q is not whole", cmd.Plan)
 	}
-	w := &Work{Plan: *c.Definition}
-	for _, t := range c.Targets {
-		w.Steps = append(w.Steps, Step{Target: t, Index: index})
+	run := &PlanRun{Plan: *cmd.Definition}
+	for _, t := range cmd.Targets {
+		run.Steps = append(run.Steps, Step{Target: t, Index: index})
 	}
-	s.Works = append(s.Works, w)
-	w.note(index, c, "")
-	for i := 0; len(s.Works) > mostWorks && i < len(s.Works); i++ {
-		if s.Works[i].Standing >= Ended && len(s.Works[i].away()) == 0 {
-			s.Works = slices.Delete(s.Works, i, i+1)
+	s.Runs = append(s.Runs, run)
+	run.recordEvent(index, cmd, "")
+	for i := 0; len(s.Runs) > maxPlans && i < len(s.Runs); i++ {
+		if s.Runs[i].Status >= Ended && len(s.Runs[i].unavailable()) == 0 {
+			s.Runs = slices.Delete(s.Runs, i, i+1)
 			i--
 		}
 	}
 	return nil
 }
 
-func (w *Work) away() (all []plan.Target) {
-	for _, x := range w.Steps {
-		if x.Phase.Unavailable() {
-			all = append(all, x.Target)
+func (run *PlanRun) unavailable() (all []plan.Target) {
+	for _, step := range run.Steps {
+		if step.Phase.Unavailable() {
+			all = append(all, step.Target)
 		}
 	}
 	return all
 }
 
-// moves is what each command makes of a step, and from where.
-var moves = map[Kind]struct{ from, to Phase }{
-	Take: {Waiting, Draining}, Undo: {Draining, Waiting}, Clear: {Draining, Out}, Return: {Out, Returning}, FinishWork: {Out, Returning}, Close: {Returning, Done},
+// transitions gives the phase in which a command expects a step and the phase to which it moves it.
+var transitions = map[Kind]struct{ from, to Phase }{
+	StartDrain: {Waiting, Draining}, CancelDrain: {Draining, Waiting}, ConfirmDrained: {Draining, Out},
+	StartReturn: {Out, Returning}, FinishWork: {Out, Returning}, Complete: {Returning, Done},
 }
 
-// step moves a step. A beginning is held against the limits of all plans that have something out, by what is agreed on alone.
-func (s *State) step(index uint64, w *Work, c *Command) error {
-	x := w.Find(c.Server)
-	if x == nil {
-		return fmt.Errorf("plan %s has no server %q", c.Plan, c.Server)
+// moveStep moves a step to its next phase. A step starts only within the limits of all plans that have servers out,
+// judged by the agreed state alone.
+func (s *State) moveStep(index uint64, run *PlanRun, cmd *Command) error {
+	step := run.Find(cmd.Server)
+	if step == nil {
+		return fmt.Errorf("plan %s has no server %q", cmd.Plan, cmd.Server)
 	}
-	if c.Kind == Tell {
-		x.Note = c.Reason
-		w.note(index, c, c.Reason)
+	if cmd.Kind == SetNote {
+		step.Note = cmd.Reason
+		run.recordEvent(index, cmd, cmd.Reason)
 		return nil
 	}
-	m, known := moves[c.Kind]
+	transition, known := transitions[cmd.Kind]
 	switch {
 	case !known:
-		return fmt.Errorf("no command %d", c.Kind)
-	case x.Phase != m.from || c.leaders() && c.Index != x.Index:
-		return fmt.Errorf("%s %s, since %d", c.Server, x.Phase, x.Index)
-	case c.Kind == Take:
-		if err := s.limits(w, x); err != nil {
+		return fmt.Errorf("no command %d", cmd.Kind)
+	case step.Phase != transition.from || cmd.leaderOnly() && cmd.Index != step.Index:
+		return fmt.Errorf("%s %s, since %d", cmd.Server, step.Phase, step.Index)
+	case cmd.Kind == StartDrain:
+		if err := s.checkStart(run, step); err != nil {
 			return err
 		}
-	case c.Kind == Undo:
-		x.Tries++
-		if w.Standing == Abandoned {
-			m.to = Dropped
+	case cmd.Kind == CancelDrain:
+		step.Cancellations++
+		if run.Status == Abandoned {
+			transition.to = Dropped
 		}
 	}
-	x.Phase, x.Index, x.Term, x.At, x.Note = m.to, index, c.Term, c.At, ""
-	w.note(index, c, c.Reason)
-	if w.Standing == Runs && !slices.ContainsFunc(w.Steps, func(x Step) bool { return x.Phase < Done }) {
-		w.Standing = Ended
-		w.note(index, &Command{At: c.At}, "ended")
+	step.Phase, step.Index, step.Term, step.At, step.Note = transition.to, index, cmd.Term, cmd.At, ""
+	run.recordEvent(index, cmd, cmd.Reason)
+	if run.Status == Running && !slices.ContainsFunc(run.Steps, func(step Step) bool { return step.Phase < Done }) {
+		run.Status = Ended
+		run.recordEvent(index, &Command{At: cmd.At}, "ended")
 	}
 	return nil
 }
 
-// limits says why a step may not begin now: its plan does not run, another plan has the server out, or too many would be out by its own
-// plan's bounds or by those of any other that has something out. What is listed now is for who proposes.
-func (s *State) limits(w *Work, x *Step) error {
-	if w.Standing != Runs {
-		return fmt.Errorf("plan %s %s", w.Plan.ID, w.Standing)
+// checkStart returns an error if a step may not start now: its plan is not running, another plan has the server out,
+// or too many servers would be out by the limits of its own plan or of any other plan that has servers out. The
+// current list of servers is checked by the leader that proposes the command, not here.
+func (s *State) checkStart(run *PlanRun, step *Step) error {
+	if run.Status != Running {
+		return fmt.Errorf("plan %s %s", run.Plan.ID, run.Status)
 	}
-	if p, _ := s.Phase(x.ID); p != Waiting {
-		return fmt.Errorf("%s %s by another plan", x.ID, p)
+	if phase, _ := s.Phase(step.ID); phase != Waiting {
+		return fmt.Errorf("%s %s by another plan", step.ID, phase)
 	}
-	out := append(s.Unavailable(), x.Target)
-	for _, v := range s.Works {
-		if v != w && len(v.away()) == 0 {
+	out := append(s.Unavailable(), step.Target)
+	for _, other := range s.Runs {
+		if other != run && len(other.unavailable()) == 0 {
 			continue
 		}
-		if err := v.Plan.Within(out); err != nil {
-			return fmt.Errorf("plan %s: %w", v.Plan.ID, err)
+		if err := other.Plan.CheckMaxOut(out); err != nil {
+			return fmt.Errorf("plan %s: %w", other.Plan.ID, err)
 		}
 	}
 	return nil
 }
 
-var words = map[Kind]string{Submit: "submitted", Pause: "paused", Resume: "resumed", Abandon: "abandoned", FinishWork: "said to be done", Take: "drains", Undo: "undone",
-	Clear: "out", Return: "back", Close: "done", Tell: "told"}
+var kindTexts = map[Kind]string{Submit: "submitted", Pause: "paused", Resume: "resumed", Abandon: "abandoned",
+	FinishWork: "said to be done", StartDrain: "drains", CancelDrain: "undone",
+	ConfirmDrained: "out", StartReturn: "back", Complete: "done", SetNote: "told"}
 
-func (w *Work) note(index uint64, c *Command, more string) {
-	what := cmp.Or(words[c.Kind], more)
-	if c.Reason != "" {
-		what += ": " + c.Reason
+// recordEvent adds a command to the plan's history; text is used if the command's kind has no text.
+func (run *PlanRun) recordEvent(index uint64, cmd *Command, text string) {
+	what := cmp.Or(kindTexts[cmd.Kind], text)
+	if cmd.Reason != "" {
+		what += ": " + cmd.Reason
 	}
-	w.Events = append(w.Events, Event{index, c.At, what, c.Server})
-	if len(w.Events) > mostEvents {
-		w.Events = w.Events[len(w.Events)-mostEvents:]
+	run.Events = append(run.Events, Event{index, cmd.At, what, cmd.Server})
+	if len(run.Events) > maxEvents {
+		run.Events = run.Events[len(run.Events)-maxEvents:]
 	}
 }
 
-// Word is what a command does, for people.
-func Word(k Kind) string { return words[k] }
+// Describe returns the text by which logs and events tell what a command does.
+func Describe(k Kind) string { return kindTexts[k] }
