--- a/cmd/ivybank/lab.go
+++ b/cmd/ivybank/lab.go
@@ -95,7 +95,7 @@
 	if len(files) == 0 {
 		return nil
 	}
-	at := map[string]charter.Place{}
+	at := map[string]charter.Position{}
 	for _, f := range files {
 		if had, ok := at[f.Namespace]; ok {
 			return fmt.Errorf("%s: namespace: %s is that of %s", f.At, f.Namespace, had)
@@ -103,7 +103,7 @@
 		at[f.Namespace] = f.At
 	}
 	c := charter.Merge(files, now, nil)
-	c.Tell(w, now)
+	c.WriteReport(w, now)
 	if n := len(c.Refused()); n > 0 {
 		return fmt.Errorf("the charter is refused: %d conflicts", n)
 	}
--- a/fleet/charter/charter_test.go
+++ b/fleet/charter/charter_test.go
@@ -228,7 +228,7 @@
 	}
 	c := Merge(files, now, nil)
 	var told strings.Builder
-	c.Tell(&told, now)
+	c.WriteReport(&told, now)
 	if len(c.Refused()) != 0 {
 		t.Errorf("got %v", c.Conflicts)
 	}
--- a/fleet/charter/conflict.go
+++ b/fleet/charter/conflict.go
@@ -67,7 +67,7 @@
 type Conflict struct {
 	Class   Class
 	Refused bool // else it is a warning
-	A, B    Place
+	A, B    Position
 	Witness Witness
 	What    string
 }
@@ -85,7 +85,7 @@
 	return slices.DeleteFunc(slices.Clone(c.Conflicts), func(x Conflict) bool { return !x.Refused })
 }
 
-func (c *Charter) find(class Class, refused bool, a, b Place, w Witness, format string, more ...any) {
+func (c *Charter) find(class Class, refused bool, a, b Position, w Witness, format string, more ...any) {
 	c.Conflicts = append(c.Conflicts, Conflict{class, refused, a, b, w, fmt.Sprintf(format, more...)})
 }
 
@@ -217,7 +217,7 @@
 				}
 				if ok && (r.set.Has(s) && !s.empty() || r.set == Set{}.not()) {
 					ok = false
-					c.find(FrozenPlan, true, r.At, Place{"plan " + p.Plan, 0}, Witness{At: at, Name: name},
+					c.find(FrozenPlan, true, r.At, Position{"plan " + p.Plan, 0}, Witness{At: at, Name: name},
 						"rule %s forbids work at %s %s, plan %s runs there", r.name(), d, name, p.Plan)
 				}
 			}
--- a/fleet/charter/file.go
+++ b/fleet/charter/file.go
@@ -43,13 +43,13 @@
 
 var fields = [dims]string{"tenants", "rulesets", "zones", "cells", "kinds", "windows"}
 
-// Place is where in which file something stands.
-type Place struct {
+// Position is where in which file something stands.
+type Position struct {
 	File string
 	Line int
 }
 
-func (p Place) String() string { return p.File + ":" + strconv.Itoa(p.Line) }
+func (p Position) String() string { return p.File + ":" + strconv.Itoa(p.Line) }
 
 // Names are names of all kinds as files list them.
 type Names struct {
@@ -76,7 +76,7 @@
 	Days  []string `toml:"days"` // those on which it opens, as "mon"; empty: all
 	From  string   `toml:"from"` // as "22:00"
 	Until string   `toml:"until"`
-	At    Place    `toml:"-"`
+	At    Position `toml:"-"`
 	week  []part
 }
 
@@ -92,7 +92,7 @@
 	Window string    `toml:"window"`
 	Since  time.Time `toml:"since"`
 	Until  time.Time `toml:"until"`
-	At     Place     `toml:"-"`
+	At     Position  `toml:"-"`
 }
 
 // Grant lets another namespace name what this one owns.
@@ -103,7 +103,7 @@
 	Windows []string  `toml:"windows"`
 	Until   time.Time `toml:"until"`
 	Revoked time.Time `toml:"revoked"`
-	At      Place     `toml:"-"`
+	At      Position  `toml:"-"`
 }
 
 // Delegate lets another namespace be a child of this one.
@@ -111,14 +111,14 @@
 	To      string    `toml:"to"`
 	Until   time.Time `toml:"until"`
 	Revoked time.Time `toml:"revoked"`
-	At      Place     `toml:"-"`
+	At      Position  `toml:"-"`
 }
 
 // Claim is one name that a namespace owns.
 type Claim struct {
 	Dim  Dim
 	Name string
-	At   Place
+	At   Position
 }
 
 // File is a namespace as its team writes it.
@@ -133,7 +133,7 @@
 	Grants    []Grant    `toml:"grant"`
 	Delegates []Delegate `toml:"delegate"`
 	Claims    []Claim    `toml:"-"`
-	At        Place      `toml:"-"`
+	At        Position   `toml:"-"`
 }
 
 // Read reads and checks one. A fault is told with file, line and field.
@@ -143,10 +143,10 @@
 	if err != nil {
 		return nil, err
 	}
-	at := func(field string) Place {
+	at := func(field string) Position {
 		var fault *conf.FieldError
 		errors.As(f.FieldErrorf(field, ""), &fault)
-		return Place{path, fault.Line}
+		return Position{path, fault.Line}
 	}
 	x.At = at("namespace")
 	for d, names := range x.Listed.lists() {
--- a/fleet/charter/history.go
+++ b/fleet/charter/history.go
@@ -187,27 +187,27 @@
 }
 
 func (s *State) stale(c *Command, format string, a ...any) error {
-	at := Place{fmt.Sprintf("edition %d", s.Newest()), 0}
+	at := Position{fmt.Sprintf("edition %d", s.Newest()), 0}
 	w := Witness{At: c.At, Amount: float64(c.Base), Against: float64(s.Newest())}
-	return &Refusal{[]Conflict{{StaleBase, true, at, Place{fmt.Sprintf("edition %d", c.Base), 0}, w,
+	return &Refusal{[]Conflict{{StaleBase, true, at, Position{fmt.Sprintf("edition %d", c.Base), 0}, w,
 		fmt.Sprintf(format, a...)}}}
 }
 
 // three merges one namespace's file by what it consists of: was is the base, mine what is proposed, now what
 // is in force; nil: none. Where both changed the same and not alike it gives the places of both.
-func three(was, mine, now *File) (*File, [][2]Place) {
+func three(was, mine, now *File) (*File, [][2]Position) {
 	switch {
 	case same(was, now), same(mine, now):
 		return mine, nil
 	case same(was, mine):
 		return now, nil
 	case was == nil || mine == nil || now == nil:
-		return now, [][2]Place{{mine.place(), now.place()}}
+		return now, [][2]Position{{mine.place(), now.place()}}
 	}
-	out, all := *now, [][2]Place(nil)
+	out, all := *now, [][2]Position(nil)
 	if head := [2]string{mine.Team, mine.Parent}; head != [2]string{was.Team, was.Parent} {
 		if theirs := [2]string{now.Team, now.Parent}; theirs != [2]string{was.Team, was.Parent} && theirs != head {
-			all = append(all, [2]Place{mine.At, now.At})
+			all = append(all, [2]Position{mine.At, now.At})
 		}
 		out.Team, out.Parent, out.At = mine.Team, mine.Parent, mine.At
 	}
@@ -229,9 +229,9 @@
 		sameItems(x.Grants, y.Grants) && sameItems(x.Delegates, y.Delegates)
 }
 
-func (f *File) place() Place {
+func (f *File) place() Position {
 	if f == nil {
-		return Place{"gone", 0}
+		return Position{"gone", 0}
 	}
 	return f.At
 }
@@ -239,25 +239,25 @@
 // item is what a file consists of.
 type item interface {
 	key() string
-	place() Place
+	place() Position
 	bare() any // without its place
 }
 
-func (c Claim) key() string     { return c.Dim.String() + " " + c.Name }
-func (w Window) key() string    { return w.Name }
-func (r Rule) key() string      { return r.ID }
-func (g Grant) key() string     { return g.ID }
-func (d Delegate) key() string  { return d.To }
-func (c Claim) place() Place    { return c.At }
-func (w Window) place() Place   { return w.At }
-func (r Rule) place() Place     { return r.At }
-func (g Grant) place() Place    { return g.At }
-func (d Delegate) place() Place { return d.At }
-func (c Claim) bare() any       { c.At = Place{}; return c }
-func (w Window) bare() any      { w.At = Place{}; return w }
-func (r Rule) bare() any        { r.At = Place{}; return r }
-func (g Grant) bare() any       { g.At = Place{}; return g }
-func (d Delegate) bare() any    { d.At = Place{}; return d }
+func (c Claim) key() string        { return c.Dim.String() + " " + c.Name }
+func (w Window) key() string       { return w.Name }
+func (r Rule) key() string         { return r.ID }
+func (g Grant) key() string        { return g.ID }
+func (d Delegate) key() string     { return d.To }
+func (c Claim) place() Position    { return c.At }
+func (w Window) place() Position   { return w.At }
+func (r Rule) place() Position     { return r.At }
+func (g Grant) place() Position    { return g.At }
+func (d Delegate) place() Position { return d.At }
+func (c Claim) bare() any          { c.At = Position{}; return c }
+func (w Window) bare() any         { w.At = Position{}; return w }
+func (r Rule) bare() any           { r.At = Position{}; return r }
+func (g Grant) bare() any          { g.At = Position{}; return g }
+func (d Delegate) bare() any       { d.At = Position{}; return d }
 
 func byKey[T item](list []T) map[string]*T {
 	m := make(map[string]*T, len(list))
@@ -280,13 +280,13 @@
 }
 
 // items merges what files list, by key, in the order of keys.
-func items[T item](was, mine, now []T, collide *[][2]Place) (all []T) {
+func items[T item](was, mine, now []T, collide *[][2]Position) (all []T) {
 	w, m, n := byKey(was), byKey(mine), byKey(now)
 	keys := maps.Clone(m)
 	maps.Copy(keys, n)
-	where := func(x *T) Place {
+	where := func(x *T) Position {
 		if x == nil {
-			return Place{"gone", 0}
+			return Position{"gone", 0}
 		}
 		return (*x).place()
 	}
@@ -296,7 +296,7 @@
 		case alike(w[k], n[k]):
 			take = m[k]
 		case !alike(w[k], m[k]) && !alike(m[k], n[k]):
-			*collide = append(*collide, [2]Place{where(m[k]), where(n[k])})
+			*collide = append(*collide, [2]Position{where(m[k]), where(n[k])})
 		}
 		if take != nil {
 			all = append(all, *take)
--- a/fleet/charter/judge_test.go
+++ b/fleet/charter/judge_test.go
@@ -28,7 +28,7 @@
 func world(t *rapid.T) []*File {
 	names := []string{"r", "a", "b", "c"}[:rapid.IntRange(1, 4).Draw(t, "namespaces")]
 	line := 0
-	at := func(n string) Place { line++; return Place{n, line} }
+	at := func(n string) Position { line++; return Position{n, line} }
 	// Small numbers are drawn more often than others, so that what is to be rare hangs on one in the middle.
 	odd := func(what string) bool { return rapid.IntRange(0, 40).Draw(t, what) == 29 }
 	day := func(what string) time.Time {
@@ -637,7 +637,7 @@
 }
 
 // sum is what is guaranteed within a limit at a moment.
-func (j *judge) sum(laws []*law, l *law, at int64) (sum float64, places []Place) {
+func (j *judge) sum(laws []*law, l *law, at int64) (sum float64, places []Position) {
 	for _, g := range laws {
 		if g.Kind == "guarantee" && g.Unit == l.Unit && g.open[at] && j.within(g, l) {
 			sum += g.Number
@@ -664,7 +664,7 @@
 // holdsBy checks a conflict by its witness alone.
 func (j *judge) holdsBy(c Conflict, laws []*law, plans []Running) bool {
 	w := c.Witness
-	by := func(p Place) *law {
+	by := func(p Position) *law {
 		i := slices.IndexFunc(laws, func(x *law) bool { return x.At == p })
 		if i < 0 {
 			return nil
@@ -743,7 +743,7 @@
 			if f.Rules[0].Number > 0 {
 				f.Rules[0].Number = rapid.SampledFrom([]float64{0, 1, 4}).Draw(t, "new") / 4
 			}
-			if f.Rules = append(f.Rules, Rule{ID: "new", Kind: "value", At: Place{f.Namespace,
+			if f.Rules = append(f.Rules, Rule{ID: "new", Kind: "value", At: Position{f.Namespace,
 				999}}); rapid.Bool().Draw(t, "out") {
 				f.Rules = f.Rules[1:]
 			}
--- a/fleet/charter/merge.go
+++ b/fleet/charter/merge.go
@@ -28,7 +28,7 @@
 	depth  int
 	stands bool          // it hangs from the root by delegations
 	end    int64         // of the delegations above
-	ender  Place         // the delegation that ends first
+	ender  Position      // the delegation that ends first
 	holds  [dims][]int32 // sorted; nil: all
 	own    [dims]bool    // it claims some itself
 }
@@ -88,10 +88,10 @@
 	span  span // cut by the ends of what it stands on
 	set   Set  // places named, or, of only and never, those allowed
 	sound bool
-	ender Place // where what it stands on ends
-	bound int   // the slot that it is about, -1: none
-	kind  int   // its place in ruleKinds
-	unit  int   // its place in units
+	ender Position // where what it stands on ends
+	bound int      // the slot that it is about, -1: none
+	kind  int      // its place in ruleKinds
+	unit  int      // its place in units
 }
 
 // Charter is one edition, all files together.
@@ -123,7 +123,7 @@
 // stand is what something rests on, and until when.
 type stand struct {
 	end int64
-	at  Place
+	at  Position
 }
 
 func unixOr(t time.Time, other int64) int64 {
@@ -189,7 +189,7 @@
 	next.Conflicts, next.now, next.fresh = nil, now, map[*rule]bool{}
 	next.nodes, next.at = slices.Clone(c.nodes), maps.Clone(c.at)
 	next.rules = make([]*rule, 0, len(c.rules))
-	warned := map[Place]bool{}
+	warned := map[Position]bool{}
 	for _, x := range c.Conflicts {
 		warned[x.A], warned[x.B] = true, true
 	}
@@ -399,7 +399,7 @@
 	}
 }
 
-func (n *node) claim(d Dim, name string) Place {
+func (n *node) claim(d Dim, name string) Position {
 	i := slices.IndexFunc(n.Claims, func(x Claim) bool { return x.Dim == d && x.Name == name })
 	return n.Claims[i].At
 }
@@ -561,7 +561,7 @@
 }
 
 // owner is where a name is claimed by the deepest of those who claim it.
-func (c *Charter) owner(d Dim, name string) Place {
+func (c *Charter) owner(d Dim, name string) Position {
 	if d == Hours {
 		return c.windows[name].At
 	}
--- a/fleet/charter/picture.go
+++ b/fleet/charter/picture.go
@@ -268,7 +268,7 @@
 // Loss is a rule that says something of a value and does not count.
 type Loss struct {
 	Rule string
-	At   Place
+	At   Position
 	Why  string
 }
 
@@ -467,8 +467,8 @@
 	return "outside its window " + x.Window
 }
 
-// Tell writes conflicts and effective values for people.
-func (c *Charter) Tell(w io.Writer, at int64) {
+// WriteReport writes conflicts and effective values for people.
+func (c *Charter) WriteReport(w io.Writer, at int64) {
 	for _, x := range c.Conflicts {
 		fmt.Fprintln(w, x)
 	}
