--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -113,7 +113,7 @@
 func TestFleetOfTwo(t *testing.T) {
 	r := rehearse(t, 2, "4s", "")
 	together(t, r, 2, 0, 1)
-	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 6e9})
+	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 6e9})
 	defer undo()
 	eventually(t, "the killed one is held to be dead", func() bool { return sees(r, 0, 1, "dead") })
 	together(t, r, 2, 0, 1)
@@ -283,7 +283,7 @@
 		}
 		return ok && owner >= 0
 	})
-	time.AfterFunc(6*time.Second, func() { r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, For: 60e9}) })
+	time.AfterFunc(6*time.Second, func() { r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 60e9}) })
 	f, err := r.Play()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ivybank/limits_test.go
+++ b/cmd/ivybank/limits_test.go
@@ -164,14 +164,14 @@
 		strike func(r *lab.Rehearsal, owner int)
 	}{
 		{"the owner killed", func(r *lab.Rehearsal, owner int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, For: 1e9})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 1e9})
 		}},
 		{"the owner stopped, and woken", func(r *lab.Rehearsal, owner int) {
 			undo := r.Strike(emu.Fault{Kind: "proxy_pause", Proxies: []int{owner}})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"all killed", func(r *lab.Rehearsal, _ int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2}, For: 2e8})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2}, Duration: 2e8})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -97,22 +97,22 @@
 	}{
 		{"undisturbed", "", nil},
 		{"the leader killed", "", func(r *lab.Rehearsal, leader int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, For: 1e9})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, Duration: 1e9})
 		}},
 		{"the leader stopped, and woken", "", func(r *lab.Rehearsal, leader int) {
 			undo := r.Strike(emu.Fault{Kind: "proxy_pause", Proxies: []int{leader}})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"the leader cut off, one way", "", func(r *lab.Rehearsal, leader int) {
-			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Way: "out"})
+			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Direction: "out"})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"all killed", "", func(r *lab.Rehearsal, _ int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, For: 3e8})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, Duration: 3e8})
 		}},
 		{"a voter's folder lost", "", func(r *lab.Rehearsal, leader int) {
 			who := (leader + 1) % 3
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{who}, For: 5e8})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{who}, Duration: 5e8})
 			r.Strike(emu.Fault{Kind: "state_lost", Proxies: []int{who}})
 		}},
 	} {
--- a/cmd/ivybank/return_test.go
+++ b/cmd/ivybank/return_test.go
@@ -102,7 +102,7 @@
 	eventually(t, "there is a snapshot", func() bool { v, ok := r.Returned(1); return ok && v.Written > 0 })
 	for n := range 8 {
 		before, _ := r.View(1)
-		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 1e6})
+		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 1e6})
 		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Incarnation > before.Incarnation })
 		v, ok := r.Returned(1)
 		if !ok || v.Refused > 0 || len(v.Kept) == 0 {
@@ -271,7 +271,7 @@
 				t.Fatalf("got %d (%s) for the first of a key", status, outcome)
 			}
 			time.Sleep(1500 * time.Millisecond) // others have heard, and a snapshot was written; longer does no harm
-			if r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 500e6}); c.fault != "" {
+			if r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 500e6}); c.fault != "" {
 				r.Strike(emu.Fault{Kind: c.fault, Proxies: []int{1}})
 			} else if err := os.RemoveAll(filepath.Join(r.Folder(1), "keys")); err != nil {
 				t.Fatal(err)
--- a/control/hostlist/table_test.go
+++ b/control/hostlist/table_test.go
@@ -76,7 +76,7 @@
 		all = append(all, system.Instance{ID: fmt.Sprint(i), Backend: "s", Address: "127.0.0.1:1", State: "ready"})
 	}
 	all[3].State = "draining"
-	platform.Set(all...)
+	platform.SetInstances(all...)
 	hosts, err := NewReader(platform.Address()).Read(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, len(hosts), 7)
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -78,9 +78,9 @@
 		text, row = text+"  "+string(c), row+"  ask 9"
 	}
 	var w *world
-	var tw *timeline.World
+	var tw *timeline.Simulation
 	text += "\n" + row + "\n4s  ." + row[len("0s  ."):] + "\n"
-	r := timeline.Play(text, seed, func(v *timeline.World) timeline.Cluster {
+	r := timeline.Play(text, seed, func(v *timeline.Simulation) timeline.Cluster {
 		tw, w = v, newWorld(v, x, 100, f)
 		w.runFor = x.MaxRequestDuration - 10*ms
 		return w
@@ -97,8 +97,8 @@
 			args = []string{a.arg}
 		}
 		if a.verb == "ask" {
-			_ = w.Do(a.place, a.verb, args)
-		} else if err := tw.Befall(a.place, a.verb, args...); err != nil {
+			_ = w.Apply(a.place, a.verb, args)
+		} else if err := tw.Inject(a.place, a.verb, args...); err != nil {
 			return err
 		}
 	}
@@ -157,11 +157,11 @@
 		text := fmt.Sprintf("at  rig  a  b  c  d\n0s  .  ask 9  ask 3  ask 9  ask 3\n"+
 			"5s  .  ask 0  ask 9  stop %d  ask 9\n"+
 			"12s  sum?  .  .  .  .\n15s  .  .  .  wake  .\n20s  sum?  owns?  owns?  owns?  owns?\n", point+1)
-		r := timeline.Play(text, uint64(point), func(w *timeline.World) timeline.Cluster {
+		r := timeline.Play(text, uint64(point), func(w *timeline.Simulation) timeline.Cluster {
 			return newWorld(w, strict, 100, sound)
 		})
 		if r.Err != nil {
-			t.Errorf("stopped after %d datagrams: %v\n%s", point+1, r.Err, r.Drawn)
+			t.Errorf("stopped after %d datagrams: %v\n%s", point+1, r.Err, r.Table)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	x := strict
 	x.Units, x.LeaseDuration = 300, 5*sec
 	var w *world
-	r := timeline.Play(text, 1, func(v *timeline.World) timeline.Cluster {
+	r := timeline.Play(text, 1, func(v *timeline.Simulation) timeline.Cluster {
 		w = newWorld(v, x, 100, sound)
 		return w
 	})
@@ -227,7 +227,7 @@
 			text, row, sum = fmt.Sprintf("%s  n%d", text, i), row+"  .", sum+math.Pow(float64(i+1), -0.7)
 		}
 		var w *world
-		r := timeline.Play(text+"\n"+row+"\n", 1, func(v *timeline.World) timeline.Cluster {
+		r := timeline.Play(text+"\n"+row+"\n", 1, func(v *timeline.Simulation) timeline.Cluster {
 			w = newWorld(v, x, 100, sound)
 			w.dice = &rng.Source{Seed: 5}
 			return w
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -38,7 +38,7 @@
 	fresh            // what an earlier life holds is forgotten
 )
 
-func (p *process) Heard(from int, body []byte, now int64) {
+func (p *process) Receive(from int, body []byte, now int64) {
 	d, err := Decode(fleetName, body)
 	if err == nil && d.From == from {
 		p.hears(from, &d, now)
@@ -87,7 +87,7 @@
 // world is a fleet with one limit, and the judges: what may be in use at each moment, and what the stand-ins
 // count.
 type world struct {
-	*timeline.World
+	*timeline.Simulation
 	limit Limit
 	flaw  flaw
 	drift int64
@@ -111,9 +111,9 @@
 	done bool // at the server; its proxy does not know yet
 }
 
-func newWorld(w *timeline.World, limit Limit, drift int64, f flaw) *world {
+func newWorld(w *timeline.Simulation, limit Limit, drift int64, f flaw) *world {
 	n := len(w.Names)
-	return &world{World: w, limit: limit, drift: drift, flaw: f, procs: make([]*process, n),
+	return &world{Simulation: w, limit: limit, drift: drift, flaw: f, procs: make([]*process, n),
 		runs: make([][]run, n), level: float64(limit.Units), runFor: 300 * ms}
 }
 
@@ -129,9 +129,9 @@
 	return p
 }
 
-func (w *world) Do(place int, verb string, args []string) error {
+func (w *world) Apply(place int, verb string, args []string) error {
 	if verb == "leave" && place >= 0 {
-		w.procs[place].Leave(w.Clock(place))
+		w.procs[place].Leave(w.LocalTime(place))
 		return nil
 	}
 	if len(args) != 1 {
@@ -160,7 +160,7 @@
 			}
 			x := w.limit
 			x.Units = n
-			p.Member.SetLimits([]Limit{x}, w.Clock(i))
+			p.Member.SetLimits([]Limit{x}, w.LocalTime(i))
 		default:
 			return errors.New("no such verb")
 		}
@@ -173,7 +173,7 @@
 
 // force is what may be in use in a place now.
 func (w *world) force(place int) int {
-	p, now := w.procs[place], w.Clock(place)
+	p, now := w.procs[place], w.LocalTime(place)
 	l := p.limits[0]
 	x := l.hold.line
 	fresh := now - p.tick.Load()
@@ -210,7 +210,7 @@
 }
 
 // Live has clients ask, and judges.
-func (w *world) Live() error {
+func (w *world) Step() error {
 	rate := float64(w.limit.Units) / float64(max(1, w.limit.Period))
 	w.level = min(float64(w.limit.Units), w.level+rate*float64(w.Now-w.seen))
 	for i, p := range w.procs {
@@ -238,7 +238,7 @@
 		}
 		for ; p.due >= 1; p.due-- {
 			p.tried++
-			if ok, _ := p.Limiter().Admit(Scope{}, w.Clock(i)); ok {
+			if ok, _ := p.Limiter().Admit(Scope{}, w.LocalTime(i)); ok {
 				p.let++
 				w.admitted++
 				w.level--
@@ -263,7 +263,7 @@
 	return nil
 }
 
-func (w *world) See(place int, what string) (string, error) {
+func (w *world) Observe(place int, what string) (string, error) {
 	if place < 0 {
 		switch what {
 		case "sum":
@@ -287,7 +287,7 @@
 		}
 		return "owner " + w.Names[l.hold.owner], nil
 	case "owns":
-		return fmt.Sprintf("owns %v", p.owns(l, w.Clock(place))), nil
+		return fmt.Sprintf("owns %v", p.owns(l, w.LocalTime(place))), nil
 	case "served":
 		let, tried := p.let, p.tried
 		p.let, p.tried = 0, 0
@@ -310,19 +310,19 @@
 	datadriven.Walk(t, "testdata/timelines", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			x, drift, seed := terms(t, d)
-			r := timeline.Play(d.Input, seed, func(w *timeline.World) timeline.Cluster {
+			r := timeline.Play(d.Input, seed, func(w *timeline.Simulation) timeline.Cluster {
 				return newWorld(w, x, drift, sound)
 			})
-			if r.Err != nil && !strings.Contains(r.Drawn, "! ") {
+			if r.Err != nil && !strings.Contains(r.Table, "! ") {
 				t.Fatal(r.Err)
 			}
 			if r.Err != nil {
-				t.Errorf("%s: %v\n%s", d.Pos, r.Err, r.Drawn)
+				t.Errorf("%s: %v\n%s", d.Pos, r.Err, r.Table)
 			}
-			if r.Drawn != d.Expected && !d.Rewrite {
-				t.Errorf("%s\n%s", d.Pos, timeline.Beside(r.Drawn, d.Expected))
+			if r.Table != d.Expected && !d.Rewrite {
+				t.Errorf("%s\n%s", d.Pos, timeline.SideBySide(r.Table, d.Expected))
 			}
-			return r.Drawn
+			return r.Table
 		})
 	})
 }
--- a/rehearse/emu/emu_test.go
+++ b/rehearse/emu/emu_test.go
@@ -8,10 +8,10 @@
 	"ivybank/internal/rng"
 )
 
-func rehearsed(t *testing.T, n int, change func(*Nature)) (*Virtual, *Fleet) {
+func newTestFleet(t *testing.T, n int, change func(*ServerParams)) (*VirtualClock, *Fleet) {
 	t.Helper()
-	c := NewVirtual(1e12)
-	nature := Nature{Queue: 1 << 20}
+	c := NewVirtualClock(1e12)
+	nature := ServerParams{QueueCapacity: 1 << 20}
 	if change != nil {
 		change(&nature)
 	}
@@ -19,7 +19,7 @@
 	for i := range n {
 		all = append(all, Machine{ID: string(rune('a' + i)), Zone: string(rune('x' + i%2)), Cores: 1, Speed: 1, Share: 1})
 	}
-	return c, NewFleet(c, 1, nature, Wire{OneWay: 1e5, Cross: 1e6, Told: 1e8}, all, 1e9)
+	return c, NewFleet(c, 1, nature, Network{SameZoneDelay: 1e5, CrossZoneDelay: 1e6, DiscoveryDelay: 1e8}, all, 1e9)
 }
 
 // The model of a server is held against what is known in closed form: a queue with exponential gaps and work, M/M/1 and
@@ -36,7 +36,7 @@
 		{"M/M/2 at 0.8", 2, 0.8, 0.8 * 0.8 / (1 - 0.8*0.8)},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			c, f := rehearsed(t, 1, nil)
+			c, f := newTestFleet(t, 1, nil)
 			s := f.Servers[0]
 			s.Cores = x.cores
 			dice := rng.Source{Seed: 5}
@@ -48,7 +48,7 @@
 				work := int64(-math.Log(dice.Next())*mean) + 1
 				c.Run(int64(at))
 				came := c.Now()
-				s.Offer(&Job{Req: string(rune(i)), Work: work, Rules: balance.RuleSet{Effect: balance.Replayable},
+				s.Offer(&Job{RequestID: string(rune(i)), Work: work, RuleSet: balance.RuleSet{Effect: balance.Replayable},
 					Done: func(balance.Outcome) { waited += float64(c.Now() - came - work); worked += float64(work) }})
 			}
 			c.Run(math.MaxInt64)
@@ -63,9 +63,9 @@
 }
 
 // ask offers a req and gives what became of it by a time; -1 where nothing has.
-func ask(c *Virtual, s *Server, work, until int64) balance.Outcome {
+func offer(c *VirtualClock, s *Server, work, until int64) balance.Outcome {
 	got := balance.Outcome(-1)
-	s.Offer(&Job{Req: "r", Key: "k", Work: work, Rules: balance.RuleSet{Effect: balance.Replayable}, Done: func(o balance.Outcome) { got = o }})
+	s.Offer(&Job{RequestID: "r", Key: "k", Work: work, RuleSet: balance.RuleSet{Effect: balance.Replayable}, Done: func(o balance.Outcome) { got = o }})
 	c.Run(c.Now() + until)
 	return got
 }
@@ -81,30 +81,30 @@
 		"crash":   {Fault{Kind: "crash"}, balance.NoConnection, balance.Served, false, true},
 		"hang":    {Fault{Kind: "hang"}, -1, balance.Served, false, true},
 		"vanish":  {Fault{Kind: "vanish"}, -1, balance.Served, false, true},
-		"errors":  {Fault{Kind: "errors", Size: 1}, balance.Errored, balance.Served, true, false},
-		"reset":   {Fault{Kind: "reset", Size: 1}, balance.Reset, balance.Served, true, false},
-		"slow":    {Fault{Kind: "slow", Size: 25}, -1, balance.Served, true, false},
+		"errors":  {Fault{Kind: "errors", Magnitude: 1}, balance.Errored, balance.Served, true, false},
+		"reset":   {Fault{Kind: "reset", Magnitude: 1}, balance.Reset, balance.Served, true, false},
+		"slow":    {Fault{Kind: "slow", Magnitude: 25}, -1, balance.Served, true, false},
 		"drain":   {Fault{Kind: "drain"}, balance.Served, balance.Served, false, true},
 		"restart": {Fault{Kind: "restart"}, -1, -1, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, f := rehearsed(t, 2, func(n *Nature) { n.RampTime, n.StartCapacity = 100*s, 0.01 })
-			x.fault.At, x.fault.For, x.fault.Servers = s, 3*s, []string{"a"}
+			c, f := newTestFleet(t, 2, func(n *ServerParams) { n.RampTime, n.StartCapacity = 100*s, 0.01 })
+			x.fault.At, x.fault.Duration, x.fault.Servers = s, 3*s, []string{"a"}
 			if err := f.Schedule([]Fault{x.fault}); err != nil {
 				t.Fatal(err)
 			}
 			told := 0
-			f.Watch(func(Entry) { told++ }, func() {})
+			f.Watch(func(ListChange) { told++ }, func() {})
 			c.Run(c.Now() + s + s/2)
-			if got := ask(c, f.Server("a"), s/10, s); got != x.during {
+			if got := offer(c, f.Server("a"), s/10, s); got != x.during {
 				t.Errorf("got %d during it, want %d", got, x.during)
 			}
-			if got := ask(c, f.Server("b"), s/10, s/5); got != balance.Served {
+			if got := offer(c, f.Server("b"), s/10, s/5); got != balance.Served {
 				t.Errorf("got %d from another server", got)
 			}
 			c.Run(1e12 + 5*s)
-			f.Server("a").since = map[bool]int64{true: f.Server("a").since, false: 1}[name == "restart"] // warm again
-			if got := ask(c, f.Server("a"), s/10, s); got != x.after {
+			f.Server("a").startTime = map[bool]int64{true: f.Server("a").startTime, false: 1}[name == "restart"] // warm again
+			if got := offer(c, f.Server("a"), s/10, s); got != x.after {
 				t.Errorf("got %d after it, want %d", got, x.after)
 			}
 			if told > 0 != x.tells {
@@ -113,32 +113,32 @@
 		})
 	}
 	t.Run("one begins while another ends", func(t *testing.T) {
-		c, f := rehearsed(t, 1, nil)
-		_ = f.Schedule([]Fault{{Kind: "slow", At: s, For: 2 * s, Servers: []string{"a"}, Size: 4}, {Kind: "slow", At: 2 * s, For: 2 * s, Servers: []string{"a"}, Size: 10}})
+		c, f := newTestFleet(t, 1, nil)
+		_ = f.Schedule([]Fault{{Kind: "slow", At: s, Duration: 2 * s, Servers: []string{"a"}, Magnitude: 4}, {Kind: "slow", At: 2 * s, Duration: 2 * s, Servers: []string{"a"}, Magnitude: 10}})
 		for _, want := range []float64{0, 4, 40, 10, 1} {
 			c.Run(c.Now() + s/2)
-			if got := f.Server("a").ails.slow; math.Abs(got-want) > 1e-9 {
+			if got := f.Server("a").faults.slowdown; math.Abs(got-want) > 1e-9 {
 				t.Errorf("at %.1f s: got %v times slower, want %v", float64(c.Now()-1e12)/1e9, got, want)
 			}
 			c.Run(c.Now() + s/2)
 		}
 	})
 	t.Run("the network", func(t *testing.T) {
-		c, f := rehearsed(t, 2, nil)
-		_ = f.Schedule([]Fault{{Kind: "cut", At: s, For: s, Zone: "x"}, {Kind: "lossy", At: 3 * s, For: s, Servers: []string{"b"}, Size: 0.5},
-			{Kind: "discovery_down", At: 5 * s, For: s}, {Kind: "late", At: 7 * s, For: s, Size: 2}, {Kind: "wrong", At: 9 * s, For: 3 * s, Servers: []string{"a"}},
-			{Kind: "drain", At: 10 * s, For: s, Servers: []string{"a"}}})
+		c, f := newTestFleet(t, 2, nil)
+		_ = f.Schedule([]Fault{{Kind: "cut", At: s, Duration: s, Zone: "x"}, {Kind: "lossy", At: 3 * s, Duration: s, Servers: []string{"b"}, Magnitude: 0.5},
+			{Kind: "discovery_down", At: 5 * s, Duration: s}, {Kind: "late", At: 7 * s, Duration: s, Magnitude: 2}, {Kind: "wrong", At: 9 * s, Duration: 3 * s, Servers: []string{"a"}},
+			{Kind: "drain", At: 10 * s, Duration: s, Servers: []string{"a"}}})
 		c.Run(1e12 + s + 1)
-		if _, ok := f.Way("y", f.Server("a")); ok {
+		if _, ok := f.Delivery("y", f.Server("a")); ok {
 			t.Error("a cut zone is reached from outside")
 		}
-		if _, ok := f.Way("x", f.Server("a")); !ok {
+		if _, ok := f.Delivery("x", f.Server("a")); !ok {
 			t.Error("a cut zone is not reached from inside")
 		}
 		c.Run(1e12 + 3*s + 1)
 		lost := 0
 		for range 1000 {
-			if _, ok := f.Way("y", f.Server("b")); !ok {
+			if _, ok := f.Delivery("y", f.Server("b")); !ok {
 				lost++
 			}
 		}
@@ -146,8 +146,8 @@
 			t.Errorf("lost %d of 1000, want half", lost)
 		}
 		ended := false
-		f.Watch(func(Entry) {}, func() { ended = true })
-		if c.Run(1e12 + 5*s + 1); !f.Down() || !ended {
+		f.Watch(func(ListChange) {}, func() { ended = true })
+		if c.Run(1e12 + 5*s + 1); !f.DiscoveryDown() || !ended {
 			t.Error("discovery is up, or its watch stands")
 		}
 		c.Run(1e12 + 10*s + s/2)
@@ -160,7 +160,7 @@
 func TestServer(t *testing.T) {
 	const s = int64(1e9)
 	t.Run("queue", func(t *testing.T) {
-		c, f := rehearsed(t, 1, func(n *Nature) { n.Queue = 1 })
+		c, f := newTestFleet(t, 1, func(n *ServerParams) { n.QueueCapacity = 1 })
 		a := f.Servers[0]
 		var got []balance.Outcome
 		for range 3 {
@@ -174,22 +174,22 @@
 		}
 	})
 	t.Run("cache", func(t *testing.T) {
-		c, f := rehearsed(t, 1, func(n *Nature) { n.CacheKeys, n.CacheFor, n.CacheSaves = 1, 10*s, 0.75 })
+		c, f := newTestFleet(t, 1, func(n *ServerParams) { n.CacheKeys, n.CacheTTL, n.CacheSavings = 1, 10*s, 0.75 })
 		a := f.Servers[0]
-		if ask(c, a, s, s-1) == balance.Served || ask(c, a, s, s) != balance.Served {
+		if offer(c, a, s, s-1) == balance.Served || offer(c, a, s, s) != balance.Served {
 			t.Fatal("the first takes all its work")
 		}
 		c.Run(c.Now() + 2*s)
-		if ask(c, a, s, s/4+1) != balance.Served {
+		if offer(c, a, s, s/4+1) != balance.Served {
 			t.Error("a key that was met saves nothing")
 		}
 		c.Run(c.Now() + 11*s)
-		if ask(c, a, s, s/4+1) == balance.Served {
+		if offer(c, a, s, s/4+1) == balance.Served {
 			t.Error("a key that was met long ago still saves")
 		}
 	})
 	t.Run("given up", func(t *testing.T) {
-		c, f := rehearsed(t, 1, nil)
+		c, f := newTestFleet(t, 1, nil)
 		a := f.Servers[0]
 		one := &Job{Work: s, Done: func(balance.Outcome) { t.Error("an answer to nobody") }}
 		served := false
@@ -208,60 +208,70 @@
 	once := balance.RuleSet{Name: "once", Effect: balance.NonReplayable}
 	cell := balance.RuleSet{Name: "cell", Effect: balance.Deduplicated, Group: balance.GroupCell, Window: s}
 	for name, x := range map[string]struct {
-		do   func(c *Virtual, f *Fleet)
+		do   func(c *VirtualClock, f *Fleet)
 		rule int
 	}{
-		"answered": {func(c *Virtual, f *Fleet) { f.Judge.Taken("r", c.Now()+s); f.Judge.Final("r") }, 0},
-		"left":     {func(c *Virtual, f *Fleet) { f.Judge.Taken("r", c.Now()+s); f.Judge.Left("r") }, 0},
-		"never":    {func(c *Virtual, f *Fleet) { f.Judge.Taken("r", c.Now()+s) }, 1},
-		"late":     {func(c *Virtual, f *Fleet) { f.Judge.Taken("r", c.Now()+s); c.Run(c.Now() + 2*s); f.Judge.Final("r") }, 1},
-		"twice":    {func(c *Virtual, f *Fleet) { f.Judge.Taken("r", c.Now()+s); f.Judge.Final("r"); f.Judge.Final("r") }, 1},
-		"ran once": {func(c *Virtual, f *Fleet) { f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: once}) }, 0},
-		"ran twice": {func(c *Virtual, f *Fleet) {
-			f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: once})
-			f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: once})
+		"answered": {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s); f.Checker.Answered("r") }, 0},
+		"left":     {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s); f.Checker.ClientLeft("r") }, 0},
+		"never":    {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s) }, 1},
+		"late": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.RequestAccepted("r", c.Now()+s)
+			c.Run(c.Now() + 2*s)
+			f.Checker.Answered("r")
+		}, 1},
+		"twice": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.RequestAccepted("r", c.Now()+s)
+			f.Checker.Answered("r")
+			f.Checker.Answered("r")
+		}, 1},
+		"ran once": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: once})
+		}, 0},
+		"ran twice": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: once})
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: once})
 		}, 2},
-		"repeat dropped": {func(c *Virtual, f *Fleet) {
-			f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: cell})
-			f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: cell})
+		"repeat dropped": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: cell})
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: cell})
 		}, 0},
-		"repeat past its window": {func(c *Virtual, f *Fleet) {
-			f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: cell})
+		"repeat past its window": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: cell})
 			c.Run(c.Now() + s)
-			f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: cell})
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: cell})
 		}, 2},
-		"repeat in another group": {func(c *Virtual, f *Fleet) {
-			f.Judge.began(f.Servers[0], &Job{Req: "r", Rules: cell})
-			f.Judge.began(f.Servers[1], &Job{Req: "r", Rules: cell})
+		"repeat in another group": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: cell})
+			f.Checker.executionStarted(f.Servers[1], &Job{RequestID: "r", RuleSet: cell})
 		}, 2},
-		"within the grace": {func(c *Virtual, f *Fleet) {
-			f.Judge.Told(0, "a", balance.Draining)
+		"within the grace": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.StateAnnounced(0, "a", balance.Draining)
 			c.Run(c.Now() + s)
-			f.Judge.Sent(0, "a", "r")
+			f.Checker.AttemptSent(0, "a", "r")
 		}, 0},
-		"past the grace": {func(c *Virtual, f *Fleet) {
-			f.Judge.Told(0, "a", balance.Draining)
+		"past the grace": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.StateAnnounced(0, "a", balance.Draining)
 			c.Run(c.Now() + s/2)
-			f.Judge.Told(0, "a", balance.Gone) // told again: counts from the first
+			f.Checker.StateAnnounced(0, "a", balance.Gone) // told again: counts from the first
 			c.Run(c.Now() + s)
-			f.Judge.Sent(0, "a", "r")
+			f.Checker.AttemptSent(0, "a", "r")
 		}, 3},
-		"back in between": {func(c *Virtual, f *Fleet) {
-			f.Judge.Told(0, "a", balance.Draining)
-			f.Judge.Told(0, "a", balance.Running)
+		"back in between": {func(c *VirtualClock, f *Fleet) {
+			f.Checker.StateAnnounced(0, "a", balance.Draining)
+			f.Checker.StateAnnounced(0, "a", balance.Running)
 			c.Run(c.Now() + 9*s)
-			f.Judge.Sent(0, "a", "r")
+			f.Checker.AttemptSent(0, "a", "r")
 		}, 0},
-		"pushed over": {func(c *Virtual, f *Fleet) {
+		"pushed over": {func(c *VirtualClock, f *Fleet) {
 			f.Servers[0].Start()
 			for range 11 {
 				f.Servers[0].Offer(&Job{Work: s / 10, Done: func(balance.Outcome) {}})
 			}
-			if !f.Servers[0].fallen || ask(c, f.Servers[0], 1, s) != balance.NoConnection {
+			if !f.Servers[0].overloaded || offer(c, f.Servers[0], 1, s) != balance.NoConnection {
 				panic("it stands")
 			}
 		}, 4},
-		"not pushed over": {func(c *Virtual, f *Fleet) {
+		"not pushed over": {func(c *VirtualClock, f *Fleet) {
 			f.Servers[0].Start()
 			for range 9 {
 				f.Servers[0].Offer(&Job{Work: s / 10, Done: func(balance.Outcome) {}})
@@ -269,13 +279,15 @@
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, f := rehearsed(t, 2, func(n *Nature) { n.RampTime, n.StartCapacity, n.FallOver, n.FallAfter = 1000*s, 0.5, 2, s })
+			c, f := newTestFleet(t, 2, func(n *ServerParams) {
+				n.RampTime, n.StartCapacity, n.OverloadFactor, n.OverloadWindow = 1000*s, 0.5, 2, s
+			})
 			f.Servers[1].Cell = 1
 			x.do(c, f)
-			f.Judge.Close()
-			for rule, n := range f.Judge.Breaches {
+			f.Checker.CountUnanswered()
+			for rule, n := range f.Checker.Violations {
 				if n > 0 != (rule == x.rule && rule > 0) {
-					t.Errorf("got %v, want rule %d alone: %v", f.Judge.Breaches, x.rule, f.Judge.Notes)
+					t.Errorf("got %v, want rule %d alone: %v", f.Checker.Violations, x.rule, f.Checker.Notes)
 				}
 			}
 		})
@@ -283,7 +295,7 @@
 }
 
 func TestWall(t *testing.T) {
-	w := NewWall()
+	w := NewWallClock()
 	defer w.Stop()
 	got := make(chan int, 3)
 	w.Do(func() {
--- a/rehearse/emu/fleet.go
+++ b/rehearse/emu/fleet.go
@@ -14,22 +14,22 @@
 
 // Fault is one line of the timetable. Faults may overlap; one that ends undoes what it did alone.
 type Fault struct {
-	Kind    string
-	At, For int64    // from the run's start; for how long
-	Servers []string // ids; empty: Count of them by chance, or the zone's
-	Count   int
-	Zone    string
-	Size    float64 // slow: times slower; errors, reset, lossy: part of reqs; late: seconds more; surge: times the load; starve: part of the time
+	Kind         string
+	At, Duration int64    // from the run's start; for how long
+	Servers      []string // ids; empty: Count of them by chance, or the zone's
+	Count        int
+	Zone         string
+	Magnitude    float64 // slow: times slower; errors, reset, lossy: part of reqs; late: seconds more; surge: times the load; starve: part of the time
 
 	// What befalls proxies and what passes between them.
-	Proxies              []int   // by place; empty: Count of them by chance
-	Way                  string  // split: out or in; empty: both
-	Loss, Double, Garble float64 // datagrams: parts of them
-	Delay, Spread        int64   // datagrams: how long they take, and by chance more; proxy_kill: Spread is by chance added to For
+	Proxies                                 []int   // by place; empty: Count of them by chance
+	Direction                               string  // split: out or in; empty: both
+	LossRatio, DuplicateRatio, CorruptRatio float64 // datagrams: parts of them
+	Delay, Jitter                           int64   // datagrams: how long they take, and by chance more; proxy_kill: Spread is by chance added to For
 }
 
 // Kinds are the faults there are, with what each does.
-var Kinds = map[string]string{
+var FaultKinds = map[string]string{
 	"crash":          "processes end, connections are reset, new ones refused; cold starts at the end",
 	"hang":           "reqs are taken and never answered; cold starts at the end",
 	"vanish":         "machines say nothing any more; cold starts at the end",
@@ -62,46 +62,46 @@
 }
 
 // Wire is the network's figures.
-type Wire struct {
-	OneWay, Cross int64 // within a zone, between zones
-	Told          int64 // from a change until discovery tells it
+type Network struct {
+	SameZoneDelay, CrossZoneDelay int64 // within a zone, between zones
+	DiscoveryDelay                int64 // from a change until discovery tells it
 }
 
 // Fleet is all of it.
 type Fleet struct {
-	Clock   Clock
-	Nature  Nature
-	Wire    Wire
-	Servers []*Server // by id
-	Judge   *Judge
-	Log     func(format string, a ...any)
-	Others  func(Fault) (undo func()) // does what befalls proxies; nil where nothing can
+	Clock            Clock
+	Params           ServerParams
+	Network          Network
+	Servers          []*Server // by id
+	Checker          *Checker
+	Log              func(format string, a ...any)
+	InjectProxyFault func(Fault) (undo func()) // does what befalls proxies; nil where nothing can
 
-	dice     rng.Source
-	version  int64
-	states   map[string]balance.State // as discovery has them
-	wrong    map[string]int           // servers that it lists as ready all the same
-	cut      map[string]int           // zones that are cut off, by how many faults
-	lossy    map[string][]float64     // servers behind lossy links
-	down     int                      // faults that keep discovery down
-	late     int64
-	watchers []func(Entry) // emptied as their watches end
-	ended    []func()
+	random              rng.Source
+	version             int64
+	states              map[string]balance.State // as discovery has them
+	falselyReady        map[string]int           // servers that it lists as ready all the same
+	cutZones            map[string]int           // zones that are cut off, by how many faults
+	lossRatios          map[string][]float64     // servers behind lossy links
+	discoveryOutages    int                      // faults that keep discovery down
+	extraDiscoveryDelay int64
+	watchers            []func(ListChange) // emptied as their watches end
+	watchEnded          []func()
 }
 
 // Entry is one change of the list.
-type Entry struct {
+type ListChange struct {
 	Server  balance.Server
 	Version int64
 }
 
 // NewFleet makes a fleet of warm servers.
-func NewFleet(c Clock, seed uint64, n Nature, w Wire, machines []Machine, grace int64) *Fleet {
-	f := &Fleet{Clock: c, Nature: n, Wire: w, Judge: NewJudge(c, grace), states: map[string]balance.State{}, wrong: map[string]int{},
-		cut: map[string]int{}, lossy: map[string][]float64{}, version: 1, Log: func(string, ...any) {}}
-	f.dice.Seed = seed
+func NewFleet(c Clock, seed uint64, n ServerParams, w Network, machines []Machine, grace int64) *Fleet {
+	f := &Fleet{Clock: c, Params: n, Network: w, Checker: NewChecker(c, grace), states: map[string]balance.State{}, falselyReady: map[string]int{},
+		cutZones: map[string]int{}, lossRatios: map[string][]float64{}, version: 1, Log: func(string, ...any) {}}
+	f.random.Seed = seed
 	for _, m := range machines {
-		f.Servers = append(f.Servers, NewServer(m, &f.Nature, c, &f.dice, f.Judge))
+		f.Servers = append(f.Servers, NewServer(m, &f.Params, c, &f.random, f.Checker))
 		f.states[m.ID] = balance.Running
 	}
 	slices.SortFunc(f.Servers, func(x, y *Server) int { return cmp.Compare(x.ID, y.ID) })
@@ -120,33 +120,33 @@
 // List is the whole list as discovery has it.
 func (f *Fleet) List() (entries []balance.Server, version int64) {
 	for _, s := range f.Servers {
-		entries = append(entries, f.entry(s))
+		entries = append(entries, f.listEntry(s))
 	}
 	return entries, f.version
 }
 
-func (f *Fleet) entry(s *Server) balance.Server {
+func (f *Fleet) listEntry(s *Server) balance.Server {
 	state := f.states[s.ID]
-	if f.wrong[s.ID] > 0 {
+	if f.falselyReady[s.ID] > 0 {
 		state = balance.Running
 	}
-	return balance.Server{ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: state, Share: s.Share, Since: s.since}
+	return balance.Server{ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: state, Share: s.Share, Since: s.startTime}
 }
 
 // Down says whether discovery answers nobody.
-func (f *Fleet) Down() bool { return f.down > 0 }
+func (f *Fleet) DiscoveryDown() bool { return f.discoveryOutages > 0 }
 
 // Watch has each change told as it comes, until ended is called.
-func (f *Fleet) Watch(tell func(Entry), ended func()) {
-	f.watchers, f.ended = append(f.watchers, tell), append(f.ended, ended)
+func (f *Fleet) Watch(tell func(ListChange), ended func()) {
+	f.watchers, f.watchEnded = append(f.watchers, tell), append(f.watchEnded, ended)
 }
 
 // change has discovery tell of a server, late as it is.
-func (f *Fleet) change(s *Server, state balance.State) {
+func (f *Fleet) publish(s *Server, state balance.State) {
 	f.states[s.ID] = state
-	f.Clock.At(f.Clock.Now()+f.Wire.Told+f.late, func() {
+	f.Clock.At(f.Clock.Now()+f.Network.DiscoveryDelay+f.extraDiscoveryDelay, func() {
 		f.version++
-		e := Entry{f.entry(s), f.version}
+		e := ListChange{f.listEntry(s), f.version}
 		for _, tell := range slices.Clone(f.watchers) {
 			tell(e)
 		}
@@ -154,14 +154,14 @@
 }
 
 // Way says how long a message takes between a zone and a server, and whether it arrives.
-func (f *Fleet) Way(zone string, s *Server) (wait int64, arrives bool) {
+func (f *Fleet) Delivery(zone string, s *Server) (wait int64, arrives bool) {
 	if zone == s.Zone {
-		wait = f.Wire.OneWay
-	} else if wait = f.Wire.Cross; !f.Reaches(zone, s) {
+		wait = f.Network.SameZoneDelay
+	} else if wait = f.Network.CrossZoneDelay; !f.Reachable(zone, s) {
 		return wait, false
 	}
-	for _, part := range f.lossy[s.ID] {
-		if f.dice.Next() < part {
+	for _, part := range f.lossRatios[s.ID] {
+		if f.random.Next() < part {
 			return wait, false
 		}
 	}
@@ -169,15 +169,15 @@
 }
 
 // Reaches says whether anything passes between a zone and a server.
-func (f *Fleet) Reaches(zone string, s *Server) bool {
-	return zone == s.Zone || f.cut[zone] == 0 && f.cut[s.Zone] == 0
+func (f *Fleet) Reachable(zone string, s *Server) bool {
+	return zone == s.Zone || f.cutZones[zone] == 0 && f.cutZones[s.Zone] == 0
 }
 
 // Schedule puts a timetable on the clock.
 func (f *Fleet) Schedule(faults []Fault) error {
 	start := f.Clock.Now()
 	for i, x := range faults {
-		if _, ok := Kinds[x.Kind]; !ok {
+		if _, ok := FaultKinds[x.Kind]; !ok {
 			return fmt.Errorf("fault %d: kind %q is not known", i+1, x.Kind)
 		}
 		for _, id := range x.Servers {
@@ -187,9 +187,9 @@
 		}
 		f.Clock.At(start+x.At, func() {
 			f.Log("fault begins: %s", x.Kind)
-			undo := f.Strike(x)
-			if x.For > 0 {
-				f.Clock.At(f.Clock.Now()+x.For, func() {
+			undo := f.Inject(x)
+			if x.Duration > 0 {
+				f.Clock.At(f.Clock.Now()+x.Duration, func() {
 					f.Log("fault ends: %s", x.Kind)
 					undo()
 				})
@@ -200,7 +200,7 @@
 }
 
 // struck picks the servers that a fault hits.
-func (f *Fleet) struck(x Fault) (hit []*Server) {
+func (f *Fleet) targets(x Fault) (hit []*Server) {
 	for _, s := range f.Servers {
 		if slices.Contains(x.Servers, s.ID) || len(x.Servers) == 0 && x.Zone != "" && s.Zone == x.Zone {
 			hit = append(hit, s)
@@ -209,14 +209,14 @@
 	if len(x.Servers) > 0 || x.Zone != "" {
 		return hit
 	}
-	for _, i := range Drawn(&f.dice, len(f.Servers), x.Count) {
+	for _, i := range Sample(&f.random, len(f.Servers), x.Count) {
 		hit = append(hit, f.Servers[i])
 	}
 	return hit
 }
 
 // Drawn draws so many of n by chance.
-func Drawn(d *rng.Source, n, count int) (all []int) {
+func Sample(d *rng.Source, n, count int) (all []int) {
 	left := make([]int, n)
 	for i := range left {
 		left[i] = i
@@ -230,8 +230,8 @@
 }
 
 // Strike does what a fault does, now, and gives what undoes it.
-func (f *Fleet) Strike(x Fault) (undo func()) {
-	hit := f.struck(x)
+func (f *Fleet) Inject(x Fault) (undo func()) {
+	hit := f.targets(x)
 	each := func(do func(*Server)) {
 		for _, s := range hit {
 			do(s)
@@ -240,15 +240,15 @@
 	restart := func() {
 		each(func(s *Server) {
 			s.Start()
-			f.change(s, balance.Running)
+			f.publish(s, balance.Running)
 		})
 	}
 	switch x.Kind {
 	case "crash":
-		each(func(s *Server) { s.Crash(); f.change(s, balance.Gone) })
+		each(func(s *Server) { s.Crash(); f.publish(s, balance.Gone) })
 		return restart
 	case "vanish":
-		each(func(s *Server) { s.Vanish(); f.change(s, balance.Gone) })
+		each(func(s *Server) { s.Vanish(); f.publish(s, balance.Gone) })
 		return restart
 	case "hang":
 		each((*Server).Hang)
@@ -257,48 +257,48 @@
 		restart()
 	case "drain":
 		each(func(s *Server) {
-			f.change(s, balance.Draining)
+			f.publish(s, balance.Draining)
 			// It turns work away once all have been told.
-			f.Clock.At(f.Clock.Now()+f.Wire.Told+f.late+f.Judge.Grace, func() { s.drains = f.states[s.ID] == balance.Draining })
+			f.Clock.At(f.Clock.Now()+f.Network.DiscoveryDelay+f.extraDiscoveryDelay+f.Checker.DrainGrace, func() { s.draining = f.states[s.ID] == balance.Draining })
 		})
 		return restart
 	case "slow":
-		each(func(s *Server) { s.ails.slow = max(1, s.ails.slow) * x.Size })
-		return func() { each(func(s *Server) { s.ails.slow /= x.Size }) }
+		each(func(s *Server) { s.faults.slowdown = max(1, s.faults.slowdown) * x.Magnitude })
+		return func() { each(func(s *Server) { s.faults.slowdown /= x.Magnitude }) }
 	case "errors":
-		each(func(s *Server) { s.ails.errors += x.Size })
-		return func() { each(func(s *Server) { s.ails.errors = max(0, s.ails.errors-x.Size) }) }
+		each(func(s *Server) { s.faults.errorRatio += x.Magnitude })
+		return func() { each(func(s *Server) { s.faults.errorRatio = max(0, s.faults.errorRatio-x.Magnitude) }) }
 	case "reset":
-		each(func(s *Server) { s.ails.resets += x.Size })
-		return func() { each(func(s *Server) { s.ails.resets = max(0, s.ails.resets-x.Size) }) }
+		each(func(s *Server) { s.faults.resetRatio += x.Magnitude })
+		return func() { each(func(s *Server) { s.faults.resetRatio = max(0, s.faults.resetRatio-x.Magnitude) }) }
 	case "cut":
-		f.cut[x.Zone]++
-		return func() { f.cut[x.Zone]-- }
+		f.cutZones[x.Zone]++
+		return func() { f.cutZones[x.Zone]-- }
 	case "lossy":
-		each(func(s *Server) { f.lossy[s.ID] = append(f.lossy[s.ID], x.Size) })
+		each(func(s *Server) { f.lossRatios[s.ID] = append(f.lossRatios[s.ID], x.Magnitude) })
 		return func() {
 			each(func(s *Server) {
-				if i := slices.Index(f.lossy[s.ID], x.Size); i >= 0 {
-					f.lossy[s.ID] = slices.Delete(f.lossy[s.ID], i, i+1)
+				if i := slices.Index(f.lossRatios[s.ID], x.Magnitude); i >= 0 {
+					f.lossRatios[s.ID] = slices.Delete(f.lossRatios[s.ID], i, i+1)
 				}
 			})
 		}
 	case "discovery_down":
-		f.down++
-		for _, end := range f.ended {
+		f.discoveryOutages++
+		for _, end := range f.watchEnded {
 			end()
 		}
-		f.watchers, f.ended = nil, nil
-		return func() { f.down-- }
+		f.watchers, f.watchEnded = nil, nil
+		return func() { f.discoveryOutages-- }
 	case "late":
-		f.late += int64(x.Size * 1e9)
-		return func() { f.late -= int64(x.Size * 1e9) }
+		f.extraDiscoveryDelay += int64(x.Magnitude * 1e9)
+		return func() { f.extraDiscoveryDelay -= int64(x.Magnitude * 1e9) }
 	case "wrong":
-		each(func(s *Server) { f.wrong[s.ID]++; f.change(s, f.states[s.ID]) })
-		return func() { each(func(s *Server) { f.wrong[s.ID]--; f.change(s, f.states[s.ID]) }) }
+		each(func(s *Server) { f.falselyReady[s.ID]++; f.publish(s, f.states[s.ID]) })
+		return func() { each(func(s *Server) { f.falselyReady[s.ID]--; f.publish(s, f.states[s.ID]) }) }
 	default:
-		if f.Others != nil {
-			return f.Others(x)
+		if f.InjectProxyFault != nil {
+			return f.InjectProxyFault(x)
 		}
 	}
 	return func() {}
--- a/rehearse/emu/life_test.go
+++ b/rehearse/emu/incarnation_test.go
@@ -8,10 +8,10 @@
 
 // One that begins anew in the same instant, as after a reload, is heard though its datagrams count from the start again.
 func TestBeginsAnewAtOnce(t *testing.T) {
-	c := newCrowd(3, 24, 21)
+	c := newCluster(3, 24, 21)
 	c.run(5 * second)
 	for range 3 {
-		c.Back(1, swim.NextIncarnation(c.Fleet(1).Membership().Incarnation()))
+		c.SetIncarnation(1, swim.NextIncarnation(c.Fleet(1).Membership().Incarnation()))
 		c.Kill(1)
 		c.Start(1)
 		life := c.Fleet(1).Membership().Incarnation()
--- a/rehearse/emu/peers_test.go
+++ b/rehearse/emu/peers_test.go
@@ -11,14 +11,14 @@
 const ms, second = int64(1e6), int64(1e9)
 
 // crowd is a fleet of members without load, and who was held to be dead by whom.
-type crowd struct {
+type cluster struct {
 	*Peers
-	clock *Virtual
+	clock *VirtualClock
 	n     int
 }
 
-func newCrowd(n int, datagrams float64, seed uint64) *crowd {
-	c := &crowd{clock: NewVirtual(1e12), n: n}
+func newCluster(n int, datagrams float64, seed uint64) *cluster {
+	c := &cluster{clock: NewVirtualClock(1e12), n: n}
 	var terms []fleet.Config
 	for i := range n {
 		terms = append(terms, fleet.Config{Index: i, Members: n, Seed: seed, DatagramsPerSecond: datagrams, AckTimeout: 300 * ms, MinSilence: 2300 * ms,
@@ -28,12 +28,12 @@
 	return c
 }
 
-func (c *crowd) run(d int64) { c.clock.Run(c.clock.Now() + d) }
+func (c *cluster) run(d int64) { c.clock.Run(c.clock.Now() + d) }
 
 // holds counts the members that run and hold one to be in a state.
-func (c *crowd) holds(who int, s peer.State) (n int) {
+func (c *cluster) countHolding(who int, s peer.State) (n int) {
 	for i := range c.n {
-		if m := c.Fleet(i).Membership().Member(who); i != who && c.Up(i) && m.Known && m.State == s {
+		if m := c.Fleet(i).Membership().Member(who); i != who && c.Running(i) && m.Known && m.State == s {
 			n++
 		}
 	}
@@ -41,15 +41,15 @@
 }
 
 // whole says whether each member that runs holds just the others that run to be alive.
-func (c *crowd) whole() error {
+func (c *cluster) checkMembership() error {
 	up := 0
 	for i := range c.n {
-		if c.Up(i) {
+		if c.Running(i) {
 			up++
 		}
 	}
 	for i := range c.n {
-		if got := c.Fleet(i).Membership().AliveCount(); c.Up(i) && got != up {
+		if got := c.Fleet(i).Membership().AliveCount(); c.Running(i) && got != up {
 			return fmt.Errorf("member %d holds %d alive of %d", i, got, up)
 		}
 	}
@@ -58,21 +58,21 @@
 
 // One of twelve that is killed is known to be dead by all within 3 s, whoever it is and whenever; after its return all know its new life.
 func TestKilledIsKnown(t *testing.T) {
-	c := newCrowd(12, 24, 1)
+	c := newCluster(12, 24, 1)
 	c.run(5 * second)
-	if err := c.whole(); err != nil {
+	if err := c.checkMembership(); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 24 {
 		who := i * 5 % 12
 		c.Kill(who)
 		c.run(3 * second)
-		if n := c.holds(who, peer.Dead); n != 11 {
+		if n := c.countHolding(who, peer.Dead); n != 11 {
 			t.Errorf("kill %d: %d of 11 hold %d to be dead after 3 s", i, n, who)
 		}
 		c.Start(who)
 		c.run(4*second + int64(i)*37*ms)
-		if err := c.whole(); err != nil {
+		if err := c.checkMembership(); err != nil {
 			t.Errorf("kill %d: 4 s after its return: %v", i, err)
 		}
 	}
@@ -81,13 +81,13 @@
 // At 5% loss and 100 ms of delay nobody is taken for dead in ten minutes.
 func TestNoFalseDeath(t *testing.T) {
 	for seed := range uint64(3) {
-		c := newCrowd(12, 24, seed+1)
-		c.Strike(Fault{Kind: "datagrams", Loss: 0.05, Delay: 100 * ms, Spread: 20 * ms, Double: 0.02})
+		c := newCluster(12, 24, seed+1)
+		c.Inject(Fault{Kind: "datagrams", LossRatio: 0.05, Delay: 100 * ms, Jitter: 20 * ms, DuplicateRatio: 0.02})
 		c.run(5 * second)
 		for at := range 1200 {
 			c.run(500 * ms)
 			for who := range c.n {
-				if n := c.holds(who, peer.Dead); n > 0 {
+				if n := c.countHolding(who, peer.Dead); n > 0 {
 					t.Fatalf("seed %d: after %d half seconds %d hold %d to be dead", seed, at, n, who)
 				}
 			}
@@ -97,17 +97,17 @@
 
 // A member that is stopped for 2 s is not taken for dead by most, nor does it take the others for dead when it goes on.
 func TestPaused(t *testing.T) {
-	c := newCrowd(12, 24, 3)
+	c := newCluster(12, 24, 3)
 	c.run(5 * second)
 	for i := range 20 {
 		who := i * 7 % 12
-		c.Stop(who, true)
+		c.SetPaused(who, true)
 		c.run(2 * second)
-		c.Stop(who, false)
+		c.SetPaused(who, false)
 		most := 0
 		for range 20 {
 			c.run(50 * ms)
-			most = max(most, c.holds(who, peer.Dead))
+			most = max(most, c.countHolding(who, peer.Dead))
 		}
 		if most > 5 {
 			t.Errorf("pause %d: %d hold it to be dead", i, most)
@@ -117,16 +117,16 @@
 		}
 		c.run(3 * second)
 	}
-	if err := c.whole(); err != nil {
+	if err := c.checkMembership(); err != nil {
 		t.Error(err)
 	}
 }
 
 // A member that gets a fifth of a core, or runs by fits, does not take its neighbours for dead.
 func TestStarved(t *testing.T) {
-	c := newCrowd(12, 24, 4)
+	c := newCluster(12, 24, 4)
 	c.run(5 * second)
-	c.Strike(Fault{Kind: "proxy_starve", Proxies: []int{3}, Size: 0.8})
+	c.Inject(Fault{Kind: "proxy_starve", Proxies: []int{3}, Magnitude: 0.8})
 	for range 300 {
 		c.run(100*ms + ms)
 		if n := c.Fleet(3).Membership().AliveCount(); n < 12 {
@@ -138,16 +138,16 @@
 // Halves take each other for dead, and are one fleet again soon after; one-way, those that are not heard are dead to the others alone.
 func TestParted(t *testing.T) {
 	for _, way := range []string{"", "out", "in"} {
-		c := newCrowd(12, 24, 5)
+		c := newCluster(12, 24, 5)
 		c.run(5 * second)
-		heal := c.Strike(Fault{Kind: "split", Proxies: []int{0, 1, 2, 3, 4, 5}, Way: way})
+		heal := c.Inject(Fault{Kind: "split", Proxies: []int{0, 1, 2, 3, 4, 5}, Direction: way})
 		c.run(20 * second)
 		if got := c.Fleet(0).Membership().AliveCount(); way == "" && got != 6 {
 			t.Errorf("a half holds %d alive", got)
 		}
 		heal()
 		c.run(12 * second)
-		if err := c.whole(); err != nil {
+		if err := c.checkMembership(); err != nil {
 			t.Errorf("way %q: 12 s after the partition: %v", way, err)
 		}
 	}
@@ -155,41 +155,41 @@
 
 // Three parts, all killed in one of them while parted: what is whole again is those that run.
 func TestThreeParts(t *testing.T) {
-	c := newCrowd(12, 24, 6)
+	c := newCluster(12, 24, 6)
 	c.run(5 * second)
-	one, two := c.Strike(Fault{Kind: "split", Proxies: []int{0, 1, 2, 3}}), c.Strike(Fault{Kind: "split", Proxies: []int{4, 5, 6, 7}})
+	one, two := c.Inject(Fault{Kind: "split", Proxies: []int{0, 1, 2, 3}}), c.Inject(Fault{Kind: "split", Proxies: []int{4, 5, 6, 7}})
 	c.run(6 * second)
-	c.Strike(Fault{Kind: "proxy_kill", Proxies: []int{4, 5, 6, 7}})
+	c.Inject(Fault{Kind: "proxy_kill", Proxies: []int{4, 5, 6, 7}})
 	c.run(4 * second)
 	one()
 	two()
 	c.run(12 * second)
-	if err := c.whole(); err != nil {
+	if err := c.checkMembership(); err != nil {
 		t.Error(err)
 	}
 }
 
 // A process whose clock was set back begins with a life that is past, and is a member all the same.
 func TestClockSetBack(t *testing.T) {
-	c := newCrowd(3, 24, 7)
+	c := newCluster(3, 24, 7)
 	c.run(5 * second)
 	c.Kill(1)
-	c.Back(1, 1<<20)
+	c.SetIncarnation(1, 1<<20)
 	c.run(second)
 	c.Start(1)
 	c.run(8 * second)
-	if err := c.whole(); err != nil {
+	if err := c.checkMembership(); err != nil {
 		t.Error(err)
 	}
 }
 
 // One that ends by itself is known to have left at once, and is no suspect.
 func TestLeaves(t *testing.T) {
-	c := newCrowd(12, 24, 8)
+	c := newCluster(12, 24, 8)
 	c.run(5 * second)
-	c.Strike(Fault{Kind: "proxy_end", Proxies: []int{4}})
+	c.Inject(Fault{Kind: "proxy_end", Proxies: []int{4}})
 	c.run(500 * ms)
-	if n := c.holds(4, peer.Left); n != 11 {
+	if n := c.countHolding(4, peer.Left); n != 11 {
 		t.Errorf("%d of 11 know it", n)
 	}
 }
@@ -202,15 +202,15 @@
 	}
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			c := newCrowd(n, 9, 9)
+			c := newCluster(n, 9, 9)
 			c.run(20 * second)
 			before := make([]int, n)
 			for i := range n {
-				before[i], _ = c.Sent(i)
+				before[i], _ = c.SentTotals(i)
 			}
 			c.run(5 * second)
 			for i := range n {
-				if got, _ := c.Sent(i); got-before[i] > 50 {
+				if got, _ := c.SentTotals(i); got-before[i] > 50 {
 					t.Errorf("member %d sent %d in 5 s", i, got-before[i])
 				}
 			}
@@ -227,7 +227,7 @@
 			}
 			c.Kill(5)
 			c.run(20 * second)
-			if held := c.holds(5, peer.Dead); held < n*9/10 {
+			if held := c.countHolding(5, peer.Dead); held < n*9/10 {
 				t.Errorf("%d hold the killed one to be dead after 20 s", held)
 			}
 		})
--- a/rehearse/lab/baseline.go
+++ b/rehearse/lab/baseline.go
@@ -87,7 +87,7 @@
 	best, took := -1, math.Inf(1)
 	for i, s := range c {
 		srv := f.Server(s.ID)
-		if x := srv.Expect(work); x >= 0 && x < took && f.Reaches(zone, srv) {
+		if x := srv.ExpectedLatency(work); x >= 0 && x < took && f.Reachable(zone, srv) {
 			best, took = i, x
 		}
 	}
--- a/rehearse/lab/clients.go
+++ b/rehearse/lab/clients.go
@@ -36,7 +36,7 @@
 	n := 0
 	var err error
 	for {
-		var a emu.Ask
+		var a emu.Request
 		var at int
 		if a, at, err = l.next(); err != nil {
 			break
@@ -50,7 +50,7 @@
 		number := n
 		asks.Go(func() {
 			if x, asked := r.ask(client, r.procs[at%len(r.procs)], number, a, due); asked {
-				x.Seat = at
+				x.Balancer = at
 				results <- x
 			}
 		})
@@ -75,7 +75,7 @@
 }
 
 // ask is one client with its retries; false where its proxy has gone before the first: the two stop and start together.
-func (r *rig) ask(client *http.Transport, p *process, n int, a emu.Ask, due time.Time) (emu.Result, bool) {
+func (r *rig) ask(client *http.Transport, p *process, n int, a emu.Request, due time.Time) (emu.Result, bool) {
 	x := r.e.clients()
 	key := ""
 	if r.e.Load.Key != "" {
@@ -87,43 +87,43 @@
 			return emu.Result{}, false
 		}
 		again := got.kind == emu.Denied || key != "" && (got.kind == emu.Unanswered || got.open)
-		if !again || try > x.Retries || key == "" && int64(time.Since(due)) >= x.Timeout {
+		if !again || try > x.MaxRetries || key == "" && int64(time.Since(due)) >= x.Timeout {
 			if key != "" {
 				r.hold(key, got.kind, a)
 			}
-			return emu.Result{Ask: a, Kind: got.kind, Took: int64(time.Since(due)), Tries: try}, true
+			return emu.Result{Request: a, Kind: got.kind, Latency: int64(time.Since(due)), Attempts: try}, true
 		}
 		if got.back <= 0 || r.e.Load.Ignores {
-			got.back = time.Duration(x.Wait)
+			got.back = time.Duration(x.RetryDelay)
 		}
 		time.Sleep(got.back)
 	}
 }
 
 // hold holds what a client was told of its key against what the servers saw.
-func (r *rig) hold(key string, kind emu.Kind, a emu.Ask) {
+func (r *rig) hold(key string, kind emu.ResultKind, a emu.Request) {
 	if r.rules(a.RuleSet).Effect == balance.Replayable {
 		return
 	}
 	r.clock.Do(func() {
-		switch runs := r.fleet.Judge.Runs(key); {
+		switch runs := r.fleet.Checker.Executions(key); {
 		case kind == emu.Done && runs != 1:
-			r.fleet.Judge.Untrue("%s was answered as done, and ran %d times", key, runs)
+			r.fleet.Checker.ContradictedAnswer("%s was answered as done, and ran %d times", key, runs)
 		case kind == emu.Denied && runs != 0:
-			r.fleet.Judge.Untrue("%s was denied, and ran %d times", key, runs)
+			r.fleet.Checker.ContradictedAnswer("%s was denied, and ran %d times", key, runs)
 		}
 	})
 }
 
 // told is what one try got.
 type told struct {
-	kind emu.Kind
+	kind emu.ResultKind
 	back time.Duration
 	open bool // the first attempt is still open
 	gone bool // nobody listened
 }
 
-func (r *rig) try(client *http.Transport, p *process, n, number int, key string, a emu.Ask) told {
+func (r *rig) try(client *http.Transport, p *process, n, number int, key string, a emu.Request) told {
 	id := fmt.Sprintf("%d-%d", n, number)
 	x := r.e.clients()
 	ctx, cancel := context.WithTimeout(r.ctx, time.Duration(x.Timeout)+100*time.Millisecond) // an answer that is late is seen to be
@@ -146,7 +146,7 @@
 	hurt := p.hurt.Load()
 	r.clock.Do(func() {
 		r.asked[id] = r.clock.Now()
-		r.fleet.Judge.Taken(id, r.asked[id]+x.Timeout+50e6)
+		r.fleet.Checker.RequestAccepted(id, r.asked[id]+x.Timeout+50e6)
 	})
 	answer, err := client.RoundTrip(q)
 	var body []byte
@@ -157,19 +157,19 @@
 	if err != nil {
 		// What a proxy held when it was killed is for the client to ask again, and one that was stopped could not answer.
 		if p.hurt.Load() != hurt || p.down.Load() > 0 {
-			r.clock.Do(func() { r.fleet.Judge.Left(id) })
+			r.clock.Do(func() { r.fleet.Checker.ClientLeft(id) })
 		}
 		return told{kind: emu.Unanswered, gone: p.down.Load() > 0 && errors.Is(err, syscall.ECONNREFUSED)}
 	}
 	r.clock.Do(func() {
 		if p.hurt.Load() != hurt || p.down.Load() > 0 { // it may be late by as long as its proxy was stopped
-			r.fleet.Judge.Left(id)
+			r.fleet.Checker.ClientLeft(id)
 			return
 		}
 		if answer.StatusCode == http.StatusOK && string(body) != want {
-			r.fleet.Judge.Untrue("req %s got an answer that was not made for it: %q", id, body)
+			r.fleet.Checker.ContradictedAnswer("req %s got an answer that was not made for it: %q", id, body)
 		}
-		r.fleet.Judge.Final(id)
+		r.fleet.Checker.Answered(id)
 	})
 	var s float64
 	_, _ = fmt.Sscan(answer.Header.Get("Retry-After"), &s)
--- a/rehearse/lab/experiment.go
+++ b/rehearse/lab/experiment.go
@@ -213,7 +213,7 @@
 	}
 	for i, x := range e.Faults {
 		p := fmt.Sprintf("fault.%d.", i)
-		_, known := emu.Kinds[x.Kind]
+		_, known := emu.FaultKinds[x.Kind]
 		sized := slices.Contains([]string{"slow", "errors", "reset", "lossy", "late", "surge", "proxy_starve"}, x.Kind)
 		rules = append(rules, conf.Rule{!known, p + "kind", "no such kind of fault"}, conf.Rule{sized && x.Size <= 0, p + "size", "expected a number above 0"},
 			conf.Rule{x.Kind == "cut" && x.Zone == "", p + "zone", "expected the zone that is cut off"},
@@ -290,26 +290,26 @@
 	return all
 }
 
-func (e *Experiment) nature() emu.Nature {
+func (e *Experiment) nature() emu.ServerParams {
 	x := &e.Fleet
-	return emu.Nature{Queue: x.Queue, CacheKeys: x.CacheKeys, CacheFor: int64(x.CacheFor), CacheSaves: x.CacheSaves, RampTime: int64(x.Ramp),
-		StartCapacity: x.StartCapacity, FallOver: x.FallOver, FallAfter: int64(x.FallAfter), ReportEvery: int64(x.ReportEvery)}
+	return emu.ServerParams{QueueCapacity: x.Queue, CacheKeys: x.CacheKeys, CacheTTL: int64(x.CacheFor), CacheSavings: x.CacheSaves, RampTime: int64(x.Ramp),
+		StartCapacity: x.StartCapacity, OverloadFactor: x.FallOver, OverloadWindow: int64(x.FallAfter), ReportInterval: int64(x.ReportEvery)}
 }
 
-func (e *Experiment) wire() emu.Wire {
-	return emu.Wire{OneWay: int64(e.Fleet.OneWay), Cross: int64(e.Fleet.Cross), Told: int64(e.Fleet.Told)}
+func (e *Experiment) wire() emu.Network {
+	return emu.Network{SameZoneDelay: int64(e.Fleet.OneWay), CrossZoneDelay: int64(e.Fleet.Cross), DiscoveryDelay: int64(e.Fleet.Told)}
 }
 
 func (e *Experiment) faults() (all []emu.Fault) {
 	for _, x := range e.Faults {
-		all = append(all, emu.Fault{Kind: x.Kind, At: int64(x.At), For: int64(x.For), Servers: x.Servers, Count: x.Count, Zone: x.Zone, Size: x.Size,
-			Proxies: x.Proxies, Way: x.Way, Loss: x.Loss, Double: x.Double, Garble: x.Garble, Delay: int64(x.Delay), Spread: int64(x.Spread)})
+		all = append(all, emu.Fault{Kind: x.Kind, At: int64(x.At), Duration: int64(x.For), Servers: x.Servers, Count: x.Count, Zone: x.Zone, Magnitude: x.Size,
+			Proxies: x.Proxies, Direction: x.Way, LossRatio: x.Loss, DuplicateRatio: x.Double, CorruptRatio: x.Garble, Delay: int64(x.Delay), Jitter: int64(x.Spread)})
 	}
 	return all
 }
 
-func (e *Experiment) clients() emu.Clients {
-	return emu.Clients{Timeout: int64(e.Load.Timeout), Retries: e.Load.Retries, Wait: int64(e.Load.Wait), Ignores: e.Load.Ignores}
+func (e *Experiment) clients() emu.ClientConfig {
+	return emu.ClientConfig{Timeout: int64(e.Load.Timeout), MaxRetries: e.Load.Retries, RetryDelay: int64(e.Load.Wait), IgnoreRetryAfter: e.Load.Ignores}
 }
 
 // beside is a file that an experiment names.
--- a/rehearse/lab/links.go
+++ b/rehearse/lab/links.go
@@ -22,8 +22,8 @@
 	conns  [][]*net.UDPConn // [i][j]: what i knows j by
 	mu     sync.Mutex
 	dice   rng.Source
-	cut    [][]int     // by faults, from i to j
-	rough  []emu.Rough // all in force add up
+	cut    [][]int          // by faults, from i to j
+	rough  []emu.Impairment // all in force add up
 	sent   []PeerCount
 }
 
@@ -113,24 +113,24 @@
 	s := &l.sent[i]
 	s.Datagrams++
 	s.Bytes += len(b)
-	var all emu.Rough
+	var all emu.Impairment
 	for _, r := range l.rough {
 		all.Add(r)
 	}
-	if l.cut[i][j] > 0 || l.dice.Next() < all.Loss {
+	if l.cut[i][j] > 0 || l.dice.Next() < all.LossRatio {
 		s.Lost++
 		return nil
 	}
 	copies := 1
-	if l.dice.Next() < all.Double {
+	if l.dice.Next() < all.DuplicateRatio {
 		copies = 2
 	}
 	for range copies {
 		text := slices.Clone(b)
-		if l.dice.Next() < all.Garble && len(text) > 0 {
+		if l.dice.Next() < all.CorruptRatio && len(text) > 0 {
 			text[int(l.dice.Next()*float64(len(text)))] ^= byte(1 + l.dice.Next()*254)
 		}
-		out = append(out, onTheWay{text, time.Duration(all.Delay + int64(l.dice.Next()*float64(all.Spread)))})
+		out = append(out, onTheWay{text, time.Duration(all.Delay + int64(l.dice.Next()*float64(all.Jitter)))})
 		s.Arrived++
 	}
 	return out
@@ -156,7 +156,7 @@
 }
 
 // roughen has all links treat datagrams so until undone.
-func (l *links) roughen(r emu.Rough) (undo func()) {
+func (l *links) roughen(r emu.Impairment) (undo func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rough = append(l.rough, r)
--- a/rehearse/lab/load.go
+++ b/rehearse/lab/load.go
@@ -19,7 +19,7 @@
 
 // load gives asks in time order; io.EOF ends it.
 type load interface {
-	next() (a emu.Ask, balancer int, err error)
+	next() (a emu.Request, balancer int, err error)
 	close()
 }
 
@@ -68,14 +68,14 @@
 	return g
 }
 
-func (g *generated) next() (emu.Ask, int, error) {
+func (g *generated) next() (emu.Request, int, error) {
 	times, only := g.e.surge(int64(g.at))
 	g.at += -math.Log(g.dice.Next()) / (g.e.Load.Rate * times) * 1e9
 	if g.at >= float64(g.e.Length) {
-		return emu.Ask{}, 0, io.EOF
+		return emu.Request{}, 0, io.EOF
 	}
 	set := among(&g.dice, g.sets)
-	a := emu.Ask{At: int64(g.at), RuleSet: g.e.RuleSets[set].Name}
+	a := emu.Request{At: int64(g.at), RuleSet: g.e.RuleSets[set].Name}
 	if k := among(&g.dice, g.keys); k >= 0 {
 		a.Key = fmt.Sprint("k", k)
 	}
@@ -159,23 +159,23 @@
 
 func (t *traced) close() { _ = t.file.Close() }
 
-func (t *traced) next() (emu.Ask, int, error) {
+func (t *traced) next() (emu.Request, int, error) {
 	for {
 		row, err := t.rows.Next()
-		var bad *trace.Problem
-		if err == io.EOF && t.rows.Cut() && t.problems.Count == 0 {
+		var bad *trace.RowError
+		if err == io.EOF && t.rows.Truncated() && t.problems.Count == 0 {
 			t.problems.Tell(t.e.Trace.File + ": the last line has no end: the file may have been cut")
 		}
 		if errors.As(err, &bad) {
 			t.problems.Count++
 			t.problems.Tell(t.e.Trace.File + ": " + bad.Error())
 			if t.problems.Count > t.problems.Most {
-				return emu.Ask{}, 0, fmt.Errorf("%s: %w: more than %d", t.e.Trace.File, ErrProblems, t.problems.Most)
+				return emu.Request{}, 0, fmt.Errorf("%s: %w: more than %d", t.e.Trace.File, ErrProblems, t.problems.Most)
 			}
 			continue
 		}
 		if err != nil {
-			return emu.Ask{}, 0, err
+			return emu.Request{}, 0, err
 		}
 		if !t.begun {
 			t.begun, t.first = true, row.At
@@ -184,10 +184,10 @@
 		if drawn >= t.e.Trace.Part {
 			continue
 		}
-		a := emu.Ask{At: int64(float64(row.At-t.first) / t.e.Trace.Speed), Key: row.Key,
+		a := emu.Request{At: int64(float64(row.At-t.first) / t.e.Trace.Speed), Key: row.Key,
 			Work: min(int64(t.e.Trace.MostFor), max(int64(t.e.Trace.LeastFor), int64(float64(row.Work)*t.e.Trace.Work), 1))}
 		if t.e.Length > 0 && a.At >= int64(t.e.Length) {
-			return emu.Ask{}, 0, io.EOF
+			return emu.Request{}, 0, io.EOF
 		}
 		set, ok := t.e.Trace.RuleSets[row.Kind]
 		if !ok {
--- a/rehearse/lab/measure_test.go
+++ b/rehearse/lab/measure_test.go
@@ -9,7 +9,7 @@
 )
 
 // measured plays asks of worth 1 and 8, ten of each a second for 8 s; what becomes of each is the test's.
-func measured(t *testing.T, become func(value float64, at int64) emu.Kind) *Figures {
+func measured(t *testing.T, become func(value float64, at int64) emu.ResultKind) *Figures {
 	t.Helper()
 	e := &Experiment{}
 	for _, x := range []struct {
@@ -32,16 +32,16 @@
 	m := newMeasure(e, f)
 	for at := int64(0); at < 8e9; at += 1e8 {
 		for _, x := range e.RuleSets {
-			m.add(emu.Result{Ask: emu.Ask{At: at, RuleSet: x.Name}, Kind: become(x.Value, at), Took: 1e6, Tries: 1})
+			m.add(emu.Result{Request: emu.Request{At: at, RuleSet: x.Name}, Kind: become(x.Value, at), Latency: 1e6, Attempts: 1})
 		}
 	}
-	m.close(emu.NewJudge(emu.NewVirtual(1), 0))
+	m.close(emu.NewChecker(emu.NewVirtualClock(1), 0))
 	return f
 }
 
 // One who denies the valuable while lesser ones are served is caught; one who denies the least is not.
 func TestInversions(t *testing.T) {
-	wrong := measured(t, func(value float64, _ int64) emu.Kind {
+	wrong := measured(t, func(value float64, _ int64) emu.ResultKind {
 		if value > 1 {
 			return emu.Denied
 		}
@@ -50,7 +50,7 @@
 	if math.Abs(wrong.Inverted-0.5) > 1e-9 || wrong.Classes["high"] != 0 || wrong.Classes["low"] != 1 {
 		t.Errorf("%.2f inverted, classes %v, want each denied one counted", wrong.Inverted, wrong.Classes)
 	}
-	right := measured(t, func(value float64, _ int64) emu.Kind {
+	right := measured(t, func(value float64, _ int64) emu.ResultKind {
 		if value > 1 {
 			return emu.Done
 		}
--- a/rehearse/lab/mechanics.go
+++ b/rehearse/lab/mechanics.go
@@ -82,7 +82,7 @@
 // mend takes a server down for its work, in which its process is not there, and up again, cold.
 func (m *mechanics) mend(id string) {
 	var undo func()
-	m.r.clock.Do(func() { undo = m.r.fleet.Strike(emu.Fault{Kind: "crash", Servers: []string{id}}) })
+	m.r.clock.Do(func() { undo = m.r.fleet.Inject(emu.Fault{Kind: "crash", Servers: []string{id}}) })
 	select {
 	case <-m.r.ctx.Done():
 		return
@@ -156,7 +156,7 @@
 		for _, id := range servers[:n] {
 			m.done.Go(func() {
 				var undo func()
-				m.r.clock.Do(func() { undo = m.r.fleet.Strike(emu.Fault{Kind: "drain", Servers: []string{id}}) })
+				m.r.clock.Do(func() { undo = m.r.fleet.Inject(emu.Fault{Kind: "drain", Servers: []string{id}}) })
 				time.Sleep(grace)
 				m.take(id, 0)
 				time.Sleep(m.work)
--- a/rehearse/lab/rehearsal.go
+++ b/rehearse/lab/rehearsal.go
@@ -35,7 +35,7 @@
 // Strike does what a fault does, now; what it gives undoes it.
 func (x *Rehearsal) Strike(f emu.Fault) (undo func()) {
 	var mend func()
-	x.r.clock.Do(func() { mend = x.r.fleet.Strike(f) })
+	x.r.clock.Do(func() { mend = x.r.fleet.Inject(f) })
 	return func() { x.r.clock.Do(mend) }
 }
 
--- a/rehearse/lab/run.go
+++ b/rehearse/lab/run.go
@@ -94,7 +94,7 @@
 		}
 	}
 	intime := 0.0
-	if r.Kind == emu.Done && r.Took <= target {
+	if r.Kind == emu.Done && r.Latency <= target {
 		intime = value
 	}
 	second := int(r.At / 1e9)
@@ -106,7 +106,7 @@
 		m.windows = append(m.windows, window{})
 	}
 	m.quarters.add(r.At, intime, value)
-	m.seats[r.Seat%len(m.seats)].add(r.At, intime, value)
+	m.seats[r.Balancer%len(m.seats)].add(r.At, intime, value)
 	w := &m.windows[tenth]
 	w.asked = append(w.asked, value)
 	switch {
@@ -124,12 +124,12 @@
 	m.classes[r.RuleSet] = [2]float64{c[0] + intime, c[1] + value}
 	f := m.figures
 	f.Asks++
-	m.tries += r.Tries
+	m.tries += r.Attempts
 	m.good, m.asked = m.good+intime, m.asked+value
 	switch r.Kind {
 	case emu.Done:
 		f.Done++
-		_ = m.took.RecordValue(max(1, r.Took/1e3))
+		_ = m.took.RecordValue(max(1, r.Latency/1e3))
 	case emu.Denied:
 		f.Denied++
 	case emu.Aborted:
@@ -140,7 +140,7 @@
 }
 
 // close works the figures out.
-func (m *measure) close(j *emu.Judge) {
+func (m *measure) close(j *emu.Checker) {
 	f := m.figures
 	if m.asked > 0 {
 		f.Service = m.good / m.asked
@@ -176,7 +176,7 @@
 	for q := int(int64(m.e.Warm) / quarter); q+20 <= len(m.quarters); q++ {
 		f.Worst = min(f.Worst, m.quarters.mean(q, q+20))
 	}
-	f.Breaches, f.Strain, f.Notes, f.Begun = j.Breaches, j.Strain, j.Notes, j.Begun
+	f.Breaches, f.Strain, f.Notes, f.Begun = j.Violations, j.MaxOverload, j.Notes, j.ExecutionCount
 }
 
 // inversions counts who was denied while a lesser one was done.
@@ -243,7 +243,7 @@
 // virtual plays one run in virtual time.
 func virtual(e *Experiment, v Variant, seed uint64, policy func(t balance.Config, now int64) emu.Policy, p *Problems) (*Figures, error) {
 	begun := time.Now()
-	clock := emu.NewVirtual(1e12)
+	clock := emu.NewVirtualClock(1e12)
 	fleet := emu.NewFleet(clock, seed, e.nature(), e.wire(), e.machines(), int64(e.Fleet.Grace))
 	if policy == nil {
 		policy = newPolicy(v.Policy, fleet)
@@ -254,7 +254,7 @@
 	for i := range zones {
 		zones[i] = e.zone(i)
 	}
-	seats := emu.NewSeats(fleet, clock, zones, e.terms(), e.clients(), seed, policy, m.add)
+	seats := emu.NewBalancers(fleet, clock, zones, e.terms(), e.clients(), seed, policy, m.add)
 	peers, err := e.meet(v, seats, seed)
 	if err != nil {
 		return nil, err
@@ -282,9 +282,9 @@
 	}
 	// Those that came last have their time, with all their clients' retries.
 	clock.Run(end + int64(e.Load.Timeout)*int64(2+e.Load.Retries) + 1e9)
-	fleet.Judge.Close()
-	m.close(fleet.Judge)
-	f.Sends, f.Dispatched = seats.Sends, seats.Dispatched
+	fleet.Checker.CountUnanswered()
+	m.close(fleet.Checker)
+	f.Sends, f.Dispatched = seats.Dispatches, seats.DispatchedTries
 	if peers != nil {
 		f.Peers, f.Views = tell(peers, e.Fleet.Balancers, clock.Now())
 	}
@@ -293,7 +293,7 @@
 }
 
 // meet has the balancers of a variant hear one another and keep what they learn, as its operator file says.
-func (e *Experiment) meet(v Variant, s *emu.Seats, seed uint64) (*emu.Peers, error) {
+func (e *Experiment) meet(v Variant, s *emu.Balancers, seed uint64) (*emu.Peers, error) {
 	if v.Operator == "" {
 		return nil, nil
 	}
@@ -302,7 +302,7 @@
 		return nil, err
 	}
 	if r := o.Recovery; r != nil && r.Folder != "" {
-		s.Keep(emu.Keeps{Every: int64(r.SnapshotInterval), Trust: int64(r.MaxObservationAge)})
+		s.EnableSnapshots(emu.SnapshotConfig{Interval: int64(r.SnapshotInterval), TrustPeriod: int64(r.MaxObservationAge)})
 	}
 	if o.Fleet == nil {
 		return nil, nil
@@ -310,7 +310,7 @@
 	if o.Fleet.Limits != nil {
 		return nil, fmt.Errorf("%s: fleet.limits: played in mode processes alone", v.Operator)
 	}
-	return s.Meet(seed, func(me, of int) fleet.Config {
+	return s.ConnectPeers(seed, func(me, of int) fleet.Config {
 		t := o.Fleet.MemberConfig(me, of, true)
 		t.Learn = o.LearnConfig()
 		return t
@@ -320,7 +320,7 @@
 // tell gives what members have sent and what they see at the end.
 func tell(p *emu.Peers, n int, now int64) (counts []PeerCount, views []View) {
 	for i := range n {
-		sent, bytes := p.Sent(i)
+		sent, bytes := p.SentTotals(i)
 		counts = append(counts, PeerCount{Datagrams: sent, Bytes: bytes})
 		views = append(views, viewOf(float64(now)/1e9, i, p.Fleet(i).Status(now)))
 	}
--- a/rehearse/lab/sockets.go
+++ b/rehearse/lab/sockets.go
@@ -30,7 +30,7 @@
 	e             *Experiment
 	number        int64 // of the rigs of this process
 	terms         balance.Config
-	clock         *emu.Wall
+	clock         *emu.WallClock
 	fleet         *emu.Fleet
 	ctx           context.Context
 	cancel        context.CancelFunc
@@ -78,7 +78,7 @@
 
 func newRig(e *Experiment, seed uint64) *rig {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{e: e, number: nets.Add(1), terms: e.terms(), clock: emu.NewWall(), ctx: ctx, cancel: cancel, open: map[net.Conn]string{},
+	r := &rig{e: e, number: nets.Add(1), terms: e.terms(), clock: emu.NewWallClock(), ctx: ctx, cancel: cancel, open: map[net.Conn]string{},
 		asked: map[string]int64{}, met: newMet(e.Fleet.Balancers)}
 	r.fails.discovery, r.fails.servers = make([]int, e.Fleet.Balancers), make([]map[string]int, e.Fleet.Balancers)
 	r.dice.Seed = seed ^ 0xfa17
@@ -88,7 +88,7 @@
 	}
 	r.clock.Do(func() {
 		r.fleet = emu.NewFleet(r.clock, seed, e.nature(), e.wire(), e.machines(), int64(e.Fleet.Grace))
-		r.fleet.Others = r.strike
+		r.fleet.InjectProxyFault = r.strike
 	})
 	return r
 }
@@ -138,8 +138,8 @@
 	}
 	f.Processor = r.cpu() - before
 	r.clock.Do(func() {
-		r.fleet.Judge.Close()
-		m.close(r.fleet.Judge)
+		r.fleet.Checker.CountUnanswered()
+		m.close(r.fleet.Checker)
 		f.Sends, f.Dispatched, f.Probes = r.met.sends, len(r.met.reqs), r.met.probes
 		f.Return.peaks(r.e, r.met, r.played)
 	})
@@ -229,7 +229,7 @@
 	var version int64
 	r.clock.Do(func() { servers, version = r.fleet.List() })
 	told := map[string]any{"name": fmt.Sprint("n", proxy), "listen": listen, "discovery": discovery,
-		"seed": fmt.Sprintf("%x", emu.SeedOf(seed, proxy)), "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 4096},
+		"seed": fmt.Sprintf("%x", emu.BalancerSeed(seed, proxy)), "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 4096},
 		"known": json.RawMessage(r.line(proxy, true, version, servers)),
 		"settings": map[string]any{"FleetSize": t.FleetSize, "Me": proxy, "Zone": r.e.zone(proxy), "TickNs": t.Tick, "Discovery": "on_request",
 			"Ceilings": map[string]any{"MaxDispatches": t.MaxDispatches, "ParallelTries": t.AllowParallel, "Cancel": t.CanCancel, "RetryAfter": true,
--- a/rehearse/lab/standins.go
+++ b/rehearse/lab/standins.go
@@ -32,7 +32,7 @@
 					return
 				case <-time.After(2 * time.Millisecond):
 				}
-				r.clock.Do(func() { up = s.Up() || s.Silent() })
+				r.clock.Do(func() { up = s.AcceptsConnections() || s.Unresponsive() })
 			}
 			if l, err = net.Listen("tcp", addr); err != nil {
 				return
@@ -57,7 +57,7 @@
 			case <-time.After(2 * time.Millisecond):
 			}
 			gone := false
-			r.clock.Do(func() { gone = !s.Up() && !s.Silent() })
+			r.clock.Do(func() { gone = !s.AcceptsConnections() && !s.Unresponsive() })
 			if gone {
 				r.reset(s.ID, proxy)
 				return
@@ -127,15 +127,15 @@
 			id = key // executions count by what the client asked for, however often it asked
 		}
 		outcome := make(chan balance.Outcome, 1)
-		job := &emu.Job{Req: id, From: proxy, Sent: sent, Key: q.Header.Get("Affinity-Key"), Rules: r.rules(q.Header.Get("Request-Class")),
+		job := &emu.Job{RequestID: id, Balancer: proxy, SentAt: sent, Key: q.Header.Get("Affinity-Key"), RuleSet: r.rules(q.Header.Get("Request-Class")),
 			Done: func(o balance.Outcome) { outcome <- o }}
 		_, _ = fmt.Sscanf(q.Header.Get("Request-Info"), "CostGuessNs=%d", &job.Work)
-		var load emu.Load
+		var load emu.LoadReport
 		r.clock.Do(func() {
 			if r.fails.servers[proxy][s.ID] > 0 {
 				return
 			}
-			r.fleet.Judge.Sent(proxy, s.ID, id)
+			r.fleet.Checker.AttemptSent(proxy, s.ID, id)
 			r.met.sends++
 			r.met.to[proxy][s.ID] = append(r.met.to[proxy][s.ID], sent)
 			if !r.met.reqs[id] {
@@ -147,7 +147,7 @@
 					RuleSet: q.Header.Get("Request-Class"), Tenant: q.Header.Get("Tenant")})
 			}
 			r.met.reqs[id] = true
-			if _, arrives := r.fleet.Way(r.e.zone(proxy), s); arrives {
+			if _, arrives := r.fleet.Delivery(r.e.zone(proxy), s); arrives {
 				s.Offer(job)
 			}
 		})
@@ -186,7 +186,7 @@
 			return
 		}
 		r.met.probes[s.ID]++
-		says = s.Well()
+		says = s.Healthy()
 	})
 	if !says {
 		return false
@@ -204,7 +204,7 @@
 }
 
 // say writes an outcome; false where the connection ends with it.
-func (r *rig) say(c net.Conn, o balance.Outcome, id string, load emu.Load) bool {
+func (r *rig) say(c net.Conn, o balance.Outcome, id string, load emu.LoadReport) bool {
 	status, more, body := "200 OK", "", id
 	switch o {
 	case balance.Served:
@@ -263,21 +263,21 @@
 		down, gone := false, false
 		r.clock.Do(func() {
 			r.met.calls[""] = append(r.met.calls[""], r.clock.Now())
-			if down = r.fleet.Down() || r.fails.discovery[proxy] > 0; down {
+			if down = r.fleet.DiscoveryDown() || r.fails.discovery[proxy] > 0; down {
 				return
 			}
 			servers, version := r.fleet.List()
 			lines <- r.line(proxy, true, version, servers)
 			for _, s := range servers {
-				r.fleet.Judge.Told(proxy, s.ID, s.State)
+				r.fleet.Checker.StateAnnounced(proxy, s.ID, s.State)
 			}
-			r.fleet.Watch(func(e emu.Entry) {
+			r.fleet.Watch(func(e emu.ListChange) {
 				if gone { // its connection has ended: it is told nothing
 					return
 				}
 				select {
 				case lines <- r.line(proxy, false, e.Version, []balance.Server{e.Server}):
-					r.fleet.Judge.Told(proxy, e.Server.ID, e.Server.State)
+					r.fleet.Checker.StateAnnounced(proxy, e.Server.ID, e.Server.State)
 				default: // a proxy that does not read is told nothing
 				}
 			}, func() { close(ended) })
--- a/rehearse/lab/state.go
+++ b/rehearse/lab/state.go
@@ -49,7 +49,7 @@
 					continue
 				}
 				if x.Kind == "state_cut" {
-					b = b[:int(x.Size*float64(len(b)))]
+					b = b[:int(x.Magnitude*float64(len(b)))]
 				} else {
 					at := int(luck * float64(8*len(b)))
 					b[at/8] ^= 1 << (at % 8)
--- a/rehearse/lab/timetable.go
+++ b/rehearse/lab/timetable.go
@@ -20,7 +20,7 @@
 	if len(x.Proxies) > 0 || x.Count == 0 {
 		return x.Proxies
 	}
-	return emu.Drawn(&r.dice, len(r.procs), x.Count)
+	return emu.Sample(&r.dice, len(r.procs), x.Count)
 }
 
 func (r *rig) strike(x emu.Fault) (undo func()) {
@@ -47,17 +47,17 @@
 	case "proxy_starve":
 		over := make(chan bool)
 		for _, i := range hit {
-			r.wait.Go(func() { r.starve(r.procs[i], x.Size, over) })
+			r.wait.Go(func() { r.starve(r.procs[i], x.Magnitude, over) })
 		}
 		return func() { close(over) }
 	case "split":
 		if r.links != nil {
-			r.links.split(hit, x.Way, 1)
-			return func() { r.links.split(hit, x.Way, -1) }
+			r.links.split(hit, x.Direction, 1)
+			return func() { r.links.split(hit, x.Direction, -1) }
 		}
 	case "datagrams":
 		if r.links != nil {
-			return r.links.roughen(emu.Rough{Loss: x.Loss, Double: x.Double, Garble: x.Garble, Delay: x.Delay, Spread: x.Spread})
+			return r.links.roughen(emu.Impairment{LossRatio: x.LossRatio, DuplicateRatio: x.DuplicateRatio, CorruptRatio: x.CorruptRatio, Delay: x.Delay, Jitter: x.Jitter})
 		}
 	case "state_lost", "state_save", "state_old", "state_cut", "state_flip", "state_full":
 		for _, i := range hit {
@@ -105,7 +105,7 @@
 	}
 	for n, i := range hit {
 		p := r.procs[i]
-		back, turn := x.For+int64(r.dice.Next()*float64(x.Spread)), p.kills.Add(1)
+		back, turn := x.Duration+int64(r.dice.Next()*float64(x.Jitter)), p.kills.Add(1)
 		r.wait.Go(func() {
 			<-ends[n]
 			select {
--- a/rehearse/soak/fleet_test.go
+++ b/rehearse/soak/fleet_test.go
@@ -211,7 +211,7 @@
 	for _, h := range f.hosts {
 		listed = append(listed, h.listed)
 	}
-	f.platform.Set(listed...)
+	f.platform.SetInstances(listed...)
 }
 
 // replaceHost drains the oldest host and starts a new one.
--- a/rehearse/soak/hosts_test.go
+++ b/rehearse/soak/hosts_test.go
@@ -108,7 +108,7 @@
 	}
 	r := h.ledger.run(id, q.Header.Get("Tenant"), arrived)
 	time.Sleep(rand.N(longWork))
-	w.Header().Set("Response-Seal", system.Seal(h.id, id))
+	w.Header().Set("Response-Seal", system.ResponseSeal(h.id, id))
 	broken := chance < refusedOf1000+brokenOf1000
 	if broken && r != nil {
 		h.ledger.spoil(r)
--- a/rehearse/system/standins.go
+++ b/rehearse/system/standins.go
@@ -39,7 +39,7 @@
 // NewPlatform starts a platform that lists nothing.
 func NewPlatform() *Platform {
 	p := &Platform{}
-	p.Server = httptest.NewServer(http.HandlerFunc(p.list))
+	p.Server = httptest.NewServer(http.HandlerFunc(p.handleList))
 	return p
 }
 
@@ -47,13 +47,13 @@
 func (p *Platform) Address() string { return strings.TrimPrefix(p.URL, "http://") }
 
 // Set replaces the list.
-func (p *Platform) Set(instances ...Instance) {
+func (p *Platform) SetInstances(instances ...Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.instances = instances
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
 	p.Calls.Add(1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,27 +76,27 @@
 
 // The behaviours of a host.
 const (
-	Serve       Behaviour = iota
-	RefuseFull            // 503 with Not-Executed
-	BreakOff              // a stream ends in the middle of its third event
-	FailAnswer            // 500 of its own
-	WrongAnswer           // the answer of another request
-	GoSilent              // nothing comes until the caller leaves
+	Serve              Behaviour = iota
+	RefuseUnexecuted             // 503 with Not-Executed
+	TruncateStream               // a stream ends in the middle of its third event
+	FailInternally               // 500 of its own
+	AnswerOtherRequest           // the answer of another request
+	NeverAnswer                  // nothing comes until the caller leaves
 )
 
 // Events is how many events a whole stream of a host has.
-const Events = 6
+const StreamEvents = 6
 
 // Host is one host of a service.
 type Host struct {
 	*httptest.Server
 	ID string
 
-	mu        sync.Mutex
-	behaviour Behaviour
-	runs      []string // ids of the requests that it ran
-	last      http.Header
-	body      string
+	mu         sync.Mutex
+	behaviour  Behaviour
+	executed   []string // ids of the requests that it ran
+	lastHeader http.Header
+	lastBody   string
 }
 
 // NewHost starts a host that serves.
@@ -110,28 +110,28 @@
 func (h *Host) Address() string { return strings.TrimPrefix(h.URL, "http://") }
 
 // Behave changes what it does from now on.
-func (h *Host) Behave(b Behaviour) {
+func (h *Host) SetBehaviour(b Behaviour) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.behaviour = b
 }
 
 // Runs gives the ids of the requests that it ran.
-func (h *Host) Runs() []string {
+func (h *Host) ExecutedRequests() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string{}, h.runs...)
+	return append([]string{}, h.executed...)
 }
 
 // Last gives the header and body of the newest request that it ran.
-func (h *Host) Last() (http.Header, string) {
+func (h *Host) LastRequest() (http.Header, string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.last, h.body
+	return h.lastHeader, h.lastBody
 }
 
 // Seal is the stamp of a host's answer to a request.
-func Seal(host, id string) string { return host + "." + id }
+func ResponseSeal(host, id string) string { return host + "." + id }
 
 func (h *Host) handle(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
@@ -146,23 +146,23 @@
 	}
 	h.mu.Lock()
 	behaviour := h.behaviour
-	if behaviour != RefuseFull {
-		h.runs, h.last, h.body = append(h.runs, id), r.Header.Clone(), body.String()
+	if behaviour != RefuseUnexecuted {
+		h.executed, h.lastHeader, h.lastBody = append(h.executed, id), r.Header.Clone(), body.String()
 	}
 	h.mu.Unlock()
 	switch behaviour {
-	case RefuseFull:
+	case RefuseUnexecuted:
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case GoSilent:
+	case NeverAnswer:
 		<-r.Context().Done()
 		return
-	case WrongAnswer:
+	case AnswerOtherRequest:
 		w.Header().Set("Request-Id", "another")
 	}
-	w.Header().Set("Response-Seal", Seal(h.ID, id))
-	if behaviour == FailAnswer {
+	w.Header().Set("Response-Seal", ResponseSeal(h.ID, id))
+	if behaviour == FailInternally {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -176,8 +176,8 @@
 func (h *Host) stream(w http.ResponseWriter, r *http.Request, behaviour Behaviour) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id")) // 0 without one
-	for i := from + 1; i <= Events; i++ {
-		if behaviour == BreakOff && i == from+3 {
+	for i := from + 1; i <= StreamEvents; i++ {
+		if behaviour == TruncateStream && i == from+3 {
 			fmt.Fprintf(w, "id: %d\nda", i)
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
--- a/rehearse/system/system_test.go
+++ b/rehearse/system/system_test.go
@@ -28,10 +28,10 @@
 )
 
 // fleet is a whole system on loopback: three control processes, an agent and a router.
-type fleet struct {
+type testFleet struct {
 	t        *testing.T
 	platform *system.Platform
-	control  []*member
+	control  []*controlProcess
 	front    string
 	ready    string
 	seeds    []string
@@ -39,7 +39,7 @@
 	port     int
 }
 
-type member struct {
+type controlProcess struct {
 	settings *settings.Settings
 	stop     context.CancelFunc
 	done     chan struct{}
@@ -48,18 +48,18 @@
 // nextPort keeps the fleets of this package's tests apart; those of other processes have other addresses.
 var nextPort = 21000 + os.Getpid()%150*64
 
-func start(t *testing.T, instances ...system.Instance) *fleet {
+func startFleet(t *testing.T, instances ...system.Instance) *testFleet {
 	t.Helper()
-	return startOf(t, 3, instances...)
+	return startFleetOf(t, 3, instances...)
 }
 
 // startOf starts a fleet with so many control processes, three of them seeds.
-func startOf(t *testing.T, controls int, instances ...system.Instance) *fleet {
+func startFleetOf(t *testing.T, controls int, instances ...system.Instance) *testFleet {
 	t.Helper()
-	f := &fleet{t: t, platform: system.NewPlatform(), port: nextPort, tolerate: controls / 2}
+	f := &testFleet{t: t, platform: system.NewPlatform(), port: nextPort, tolerate: controls / 2}
 	nextPort += 8
 	t.Cleanup(f.platform.Close)
-	f.platform.Set(instances...)
+	f.platform.SetInstances(instances...)
 	for i := range 3 {
 		f.seeds = append(f.seeds, f.operatorAddress(i))
 	}
@@ -78,16 +78,18 @@
 
 func ip(i int) string { return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8&63, os.Getpid()&255, i+1) }
 
-func (f *fleet) settings(ip, name string) *settings.Settings {
+func (f *testFleet) settings(ip, name string) *settings.Settings {
 	return &settings.Settings{NodeName: name, IP: ip, PortRange: [2]int{f.port, f.port + 3}, Seeds: f.seeds,
 		Tolerate: settings.Tolerate{Machines: f.tolerate}, Cloud: settings.Cloud{Address: f.platform.Address()},
 		Bounds: settings.Bounds{DrainMS: 1500, GraceS: 1, QuotaWindowS: 8, QuotaOverage: 0.1, RetryRatio: 0.2,
 			RetrySlack: 56}}
 }
 
-func (f *fleet) operatorAddress(i int) string { return net.JoinHostPort(ip(i), strconv.Itoa(f.port+4)) }
+func (f *testFleet) operatorAddress(i int) string {
+	return net.JoinHostPort(ip(i), strconv.Itoa(f.port+4))
+}
 
-func (f *fleet) startControl(i int, dir string, bootstrap bool) *member {
+func (f *testFleet) startControl(i int, dir string, bootstrap bool) *controlProcess {
 	f.t.Helper()
 	s := f.settings(ip(i), fmt.Sprint("core-", i))
 	s.DataDir, s.Bootstrap = dir, bootstrap
@@ -95,7 +97,7 @@
 	node, err := control.New(s, hclog.NewNullLogger())
 	assert.NilError(f.t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	m := &member{s, stop, make(chan struct{})}
+	m := &controlProcess{s, stop, make(chan struct{})}
 	go func() {
 		defer close(m.done)
 		assert.Check(f.t, node.Run(ctx, nil))
@@ -104,7 +106,7 @@
 	return m
 }
 
-func (m *member) stopAndWait() {
+func (m *controlProcess) stopAndWait() {
 	m.stop()
 	<-m.done
 }
@@ -133,7 +135,7 @@
 var client = &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // order sends an order to one control process.
-func (f *fleet) order(i, base int, body []byte) int {
+func (f *testFleet) replaceConfig(i, base int, body []byte) int {
 	f.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+f.seeds[i]+"/v1/Config.Replace", bytes.NewReader(body))
 	assert.NilError(f.t, err)
@@ -147,12 +149,12 @@
 }
 
 // orderUntilClear sends an order to each control process in turn until the answer is clear.
-func (f *fleet) orderUntilClear(base int, body []byte) int {
+func (f *testFleet) replaceConfigUntilDecided(base int, body []byte) int {
 	f.t.Helper()
 	status := 0
 	f.eventually("a clear answer to an order", func() bool {
 		for i := range f.seeds {
-			if status = f.order(i, base, body); status == 200 || status >= 400 && status < 500 {
+			if status = f.replaceConfig(i, base, body); status == 200 || status >= 400 && status < 500 {
 				return true
 			}
 		}
@@ -161,7 +163,7 @@
 	return status
 }
 
-func (f *fleet) status(i int) (s control.Status, ok bool) {
+func (f *testFleet) status(i int) (s control.Status, ok bool) {
 	response, err := client.Get("http://" + f.operatorAddress(i) + "/v1/Status")
 	if err != nil {
 		return s, false
@@ -170,7 +172,7 @@
 	return s, json.NewDecoder(response.Body).Decode(&s) == nil
 }
 
-func (f *fleet) eventually(what string, is func() bool) {
+func (f *testFleet) eventually(what string, is func() bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		if is() {
@@ -181,15 +183,15 @@
 }
 
 type reply struct {
-	status int
-	header http.Header
-	body   string
-	whole  bool
+	status   int
+	header   http.Header
+	body     string
+	complete bool
 }
 
 var requests = 0
 
-func (f *fleet) request(path, key, body string) reply {
+func (f *testFleet) request(path, key, body string) reply {
 	f.t.Helper()
 	requests++
 	request, err := http.NewRequest(http.MethodPost, "http://"+f.front+path, strings.NewReader(body))
@@ -211,9 +213,9 @@
 }
 
 // serving waits until the router serves a first configuration.
-func (f *fleet) serving() {
+func (f *testFleet) waitUntilServing() {
 	f.t.Helper()
-	assert.Equal(f.t, f.orderUntilClear(0, config(1)), 200)
+	assert.Equal(f.t, f.replaceConfigUntilDecided(0, config(1)), 200)
 	f.eventually("a ready router", func() bool {
 		response, err := client.Get("http://" + f.ready + "/v1/ready")
 		if err != nil {
@@ -233,8 +235,8 @@
 func TestWholePath(t *testing.T) {
 	one, a := newHost(t, "one")
 	two, b := newHost(t, "two")
-	f := start(t, a, b, system.Instance{ID: "other", Backend: "elsewhere", Address: "127.0.0.1:1", State: "ready"})
-	f.serving()
+	f := startFleet(t, a, b, system.Instance{ID: "other", Backend: "elsewhere", Address: "127.0.0.1:1", State: "ready"})
+	f.waitUntilServing()
 
 	t.Run("a ready router knows the hosts of all services", func(t *testing.T) {
 		assert.Equal(t, f.request("/again/", "key", "").status, 200)
@@ -246,10 +248,10 @@
 		if !strings.HasPrefix(got.header.Get("Response-Seal"), one.ID) {
 			h = two
 		}
-		id := h.Runs()[len(h.Runs())-1]
+		id := h.ExecutedRequests()[len(h.ExecutedRequests())-1]
 		assert.Equal(t, got.body, "answer to "+id)
-		assert.Equal(t, got.header.Get("Response-Seal"), system.Seal(h.ID, id))
-		header, body := h.Last()
+		assert.Equal(t, got.header.Get("Response-Seal"), system.ResponseSeal(h.ID, id))
+		header, body := h.LastRequest()
 		assert.Equal(t, body, "the body")
 		assert.Equal(t, header.Get("Tenant"), "acme")
 		assert.Equal(t, header.Get("Authorization"), "")
@@ -268,40 +270,40 @@
 		for range 60 { // earn what the repeats below cost: a fleet that has just started has none to give
 			assert.Equal(t, f.request("/again/", "key", "").status, 200)
 		}
-		one.Behave(system.BreakOff)
+		one.SetBehaviour(system.TruncateStream)
 		for range 4 {
 			got := f.request("/stream/", "key", "")
 			assert.Equal(t, got.status, 200)
-			assert.Assert(t, got.whole)
-			for i := 1; i <= system.Events; i++ {
+			assert.Assert(t, got.complete)
+			for i := 1; i <= system.StreamEvents; i++ {
 				assert.Equal(t, strings.Count(got.body, fmt.Sprintf("data: event %d\n", i)), 1)
 			}
 		}
-		one.Behave(system.Serve)
+		one.SetBehaviour(system.Serve)
 	})
 	t.Run("a stream that may not run twice is cut where its host breaks off", func(t *testing.T) {
-		one.Behave(system.BreakOff)
-		two.Behave(system.BreakOff)
+		one.SetBehaviour(system.TruncateStream)
+		two.SetBehaviour(system.TruncateStream)
 		got := f.request("/once/stream/", "key", "")
-		assert.Assert(t, !got.whole)
-		one.Behave(system.Serve)
-		two.Behave(system.Serve)
+		assert.Assert(t, !got.complete)
+		one.SetBehaviour(system.Serve)
+		two.SetBehaviour(system.Serve)
 	})
 	t.Run("a refused request gets a promise and never ran", func(t *testing.T) {
-		one.Behave(system.RefuseFull)
-		two.Behave(system.RefuseFull)
+		one.SetBehaviour(system.RefuseUnexecuted)
+		two.SetBehaviour(system.RefuseUnexecuted)
 		got := f.request("/unsafe/", "key", "")
 		assert.Equal(t, got.status, 503)
 		assert.Assert(t, got.header.Get("Retry-After") != "")
-		one.Behave(system.Serve)
-		two.Behave(system.Serve)
+		one.SetBehaviour(system.Serve)
+		two.SetBehaviour(system.Serve)
 	})
 	t.Run("an answer of another request never reaches the client", func(t *testing.T) {
-		one.Behave(system.WrongAnswer)
-		two.Behave(system.WrongAnswer)
+		one.SetBehaviour(system.AnswerOtherRequest)
+		two.SetBehaviour(system.AnswerOtherRequest)
 		assert.Equal(t, f.request("/unsafe/", "key", "").status, 502)
-		one.Behave(system.Serve)
-		two.Behave(system.Serve)
+		one.SetBehaviour(system.Serve)
+		two.SetBehaviour(system.Serve)
 	})
 	t.Run("a tenant beyond its limit is told when to come back", func(t *testing.T) {
 		last := reply{}
@@ -314,8 +316,8 @@
 	t.Run("a draining host gets nothing more", func(t *testing.T) {
 		draining := a
 		draining.State = "draining"
-		f.platform.Set(draining, b)
-		ran := func() int { return len(one.Runs()) }
+		f.platform.SetInstances(draining, b)
+		ran := func() int { return len(one.ExecutedRequests()) }
 		f.eventually("the drain to be known", func() bool {
 			before := ran()
 			for range 8 {
@@ -327,7 +329,7 @@
 }
 
 // members says how many members a control process knows, once no change of them is under way.
-func (f *fleet) members(i int) int {
+func (f *testFleet) members(i int) int {
 	s, ok := f.status(i)
 	if !ok || s.Changing || s.Commit != s.Entry {
 		return 0
@@ -336,16 +338,16 @@
 }
 
 func TestAllControlProcessesBecomeMembers(t *testing.T) {
-	f := startOf(t, 5)
+	f := startFleetOf(t, 5)
 	for i := range 5 {
 		f.eventually("five members at each", func() bool { return f.members(i) == 5 })
 	}
-	assert.Equal(t, f.orderUntilClear(0, config(1)), 200)
+	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200)
 	f.control[1].stopAndWait() // two lose their disks at once
 	f.control[2].stopAndWait()
 	f.control[1] = f.startControl(1, t.TempDir(), false)
 	f.control[2] = f.startControl(2, t.TempDir(), false)
-	assert.Equal(t, f.orderUntilClear(1, config(2)), 200)
+	assert.Equal(t, f.replaceConfigUntilDecided(1, config(2)), 200)
 	for i := range 5 {
 		f.eventually("five members again", func() bool { return f.members(i) == 5 })
 	}
@@ -353,17 +355,17 @@
 
 func TestConfigurationOutlivesItsReplicas(t *testing.T) {
 	h, a := newHost(t, "one")
-	f := start(t, a)
-	f.serving()
-	assert.Equal(t, f.orderUntilClear(0, config(1)), 200, "the same order again")
-	assert.Equal(t, f.orderUntilClear(0, config(2)), 412, "another on the same base")
-	assert.Equal(t, f.orderUntilClear(1, config(1)), 400, "no higher revision")
-	assert.Equal(t, f.orderUntilClear(1, []byte("{")), 400)
-	assert.Equal(t, f.orderUntilClear(1, config(3)), 200)
+	f := startFleet(t, a)
+	f.waitUntilServing()
+	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200, "the same order again")
+	assert.Equal(t, f.replaceConfigUntilDecided(0, config(2)), 412, "another on the same base")
+	assert.Equal(t, f.replaceConfigUntilDecided(1, config(1)), 400, "no higher revision")
+	assert.Equal(t, f.replaceConfigUntilDecided(1, []byte("{")), 400)
+	assert.Equal(t, f.replaceConfigUntilDecided(1, config(3)), 200)
 
 	f.control[0].stopAndWait()
-	assert.Equal(t, f.orderUntilClear(3, config(5)), 200, "two of three are enough")
-	assert.Equal(t, f.orderUntilClear(0, config(1)), 200, "an order that was taken is never refused")
+	assert.Equal(t, f.replaceConfigUntilDecided(3, config(5)), 200, "two of three are enough")
+	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200, "an order that was taken is never refused")
 
 	f.control[0] = f.startControl(0, t.TempDir(), false) // without its disk
 	f.eventually("the replica to be taken in", func() bool {
@@ -372,9 +374,9 @@
 			slices.ContainsFunc(s.Members, func(m wire.Member) bool { return m.ID == s.ID })
 	})
 	f.control[1].stopAndWait()
-	assert.Equal(t, f.orderUntilClear(5, config(7)), 200, "the replica that was taken in counts")
+	assert.Equal(t, f.replaceConfigUntilDecided(5, config(7)), 200, "the replica that was taken in counts")
 	f.control[1] = f.startControl(1, f.control[1].settings.DataDir, false)
-	assert.Equal(t, f.orderUntilClear(7, config(9)), 200)
+	assert.Equal(t, f.replaceConfigUntilDecided(7, config(9)), 200)
 
 	for _, m := range f.control {
 		m.stop()
@@ -394,5 +396,5 @@
 	})
 	got := f.request("/unsafe/", "key", "")
 	assert.Equal(t, got.status, 200, got.body)
-	assert.Assert(t, len(h.Runs()) > 0)
+	assert.Assert(t, len(h.ExecutedRequests()) > 0)
 }
--- a/rehearse/timeline/timeline.go
+++ b/rehearse/timeline/timeline.go
@@ -27,7 +27,7 @@
 // Node is one process's core. Times are ns by its own clock.
 type Node interface {
 	Tick(now int64)
-	Heard(from int, body []byte, now int64)
+	Receive(from int, body []byte, now int64)
 	Next() (to int, body []byte, ok bool)
 }
 
@@ -36,16 +36,16 @@
 	// Start begins a process in a place; life is later at each start.
 	Start(place int, life uint64, now int64) Node
 	// Do is what befalls a node (-1: all), in a word that the runner does not know.
-	Do(place int, verb string, args []string) error
+	Apply(place int, verb string, args []string) error
 	// See gives what is seen of a node (-1: of all).
-	See(place int, what string) (string, error)
+	Observe(place int, what string) (string, error)
 	// Live is called each ms: what clients do then, and what must hold. An error is drawn, and ends the run.
-	Live() error
+	Step() error
 }
 
 // Report is a run as it was.
 type Report struct {
-	Drawn string
+	Table string
 	Err   error // what did not hold, or was not understood
 }
 
@@ -55,12 +55,12 @@
 	cells []string
 }
 
-var apart = regexp.MustCompile(`\s{2,}`)
+var cellSeparator = regexp.MustCompile(`\s{2,}`)
 
 // read takes a drawn run apart.
-func read(text string) (names []string, rows []row, err error) {
+func parse(text string) (names []string, rows []row, err error) {
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
-		cells := apart.Split(strings.TrimSpace(line), -1)
+		cells := cellSeparator.Split(strings.TrimSpace(line), -1)
 		switch {
 		case strings.TrimSpace(line) == "":
 		case names == nil && (len(cells) < 3 || cells[0] != "at" || cells[1] != "rig"):
@@ -86,17 +86,17 @@
 
 // Names gives the nodes of a drawn run.
 func Names(text string) ([]string, error) {
-	names, _, err := read(text)
+	names, _, err := parse(text)
 	return names, err
 }
 
 // Play plays a drawn run; begin makes its cluster.
-func Play(text string, seed uint64, begin func(w *World) Cluster) (r Report) {
-	names, rows, err := read(text)
+func Play(text string, seed uint64, begin func(w *Simulation) Cluster) (r Report) {
+	names, rows, err := parse(text)
 	if err != nil {
 		return Report{text, err}
 	}
-	w := newWorld(names, seed)
+	w := newSimulation(names, seed)
 	w.cluster = begin(w)
 	drawn := [][]string{append([]string{"at", "rig"}, names...)}
 	for i := range names {
@@ -111,7 +111,7 @@
 		for i, cell := range x.cells[1:] {
 			var said []string
 			for _, word := range strings.Split(cell, "; ") {
-				s, err := w.cell(i-1, word)
+				s, err := w.runCell(i-1, word)
 				if err != nil {
 					return Report{render(drawn), fmt.Errorf("line %d: %q: %w", x.line, word, err)}
 				}
@@ -121,35 +121,35 @@
 		}
 		drawn = append(drawn, out)
 	}
-	r.Drawn = render(drawn)
+	r.Table = render(drawn)
 	return r
 }
 
 // cell does what one says, or looks.
-func (w *World) cell(place int, word string) (string, error) {
+func (w *Simulation) runCell(place int, word string) (string, error) {
 	if word == "." {
 		return word, nil
 	}
 	if what, ok := strings.CutSuffix(word, "?"); ok {
-		return w.cluster.See(place, what)
+		return w.cluster.Observe(place, what)
 	}
 	f := strings.Fields(word)
-	if done, err := w.befall(place, f[0], f[1:]); done || err != nil {
+	if done, err := w.inject(place, f[0], f[1:]); done || err != nil {
 		return word, err
 	}
-	return word, w.cluster.Do(place, f[0], f[1:])
+	return word, w.cluster.Apply(place, f[0], f[1:])
 }
 
 var oneWay = regexp.MustCompile(`^(\S+)-x->(\S+)$`)
 
 // befall is what any core understands.
-func (w *World) befall(place int, verb string, args []string) (done bool, err error) {
+func (w *Simulation) inject(place int, verb string, args []string) (done bool, err error) {
 	arg := ""
 	if len(args) > 0 {
 		arg = args[len(args)-1]
 	}
 	if m := oneWay.FindStringSubmatch(verb); m != nil {
-		return true, w.cut(m[1], m[2])
+		return true, w.cutLinks(m[1], m[2])
 	}
 	if place < 0 {
 		switch verb {
@@ -158,24 +158,24 @@
 			for _, x := range groups {
 				for _, y := range groups {
 					if x != y && err == nil {
-						err = w.cut(x, y)
+						err = w.cutLinks(x, y)
 					}
 				}
 			}
 			return true, err
 		case "heal":
-			clear(w.cuts)
+			clear(w.brokenLinks)
 			return true, nil
 		case "loss", "double", "garble", "late":
-			w.chance[verb], err = strconv.ParseFloat(arg, 64)
+			w.probability[verb], err = strconv.ParseFloat(arg, 64)
 			return true, err
 		case "delay":
 			d, err := time.ParseDuration(arg)
-			w.delay = int64(d)
+			w.maxDelay = int64(d)
 			return true, err
 		case "kill", "back":
 			for i := range w.nodes {
-				_, _ = w.befall(i, verb, nil)
+				_, _ = w.inject(i, verb, nil)
 			}
 			return true, nil
 		}
@@ -184,31 +184,31 @@
 	n := &w.nodes[place]
 	switch verb {
 	case "kill":
-		n.Node, n.stopped, n.waits, n.flap = nil, false, nil, 0
+		n.Node, n.stopped, n.queued, n.restartInterval = nil, false, nil, 0
 	case "back":
 		w.Start(place)
 	case "stop":
-		if n.fuse = 0; len(args) > 0 { // after so many more datagrams, heard or sent
-			n.fuse, err = strconv.Atoi(arg)
+		if n.datagramsUntilStop = 0; len(args) > 0 { // after so many more datagrams, heard or sent
+			n.datagramsUntilStop, err = strconv.Atoi(arg)
 		} else {
 			n.stopped = true
 		}
 	case "wake":
-		n.fuse = 0
-		w.wake(place)
+		n.datagramsUntilStop = 0
+		w.resume(place)
 	case "flap":
 		d, bad := time.ParseDuration(arg)
-		n.flap, n.since, err = int64(d), w.Now, bad
+		n.restartInterval, n.restartedAt, err = int64(d), w.Now, bad
 	case "steady":
-		n.flap = 0
+		n.restartInterval = 0
 	case "clock":
 		d, bad := time.ParseDuration(arg)
-		n.offset, err = n.offset+int64(d), bad
+		n.clockOffset, err = n.clockOffset+int64(d), bad
 	case "rate": // millionths
 		var ppm int64
 		ppm, err = strconv.ParseInt(arg, 10, 64)
-		n.offset = w.Clock(place) - w.Now - w.Now*ppm/1e6
-		n.ppm = ppm
+		n.clockOffset = w.LocalTime(place) - w.Now - w.Now*ppm/1e6
+		n.clockRatePPM = ppm
 	default:
 		return false, nil
 	}
@@ -217,20 +217,20 @@
 
 // cut cuts the way from each of some nodes to each of others; names are one letter each, or stand with commas
 // between them.
-func (w *World) cut(from, to string) error {
-	for _, x := range letters(from) {
-		for _, y := range letters(to) {
+func (w *Simulation) cutLinks(from, to string) error {
+	for _, x := range splitNames(from) {
+		for _, y := range splitNames(to) {
 			i, j := slices.Index(w.Names, x), slices.Index(w.Names, y)
 			if i < 0 || j < 0 {
 				return fmt.Errorf("no node %s or %s", x, y)
 			}
-			w.cuts[[2]int{i, j}] = true
+			w.brokenLinks[[2]int{i, j}] = true
 		}
 	}
 	return nil
 }
 
-func letters(s string) []string {
+func splitNames(s string) []string {
 	if strings.Contains(s, ",") {
 		return strings.Split(s, ",")
 	}
@@ -262,7 +262,7 @@
 }
 
 // Beside sets two drawn runs side by side, with a mark at each row that differs.
-func Beside(was, wanted string) string {
+func SideBySide(was, wanted string) string {
 	x := strings.Split(strings.TrimRight(was, "\n"), "\n")
 	y := strings.Split(strings.TrimRight(wanted, "\n"), "\n")
 	rows := [][]string{{" ", "as it was", "as it was wanted"}}
--- a/rehearse/timeline/timeline_test.go
+++ b/rehearse/timeline/timeline_test.go
@@ -11,51 +11,51 @@
 
 // gossip is a core that tells its number to all, each tick, and keeps the highest that it has heard of each.
 type gossip struct {
-	me, of int
-	ticks  int
-	heard  []int
-	todo   []int
+	me, of   int
+	ticks    int
+	heard    []int
+	outgoing []int
 }
 
 func (g *gossip) Tick(int64) {
 	g.ticks++
 	for i := range g.of {
-		g.todo = append(g.todo, i)
+		g.outgoing = append(g.outgoing, i)
 	}
 }
 
-func (g *gossip) Heard(from int, _ []byte, _ int64) { g.heard[from]++ }
+func (g *gossip) Receive(from int, _ []byte, _ int64) { g.heard[from]++ }
 
 func (g *gossip) Next() (int, []byte, bool) {
-	if len(g.todo) == 0 {
+	if len(g.outgoing) == 0 {
 		return 0, nil, false
 	}
-	to := g.todo[0]
-	g.todo = g.todo[1:]
+	to := g.outgoing[0]
+	g.outgoing = g.outgoing[1:]
 	return to, []byte{1, 2, 3}, true
 }
 
 type chat struct {
-	*World
-	most int // ticks after which it does not hold
+	*Simulation
+	maxTicks int // ticks after which it does not hold
 }
 
 func (c *chat) Start(place int, _ uint64, _ int64) Node {
 	return &gossip{me: place, of: len(c.Names), heard: make([]int, len(c.Names))}
 }
 
-func (c *chat) Do(int, string, []string) error { return errors.New("no such verb") }
+func (c *chat) Apply(int, string, []string) error { return errors.New("no such verb") }
 
-func (c *chat) Live() error {
+func (c *chat) Step() error {
 	for i := range c.Names {
-		if g, ok := c.Node(i).(*gossip); ok && c.most > 0 && g.ticks > c.most {
+		if g, ok := c.Node(i).(*gossip); ok && c.maxTicks > 0 && g.ticks > c.maxTicks {
 			return fmt.Errorf("%s ticked %d times", c.Names[i], g.ticks)
 		}
 	}
 	return nil
 }
 
-func (c *chat) See(place int, what string) (string, error) {
+func (c *chat) Observe(place int, what string) (string, error) {
 	if place < 0 || what != "heard" {
 		return "", errors.New("nothing to be seen")
 	}
@@ -74,7 +74,7 @@
 }
 
 func play(text string, most int) Report {
-	return Play(text, 1, func(w *World) Cluster { return &chat{w, most} })
+	return Play(text, 1, func(w *Simulation) Cluster { return &chat{w, most} })
 }
 
 // Ways are cut as they are drawn, the dead and the stopped say nothing, and the run comes back as it was.
@@ -106,12 +106,12 @@
 650ms  .         heard                heard c    heard b
 900ms  .         wake; heard b c      heard c    heard b
 `
-	if got.Err != nil || cmp.Diff(squeeze(want), squeeze(got.Drawn)) != "" {
-		t.Errorf("%v\n%s", got.Err, Beside(got.Drawn, want))
+	if got.Err != nil || cmp.Diff(collapseSpaces(want), collapseSpaces(got.Table)) != "" {
+		t.Errorf("%v\n%s", got.Err, SideBySide(got.Table, want))
 	}
 }
 
-func squeeze(s string) []string {
+func collapseSpaces(s string) []string {
 	var all []string
 	for _, l := range strings.Split(strings.TrimSpace(s), "\n") {
 		all = append(all, strings.Join(strings.Fields(l), " "))
@@ -137,10 +137,10 @@
 		}
 	}
 	r := play("at  rig  a\n3s  .  .", 100)
-	if !strings.Contains(r.Drawn, "! a ticked 101 times") {
-		t.Errorf("not drawn:\n%s", r.Drawn)
+	if !strings.Contains(r.Table, "! a ticked 101 times") {
+		t.Errorf("not drawn:\n%s", r.Table)
 	}
-	s := Beside("x  1\nsame", "x  2\nsame")
+	s := SideBySide("x  1\nsame", "x  2\nsame")
 	if !strings.Contains(s, "*  x  1") || strings.Count(s, "*") != 1 {
 		t.Errorf("not marked:\n%s", s)
 	}
@@ -151,7 +151,7 @@
 	text := "at  rig  a  b\n" +
 		"0s  loss 0.5; double 0.5; late 0.5; garble 0.2  rate 100  clock 90s\n3s  .  heard?  heard?\n"
 	one := play(text, 0)
-	if two := play(text, 0); one.Err != nil || one.Drawn != two.Drawn {
-		t.Errorf("%v\n%s", one.Err, Beside(one.Drawn, two.Drawn))
+	if two := play(text, 0); one.Err != nil || one.Table != two.Table {
+		t.Errorf("%v\n%s", one.Err, SideBySide(one.Table, two.Table))
 	}
 }
--- a/rehearse/trace/trace.go
+++ b/rehearse/trace/trace.go
@@ -25,26 +25,26 @@
 }
 
 // Problem is what is wrong with one row, which is left out for it.
-type Problem struct {
-	Line int
-	What string
+type RowError struct {
+	Line   int
+	Reason string
 }
 
-func (p *Problem) Error() string { return fmt.Sprintf("line %d: %s", p.Line, p.What) }
+func (p *RowError) Error() string { return fmt.Sprintf("line %d: %s", p.Line, p.Reason) }
 
 // Layout says which columns mean what. Names count where the file has a header, else places from 0.
 type Layout struct {
-	Header  bool
-	Columns []string          // all of them, in order; with a header only those that must be there
-	At      string            // arrival; End less Work where there is none
-	End     string            // end, where the file tells that instead
-	Work    string            // duration; End less At where there is none
-	Kind    string            // what the rule set goes by
-	Key     string            // what reqs are about
-	Tenant  string            // who asks
-	Only    map[string]string // rows with other values in these columns are no arrivals, and are no problem
-	Unit    float64           // nanoseconds in a unit of time
-	Scale   float64           // what a unit of Work is in units of time; 0: one
+	Header          bool
+	Columns         []string          // all of them, in order; with a header only those that must be there
+	At              string            // arrival; End less Work where there is none
+	End             string            // end, where the file tells that instead
+	Work            string            // duration; End less At where there is none
+	Kind            string            // what the rule set goes by
+	Key             string            // what reqs are about
+	Tenant          string            // who asks
+	Filter          map[string]string // rows with other values in these columns are no arrivals, and are no problem
+	UnitNanoseconds float64           // nanoseconds in a unit of time
+	WorkScale       float64           // what a unit of Work is in units of time; 0: one
 }
 
 // Layouts are those known by name, after the published descriptions of each trace.
@@ -55,39 +55,39 @@
 		Columns: []string{"time", "missing_info", "job_id", "task_index", "machine_id", "event_type", "user",
 			"scheduling_class", "priority", "cpu_request", "memory_request", "disk_space_request", "different_machines"},
 		At: "time", Work: "cpu_request", Kind: "scheduling_class", Key: "job_id", Tenant: "user",
-		Only: map[string]string{"event_type": "0"}, Unit: 1e3, Scale: 1e6,
+		Filter: map[string]string{"event_type": "0"}, UnitNanoseconds: 1e3, WorkScale: 1e6,
 	},
 	// Alibaba cluster trace 2018, batch_task: seconds, no header.
 	"alibaba-2018-batch-task": {
 		Columns: []string{"task_name", "instance_num", "job_name", "task_type", "status", "start_time", "end_time",
 			"plan_cpu", "plan_mem"},
 		At: "start_time", End: "end_time", Kind: "task_type", Key: "job_name", Tenant: "task_type",
-		Only: map[string]string{"status": "Terminated"}, Unit: 1e9,
+		Filter: map[string]string{"status": "Terminated"}, UnitNanoseconds: 1e9,
 	},
 	// Azure Functions invocation trace 2021: seconds, with a header; it tells when an invocation ended.
 	"azure-2021-invocations": {
 		Header: true, Columns: []string{"app", "func", "end_timestamp", "duration"},
-		End: "end_timestamp", Work: "duration", Kind: "func", Key: "func", Tenant: "app", Unit: 1e9,
+		End: "end_timestamp", Work: "duration", Kind: "func", Key: "func", Tenant: "app", UnitNanoseconds: 1e9,
 	},
 }
 
 // Reader reads rows.
 type Reader struct {
-	csv    *csv.Reader
-	layout Layout
-	at     map[string]int // place of each column
-	width  int
-	last   int64
-	tail   *tail
+	csv         *csv.Reader
+	layout      Layout
+	columnIndex map[string]int // place of each column
+	width       int
+	lastArrival int64
+	input       *lastByteReader
 }
 
 // tail remembers the last byte that was read: a file that does not end a line was cut.
-type tail struct {
+type lastByteReader struct {
 	io.Reader
 	last byte
 }
 
-func (t *tail) Read(b []byte) (int, error) {
+func (t *lastByteReader) Read(b []byte) (int, error) {
 	n, err := t.Reader.Read(b)
 	if n > 0 {
 		t.last = b[n-1]
@@ -97,10 +97,10 @@
 
 // NewReader reads a header, if the layout has one. Names renames columns: what the layout calls them to what the file does.
 func NewReader(r io.Reader, l Layout, names map[string]string) (*Reader, error) {
-	t := &tail{Reader: r}
-	x := &Reader{csv: csv.NewReader(t), layout: l, at: map[string]int{}, last: math.MinInt64, tail: t}
+	t := &lastByteReader{Reader: r}
+	x := &Reader{csv: csv.NewReader(t), layout: l, columnIndex: map[string]int{}, lastArrival: math.MinInt64, input: t}
 	x.csv.FieldsPerRecord, x.csv.ReuseRecord = -1, true
-	if l.Unit <= 0 {
+	if l.UnitNanoseconds <= 0 {
 		return nil, errors.New("no unit of time")
 	}
 	columns := slices.Clone(l.Columns)
@@ -111,7 +111,7 @@
 	}
 	if !l.Header {
 		for i, c := range l.Columns {
-			x.at[c] = i
+			x.columnIndex[c] = i
 		}
 		x.width = len(l.Columns)
 		return x, nil
@@ -126,7 +126,7 @@
 		if n < 0 {
 			return nil, fmt.Errorf("line 1: no column %q", c)
 		}
-		x.at[l.Columns[i]] = n
+		x.columnIndex[l.Columns[i]] = n
 	}
 	return x, nil
 }
@@ -140,7 +140,7 @@
 		}
 		var bad *csv.ParseError
 		if errors.As(err, &bad) {
-			return Row{}, &Problem{bad.StartLine, bad.Err.Error()}
+			return Row{}, &RowError{bad.StartLine, bad.Err.Error()}
 		}
 		if err != nil {
 			return Row{}, err
@@ -156,7 +156,7 @@
 
 func (r *Reader) row(line int, record []string) (row Row, skip bool, err error) {
 	wrong := func(format string, a ...any) (Row, bool, error) {
-		return Row{}, false, &Problem{line, fmt.Sprintf(format, a...)}
+		return Row{}, false, &RowError{line, fmt.Sprintf(format, a...)}
 	}
 	if len(record) != r.width {
 		what := "missing columns, or a line that was cut"
@@ -170,9 +170,9 @@
 		if column == "" {
 			return ""
 		}
-		return strings.TrimSpace(record[r.at[column]])
+		return strings.TrimSpace(record[r.columnIndex[column]])
 	}
-	for column, only := range l.Only {
+	for column, only := range l.Filter {
 		if value(column) != only {
 			return Row{}, true, nil
 		}
@@ -181,7 +181,7 @@
 		text := value(column)
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-			return 0, &Problem{line, fmt.Sprintf("%s=%q is no number", column, text)}
+			return 0, &RowError{line, fmt.Sprintf("%s=%q is no number", column, text)}
 		}
 		return n, nil
 	}
@@ -197,8 +197,8 @@
 			return Row{}, false, err
 		}
 	}
-	if l.Scale > 0 {
-		work *= l.Scale
+	if l.WorkScale > 0 {
+		work *= l.WorkScale
 	}
 	switch {
 	case l.At == "":
@@ -206,16 +206,16 @@
 	case l.Work == "":
 		work = end - at
 	}
-	if at < 0 || work < 0 || at*l.Unit > math.MaxInt64/4 || work*l.Unit > math.MaxInt64/4 {
+	if at < 0 || work < 0 || at*l.UnitNanoseconds > math.MaxInt64/4 || work*l.UnitNanoseconds > math.MaxInt64/4 {
 		return wrong("times out of range: arrival %g, work %g", at, work)
 	}
-	row = Row{line, int64(math.Round(at * l.Unit)), int64(math.Round(work * l.Unit)), value(l.Kind), value(l.Key), value(l.Tenant)}
-	if row.At < r.last {
-		return wrong("out of time order: %.6f s after %.6f s", float64(row.At)/1e9, float64(r.last)/1e9)
+	row = Row{line, int64(math.Round(at * l.UnitNanoseconds)), int64(math.Round(work * l.UnitNanoseconds)), value(l.Kind), value(l.Key), value(l.Tenant)}
+	if row.At < r.lastArrival {
+		return wrong("out of time order: %.6f s after %.6f s", float64(row.At)/1e9, float64(r.lastArrival)/1e9)
 	}
-	r.last = row.At
+	r.lastArrival = row.At
 	return row, false, nil
 }
 
 // Cut says, after the end, whether the last line was not ended.
-func (r *Reader) Cut() bool { return r.tail.last != 0 && r.tail.last != '\n' }
+func (r *Reader) Truncated() bool { return r.input.last != 0 && r.input.last != '\n' }
--- a/rehearse/trace/trace_test.go
+++ b/rehearse/trace/trace_test.go
@@ -16,10 +16,10 @@
 	}
 	for {
 		row, err := r.Next()
-		var bad *Problem
+		var bad *RowError
 		switch {
 		case err == io.EOF:
-			return rows, problems, r.Cut()
+			return rows, problems, r.Truncated()
 		case errors.As(err, &bad):
 			problems = append(problems, bad.Error())
 		case err != nil:
