--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
 	"ivybank/fleet/peer"
 	"ivybank/fleet/swim"
 	"ivybank/rehearse/emu"
@@ -113,14 +113,14 @@
 func TestFleetOfTwo(t *testing.T) {
 	r := rehearse(t, 2, "4s", "")
 	together(t, r, 2, 0, 1)
-	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 6e9})
+	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 6e9})
 	defer undo()
 	eventually(t, "the killed one is held to be dead", func() bool { return sees(r, 0, 1, "dead") })
 	together(t, r, 2, 0, 1)
 	eventually(t, "it lives another life", func() bool {
 		v, ok := r.View(0)
 		w, also := r.View(1)
-		return ok && also && v.Members[1].Life == w.Life
+		return ok && also && v.Members[1].Incarnation == w.Incarnation
 	})
 }
 
@@ -204,22 +204,22 @@
 	}
 	for i := range 3 {
 		v, ok := r.View(i)
-		if !ok || v.Offered > 500 || v.Counts.Shed > 0 || len(v.Wary) > 0 {
-			t.Errorf("proxy %d: offered %.0f, %d shed, wary of %v", i, v.Offered, v.Counts.Shed, v.Wary)
+		if !ok || v.Offered > 500 || v.Counts.Shed > 0 || len(v.ReducedShares) > 0 {
+			t.Errorf("proxy %d: offered %.0f, %d shed, wary of %v", i, v.Offered, v.Counts.Shed, v.ReducedShares)
 		}
 	}
 	eventually(t, "what is impossible is counted", func() bool {
 		v, ok := r.View(2) // the neighbour of the one that lies about all
-		return ok && v.Odd > 0
+		return ok && v.Implausible > 0
 	})
 }
 
 // lie answers pings as a member would and tells of a load that nobody can have, or of none, and that all servers are lost.
 func lie(as *net.UDPConn, peers []*net.UDPAddr, place int, over chan bool) {
-	name, life := peer.Fleet("rehearsal"), swim.LifeOf(time.Now().UnixNano())
-	load := fold.Load{}
+	name, life := peer.FleetHash("rehearsal"), swim.IncarnationAt(time.Now().UnixNano())
+	load := aggregate.Load{}
 	if place == 3 {
-		load = fold.Load{First: 1e9, Served: 1e9}
+		load = aggregate.Load{First: 1e9, Served: 1e9}
 		load.Offered[0] = 1e9
 	}
 	b := make([]byte, 300)
@@ -230,15 +230,15 @@
 		default:
 		}
 		_ = as.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		d := peer.Datagram{From: place, Life: life, Count: n, Sums: []peer.Sum{{Block: place, Life: life, Of: 1, Load: load.Bytes()}}}
+		d := peer.Datagram{From: place, Incarnation: life, Number: n, Sums: []peer.LoadSum{{Block: place, Incarnation: life, Members: 1, Load: load.Bytes()}}}
 		to := peers[int(n)%3]
 		if size, from, err := as.ReadFromUDP(b); err == nil {
 			if got, err := peer.Decode(name, b[:size]); err == nil && got.Kind == peer.Ping {
-				d.Kind, d.Seq, d.About, to = peer.Ack, got.Seq, place, from
+				d.Kind, d.Seq, d.Subject, to = peer.Ack, got.Seq, place, from
 			}
 		}
 		for i := range 2 {
-			d.Hints = append(d.Hints, peer.Hint{Server: peer.Server(fmt.Sprintf("s-%03d", i+1)), By: place, What: peer.Lost})
+			d.Hints = append(d.Hints, peer.Hint{Server: peer.ServerHash(fmt.Sprintf("s-%03d", i+1)), Origin: place, Observation: peer.DispatchesLost})
 		}
 		text, err := peer.Encode(name, &d)
 		if err != nil {
@@ -276,14 +276,14 @@
 	owner := -1
 	eventually(t, "the server has a first prober", func() bool {
 		v, ok := r.View(0)
-		for _, o := range v.Owners {
+		for _, o := range v.ProbeOwners {
 			if o.Server == "s-002" {
 				owner = o.Member
 			}
 		}
 		return ok && owner >= 0
 	})
-	time.AfterFunc(6*time.Second, func() { r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, For: 60e9}) })
+	time.AfterFunc(6*time.Second, func() { r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 60e9}) })
 	f, err := r.Play()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ivybank/plan.go
+++ b/cmd/ivybank/plan.go
@@ -18,8 +18,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ivybank/fleet/crew"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planexec"
 )
 
 func planCommands() *cobra.Command {
@@ -115,7 +115,7 @@
 
 // showPlans prints a table.
 func showPlans(w io.Writer, text []byte) error {
-	var all []crew.Status
+	var all []planexec.Status
 	if err := json.Unmarshal(text, &all); err != nil {
 		return status{err, 1}
 	}
@@ -125,9 +125,9 @@
 		if p.Leader < 0 {
 			leads = "nobody is known to lead: nothing new goes out"
 		}
-		fmt.Fprintf(t, "%s\t%s %s\t%s\n", p.Plan, p.Standing, p.Why, leads)
+		fmt.Fprintf(t, "%s\t%s %s\t%s\n", p.Plan, p.State, p.Reason, leads)
 		for _, s := range p.Steps {
-			fmt.Fprintf(t, "  %s\t%s %s\t%s\n", s.Server, s.Phase, s.Note, strings.Join(s.Waits, "; "))
+			fmt.Fprintf(t, "  %s\t%s %s\t%s\n", s.Server, s.Phase, s.Note, strings.Join(s.WaitingFor, "; "))
 		}
 	}
 	return t.Flush()
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/crew"
-	"ivybank/fleet/recall"
-	"ivybank/fleet/snap"
+	"ivybank/fleet/planexec"
+	"ivybank/fleet/snapshot"
+	"ivybank/fleet/warmstart"
 	"ivybank/rehearse/emu"
 	"ivybank/rehearse/lab"
 )
@@ -45,9 +45,9 @@
 }
 
 // plans is what a proxy tells of a plan at its door.
-func plans(r *lab.Rehearsal, proxy int) (x crew.Status, ok bool) {
+func plans(r *lab.Rehearsal, proxy int) (x planexec.Status, ok bool) {
 	text, err := knockAt(http.MethodGet, r.Door(proxy), "/plans/kernel", nil)
-	var all []crew.Status
+	var all []planexec.Status
 	if err != nil || json.Unmarshal(text, &all) != nil || len(all) != 1 {
 		return x, false
 	}
@@ -60,7 +60,7 @@
 	for end := time.Now().Add(3 * patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for i := range proxies {
 			x, ok := plans(r, i)
-			if ok && x.Standing == "ended" {
+			if ok && x.State == "ended" {
 				return
 			}
 			for _, s := range x.Steps {
@@ -97,22 +97,22 @@
 	}{
 		{"undisturbed", "", nil},
 		{"the leader killed", "", func(r *lab.Rehearsal, leader int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, For: 1e9})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, Duration: 1e9})
 		}},
 		{"the leader stopped, and woken", "", func(r *lab.Rehearsal, leader int) {
 			undo := r.Strike(emu.Fault{Kind: "proxy_pause", Proxies: []int{leader}})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"the leader cut off, one way", "", func(r *lab.Rehearsal, leader int) {
-			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Way: "out"})
+			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Direction: "out"})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"all killed", "", func(r *lab.Rehearsal, _ int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, For: 3e8})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, Duration: 3e8})
 		}},
 		{"a voter's folder lost", "", func(r *lab.Rehearsal, leader int) {
 			who := (leader + 1) % 3
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{who}, For: 5e8})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{who}, Duration: 5e8})
 			r.Strike(emu.Fault{Kind: "state_lost", Proxies: []int{who}})
 		}},
 	} {
@@ -155,7 +155,7 @@
 				t.Errorf("%v were worked on, %d at once", m.worked, m.most)
 			}
 			for i := range 4 {
-				eventually(t, fmt.Sprintf("proxy %d knows that it has ended", i), func() bool { x, ok := plans(r, i); return ok && x.Standing == "ended" })
+				eventually(t, fmt.Sprintf("proxy %d knows that it has ended", i), func() bool { x, ok := plans(r, i); return ok && x.State == "ended" })
 			}
 			played.Wait()
 			if f != nil && (f.Breaches != [5]int{} || f.Crashes > 0) {
@@ -171,11 +171,11 @@
 	good, bad := write(t, folder, "good.toml", work), write(t, folder, "bad.toml", "format = \"ivybank/fleet/plan/1\"\nid = \"x\"\nall = true\nmost_out = 0\n")
 	state := filepath.Join(folder, "state")
 	at := time.Now().UnixNano()
-	if err := snap.Write(state, &recall.Memory{Whose: "127.0.0.1:80", Number: 3, Wall: at}); err != nil {
+	if err := snapshot.Write(state, &warmstart.Snapshot{Proxy: "127.0.0.1:80", Number: 3, WallTime: at}); err != nil {
 		t.Fatal(err)
 	}
 	ahead := filepath.Join(folder, "ahead")
-	if err := snap.Write(ahead, &recall.Memory{Whose: "127.0.0.1:80", Wall: at + 3600e9}); err != nil {
+	if err := snapshot.Write(ahead, &warmstart.Snapshot{Proxy: "127.0.0.1:80", WallTime: at + 3600e9}); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
@@ -187,9 +187,9 @@
 		"a plan of none":      {"plan check " + bad, 2, "bad.toml:4: most_out: expected one at least"},
 		"no door":             {"plan show", 2, "--door: expected the address"},
 		"nobody at the door":  {"plan show --door " + nowhere, 1, "connection refused"},
-		"a whole snapshot":    {"state check " + snap.Path(state), 0, "whole, of 127.0.0.1:80"},
-		"what it holds":       {"state show " + snap.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
-		"one of the future":   {"state check " + snap.Path(ahead), 1, "from the future"},
+		"a whole snapshot":    {"state check " + snapshot.Path(state), 0, "whole, of 127.0.0.1:80"},
+		"what it holds":       {"state show " + snapshot.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
+		"one of the future":   {"state check " + snapshot.Path(ahead), 1, "from the future"},
 		"no snapshot":         {"state check " + good, 1, "not a snapshot"},
 		"no such file at all": {"state show " + folder + "/none", 2, "no such file"},
 	} {
--- a/rehearse/lab/mechanics.go
+++ b/rehearse/lab/mechanics.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"ivybank/conf"
-	"ivybank/fleet/crew"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planexec"
 	"ivybank/rehearse/emu"
 )
 
@@ -82,7 +82,7 @@
 // mend takes a server down for its work, in which its process is not there, and up again, cold.
 func (m *mechanics) mend(id string) {
 	var undo func()
-	m.r.clock.Do(func() { undo = m.r.fleet.Strike(emu.Fault{Kind: "crash", Servers: []string{id}}) })
+	m.r.clock.Do(func() { undo = m.r.fleet.Inject(emu.Fault{Kind: "crash", Servers: []string{id}}) })
 	select {
 	case <-m.r.ctx.Done():
 		return
@@ -128,11 +128,11 @@
 	}
 	for !m.over(over, planLook) {
 		for _, x := range m.r.procs {
-			var all []crew.Status
+			var all []planexec.Status
 			if !x.tells("/plans/"+p.ID, &all) || len(all) != 1 {
 				continue
 			}
-			if all[0].Standing == "ended" {
+			if all[0].State == "ended" {
 				m.f.Took = time.Since(begun).Seconds()
 				return
 			}
@@ -156,7 +156,7 @@
 		for _, id := range servers[:n] {
 			m.done.Go(func() {
 				var undo func()
-				m.r.clock.Do(func() { undo = m.r.fleet.Strike(emu.Fault{Kind: "drain", Servers: []string{id}}) })
+				m.r.clock.Do(func() { undo = m.r.fleet.Inject(emu.Fault{Kind: "drain", Servers: []string{id}}) })
 				time.Sleep(grace)
 				m.take(id, 0)
 				time.Sleep(m.work)
