--- a/rehearse/emu/balancers.go
+++ b/rehearse/emu/balancers.go
@@ -1,7 +1,7 @@
 package emu
 
-// This file owns virtual mode: balancers in virtual time, with the network between them and the servers, and the clients
-// that ask them. It carries decisions out and must never make one.
+// This file holds the virtual mode: balancers in virtual time, the network between them and the servers, and their
+// clients. It executes the decisions of a policy and never makes one itself.
 
 import (
 	"crypto/sha256"
@@ -16,36 +16,36 @@
 	"ivybank/internal/rng"
 )
 
-// Policy is what decides: the module, or what it is compared with.
+// Policy makes the decisions of a balancer: the balance module, or a policy that it is compared with.
 type Policy interface {
 	AddRequest(a balance.Arrival, now int64)
-	Finished(id uint64, attempt int, o balance.Outcome, final bool, took, now int64)
+	Finished(id uint64, attempt int, o balance.Outcome, final bool, latency, now int64)
 	Withdrawn(id uint64)
 	UpdateList(form balance.ListForm, entries []balance.Server, now int64)
 	Next(now int64) (balance.Decision, bool)
 }
 
-// Ask is one req as a client makes it.
+// Request is one request of a client, without its retries.
 type Request struct {
-	At      int64 // from the run's start
+	At      int64 // arrival since the run's start, in nanoseconds
 	RuleSet string
 	Tenant  string
 	Key     string
 	Work    int64
 }
 
-// Clients is how they behave.
+// ClientConfig is how clients behave. Times are in nanoseconds.
 type ClientConfig struct {
-	Timeout          int64 // how long one waits, counted from its ask
-	MaxRetries       int   // times that one asks again after a deny
-	RetryDelay       int64 // before it does, unless it was told when to come back
-	IgnoreRetryAfter bool  // and heeds that
+	Timeout          int64 // how long a client waits from its first try
+	MaxRetries       int   // number of retries after a denied try
+	RetryDelay       int64 // time before a retry, unless the denial says when to retry
+	IgnoreRetryAfter bool  // ignore what the denial says
 }
 
-// Kind of a final answer.
+// ResultKind is the kind of the final answer to a request.
 type ResultKind int
 
-// The kinds; Unanswered is none in time.
+// The kinds of results. Unanswered means that no answer came in time.
 const (
 	Done ResultKind = iota
 	Denied
@@ -53,34 +53,34 @@
 	Unanswered
 )
 
-// Result is what became of one ask, its retries included.
+// Result is the outcome of one request with its retries. Latency is in nanoseconds.
 type Result struct {
 	Request
 	Kind     ResultKind
 	Latency  int64
 	Attempts int
-	Balancer int // the balancer that was asked
+	Balancer int // index of the balancer that was asked
 }
 
-// Seats are the balancers of one run in virtual time.
+// Balancers are the balancers of one run in virtual time.
 type Balancers struct {
 	fleet           *Fleet
 	clock           *VirtualClock
 	config          balance.Config
 	clients         ClientConfig
 	onResult        func(Result)
-	decisionHash    hash.Hash // of every decision
+	decisionHash    hash.Hash // hash of all decisions
 	random          rng.Source
 	balancers       []*balancer
 	requestCount    uint64
 	Decisions       int
-	Dispatches      int            // dispatches,
-	DispatchedTries int            // and tries of which there was one
-	peers           *Peers         // nil: balancers do not hear one another
-	ruleSetIndex    map[string]int // places of rule sets and tenants
+	Dispatches      int            // number of dispatches
+	DispatchedTries int            // number of tries that were dispatched at least once
+	peers           *Peers         // nil: balancers don't exchange datagrams
+	ruleSetIndex    map[string]int // indices of rule sets and tenants by name
 	tenantIndex     map[string]int
 	newPolicy       func(t balance.Config, now int64) Policy
-	startList       []balance.Server // the list that every process is handed at its start
+	startList       []balance.Server // the list that each process gets at its start
 	snapshotConfig  SnapshotConfig
 }
 
@@ -89,28 +89,28 @@
 	id        int
 	zone      string
 	policy    Policy
-	requests  map[uint64]*clientTry // emptied when a req has ended and nothing of it is out
-	wakeSeq   uint64                // the wake that counts
-	watching  bool                  // a watch is up
-	starts    int                   // counts starts: what was due for an earlier process is not done
+	requests  map[uint64]*clientTry // removed when a try has ended and none of its attempts is pending
+	wakeSeq   uint64                // number of the latest scheduled wake-up; earlier ones are ignored
+	watching  bool                  // whether a watch of the list is open
+	starts    int                   // number of starts; callbacks scheduled for an earlier process are ignored
 	dead      bool
 	config    balance.Config
-	list      []balance.Server         // as it was last told whole; for what is kept
-	snapshot  *warmstart.Snapshot      // nil: nothing was written down
-	restored  []balance.ServerSnapshot // what was believed of that at the latest start,
-	startedAt int64                    // and when that was
+	list      []balance.Server         // the latest list from discovery, for snapshots
+	snapshot  *warmstart.Snapshot      // the latest saved snapshot; nil: none
+	restored  []balance.ServerSnapshot // servers restored from the snapshot at the latest start
+	startedAt int64                    // time of the latest start
 }
 
-// asked is one try of a client at a balancer.
+// clientTry is one try of a client at a balancer.
 type clientTry struct {
 	Request
 	id            uint64
 	name          string
-	firstAt       int64 // of its first try
+	firstAt       int64 // time of the request's first try
 	acceptedAt    int64
 	tries         int
 	ended         bool
-	admissionDraw float64
+	admissionDraw float64 // random number that decides whether the try is shed
 	shed          bool
 	attempts      []*attempt
 	outstanding   int
@@ -123,282 +123,297 @@
 	pending bool
 }
 
-// SeedOf is a balancer's own seed in a run, in virtual time and on sockets alike.
+// BalancerSeed gives the seed of one balancer of a run; it is the same in virtual time and on sockets.
 func BalancerSeed(seed uint64, balancer int) uint64 { return seed*1000003 + uint64(balancer) + 1 }
 
-// NewSeats puts a policy in each balancer's place; terms are those of the deployment.
-func NewBalancers(f *Fleet, c *VirtualClock, zones []string, t balance.Config, cl ClientConfig, seed uint64,
-	policy func(t balance.Config, now int64) Policy, result func(Result)) *Balancers {
-	s := &Balancers{fleet: f, clock: c, config: t, clients: cl, onResult: result, decisionHash: sha256.New(), newPolicy: policy}
-	s.random.Seed = seed
-	s.startList, _ = f.List()
-	f.InjectProxyFault = s.injectProxyFault
+// NewBalancers starts one balancer per zone entry, each with a policy of its own; config is the deployment's.
+func NewBalancers(f *Fleet, c *VirtualClock, zones []string, config balance.Config, clients ClientConfig, seed uint64,
+	newPolicy func(t balance.Config, now int64) Policy, onResult func(Result)) *Balancers {
+	bs := &Balancers{fleet: f, clock: c, config: config, clients: clients, onResult: onResult, decisionHash: sha256.New(),
+		newPolicy: newPolicy}
+	bs.random.Seed = seed
+	bs.startList, _ = f.List()
+	f.InjectProxyFault = bs.injectProxyFault
 	for i, zone := range zones {
-		t.Seed, t.Zone, t.FleetSize = BalancerSeed(seed, i), zone, len(zones)
-		st := &balancer{Balancers: s, id: i, zone: zone, config: t}
-		s.balancers = append(s.balancers, st)
-		st.startProcess()
+		config.Seed, config.Zone, config.FleetSize = BalancerSeed(seed, i), zone, len(zones)
+		b := &balancer{Balancers: bs, id: i, zone: zone, config: config}
+		bs.balancers = append(bs.balancers, b)
+		b.startProcess()
 	}
-	return s
+	return bs
 }
 
-// Meet has the balancers hear one another from now on, by terms of which each gets its own. Only what a policy takes as advice reaches it.
-func (s *Balancers) ConnectPeers(seed uint64, terms func(me, of int) fleet.Config) *Peers {
-	var all []fleet.Config
-	for i := range s.balancers {
-		t := terms(i, len(s.balancers))
-		t.Seed, t.RuleSets, t.Tenants, t.MaxRetryAfter = seed, s.config.RuleSets, s.config.Tenants, s.config.MaxRetryAfter
-		all = append(all, t)
+// ConnectPeers lets the balancers exchange datagrams from now on; newConfig gives the fleet configuration of each. A
+// policy gets advice only if it has the method ApplyAdvice.
+func (bs *Balancers) ConnectPeers(seed uint64, newConfig func(index, members int) fleet.Config) *Peers {
+	var configs []fleet.Config
+	for i := range bs.balancers {
+		config := newConfig(i, len(bs.balancers))
+		config.Seed, config.RuleSets, config.Tenants, config.MaxRetryAfter =
+			seed, bs.config.RuleSets, bs.config.Tenants, bs.config.MaxRetryAfter
+		configs = append(configs, config)
 	}
-	s.ruleSetIndex, s.tenantIndex = map[string]int{}, map[string]int{}
-	for i, r := range s.config.RuleSets {
-		s.ruleSetIndex[r.Name] = i
+	bs.ruleSetIndex, bs.tenantIndex = map[string]int{}, map[string]int{}
+	for i, r := range bs.config.RuleSets {
+		bs.ruleSetIndex[r.Name] = i
 	}
-	for i, x := range s.config.Tenants {
-		s.tenantIndex[x.Name] = i
+	for i, x := range bs.config.Tenants {
+		bs.tenantIndex[x.Name] = i
 	}
-	s.peers = NewPeers(s.clock, all, seed, false, s.handleAction)
-	for i := range s.balancers {
-		s.peers.Fleet(i).SetServers(s.serverIDs(), s.clock.Now())
+	bs.peers = NewPeers(bs.clock, configs, seed, false, bs.handleAction)
+	for i := range bs.balancers {
+		bs.peers.Fleet(i).SetServers(bs.serverIDs(), bs.clock.Now())
 	}
-	return s.peers
+	return bs.peers
 }
 
-// act does what a member wants other than sending.
-func (s *Balancers) handleAction(i int, a fleet.Action) {
-	st := s.balancers[i]
+// handleAction executes an action of a member other than sending.
+func (bs *Balancers) handleAction(i int, a fleet.Action) {
+	b := bs.balancers[i]
 	switch a.Kind {
 	case fleet.Advise:
-		if p, ok := st.policy.(interface{ ApplyAdvice(balance.Advice) }); ok {
+		if p, ok := b.policy.(interface{ ApplyAdvice(balance.Advice) }); ok {
 			p.ApplyAdvice(a.Advice)
 		}
 	case fleet.AnswerQuery:
-		if p, ok := st.policy.(snapshotter); ok {
-			s.peers.Fleet(i).SendBeliefs(a.To, p.Snapshot(s.clock.Now()).Servers, s.clock.Now())
+		if p, ok := b.policy.(snapshotter); ok {
+			bs.peers.Fleet(i).SendBeliefs(a.To, p.Snapshot(bs.clock.Now()).Servers, bs.clock.Now())
 		}
 	case fleet.ApplyPeerReports:
-		st.applyReports(a.Reports)
+		b.applyReports(a.Reports)
 	case fleet.Probe:
-		srv := s.fleet.Server(a.Server)
-		wait, arrives := s.fleet.Delivery(st.zone, srv)
-		s.clock.At(s.clock.Now()+2*wait, func() { s.peers.Fleet(i).ProbeEnded(a.Server, arrives && srv.Healthy(), s.clock.Now()) })
+		server := bs.fleet.Server(a.Server)
+		delay, arrives := bs.fleet.Delivery(b.zone, server)
+		bs.clock.At(bs.clock.Now()+2*delay, func() {
+			bs.peers.Fleet(i).ProbeEnded(a.Server, arrives && server.Healthy(), bs.clock.Now())
+		})
 	}
 }
 
-// Hash is of all decisions so far: two runs are the same when theirs are.
-func (s *Balancers) Hash() string { return hex.EncodeToString(s.decisionHash.Sum(nil))[:16] }
+// Hash gives a hash of all decisions so far, which is the same for two runs with the same decisions.
+func (bs *Balancers) Hash() string { return hex.EncodeToString(bs.decisionHash.Sum(nil))[:16] }
 
-// Arrive has a client ask a balancer, now.
-func (s *Balancers) Arrive(at int, a Request) {
-	s.balancers[at%len(s.balancers)].submit(a, s.clock.Now(), 0)
+// Arrive submits a client's request to a balancer now.
+func (bs *Balancers) Arrive(index int, req Request) {
+	bs.balancers[index%len(bs.balancers)].submit(req, bs.clock.Now(), 0)
 }
 
-func (st *balancer) submit(a Request, first int64, tries int) {
-	now := st.clock.Now()
-	if st.dead { // nobody listens: who has asked before waits in vain, all others have gone with the process beside them
+// submit submits one try of a request; tries counts the earlier ones.
+func (b *balancer) submit(req Request, firstAt int64, tries int) {
+	now := b.clock.Now()
+	if b.dead {
+		// No process listens. A retry stays unanswered; a first try isn't counted, as the client on the same machine ended
+		// along with the balancer.
 		if tries > 0 {
-			st.onResult(Result{a, Unanswered, now - first, tries, st.id})
+			b.onResult(Result{req, Unanswered, now - firstAt, tries, b.id})
 		}
 		return
 	}
-	st.Balancers.requestCount++
-	r := &clientTry{Request: a, id: st.Balancers.requestCount, name: fmt.Sprint(st.Balancers.requestCount), firstAt: first, acceptedAt: now, tries: tries + 1}
-	st.requests[r.id] = r
-	st.fleet.Checker.RequestAccepted(r.name, now+st.clients.Timeout)
-	arrival := balance.Arrival{ID: r.id, RuleSet: a.RuleSet, Tenant: a.Tenant, Key: a.Key, Budget: st.clients.Timeout, Work: a.Work}
-	if st.peers != nil {
-		r.admissionDraw = rng.Hash(fmt.Sprint(a.At, a.Key), a.RuleSet) // an ask and its retries have it in common
-		arrival.Shed, arrival.RetryAfter = st.peers.Fleet(st.id).Admit(st.ruleSetIndex[a.RuleSet], st.tenantIndex[a.Tenant], r.admissionDraw, false, now)
-		r.shed = arrival.Shed
+	b.Balancers.requestCount++
+	try := &clientTry{Request: req, id: b.Balancers.requestCount, name: fmt.Sprint(b.Balancers.requestCount),
+		firstAt: firstAt, acceptedAt: now, tries: tries + 1}
+	b.requests[try.id] = try
+	b.fleet.Checker.RequestAccepted(try.name, now+b.clients.Timeout)
+	arrival := balance.Arrival{ID: try.id, RuleSet: req.RuleSet, Tenant: req.Tenant, Key: req.Key,
+		Budget: b.clients.Timeout, Work: req.Work}
+	if b.peers != nil {
+		try.admissionDraw = rng.Hash(fmt.Sprint(req.At, req.Key), req.RuleSet) // the same for a request and its retries
+		arrival.Shed, arrival.RetryAfter =
+			b.peers.Fleet(b.id).Admit(b.ruleSetIndex[req.RuleSet], b.tenantIndex[req.Tenant], try.admissionDraw, false, now)
+		try.shed = arrival.Shed
 	}
-	st.policy.AddRequest(arrival, now)
-	st.clock.At(now+st.clients.Timeout, func() {
-		if !r.ended { // the judge has it open still: a lost req
-			r.ended = true
-			st.policy.Withdrawn(r.id)
-			st.onResult(Result{r.Request, Unanswered, st.clock.Now() - r.firstAt, r.tries, st.id})
-			st.forgetIfDone(r)
-			st.runDecisions()
+	b.policy.AddRequest(arrival, now)
+	b.clock.At(now+b.clients.Timeout, func() {
+		if !try.ended { // still open in the checker: counted there as unanswered at the end of the run
+			try.ended = true
+			b.policy.Withdrawn(try.id)
+			b.onResult(Result{try.Request, Unanswered, b.clock.Now() - try.firstAt, try.tries, b.id})
+			b.forgetIfDone(try)
+			b.runDecisions()
 		}
 	})
-	st.runDecisions()
+	b.runDecisions()
 }
 
-func (st *balancer) forgetIfDone(r *clientTry) {
-	if r.ended && r.outstanding == 0 {
-		delete(st.requests, r.id)
-		st.fleet.Checker.Forget(r.name)
+// forgetIfDone removes a try that has ended and has no pending attempts.
+func (b *balancer) forgetIfDone(try *clientTry) {
+	if try.ended && try.outstanding == 0 {
+		delete(b.requests, try.id)
+		b.fleet.Checker.Forget(try.name)
 	}
 }
 
-// final answers a client.
-func (st *balancer) answer(r *clientTry, id uint64, kind ResultKind, back int64) {
-	if r == nil || r.ended {
-		st.fleet.Checker.Answered(fmt.Sprint(id)) // a second answer, or one to nobody
+// answer gives a client its final answer.
+func (b *balancer) answer(try *clientTry, id uint64, kind ResultKind, retryAfter int64) {
+	if try == nil || try.ended {
+		b.fleet.Checker.Answered(fmt.Sprint(id)) // a second answer, or one to an unknown request
 		return
 	}
-	r.ended = true
-	st.fleet.Checker.Answered(r.name)
-	now := st.clock.Now()
-	if st.peers != nil && !r.shed {
-		if x := st.config.RuleSet(r.RuleSet); kind == Done && (x == nil || now-r.acceptedAt <= x.ResponseTarget) {
-			st.peers.Fleet(st.id).ServedInTime(now)
+	try.ended = true
+	b.fleet.Checker.Answered(try.name)
+	now := b.clock.Now()
+	if b.peers != nil && !try.shed {
+		if x := b.config.RuleSet(try.RuleSet); kind == Done && (x == nil || now-try.acceptedAt <= x.ResponseTarget) {
+			b.peers.Fleet(b.id).ServedInTime(now)
 		} else {
-			st.peers.Fleet(st.id).Missed(r.admissionDraw, now)
+			b.peers.Fleet(b.id).Missed(try.admissionDraw, now)
 		}
 	}
-	if kind == Denied && r.tries <= st.clients.MaxRetries && now-r.firstAt < st.clients.Timeout {
-		wait := st.clients.RetryDelay
-		if back > 0 && !st.clients.IgnoreRetryAfter {
-			wait = back
+	if kind == Denied && try.tries <= b.clients.MaxRetries && now-try.firstAt < b.clients.Timeout {
+		delay := b.clients.RetryDelay
+		if retryAfter > 0 && !b.clients.IgnoreRetryAfter {
+			delay = retryAfter
 		}
-		st.clock.At(now+max(1, wait), func() { st.submit(r.Request, r.firstAt, r.tries) })
+		b.clock.At(now+max(1, delay), func() { b.submit(try.Request, try.firstAt, try.tries) })
 	} else {
-		st.onResult(Result{r.Request, kind, now - r.firstAt, r.tries, st.id})
+		b.onResult(Result{try.Request, kind, now - try.firstAt, try.tries, b.id})
 	}
-	st.forgetIfDone(r)
+	b.forgetIfDone(try)
 }
 
-// decide carries out what the policy decides.
-func (st *balancer) runDecisions() {
-	now := st.clock.Now()
-	for d, ok := st.policy.Next(now); ok; d, ok = st.policy.Next(now) {
+// runDecisions executes the decisions of the policy.
+func (b *balancer) runDecisions() {
+	now := b.clock.Now()
+	for d, ok := b.policy.Next(now); ok; d, ok = b.policy.Next(now) {
 		if d.Kind != balance.Log {
-			st.Decisions++
-			fmt.Fprintf(st.decisionHash, "%d %d %d %d %s %d %d\n", now, st.id, d.Kind, d.Request, d.Server, d.Attempt, d.Time)
+			b.Decisions++
+			fmt.Fprintf(b.decisionHash, "%d %d %d %d %s %d %d\n", now, b.id, d.Kind, d.Request, d.Server, d.Attempt, d.Time)
 		}
-		r := st.requests[d.Request]
+		try := b.requests[d.Request]
 		switch d.Kind {
 		case balance.Dispatch:
-			st.dispatch(r, d.Server, d.Time)
+			b.dispatch(try, d.Server, d.Time)
 		case balance.Deny:
-			st.answer(r, d.Request, Denied, d.Time)
+			b.answer(try, d.Request, Denied, d.Time)
 		case balance.Abort:
-			st.answer(r, d.Request, Aborted, 0)
+			b.answer(try, d.Request, Aborted, 0)
 		case balance.Cancel:
-			if r != nil && d.Attempt < len(r.attempts) {
-				st.abandon(r, d.Attempt, balance.Cancelled)
+			if try != nil && d.Attempt < len(try.attempts) {
+				b.abandon(try, d.Attempt, balance.Cancelled)
 			}
 		case balance.RequestList:
-			st.requestList()
+			b.requestList()
 		case balance.Wake:
-			st.wakeSeq++
-			mine := st.wakeSeq
-			st.clock.At(now+d.Time, func() {
-				if st.wakeSeq == mine && !st.dead {
-					st.runDecisions()
+			b.wakeSeq++
+			seq := b.wakeSeq
+			b.clock.At(now+d.Time, func() {
+				if b.wakeSeq == seq && !b.dead {
+					b.runDecisions()
 				}
 			})
 		}
 	}
 }
 
-// watch asks discovery for the list and what changes from then on.
-func (st *balancer) requestList() {
-	life := st.starts
-	st.clock.At(st.clock.Now()+2*st.fleet.Network.SameZoneDelay, func() {
-		if st.starts != life || st.dead {
+// requestList requests the list from discovery and watches its changes from then on.
+func (b *balancer) requestList() {
+	starts := b.starts
+	b.clock.At(b.clock.Now()+2*b.fleet.Network.SameZoneDelay, func() {
+		if b.starts != starts || b.dead {
 			return
 		}
-		if st.fleet.DiscoveryDown() {
-			st.policy.UpdateList(balance.ListUnavailable, nil, st.clock.Now())
-			st.runDecisions()
+		if b.fleet.DiscoveryDown() {
+			b.policy.UpdateList(balance.ListUnavailable, nil, b.clock.Now())
+			b.runDecisions()
 			return
 		}
-		entries, _ := st.fleet.List()
-		st.applyList(balance.ListReplace, entries)
-		if !st.watching {
-			st.watching = true
-			st.fleet.Watch(func(e ListChange) {
-				if st.starts == life && !st.dead {
-					st.applyList(balance.ListUpdate, []balance.Server{e.Server})
+		entries, _ := b.fleet.List()
+		b.applyList(balance.ListReplace, entries)
+		if !b.watching {
+			b.watching = true
+			b.fleet.Watch(func(e ListChange) {
+				if b.starts == starts && !b.dead {
+					b.applyList(balance.ListUpdate, []balance.Server{e.Server})
 				}
 			}, func() {
-				if st.starts != life || st.dead {
+				if b.starts != starts || b.dead {
 					return
 				}
-				st.watching = false
-				st.policy.UpdateList(balance.ListUnavailable, nil, st.clock.Now())
-				st.runDecisions()
+				b.watching = false
+				b.policy.UpdateList(balance.ListUnavailable, nil, b.clock.Now())
+				b.runDecisions()
 			})
 		}
 	})
 }
 
-func (st *balancer) applyList(form balance.ListForm, entries []balance.Server) {
+// applyList passes a list or a change of it from discovery to the policy.
+func (b *balancer) applyList(form balance.ListForm, entries []balance.Server) {
 	for _, e := range entries {
-		st.fleet.Checker.StateAnnounced(st.id, e.ID, e.State)
+		b.fleet.Checker.StateAnnounced(b.id, e.ID, e.State)
 	}
-	st.recordList(form, entries)
-	st.policy.UpdateList(form, entries, st.clock.Now())
-	st.runDecisions()
+	b.recordList(form, entries)
+	b.policy.UpdateList(form, entries, b.clock.Now())
+	b.runDecisions()
 }
 
-// dispatch sends a req to a server.
-func (st *balancer) dispatch(r *clientTry, id string, until int64) {
-	now := st.clock.Now()
-	n := len(r.attempts)
-	srv := st.fleet.Server(id)
-	s := &attempt{server: srv, at: now, pending: true}
-	r.attempts = append(r.attempts, s)
-	r.outstanding++
-	var rules balance.RuleSet
-	if x := st.config.RuleSet(r.RuleSet); x != nil {
-		rules = *x
+// dispatch sends an attempt to a server; it times out at the time until, or never if that is math.MaxInt64.
+func (b *balancer) dispatch(try *clientTry, id string, until int64) {
+	now := b.clock.Now()
+	n := len(try.attempts)
+	server := b.fleet.Server(id)
+	sent := &attempt{server: server, at: now, pending: true}
+	try.attempts = append(try.attempts, sent)
+	try.outstanding++
+	var ruleSet balance.RuleSet
+	if x := b.config.RuleSet(try.RuleSet); x != nil {
+		ruleSet = *x
 	}
-	st.fleet.Checker.AttemptSent(st.id, id, r.name)
-	if st.Dispatches++; n == 0 {
-		st.DispatchedTries++
+	b.fleet.Checker.AttemptSent(b.id, id, try.name)
+	if b.Dispatches++; n == 0 {
+		b.DispatchedTries++
 	}
-	if st.peers != nil {
-		st.peers.Fleet(st.id).Dispatched(id, n > 0, now)
+	if b.peers != nil {
+		b.peers.Fleet(b.id).Dispatched(id, n > 0, now)
 	}
-	s.job = &Job{RequestID: r.name, Balancer: st.id, SentAt: now, Work: r.Work, Key: r.Key, RuleSet: rules, Done: func(o balance.Outcome) {
-		wait, arrives := st.fleet.Delivery(st.zone, srv)
-		if arrives {
-			st.clock.At(st.clock.Now()+wait, func() { st.attemptEnded(r, n, o) })
-		}
-	}}
-	wait, arrives := st.fleet.Delivery(st.zone, srv)
+	sent.job = &Job{RequestID: try.name, Balancer: b.id, SentAt: now, Work: try.Work, Key: try.Key,
+		RuleSet: ruleSet, Done: func(o balance.Outcome) {
+			delay, arrives := b.fleet.Delivery(b.zone, server)
+			if arrives {
+				b.clock.At(b.clock.Now()+delay, func() { b.attemptEnded(try, n, o) })
+			}
+		}}
+	delay, arrives := b.fleet.Delivery(b.zone, server)
 	if arrives {
-		st.clock.At(now+wait, func() {
-			if s.pending {
-				srv.Offer(s.job)
+		b.clock.At(now+delay, func() {
+			if sent.pending {
+				server.Offer(sent.job)
 			}
 		})
 	}
 	if until < math.MaxInt64 {
-		st.clock.At(until, func() { st.abandon(r, n, balance.TimedOut) })
+		b.clock.At(until, func() { b.abandon(try, n, balance.TimedOut) })
 	}
 }
 
-// giveUp stops waiting for an attempt and tells the server, if word gets there.
-func (st *balancer) abandon(r *clientTry, n int, o balance.Outcome) {
-	s := r.attempts[n]
-	if !s.pending {
+// abandon stops waiting for an attempt and cancels it at the server, if the message arrives.
+func (b *balancer) abandon(try *clientTry, n int, o balance.Outcome) {
+	sent := try.attempts[n]
+	if !sent.pending {
 		return
 	}
-	if wait, arrives := st.fleet.Delivery(st.zone, s.server); arrives {
-		st.clock.At(st.clock.Now()+wait, func() { s.server.Cancel(s.job) })
+	if delay, arrives := b.fleet.Delivery(b.zone, sent.server); arrives {
+		b.clock.At(b.clock.Now()+delay, func() { sent.server.Cancel(sent.job) })
 	}
-	st.attemptEnded(r, n, o)
+	b.attemptEnded(try, n, o)
 }
 
-func (st *balancer) attemptEnded(r *clientTry, n int, o balance.Outcome) {
-	s := r.attempts[n]
-	if !s.pending {
+// attemptEnded records the outcome of an attempt.
+func (b *balancer) attemptEnded(try *clientTry, n int, o balance.Outcome) {
+	sent := try.attempts[n]
+	if !sent.pending {
 		return
 	}
-	s.pending = false
-	r.outstanding--
-	now := st.clock.Now()
-	if o == balance.Served && !r.ended {
-		st.answer(r, r.id, Done, 0)
+	sent.pending = false
+	try.outstanding--
+	now := b.clock.Now()
+	if o == balance.Served && !try.ended {
+		b.answer(try, try.id, Done, 0)
 	}
-	st.policy.Finished(r.id, n, o, r.ended, now-s.at, now)
-	if st.peers != nil {
-		st.peers.Fleet(st.id).DispatchEnded(s.server.ID, o, r.ended, now-s.at, now)
+	b.policy.Finished(try.id, n, o, try.ended, now-sent.at, now)
+	if b.peers != nil {
+		b.peers.Fleet(b.id).DispatchEnded(sent.server.ID, o, try.ended, now-sent.at, now)
 	}
-	st.forgetIfDone(r)
-	st.runDecisions()
+	b.forgetIfDone(try)
+	b.runDecisions()
 }
--- a/rehearse/emu/clock.go
+++ b/rehearse/emu/clock.go
@@ -1,25 +1,25 @@
-// Package emu is a fleet to rehearse with: servers, clients, discovery and the network between them, which fail by a
-// timetable and keep evidence of what was done to them. One model serves two clocks: virtual time, in which the
-// decision module is driven in one process, and wall time, in which stand-ins on loopback speak the proxy's protocol.
-//
-// This file owns both clocks. They must never run two things at once.
+// Package emu emulates a fleet for experiments: servers, clients, discovery and the network between them. They fail on
+// a schedule, and the package records what was done to them. One model runs on two clocks: virtual time, which drives
+// the balance module within one process, and wall time, where stand-ins on loopback speak the proxy's protocol.
 package emu
 
+// This file holds both clocks. A clock never runs two callbacks at once.
+
 import (
 	"container/heap"
 	"sync"
 	"time"
 )
 
-// Clock calls things at their time, one after another.
+// Clock runs callbacks at the times they are scheduled for, one after another.
 type Clock interface {
-	Now() int64 // nanoseconds
+	Now() int64 // in nanoseconds
 	At(at int64, do func())
 }
 
 type event struct {
 	at   int64
-	seq  uint64 // of two that are due at one time the first one set comes first
+	seq  uint64 // orders events of the same time by when they were scheduled
 	call func()
 }
 
@@ -39,27 +39,27 @@
 	return x
 }
 
-// Virtual is time that passes as fast as what happens in it is worked through.
+// VirtualClock is simulated time, which advances as fast as its events are processed.
 type VirtualClock struct {
 	now     int64
 	seq     uint64
-	pending eventHeap // emptied as they fall due
-	Events  int       // called so far
+	pending eventHeap // events are removed when they are run
+	Events  int       // number of events run so far
 }
 
-// NewVirtual starts at a clock time above 0, as 0 means long past to the module.
+// NewVirtualClock starts the clock at start nanoseconds, which must be above 0: the balance module reads 0 as "long ago".
 func NewVirtualClock(start int64) *VirtualClock { return &VirtualClock{now: start} }
 
-// Now is the virtual time.
+// Now gives the virtual time in nanoseconds.
 func (v *VirtualClock) Now() int64 { return v.now }
 
-// At calls do at its time, or next where that has passed.
+// At schedules do for the time at, or as the next event if at has passed.
 func (v *VirtualClock) At(at int64, do func()) {
 	v.seq++
 	heap.Push(&v.pending, event{max(at, v.now), v.seq, do})
 }
 
-// Run works through what falls due to a time.
+// Run processes all events up to and including the time end, and advances the clock to it.
 func (v *VirtualClock) Run(end int64) {
 	for len(v.pending) > 0 && v.pending[0].at <= end {
 		d := heap.Pop(&v.pending).(event)
@@ -70,28 +70,28 @@
 	v.now = max(v.now, end)
 }
 
-// Wall is real time. Whatever is called holds its lock.
+// WallClock is real time. Callbacks run with its lock held.
 type WallClock struct {
 	mu       sync.Mutex
 	start    time.Time
 	seq      uint64
-	pending  eventHeap // emptied as they fall due
+	pending  eventHeap // events are removed when they are run
 	wake     chan struct{}
 	stopped  chan struct{}
 	stopOnce sync.Once
 }
 
-// NewWall starts a clock on Unix time; Stop ends it.
+// NewWallClock starts a clock on Unix time; Stop ends it.
 func NewWallClock() *WallClock {
 	w := &WallClock{start: time.Now(), wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Now is Unix time that never goes back.
+// Now gives Unix time in nanoseconds; it never goes backwards.
 func (w *WallClock) Now() int64 { return w.start.UnixNano() + int64(time.Since(w.start)) }
 
-// At calls do at its time; it is for what is called by the clock.
+// At schedules do for the time at. The caller must hold the lock, as callbacks of the clock and of Do have it.
 func (w *WallClock) At(at int64, do func()) {
 	w.seq++
 	heap.Push(&w.pending, event{at, w.seq, do})
@@ -101,31 +101,31 @@
 	}
 }
 
-// Do calls do from any goroutine, with nothing else beside it.
+// Do calls do with the lock held, so that no callback runs at the same time. Any goroutine may call it.
 func (w *WallClock) Do(do func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	do()
 }
 
-// Stop ends the clock; what is still due is not called.
+// Stop ends the clock; pending events are not run.
 func (w *WallClock) Stop() { w.stopOnce.Do(func() { close(w.stopped) }) }
 
 func (w *WallClock) run() {
-	alarm := time.NewTimer(0)
+	timer := time.NewTimer(0)
 	for {
 		select {
 		case <-w.stopped:
 			return
 		case <-w.wake:
-		case <-alarm.C:
+		case <-timer.C:
 		}
 		w.Do(func() {
 			for len(w.pending) > 0 && w.pending[0].at <= w.Now() {
 				heap.Pop(&w.pending).(event).call()
 			}
 			if len(w.pending) > 0 {
-				alarm.Reset(time.Duration(w.pending[0].at - w.Now()))
+				timer.Reset(time.Duration(w.pending[0].at - w.Now()))
 			}
 		})
 	}
--- a/rehearse/emu/emu_test.go
+++ b/rehearse/emu/emu_test.go
@@ -11,25 +11,25 @@
 func newTestFleet(t *testing.T, n int, change func(*ServerParams)) (*VirtualClock, *Fleet) {
 	t.Helper()
 	c := NewVirtualClock(1e12)
-	nature := ServerParams{QueueCapacity: 1 << 20}
+	params := ServerParams{QueueCapacity: 1 << 20}
 	if change != nil {
-		change(&nature)
+		change(&params)
 	}
 	var all []Machine
 	for i := range n {
 		all = append(all, Machine{ID: string(rune('a' + i)), Zone: string(rune('x' + i%2)), Cores: 1, Speed: 1, Share: 1})
 	}
-	return c, NewFleet(c, 1, nature, Network{SameZoneDelay: 1e5, CrossZoneDelay: 1e6, DiscoveryDelay: 1e8}, all, 1e9)
+	return c, NewFleet(c, 1, params, Network{SameZoneDelay: 1e5, CrossZoneDelay: 1e6, DiscoveryDelay: 1e8}, all, 1e9)
 }
 
-// The model of a server is held against what is known in closed form: a queue with exponential gaps and work, M/M/1 and
-// M/M/2, has a mean wait that follows from its load, and its cores are as busy as the load says.
+// The model of a server is compared with closed-form results: in a queue with exponential gaps and work, M/M/1 or M/M/2,
+// the mean wait follows from the load, and the cores are as busy as the load.
 func TestClosedForms(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		cores int
 		load  float64
-		wait  float64 // mean wait over mean work
+		wait  float64 // ratio of mean wait to mean work
 	}{
 		{"M/M/1 at half", 1, 0.5, 0.5 / (1 - 0.5)},
 		{"M/M/1 at 0.8", 1, 0.8, 0.8 / (1 - 0.8)},
@@ -39,17 +39,17 @@
 			c, f := newTestFleet(t, 1, nil)
 			s := f.Servers[0]
 			s.Cores = x.cores
-			dice := rng.Source{Seed: 5}
-			const mean, asks = 1e7, 200000
+			random := rng.Source{Seed: 5}
+			const mean, requests = 1e7, 200000
 			var waited, worked float64
 			at := float64(c.Now())
-			for i := range asks {
-				at += -math.Log(dice.Next()) * mean / (x.load * float64(x.cores))
-				work := int64(-math.Log(dice.Next())*mean) + 1
+			for i := range requests {
+				at += -math.Log(random.Next()) * mean / (x.load * float64(x.cores))
+				work := int64(-math.Log(random.Next())*mean) + 1
 				c.Run(int64(at))
-				came := c.Now()
+				arrivedAt := c.Now()
 				s.Offer(&Job{RequestID: string(rune(i)), Work: work, RuleSet: balance.RuleSet{Effect: balance.Replayable},
-					Done: func(balance.Outcome) { waited += float64(c.Now() - came - work); worked += float64(work) }})
+					Done: func(balance.Outcome) { waited += float64(c.Now() - arrivedAt - work); worked += float64(work) }})
 			}
 			c.Run(math.MaxInt64)
 			if got := waited / worked; math.Abs(got/x.wait-1) > 0.05 {
@@ -62,21 +62,22 @@
 	}
 }
 
-// ask offers a req and gives what became of it by a time; -1 where nothing has.
-func offer(c *VirtualClock, s *Server, work, until int64) balance.Outcome {
+// offer offers a request to a server and gives its outcome after the time wait; -1 if there is none yet.
+func offer(c *VirtualClock, s *Server, work, wait int64) balance.Outcome {
 	got := balance.Outcome(-1)
-	s.Offer(&Job{RequestID: "r", Key: "k", Work: work, RuleSet: balance.RuleSet{Effect: balance.Replayable}, Done: func(o balance.Outcome) { got = o }})
-	c.Run(c.Now() + until)
+	s.Offer(&Job{RequestID: "r", Key: "k", Work: work, RuleSet: balance.RuleSet{Effect: balance.Replayable},
+		Done: func(o balance.Outcome) { got = o }})
+	c.Run(c.Now() + wait)
 	return got
 }
 
 func TestFaults(t *testing.T) {
 	const s = int64(1e9)
 	for name, x := range map[string]struct {
-		fault        Fault
-		during       balance.Outcome
-		after        balance.Outcome
-		quick, tells bool
+		fault                Fault
+		during               balance.Outcome
+		after                balance.Outcome
+		staysWarm, announced bool
 	}{
 		"crash":   {Fault{Kind: "crash"}, balance.NoConnection, balance.Served, false, true},
 		"hang":    {Fault{Kind: "hang"}, -1, balance.Served, false, true},
@@ -93,28 +94,30 @@
 			if err := f.Schedule([]Fault{x.fault}); err != nil {
 				t.Fatal(err)
 			}
-			told := 0
-			f.Watch(func(ListChange) { told++ }, func() {})
+			changes := 0
+			f.Watch(func(ListChange) { changes++ }, func() {})
 			c.Run(c.Now() + s + s/2)
 			if got := offer(c, f.Server("a"), s/10, s); got != x.during {
-				t.Errorf("got %d during it, want %d", got, x.during)
+				t.Errorf("got outcome %d during the fault, want %d", got, x.during)
 			}
 			if got := offer(c, f.Server("b"), s/10, s/5); got != balance.Served {
-				t.Errorf("got %d from another server", got)
+				t.Errorf("got outcome %d from another server", got)
 			}
 			c.Run(1e12 + 5*s)
-			f.Server("a").startTime = map[bool]int64{true: f.Server("a").startTime, false: 1}[name == "restart"] // warm again
+			// Except after a restart, the server counts as warmed up again.
+			f.Server("a").startTime = map[bool]int64{true: f.Server("a").startTime, false: 1}[name == "restart"]
 			if got := offer(c, f.Server("a"), s/10, s); got != x.after {
-				t.Errorf("got %d after it, want %d", got, x.after)
+				t.Errorf("got outcome %d after the fault, want %d", got, x.after)
 			}
-			if told > 0 != x.tells {
-				t.Errorf("discovery told %d changes", told)
+			if changes > 0 != x.announced {
+				t.Errorf("discovery announced %d changes", changes)
 			}
 		})
 	}
-	t.Run("one begins while another ends", func(t *testing.T) {
+	t.Run("overlapping faults", func(t *testing.T) {
 		c, f := newTestFleet(t, 1, nil)
-		_ = f.Schedule([]Fault{{Kind: "slow", At: s, Duration: 2 * s, Servers: []string{"a"}, Magnitude: 4}, {Kind: "slow", At: 2 * s, Duration: 2 * s, Servers: []string{"a"}, Magnitude: 10}})
+		_ = f.Schedule([]Fault{{Kind: "slow", At: s, Duration: 2 * s, Servers: []string{"a"}, Magnitude: 4},
+			{Kind: "slow", At: 2 * s, Duration: 2 * s, Servers: []string{"a"}, Magnitude: 10}})
 		for _, want := range []float64{0, 4, 40, 10, 1} {
 			c.Run(c.Now() + s/2)
 			if got := f.Server("a").faults.slowdown; math.Abs(got-want) > 1e-9 {
@@ -125,15 +128,17 @@
 	})
 	t.Run("the network", func(t *testing.T) {
 		c, f := newTestFleet(t, 2, nil)
-		_ = f.Schedule([]Fault{{Kind: "cut", At: s, Duration: s, Zone: "x"}, {Kind: "lossy", At: 3 * s, Duration: s, Servers: []string{"b"}, Magnitude: 0.5},
-			{Kind: "discovery_down", At: 5 * s, Duration: s}, {Kind: "late", At: 7 * s, Duration: s, Magnitude: 2}, {Kind: "wrong", At: 9 * s, Duration: 3 * s, Servers: []string{"a"}},
+		_ = f.Schedule([]Fault{{Kind: "cut", At: s, Duration: s, Zone: "x"},
+			{Kind: "lossy", At: 3 * s, Duration: s, Servers: []string{"b"}, Magnitude: 0.5},
+			{Kind: "discovery_down", At: 5 * s, Duration: s}, {Kind: "late", At: 7 * s, Duration: s, Magnitude: 2},
+			{Kind: "wrong", At: 9 * s, Duration: 3 * s, Servers: []string{"a"}},
 			{Kind: "drain", At: 10 * s, Duration: s, Servers: []string{"a"}}})
 		c.Run(1e12 + s + 1)
 		if _, ok := f.Delivery("y", f.Server("a")); ok {
-			t.Error("a cut zone is reached from outside")
+			t.Error("a cut zone is reachable from outside")
 		}
 		if _, ok := f.Delivery("x", f.Server("a")); !ok {
-			t.Error("a cut zone is not reached from inside")
+			t.Error("a cut zone is not reachable from inside")
 		}
 		c.Run(1e12 + 3*s + 1)
 		lost := 0
@@ -148,11 +153,11 @@
 		ended := false
 		f.Watch(func(ListChange) {}, func() { ended = true })
 		if c.Run(1e12 + 5*s + 1); !f.DiscoveryDown() || !ended {
-			t.Error("discovery is up, or its watch stands")
+			t.Error("discovery is up, or its watch has not ended")
 		}
 		c.Run(1e12 + 10*s + s/2)
 		if list, _ := f.List(); list[0].State != balance.Running {
-			t.Error("a wrong list tells the truth")
+			t.Error("a wrong list shows the true state")
 		}
 	})
 }
@@ -167,7 +172,7 @@
 			a.Offer(&Job{Work: s, Done: func(o balance.Outcome) { got = append(got, o) }})
 		}
 		if len(got) != 1 || got[0] != balance.Refused || a.Report().Waiting != 1 {
-			t.Errorf("got %v, want the third turned away", got)
+			t.Errorf("got %v, want the third refused", got)
 		}
 		if c.Run(c.Now() + 2*s); len(got) != 3 {
 			t.Errorf("got %v, want the others served", got)
@@ -177,33 +182,33 @@
 		c, f := newTestFleet(t, 1, func(n *ServerParams) { n.CacheKeys, n.CacheTTL, n.CacheSavings = 1, 10*s, 0.75 })
 		a := f.Servers[0]
 		if offer(c, a, s, s-1) == balance.Served || offer(c, a, s, s) != balance.Served {
-			t.Fatal("the first takes all its work")
+			t.Fatal("the first request does not take its full work")
 		}
 		c.Run(c.Now() + 2*s)
 		if offer(c, a, s, s/4+1) != balance.Served {
-			t.Error("a key that was met saves nothing")
+			t.Error("a cached key saves no work")
 		}
 		c.Run(c.Now() + 11*s)
 		if offer(c, a, s, s/4+1) == balance.Served {
-			t.Error("a key that was met long ago still saves")
+			t.Error("an expired key still saves work")
 		}
 	})
-	t.Run("given up", func(t *testing.T) {
+	t.Run("cancel", func(t *testing.T) {
 		c, f := newTestFleet(t, 1, nil)
 		a := f.Servers[0]
-		one := &Job{Work: s, Done: func(balance.Outcome) { t.Error("an answer to nobody") }}
+		cancelled := &Job{Work: s, Done: func(balance.Outcome) { t.Error("a cancelled job got an answer") }}
 		served := false
-		a.Offer(one)
+		a.Offer(cancelled)
 		a.Offer(&Job{Work: s, Done: func(balance.Outcome) { served = true }})
-		a.Cancel(one)
+		a.Cancel(cancelled)
 		if c.Run(c.Now() + s); !served {
-			t.Error("what was given up still holds its core")
+			t.Error("a cancelled job still occupies its core")
 		}
 	})
 }
 
-// Each rule's breach has to be seen when it happens, and nothing else.
-func TestJudge(t *testing.T) {
+// The checker reports each violation of a rule, and nothing else.
+func TestChecker(t *testing.T) {
 	const s = int64(1e9)
 	once := balance.RuleSet{Name: "once", Effect: balance.NonReplayable}
 	cell := balance.RuleSet{Name: "cell", Effect: balance.Deduplicated, Group: balance.GroupCell, Window: s}
@@ -211,15 +216,15 @@
 		do   func(c *VirtualClock, f *Fleet)
 		rule int
 	}{
-		"answered": {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s); f.Checker.Answered("r") }, 0},
-		"left":     {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s); f.Checker.ClientLeft("r") }, 0},
-		"never":    {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s) }, 1},
+		"answered":       {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s); f.Checker.Answered("r") }, 0},
+		"client left":    {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s); f.Checker.ClientLeft("r") }, 0},
+		"never answered": {func(c *VirtualClock, f *Fleet) { f.Checker.RequestAccepted("r", c.Now()+s) }, 1},
 		"late": {func(c *VirtualClock, f *Fleet) {
 			f.Checker.RequestAccepted("r", c.Now()+s)
 			c.Run(c.Now() + 2*s)
 			f.Checker.Answered("r")
 		}, 1},
-		"twice": {func(c *VirtualClock, f *Fleet) {
+		"answered twice": {func(c *VirtualClock, f *Fleet) {
 			f.Checker.RequestAccepted("r", c.Now()+s)
 			f.Checker.Answered("r")
 			f.Checker.Answered("r")
@@ -244,34 +249,34 @@
 			f.Checker.executionStarted(f.Servers[0], &Job{RequestID: "r", RuleSet: cell})
 			f.Checker.executionStarted(f.Servers[1], &Job{RequestID: "r", RuleSet: cell})
 		}, 2},
-		"within the grace": {func(c *VirtualClock, f *Fleet) {
+		"within the drain grace": {func(c *VirtualClock, f *Fleet) {
 			f.Checker.StateAnnounced(0, "a", balance.Draining)
 			c.Run(c.Now() + s)
 			f.Checker.AttemptSent(0, "a", "r")
 		}, 0},
-		"past the grace": {func(c *VirtualClock, f *Fleet) {
+		"past the drain grace": {func(c *VirtualClock, f *Fleet) {
 			f.Checker.StateAnnounced(0, "a", balance.Draining)
 			c.Run(c.Now() + s/2)
-			f.Checker.StateAnnounced(0, "a", balance.Gone) // told again: counts from the first
+			f.Checker.StateAnnounced(0, "a", balance.Gone) // counts from the first announcement
 			c.Run(c.Now() + s)
 			f.Checker.AttemptSent(0, "a", "r")
 		}, 3},
-		"back in between": {func(c *VirtualClock, f *Fleet) {
+		"running again in between": {func(c *VirtualClock, f *Fleet) {
 			f.Checker.StateAnnounced(0, "a", balance.Draining)
 			f.Checker.StateAnnounced(0, "a", balance.Running)
 			c.Run(c.Now() + 9*s)
 			f.Checker.AttemptSent(0, "a", "r")
 		}, 0},
-		"pushed over": {func(c *VirtualClock, f *Fleet) {
+		"overloaded": {func(c *VirtualClock, f *Fleet) {
 			f.Servers[0].Start()
 			for range 11 {
 				f.Servers[0].Offer(&Job{Work: s / 10, Done: func(balance.Outcome) {}})
 			}
 			if !f.Servers[0].overloaded || offer(c, f.Servers[0], 1, s) != balance.NoConnection {
-				panic("it stands")
+				panic("the server has not failed")
 			}
 		}, 4},
-		"not pushed over": {func(c *VirtualClock, f *Fleet) {
+		"not overloaded": {func(c *VirtualClock, f *Fleet) {
 			f.Servers[0].Start()
 			for range 9 {
 				f.Servers[0].Offer(&Job{Work: s / 10, Done: func(balance.Outcome) {}})
@@ -287,14 +292,14 @@
 			f.Checker.CountUnanswered()
 			for rule, n := range f.Checker.Violations {
 				if n > 0 != (rule == x.rule && rule > 0) {
-					t.Errorf("got %v, want rule %d alone: %v", f.Checker.Violations, x.rule, f.Checker.Notes)
+					t.Errorf("got %v, want violations of rule %d only: %v", f.Checker.Violations, x.rule, f.Checker.Notes)
 				}
 			}
 		})
 	}
 }
 
-func TestWall(t *testing.T) {
+func TestWallClock(t *testing.T) {
 	w := NewWallClock()
 	defer w.Stop()
 	got := make(chan int, 3)
--- a/rehearse/emu/fleet.go
+++ b/rehearse/emu/fleet.go
@@ -1,7 +1,7 @@
 package emu
 
-// This file owns the fleet as a whole: its servers, the list that discovery tells, the network and the timetable of
-// faults. It must never decide where a req goes.
+// This file holds the fleet as a whole: its servers, the list that discovery gives, the network and the schedule of
+// faults. It never decides which server a request goes to.
 
 import (
 	"cmp"
@@ -12,93 +12,99 @@
 	"ivybank/internal/rng"
 )
 
-// Fault is one line of the timetable. Faults may overlap; one that ends undoes what it did alone.
+// Fault is one entry of the schedule of faults. Faults may overlap; the end of one undoes only its own effect. Times are
+// in nanoseconds.
 type Fault struct {
 	Kind         string
-	At, Duration int64    // from the run's start; for how long
-	Servers      []string // ids; empty: Count of them by chance, or the zone's
+	At, Duration int64    // begin since the run's start, and length; 0: no end
+	Servers      []string // ids; empty: the servers of Zone, or else Count random ones
 	Count        int
 	Zone         string
-	Magnitude    float64 // slow: times slower; errors, reset, lossy: part of reqs; late: seconds more; surge: times the load; starve: part of the time
+	// Magnitude is the factor for slow (of the time) and surge (of the load), the fraction of requests for errors and
+	// reset, the fraction of messages for lossy, extra seconds for late, and the fraction of the time for proxy_starve.
+	Magnitude float64
 
-	// What befalls proxies and what passes between them.
-	Proxies                                 []int   // by place; empty: Count of them by chance
-	Direction                               string  // split: out or in; empty: both
-	LossRatio, DuplicateRatio, CorruptRatio float64 // datagrams: parts of them
-	Delay, Jitter                           int64   // datagrams: how long they take, and by chance more; proxy_kill: Spread is by chance added to For
+	// These are for faults of proxies and of the network between them.
+	Proxies                                 []int   // by index; empty: Count random ones
+	Direction                               string  // split: which direction is blocked, out or in; empty: both
+	LossRatio, DuplicateRatio, CorruptRatio float64 // datagrams: fractions that are lost, duplicated and corrupted
+	// Delay and Jitter are the extra delay for datagrams and the bound of its random part; for proxy_kill, Jitter bounds a
+	// random addition to Duration.
+	Delay, Jitter int64
 }
 
-// Kinds are the faults there are, with what each does.
+// FaultKinds describes each kind of fault.
 var FaultKinds = map[string]string{
-	"crash":          "processes end, connections are reset, new ones refused; cold starts at the end",
-	"hang":           "reqs are taken and never answered; cold starts at the end",
-	"vanish":         "machines say nothing any more; cold starts at the end",
-	"slow":           "work takes Size times as long",
-	"errors":         "a part Size of reqs is answered 500 at once",
-	"reset":          "a part Size of reqs ends with its connection reset",
-	"cut":            "nothing passes between the zone and the others",
-	"lossy":          "a part Size of what passes to the servers gets lost",
-	"discovery_down": "discovery answers nobody, watches end",
-	"late":           "what discovery has to tell comes Size seconds later",
-	"wrong":          "discovery lists the servers as ready whatever they do",
-	"drain":          "servers are listed as draining, then start anew, cold",
-	"restart":        "processes start anew at once, cold",
-	"proxy_kill":     "client proxies are killed in one instant; each starts again after For",
-	"proxy_end":      "client proxies are told to end",
-	"proxy_pause":    "client proxies are stopped, and go on at the end",
-	"proxy_starve":   "client proxies are stopped for a part Size of each 100 ms",
-	"split":          "no datagram passes between the proxies and all others, or one way alone",
-	"datagrams":      "datagrams between proxies get lost, late, doubled, overtaken, garbled",
-	"unlink":         "the proxies and the servers do not reach each other",
-	"undiscovered":   "the proxies do not reach discovery",
-	"state_lost":     "what the proxies keep in their state folders is gone",
-	"state_save":     "a copy of the proxies' state folders is put aside",
-	"state_old":      "the proxies' state folders are put back from the copy",
-	"state_cut":      "a file of the proxies' state is cut to a part Size",
-	"state_flip":     "a bit of a file of the proxies' state is turned, by chance",
+	"crash":          "server processes end: connections are reset and new ones refused; they restart cold at the end",
+	"hang":           "servers accept requests and never answer them; they restart cold at the end",
+	"vanish":         "machines give no response at all; they restart cold at the end",
+	"slow":           "work takes Magnitude times as long",
+	"errors":         "a fraction Magnitude of requests is answered with status 500 at once",
+	"reset":          "a fraction Magnitude of requests ends with a connection reset",
+	"cut":            "no message passes between the zone and the others",
+	"lossy":          "a fraction Magnitude of the messages to and from the servers is lost",
+	"discovery_down": "discovery answers no requests, and its watches end",
+	"late":           "discovery announces changes Magnitude seconds later",
+	"wrong":          "discovery lists the servers as running whatever their state is",
+	"drain":          "servers are listed as draining; they restart cold at the end",
+	"restart":        "server processes restart at once, cold",
+	"proxy_kill":     "client proxies are killed at the same instant; each restarts after Duration",
+	"proxy_end":      "client proxies are told to shut down",
+	"proxy_pause":    "client proxies are suspended, and resume at the end",
+	"proxy_starve":   "client proxies are suspended for a fraction Magnitude of each 100 ms",
+	"split":          "no datagram passes between the proxies and all others, or in one direction only",
+	"datagrams":      "datagrams between proxies are lost, delayed, duplicated, reordered or corrupted",
+	"unlink":         "the proxies and the servers can't reach each other",
+	"undiscovered":   "the proxies can't reach discovery",
+	"state_lost":     "the contents of the proxies' state folders are deleted",
+	"state_save":     "the proxies' state folders are copied",
+	"state_old":      "the proxies' state folders are restored from the copy",
+	"state_cut":      "a file of the proxies' state is truncated to a fraction Magnitude",
+	"state_flip":     "a random bit of a file of the proxies' state is flipped",
 	"state_full":     "nothing can be written to the proxies' state folders",
-	"surge":          "Size times as many reqs come",
-	"pour":           "all reqs come to the proxies, the others get none",
+	"surge":          "the load is Magnitude times as high",
+	"pour":           "all requests go to the given proxies, none to the others",
 }
 
-// Wire is the network's figures.
+// Network holds the delays of the network, in nanoseconds.
 type Network struct {
-	SameZoneDelay, CrossZoneDelay int64 // within a zone, between zones
-	DiscoveryDelay                int64 // from a change until discovery tells it
+	SameZoneDelay, CrossZoneDelay int64 // one way, within a zone and between zones
+	DiscoveryDelay                int64 // from a change of state until discovery announces it
 }
 
-// Fleet is all of it.
+// Fleet is an emulated fleet of servers, with their discovery and network.
 type Fleet struct {
 	Clock            Clock
 	Params           ServerParams
 	Network          Network
-	Servers          []*Server // by id
+	Servers          []*Server // sorted by id
 	Checker          *Checker
 	Log              func(format string, a ...any)
-	InjectProxyFault func(Fault) (undo func()) // does what befalls proxies; nil where nothing can
+	InjectProxyFault func(Fault) (undo func()) // injects a fault of proxies; nil: these faults have no effect
 
 	random              rng.Source
 	version             int64
-	states              map[string]balance.State // as discovery has them
-	falselyReady        map[string]int           // servers that it lists as ready all the same
-	cutZones            map[string]int           // zones that are cut off, by how many faults
-	lossRatios          map[string][]float64     // servers behind lossy links
-	discoveryOutages    int                      // faults that keep discovery down
+	states              map[string]balance.State // as known to discovery
+	falselyReady        map[string]int           // number of faults that have discovery list a server as running, by server
+	cutZones            map[string]int           // number of faults that cut off a zone, by zone
+	lossRatios          map[string][]float64     // loss ratios of the links to a server, by server
+	discoveryOutages    int                      // number of faults that keep discovery down
 	extraDiscoveryDelay int64
-	watchers            []func(ListChange) // emptied as their watches end
+	watchers            []func(ListChange) // cleared when watches end
 	watchEnded          []func()
 }
 
-// Entry is one change of the list.
+// ListChange is one change of the list of discovery.
 type ListChange struct {
 	Server  balance.Server
 	Version int64
 }
 
-// NewFleet makes a fleet of warm servers.
-func NewFleet(c Clock, seed uint64, n ServerParams, w Network, machines []Machine, grace int64) *Fleet {
-	f := &Fleet{Clock: c, Params: n, Network: w, Checker: NewChecker(c, grace), states: map[string]balance.State{}, falselyReady: map[string]int{},
-		cutZones: map[string]int{}, lossRatios: map[string][]float64{}, version: 1, Log: func(string, ...any) {}}
+// NewFleet makes a fleet of servers that are warmed up. drainGrace is the checker's, in nanoseconds.
+func NewFleet(c Clock, seed uint64, params ServerParams, network Network, machines []Machine, drainGrace int64) *Fleet {
+	f := &Fleet{Clock: c, Params: params, Network: network, Checker: NewChecker(c, drainGrace), states: map[string]balance.State{},
+		falselyReady: map[string]int{}, cutZones: map[string]int{}, lossRatios: map[string][]float64{}, version: 1,
+		Log: func(string, ...any) {}}
 	f.random.Seed = seed
 	for _, m := range machines {
 		f.Servers = append(f.Servers, NewServer(m, &f.Params, c, &f.random, f.Checker))
@@ -108,7 +114,7 @@
 	return f
 }
 
-// Server finds one; nil where there is none.
+// Server finds a server by its id; nil if there is none.
 func (f *Fleet) Server(id string) *Server {
 	i, ok := slices.BinarySearchFunc(f.Servers, id, func(s *Server, id string) int { return cmp.Compare(s.ID, id) })
 	if !ok {
@@ -117,7 +123,7 @@
 	return f.Servers[i]
 }
 
-// List is the whole list as discovery has it.
+// List gives the whole list as known to discovery.
 func (f *Fleet) List() (entries []balance.Server, version int64) {
 	for _, s := range f.Servers {
 		entries = append(entries, f.listEntry(s))
@@ -133,15 +139,15 @@
 	return balance.Server{ID: s.ID, Zone: s.Zone, Cell: s.Cell, State: state, Share: s.Share, Since: s.startTime}
 }
 
-// Down says whether discovery answers nobody.
+// DiscoveryDown says whether discovery answers no requests.
 func (f *Fleet) DiscoveryDown() bool { return f.discoveryOutages > 0 }
 
-// Watch has each change told as it comes, until ended is called.
+// Watch calls tell for each change of the list, until ended is called.
 func (f *Fleet) Watch(tell func(ListChange), ended func()) {
 	f.watchers, f.watchEnded = append(f.watchers, tell), append(f.watchEnded, ended)
 }
 
-// change has discovery tell of a server, late as it is.
+// publish sets the state of a server and announces it to all watchers after the delay of discovery.
 func (f *Fleet) publish(s *Server, state balance.State) {
 	f.states[s.ID] = state
 	f.Clock.At(f.Clock.Now()+f.Network.DiscoveryDelay+f.extraDiscoveryDelay, func() {
@@ -153,32 +159,32 @@
 	})
 }
 
-// Way says how long a message takes between a zone and a server, and whether it arrives.
-func (f *Fleet) Delivery(zone string, s *Server) (wait int64, arrives bool) {
+// Delivery gives the delay in nanoseconds of a message between a zone and a server, and whether it arrives.
+func (f *Fleet) Delivery(zone string, s *Server) (delay int64, arrives bool) {
 	if zone == s.Zone {
-		wait = f.Network.SameZoneDelay
-	} else if wait = f.Network.CrossZoneDelay; !f.Reachable(zone, s) {
-		return wait, false
+		delay = f.Network.SameZoneDelay
+	} else if delay = f.Network.CrossZoneDelay; !f.Reachable(zone, s) {
+		return delay, false
 	}
-	for _, part := range f.lossRatios[s.ID] {
-		if f.random.Next() < part {
-			return wait, false
+	for _, ratio := range f.lossRatios[s.ID] {
+		if f.random.Next() < ratio {
+			return delay, false
 		}
 	}
-	return wait, true
+	return delay, true
 }
 
-// Reaches says whether anything passes between a zone and a server.
+// Reachable says whether no cut zone lies between a zone and a server.
 func (f *Fleet) Reachable(zone string, s *Server) bool {
 	return zone == s.Zone || f.cutZones[zone] == 0 && f.cutZones[s.Zone] == 0
 }
 
-// Schedule puts a timetable on the clock.
+// Schedule schedules faults on the clock, counted from now. A fault of an unknown kind or server is an error.
 func (f *Fleet) Schedule(faults []Fault) error {
 	start := f.Clock.Now()
 	for i, x := range faults {
 		if _, ok := FaultKinds[x.Kind]; !ok {
-			return fmt.Errorf("fault %d: kind %q is not known", i+1, x.Kind)
+			return fmt.Errorf("fault %d: unknown kind %q", i+1, x.Kind)
 		}
 		for _, id := range x.Servers {
 			if f.Server(id) == nil {
@@ -199,23 +205,23 @@
 	return nil
 }
 
-// struck picks the servers that a fault hits.
-func (f *Fleet) targets(x Fault) (hit []*Server) {
+// targets picks the servers that a fault applies to.
+func (f *Fleet) targets(x Fault) (targets []*Server) {
 	for _, s := range f.Servers {
 		if slices.Contains(x.Servers, s.ID) || len(x.Servers) == 0 && x.Zone != "" && s.Zone == x.Zone {
-			hit = append(hit, s)
+			targets = append(targets, s)
 		}
 	}
 	if len(x.Servers) > 0 || x.Zone != "" {
-		return hit
+		return targets
 	}
 	for _, i := range Sample(&f.random, len(f.Servers), x.Count) {
-		hit = append(hit, f.Servers[i])
+		targets = append(targets, f.Servers[i])
 	}
-	return hit
+	return targets
 }
 
-// Drawn draws so many of n by chance.
+// Sample draws count different numbers below n at random, or all n if there are fewer.
 func Sample(d *rng.Source, n, count int) (all []int) {
 	left := make([]int, n)
 	for i := range left {
@@ -229,11 +235,11 @@
 	return all
 }
 
-// Strike does what a fault does, now, and gives what undoes it.
+// Inject begins a fault now and gives a function that ends it.
 func (f *Fleet) Inject(x Fault) (undo func()) {
-	hit := f.targets(x)
+	targets := f.targets(x)
 	each := func(do func(*Server)) {
-		for _, s := range hit {
+		for _, s := range targets {
 			do(s)
 		}
 	}
@@ -258,8 +264,10 @@
 	case "drain":
 		each(func(s *Server) {
 			f.publish(s, balance.Draining)
-			// It turns work away once all have been told.
-			f.Clock.At(f.Clock.Now()+f.Network.DiscoveryDelay+f.extraDiscoveryDelay+f.Checker.DrainGrace, func() { s.draining = f.states[s.ID] == balance.Draining })
+			// The server refuses work once every balancer has been told and the grace is over.
+			f.Clock.At(f.Clock.Now()+f.Network.DiscoveryDelay+f.extraDiscoveryDelay+f.Checker.DrainGrace, func() {
+				s.draining = f.states[s.ID] == balance.Draining
+			})
 		})
 		return restart
 	case "slow":
--- a/rehearse/emu/peers.go
+++ b/rehearse/emu/peers.go
@@ -1,7 +1,7 @@
 package emu
 
-// This file owns what passes between balancers in virtual time: datagrams that take their time, get lost, come twice or overtake one
-// another, partitions, and members that are killed, stopped or starved. It must never decide anything.
+// This file holds the network between balancers in virtual time: datagrams that are delayed, lost, duplicated or
+// reordered, partitions, and members that are killed, paused or starved. It never makes a decision of a member.
 
 import (
 	"slices"
@@ -12,32 +12,34 @@
 	"ivybank/internal/rng"
 )
 
-// Rough is what befalls datagrams; parts of them. All wait so long, and by chance up to Spread more.
+// Impairment is how the network treats datagrams: the fractions that are lost, duplicated and corrupted, and the delay of
+// each, with up to Jitter added at random, in nanoseconds.
 type Impairment struct {
 	LossRatio, DuplicateRatio, CorruptRatio float64
 	Delay, Jitter                           int64
 }
 
-// Add has what befalls datagrams in one way befall them in another as well.
+// Add adds another impairment to r.
 func (r *Impairment) Add(x Impairment) {
-	r.LossRatio, r.DuplicateRatio, r.CorruptRatio = r.LossRatio+x.LossRatio, r.DuplicateRatio+x.DuplicateRatio, r.CorruptRatio+x.CorruptRatio
+	r.LossRatio, r.DuplicateRatio, r.CorruptRatio =
+		r.LossRatio+x.LossRatio, r.DuplicateRatio+x.DuplicateRatio, r.CorruptRatio+x.CorruptRatio
 	r.Delay, r.Jitter = r.Delay+x.Delay, r.Jitter+x.Jitter
 }
 
-// split is a partition in force: who is on one side, and which way nothing passes.
+// partition is a partition in effect: the members inside, and the direction that is blocked (in, out, or empty: both).
 type partition struct {
 	inside    map[int]bool
 	direction string
 }
 
-// seat of one member.
+// member is one member of the fleet and the process it runs in.
 type member struct {
 	*fleet.Fleet
-	starts        uint64 // counts starts: what was due for an earlier process is not done
+	starts        uint64 // number of starts; callbacks scheduled for an earlier process are ignored
 	dead          bool
-	pauses        int
-	queued        []peer.Datagram // came while it was stopped; emptied when it goes on
-	tickSeq       uint64          // the tick that counts
+	pauses        int             // number of pauses in effect
+	queued        []peer.Datagram // received while paused; processed when it resumes
+	tickSeq       uint64          // number of the latest scheduled tick; earlier ones are ignored
 	config        fleet.Config
 	sentDatagrams int
 	sentBytes     int
@@ -48,89 +50,93 @@
 	clock       *VirtualClock
 	random      rng.Source
 	members     []*member
-	partitions  []*partition  // emptied as they end
-	impairments []*Impairment // emptied as they end; they add up
+	partitions  []*partition  // those in effect
+	impairments []*Impairment // those in effect, which add up
 	handle      func(member int, a fleet.Action)
-	countBytes  bool // bytes are counted: each datagram is put into its form
+	countBytes  bool // each datagram is encoded to count its bytes
 }
 
-// NewPeers starts a member for each of the terms. What the members want other than sending is handed to act.
-func NewPeers(c *VirtualClock, terms []fleet.Config, seed uint64, measure bool, act func(member int, a fleet.Action)) *Peers {
-	p := &Peers{clock: c, random: rng.Source{Seed: seed ^ 0x9ee5}, handle: act, countBytes: measure}
-	for i, t := range terms {
-		p.members = append(p.members, &member{config: t, dead: true})
+// NewPeers starts a member for each configuration. Actions of the members other than sending are passed to handle, which
+// may be nil.
+func NewPeers(c *VirtualClock, configs []fleet.Config, seed uint64, countBytes bool,
+	handle func(member int, a fleet.Action)) *Peers {
+	p := &Peers{clock: c, random: rng.Source{Seed: seed ^ 0x9ee5}, handle: handle, countBytes: countBytes}
+	for i, config := range configs {
+		p.members = append(p.members, &member{config: config, dead: true})
 		p.Start(i)
 	}
 	return p
 }
 
-// Fleet is a member's part.
+// Fleet gives the fleet module of a member.
 func (p *Peers) Fleet(i int) *fleet.Fleet { return p.members[i].Fleet }
 
-// Up says whether a member's process lives and runs.
+// Running says whether a member's process exists and is not paused.
 func (p *Peers) Running(i int) bool { return !p.members[i].dead && p.members[i].pauses == 0 }
 
-// Sent is how many datagrams a member has sent, and their bytes where these are counted.
+// SentTotals gives how many datagrams a member has sent, and their bytes if these are counted.
 func (p *Peers) SentTotals(i int) (datagrams, bytes int) {
 	return p.members[i].sentDatagrams, p.members[i].sentBytes
 }
 
-// Start begins a process at a member's place.
+// Start starts a member's process.
 func (p *Peers) Start(i int) {
 	m := p.members[i]
 	m.starts++
 	m.dead, m.queued = false, nil
-	t := m.config
-	t.Seed = BalancerSeed(t.Seed+m.starts<<32, i)
-	if t.Incarnation == 0 {
-		t.Incarnation = swim.IncarnationAt(p.clock.Now())
+	config := m.config
+	config.Seed = BalancerSeed(config.Seed+m.starts<<32, i)
+	if config.Incarnation == 0 {
+		config.Incarnation = swim.IncarnationAt(p.clock.Now())
 	}
-	m.Fleet = fleet.New(t, p.clock.Now())
+	m.Fleet = fleet.New(config, p.clock.Now())
 	p.tick(i, m.starts)
 }
 
-// Kill ends a member's process.
+// Kill ends a member's process without notice to the others.
 func (p *Peers) Kill(i int) { p.members[i].dead, p.members[i].queued = true, nil }
 
-// Stop stops a member's process, or lets it go on once nothing stops it.
-func (p *Peers) SetPaused(i int, stop bool) {
+// SetPaused pauses a member's process, or resumes it once every pause has ended.
+func (p *Peers) SetPaused(i int, paused bool) {
 	m := p.members[i]
-	if stop {
+	if paused {
 		m.pauses++
 		return
 	}
 	if m.pauses--; m.pauses > 0 || m.dead {
 		return
 	}
-	// What came meanwhile is read first, then what is due is done, as the proxy does.
-	waiting := m.queued
+	// As in the proxy, the datagrams received meanwhile are processed first, then the tick that is due.
+	queued := m.queued
 	m.queued = nil
-	for _, d := range waiting {
+	for _, d := range queued {
 		m.Receive(&d, p.clock.Now())
 	}
 	p.tick(i, m.starts)
 }
 
-// Back sets a member's clock of the day for its next start.
-func (p *Peers) SetIncarnation(i int, life uint64) { p.members[i].config.Incarnation = life }
+// SetIncarnation sets the incarnation that a member begins with at its next start.
+func (p *Peers) SetIncarnation(i int, incarnation uint64) {
+	p.members[i].config.Incarnation = incarnation
+}
 
-func (p *Peers) tick(i int, life uint64) {
+func (p *Peers) tick(i int, starts uint64) {
 	m := p.members[i]
-	if m.starts != life || !p.Running(i) {
+	if m.starts != starts || !p.Running(i) {
 		return
 	}
 	m.tickSeq++
-	mine := m.tickSeq
+	seq := m.tickSeq
 	next := m.Tick(p.clock.Now())
 	p.RunActions(i)
 	p.clock.At(next, func() {
-		if m.tickSeq == mine {
-			p.tick(i, life)
+		if m.tickSeq == seq {
+			p.tick(i, starts)
 		}
 	})
 }
 
-// Carry carries out what a member wants.
+// RunActions executes the pending actions of a member.
 func (p *Peers) RunActions(i int) {
 	m := p.members[i]
 	for a, ok := m.Next(); ok; a, ok = m.Next() {
@@ -142,7 +148,7 @@
 	}
 }
 
-// passes says whether anything passes from one member to another.
+// connected says whether no partition blocks messages from member i to member j.
 func (p *Peers) connected(i, j int) bool {
 	for _, s := range p.partitions {
 		if s.inside[i] && !s.inside[j] && s.direction != "in" || !s.inside[i] && s.inside[j] && s.direction != "out" {
@@ -158,23 +164,23 @@
 	if p.countBytes {
 		b, err := peer.Encode(0, &d)
 		if err != nil {
-			panic(err) // the parts were to fit
+			panic(err) // the members have to limit a datagram's size
 		}
 		m.sentBytes += len(b)
 	}
-	var all Impairment
+	var total Impairment
 	for _, r := range p.impairments {
-		all.Add(*r)
+		total.Add(*r)
 	}
-	if !p.connected(i, j) || p.random.Next() < all.LossRatio+all.CorruptRatio { // a garbled one is dropped whole
+	if !p.connected(i, j) || p.random.Next() < total.LossRatio+total.CorruptRatio { // a corrupted one is dropped whole
 		return
 	}
 	copies := 1
-	if all.DuplicateRatio > 0 && p.random.Next() < all.DuplicateRatio {
+	if total.DuplicateRatio > 0 && p.random.Next() < total.DuplicateRatio {
 		copies = 2
 	}
 	for range copies {
-		p.clock.At(p.clock.Now()+1e5+all.Delay+int64(p.random.Next()*float64(all.Jitter)), func() { p.deliver(j, d) })
+		p.clock.At(p.clock.Now()+1e5+total.Delay+int64(p.random.Next()*float64(total.Jitter)), func() { p.deliver(j, d) })
 	}
 }
 
@@ -183,8 +189,8 @@
 	switch {
 	case m.dead:
 	case m.pauses > 0:
-		const socket = 200 // datagrams that a socket keeps
-		if len(m.queued) < socket {
+		const socketBuffer = 200 // number of datagrams that a socket holds
+		if len(m.queued) < socketBuffer {
 			m.queued = append(m.queued, d)
 		}
 	default:
@@ -193,14 +199,14 @@
 	}
 }
 
-// Strike does what befalls members; a fault of another kind does nothing.
+// Inject begins a fault of members and gives a function that ends it; a fault of another kind has no effect.
 func (p *Peers) Inject(x Fault) (undo func()) {
-	hit := x.Proxies
-	if len(hit) == 0 && x.Count > 0 {
-		hit = Sample(&p.random, len(p.members), x.Count)
+	targets := x.Proxies
+	if len(targets) == 0 && x.Count > 0 {
+		targets = Sample(&p.random, len(p.members), x.Count)
 	}
 	each := func(do func(i int)) {
-		for _, i := range hit {
+		for _, i := range targets {
 			do(i)
 		}
 	}
@@ -238,13 +244,13 @@
 	return func() {}
 }
 
-// starve stops a member for a part of each piece of time.
-func (p *Peers) starve(i int, part float64, over *bool) {
-	const piece = 1e8
+// starve pauses a member for a fraction of each 100 ms, until *over is set.
+func (p *Peers) starve(i int, fraction float64, over *bool) {
+	const period = 1e8
 	if *over {
 		return
 	}
 	p.SetPaused(i, true)
-	p.clock.At(p.clock.Now()+int64(part*piece), func() { p.SetPaused(i, false) })
-	p.clock.At(p.clock.Now()+piece, func() { p.starve(i, part, over) })
+	p.clock.At(p.clock.Now()+int64(fraction*period), func() { p.SetPaused(i, false) })
+	p.clock.At(p.clock.Now()+period, func() { p.starve(i, fraction, over) })
 }
--- a/rehearse/emu/peers_test.go
+++ b/rehearse/emu/peers_test.go
@@ -10,7 +10,7 @@
 
 const ms, second = int64(1e6), int64(1e9)
 
-// crowd is a fleet of members without load, and who was held to be dead by whom.
+// cluster is a fleet of members without load.
 type cluster struct {
 	*Peers
 	clock *VirtualClock
@@ -19,18 +19,19 @@
 
 func newCluster(n int, datagrams float64, seed uint64) *cluster {
 	c := &cluster{clock: NewVirtualClock(1e12), n: n}
-	var terms []fleet.Config
+	var configs []fleet.Config
 	for i := range n {
-		terms = append(terms, fleet.Config{Index: i, Members: n, Seed: seed, DatagramsPerSecond: datagrams, AckTimeout: 300 * ms, MinSilence: 2300 * ms,
+		configs = append(configs, fleet.Config{Index: i, Members: n, Seed: seed, DatagramsPerSecond: datagrams,
+			AckTimeout: 300 * ms, MinSilence: 2300 * ms,
 			Overload: &fleet.Overload{RetryRatio: 0.1, MaxMemberRate: 2000}})
 	}
-	c.Peers = NewPeers(c.clock, terms, seed, n <= 32, nil)
+	c.Peers = NewPeers(c.clock, configs, seed, n <= 32, nil)
 	return c
 }
 
 func (c *cluster) run(d int64) { c.clock.Run(c.clock.Now() + d) }
 
-// holds counts the members that run and hold one to be in a state.
+// countHolding counts the running members that hold another one to be in a state.
 func (c *cluster) countHolding(who int, s peer.State) (n int) {
 	for i := range c.n {
 		if m := c.Fleet(i).Membership().Member(who); i != who && c.Running(i) && m.Known && m.State == s {
@@ -40,7 +41,7 @@
 	return n
 }
 
-// whole says whether each member that runs holds just the others that run to be alive.
+// checkMembership checks that each running member holds exactly the running members to be alive.
 func (c *cluster) checkMembership() error {
 	up := 0
 	for i := range c.n {
@@ -56,8 +57,9 @@
 	return nil
 }
 
-// One of twelve that is killed is known to be dead by all within 3 s, whoever it is and whenever; after its return all know its new life.
-func TestKilledIsKnown(t *testing.T) {
+// A killed member of twelve is known to be dead by all others within 3 s, whichever it is and at any time; after its
+// restart all know its new incarnation.
+func TestKillIsDetected(t *testing.T) {
 	c := newCluster(12, 24, 1)
 	c.run(5 * second)
 	if err := c.checkMembership(); err != nil {
@@ -73,12 +75,12 @@
 		c.Start(who)
 		c.run(4*second + int64(i)*37*ms)
 		if err := c.checkMembership(); err != nil {
-			t.Errorf("kill %d: 4 s after its return: %v", i, err)
+			t.Errorf("kill %d: 4 s after its restart: %v", i, err)
 		}
 	}
 }
 
-// At 5% loss and 100 ms of delay nobody is taken for dead in ten minutes.
+// With 5% loss and 100 ms delay no member is held to be dead within ten minutes.
 func TestNoFalseDeath(t *testing.T) {
 	for seed := range uint64(3) {
 		c := newCluster(12, 24, seed+1)
@@ -95,7 +97,7 @@
 	}
 }
 
-// A member that is stopped for 2 s is not taken for dead by most, nor does it take the others for dead when it goes on.
+// A member that is paused for 2 s is not held to be dead by a majority, and holds no others to be dead when it resumes.
 func TestPaused(t *testing.T) {
 	c := newCluster(12, 24, 3)
 	c.run(5 * second)
@@ -113,7 +115,7 @@
 			t.Errorf("pause %d: %d hold it to be dead", i, most)
 		}
 		if got := c.Fleet(who).Membership().AliveCount(); got < 12 {
-			t.Errorf("pause %d: the one that goes on holds %d alive", i, got)
+			t.Errorf("pause %d: the resumed member holds %d alive", i, got)
 		}
 		c.run(3 * second)
 	}
@@ -122,7 +124,7 @@
 	}
 }
 
-// A member that gets a fifth of a core, or runs by fits, does not take its neighbours for dead.
+// A member that gets a fifth of a core, in bursts, holds no others to be dead.
 func TestStarved(t *testing.T) {
 	c := newCluster(12, 24, 4)
 	c.run(5 * second)
@@ -130,13 +132,14 @@
 	for range 300 {
 		c.run(100*ms + ms)
 		if n := c.Fleet(3).Membership().AliveCount(); n < 12 {
-			t.Fatalf("it holds %d alive", n)
+			t.Fatalf("the starved member holds %d alive", n)
 		}
 	}
 }
 
-// Halves take each other for dead, and are one fleet again soon after; one-way, those that are not heard are dead to the others alone.
-func TestParted(t *testing.T) {
+// Two halves hold each other to be dead and are one fleet again soon after the partition. With a partition in one
+// direction only, just the members that aren't heard are dead to the others.
+func TestPartition(t *testing.T) {
 	for _, way := range []string{"", "out", "in"} {
 		c := newCluster(12, 24, 5)
 		c.run(5 * second)
@@ -153,23 +156,26 @@
 	}
 }
 
-// Three parts, all killed in one of them while parted: what is whole again is those that run.
-func TestThreeParts(t *testing.T) {
+// The members of one of three partitions are killed while the fleet is partitioned: after it, the running members are
+// one fleet.
+func TestThreePartitions(t *testing.T) {
 	c := newCluster(12, 24, 6)
 	c.run(5 * second)
-	one, two := c.Inject(Fault{Kind: "split", Proxies: []int{0, 1, 2, 3}}), c.Inject(Fault{Kind: "split", Proxies: []int{4, 5, 6, 7}})
+	healFirst, healSecond :=
+		c.Inject(Fault{Kind: "split", Proxies: []int{0, 1, 2, 3}}),
+		c.Inject(Fault{Kind: "split", Proxies: []int{4, 5, 6, 7}})
 	c.run(6 * second)
 	c.Inject(Fault{Kind: "proxy_kill", Proxies: []int{4, 5, 6, 7}})
 	c.run(4 * second)
-	one()
-	two()
+	healFirst()
+	healSecond()
 	c.run(12 * second)
 	if err := c.checkMembership(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A process whose clock was set back begins with a life that is past, and is a member all the same.
+// A process whose clock was set back starts with an incarnation from the past, and becomes a member all the same.
 func TestClockSetBack(t *testing.T) {
 	c := newCluster(3, 24, 7)
 	c.run(5 * second)
@@ -183,18 +189,19 @@
 	}
 }
 
-// One that ends by itself is known to have left at once, and is no suspect.
+// A member that shuts down is known to have left at once, without being suspected.
 func TestLeaves(t *testing.T) {
 	c := newCluster(12, 24, 8)
 	c.run(5 * second)
 	c.Inject(Fault{Kind: "proxy_end", Proxies: []int{4}})
 	c.run(500 * ms)
 	if n := c.countHolding(4, peer.Left); n != 11 {
-		t.Errorf("%d of 11 know it", n)
+		t.Errorf("%d of 11 know that it has left", n)
 	}
 }
 
-// Hundreds and thousands send less than their bound, find one another, and know of a death.
+// In fleets of hundreds and thousands, members stay below their bound of datagrams, find one another, and learn of a
+// death.
 func TestManyMembers(t *testing.T) {
 	sizes := []int{300}
 	if !testing.Short() {
@@ -218,12 +225,12 @@
 			for i := range n {
 				known += c.Fleet(i).Membership().AliveCount()
 			}
-			if part := float64(known) / float64(n*n); part < 0.99 {
-				t.Errorf("%.3f of all are known to each other", part)
+			if fraction := float64(known) / float64(n*n); fraction < 0.99 {
+				t.Errorf("a fraction of %.3f of all pairs know each other", fraction)
 			}
-			_, of := c.Fleet(7).FleetLoad(c.clock.Now())
-			if of < n*95/100 {
-				t.Errorf("%d counted in the picture of one", of)
+			_, counted := c.Fleet(7).FleetLoad(c.clock.Now())
+			if counted < n*95/100 {
+				t.Errorf("%d members counted in the fleet load of one", counted)
 			}
 			c.Kill(5)
 			c.run(20 * second)
--- a/rehearse/emu/restart.go
+++ b/rehearse/emu/restart.go
@@ -1,7 +1,7 @@
 package emu
 
-// This file owns the ends and returns of balancers in virtual time, and what they keep over them. It must never decide what of that is
-// believed.
+// This file holds the ends and restarts of balancers in virtual time, and the snapshots that they keep across them. What
+// of a snapshot is used is never decided here but in package warmstart.
 
 import (
 	"fmt"
@@ -12,175 +12,178 @@
 	"ivybank/fleet/warmstart"
 )
 
-// Keeps is what balancers write down; none where Every is 0.
+// SnapshotConfig says how balancers save snapshots of what they have learnt; they save none if Interval is 0. Times are in
+// nanoseconds.
 type SnapshotConfig struct {
 	Interval    int64
 	TrustPeriod int64
 }
 
-// remembers is a policy that hands out what it has learnt and takes it back.
+// snapshotter is a policy whose learnt state can be saved and restored.
 type snapshotter interface {
 	Snapshot(now int64) balance.Snapshot
 	Restore(m balance.Snapshot, now int64)
 }
 
-// Keep has all balancers write down what they have learnt from now on.
-func (s *Balancers) EnableSnapshots(k SnapshotConfig) {
-	s.snapshotConfig = k
-	for _, st := range s.balancers {
-		st.saveSnapshot(st.starts)
+// EnableSnapshots has all balancers save snapshots from now on.
+func (bs *Balancers) EnableSnapshots(config SnapshotConfig) {
+	bs.snapshotConfig = config
+	for _, b := range bs.balancers {
+		b.saveSnapshot(b.starts)
 	}
 }
 
-// begin starts a balancer's process: with the list of the start, or what was kept.
-func (st *balancer) startProcess() {
-	now := st.clock.Now()
-	st.starts++
-	st.dead, st.watching, st.requests, st.startedAt = false, false, map[uint64]*clientTry{}, now
-	t := st.config
-	t.Seed += uint64(st.starts-1) << 32
-	st.policy = st.newPolicy(t, now)
-	st.list = slices.Clone(st.startList)
+// startProcess starts a balancer's process with the initial list, or with the saved snapshot if there is one.
+func (b *balancer) startProcess() {
+	now := b.clock.Now()
+	b.starts++
+	b.dead, b.watching, b.requests, b.startedAt = false, false, map[uint64]*clientTry{}, now
+	config := b.config
+	config.Seed += uint64(b.starts-1) << 32
+	b.policy = b.newPolicy(config, now)
+	b.list = slices.Clone(b.startList)
 	var m warmstart.Snapshot
-	if st.snapshot != nil {
-		m, _ = warmstart.Evaluate(*st.snapshot, st.proxyName(), &st.config, st.clocks(), st.snapshotConfig.TrustPeriod)
+	if b.snapshot != nil {
+		m, _ = warmstart.Evaluate(*b.snapshot, b.proxyName(), &b.config, b.clocks(), b.snapshotConfig.TrustPeriod)
 		if len(m.List.Hosts) > 0 {
-			st.list = st.list[:0]
+			b.list = b.list[:0]
 			for _, h := range m.List.Hosts {
-				st.list = append(st.list, h.Server)
+				b.list = append(b.list, h.Server)
 			}
 		}
 	}
-	for _, e := range st.list {
-		st.fleet.Checker.StateAnnounced(st.id, e.ID, e.State)
+	for _, e := range b.list {
+		b.fleet.Checker.StateAnnounced(b.id, e.ID, e.State)
 	}
-	st.policy.UpdateList(balance.ListRestored, st.list, now)
-	if p, ok := st.policy.(snapshotter); ok && st.snapshot != nil {
+	b.policy.UpdateList(balance.ListRestored, b.list, now)
+	if p, ok := b.policy.(snapshotter); ok && b.snapshot != nil {
 		p.Restore(m.Balancer, now)
 	}
-	st.restored = m.Balancer.Servers
-	st.clock.At(now, st.runDecisions)
-	if st.snapshotConfig.Interval > 0 {
-		st.saveSnapshot(st.starts)
+	b.restored = m.Balancer.Servers
+	b.clock.At(now, b.runDecisions)
+	if b.snapshotConfig.Interval > 0 {
+		b.saveSnapshot(b.starts)
 	}
 }
 
-func (st *balancer) proxyName() string { return fmt.Sprint(st.id) }
-func (st *balancer) clocks() warmstart.Clocks {
-	return warmstart.Clocks{WallTime: st.clock.Now(), BootID: "virtual", Uptime: st.clock.Now()}
+func (b *balancer) proxyName() string { return fmt.Sprint(b.id) }
+func (b *balancer) clocks() warmstart.Clocks {
+	return warmstart.Clocks{WallTime: b.clock.Now(), BootID: "virtual", Uptime: b.clock.Now()}
 }
 
-// keep writes down what a balancer has learnt, each time it is due.
-func (st *balancer) saveSnapshot(life int) {
-	p, ok := st.policy.(snapshotter)
-	if st.starts != life || st.dead || !ok {
+// saveSnapshot saves what a balancer has learnt, and schedules itself again after the interval.
+func (b *balancer) saveSnapshot(starts int) {
+	p, ok := b.policy.(snapshotter)
+	if b.starts != starts || b.dead || !ok {
 		return
 	}
-	at := st.clocks()
-	m := warmstart.Snapshot{Proxy: st.proxyName(), WallTime: at.WallTime, BootID: at.BootID, Uptime: at.Uptime, ConfigHash: warmstart.ConfigHash(&st.config), Balancer: p.Snapshot(st.clock.Now())}
-	for _, e := range st.list {
+	at := b.clocks()
+	m := warmstart.Snapshot{Proxy: b.proxyName(), WallTime: at.WallTime, BootID: at.BootID,
+		Uptime: at.Uptime, ConfigHash: warmstart.ConfigHash(&b.config), Balancer: p.Snapshot(b.clock.Now())}
+	for _, e := range b.list {
 		m.List.Hosts = append(m.List.Hosts, warmstart.Host{Server: e, Addr: e.ID})
 	}
-	st.snapshot = &m
-	st.clock.At(st.clock.Now()+st.snapshotConfig.Interval, func() { st.saveSnapshot(life) })
+	b.snapshot = &m
+	b.clock.At(b.clock.Now()+b.snapshotConfig.Interval, func() { b.saveSnapshot(starts) })
 }
 
-// note keeps the list as it is told.
-func (st *balancer) recordList(form balance.ListForm, entries []balance.Server) {
+// recordList applies a list or a change of it from discovery to the balancer's list.
+func (b *balancer) recordList(form balance.ListForm, entries []balance.Server) {
 	if form == balance.ListReplace {
-		st.list = slices.Clone(entries)
+		b.list = slices.Clone(entries)
 		return
 	}
 	for _, e := range entries {
-		if i := slices.IndexFunc(st.list, func(s balance.Server) bool { return s.ID == e.ID }); i >= 0 {
-			st.list[i] = e
+		if i := slices.IndexFunc(b.list, func(s balance.Server) bool { return s.ID == e.ID }); i >= 0 {
+			b.list[i] = e
 		} else {
-			st.list = append(st.list, e)
+			b.list = append(b.list, e)
 		}
 	}
 }
 
-// learn takes what others tell.
-func (st *balancer) applyReports(told []warmstart.PeerReport) {
-	p, ok := st.policy.(snapshotter)
-	if !ok || st.dead {
+// applyReports restores the policy from its snapshot and the reports of other members.
+func (b *balancer) applyReports(reports []warmstart.PeerReport) {
+	p, ok := b.policy.(snapshotter)
+	if !ok || b.dead {
 		return
 	}
-	now := st.clock.Now()
-	told = warmstart.MatchListed(told, func(id string) (int64, uint32, bool) {
-		i := slices.IndexFunc(st.list, func(s balance.Server) bool { return s.ID == id })
+	now := b.clock.Now()
+	reports = warmstart.MatchListed(reports, func(id string) (int64, uint32, bool) {
+		i := slices.IndexFunc(b.list, func(s balance.Server) bool { return s.ID == id })
 		if i < 0 {
 			return 0, 0, false
 		}
-		return st.list[i].Since, peer.StartTime(st.list[i].Since), true
+		return b.list[i].Since, peer.StartTime(b.list[i].Since), true
 	})
-	p.Restore(balance.Snapshot{Servers: warmstart.MergeReports(warmstart.AgeServers(st.restored, now-st.startedAt, max(1, st.snapshotConfig.TrustPeriod)), told, now)}, now)
-	st.runDecisions()
+	p.Restore(balance.Snapshot{Servers: warmstart.MergeReports(
+		warmstart.AgeServers(b.restored, now-b.startedAt, max(1, b.snapshotConfig.TrustPeriod)), reports, now)}, now)
+	b.runDecisions()
 }
 
-// end ends a balancer's process as a kill does: what it held is lost, and its clients have no answer.
-func (st *balancer) kill() {
-	now := st.clock.Now()
-	st.dead = true
-	ids := make([]uint64, 0, len(st.requests))
-	for id := range st.requests {
+// kill ends a balancer's process abruptly: its state is lost, and its clients get no answer.
+func (b *balancer) kill() {
+	now := b.clock.Now()
+	b.dead = true
+	ids := make([]uint64, 0, len(b.requests))
+	for id := range b.requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		r := st.requests[id]
-		for _, x := range r.attempts {
+		try := b.requests[id]
+		for _, x := range try.attempts {
 			if x.pending {
 				x.pending = false
-				if wait, arrives := st.fleet.Delivery(st.zone, x.server); arrives {
-					st.clock.At(now+wait, func() { x.server.Cancel(x.job) })
+				if delay, arrives := b.fleet.Delivery(b.zone, x.server); arrives {
+					b.clock.At(now+delay, func() { x.server.Cancel(x.job) })
 				}
 			}
 		}
-		if !r.ended {
-			r.ended = true
-			st.fleet.Checker.ClientLeft(r.name)
-			st.onResult(Result{r.Request, Unanswered, now - r.firstAt, r.tries, st.id})
+		if !try.ended {
+			try.ended = true
+			b.fleet.Checker.ClientLeft(try.name)
+			b.onResult(Result{try.Request, Unanswered, now - try.firstAt, try.tries, b.id})
 		}
-		st.fleet.Checker.Forget(r.name)
+		b.fleet.Checker.Forget(try.name)
 	}
-	st.requests = map[uint64]*clientTry{}
+	b.requests = map[uint64]*clientTry{}
 }
 
-// strike does what befalls balancers and what passes between them.
-func (s *Balancers) injectProxyFault(x Fault) (undo func()) {
+// injectProxyFault begins a fault of balancers or of the network between them and gives a function that ends it.
+func (bs *Balancers) injectProxyFault(x Fault) (undo func()) {
 	if x.Kind != "proxy_kill" {
-		if s.peers != nil {
-			return s.peers.Inject(x)
+		if bs.peers != nil {
+			return bs.peers.Inject(x)
 		}
 		return func() {}
 	}
-	hit := x.Proxies
-	if len(hit) == 0 {
-		hit = Sample(&s.random, len(s.balancers), x.Count)
+	targets := x.Proxies
+	if len(targets) == 0 {
+		targets = Sample(&bs.random, len(bs.balancers), x.Count)
 	}
-	for _, i := range hit {
-		s.balancers[i].kill()
-		if s.peers != nil {
-			s.peers.Kill(i)
+	for _, i := range targets {
+		bs.balancers[i].kill()
+		if bs.peers != nil {
+			bs.peers.Kill(i)
 		}
 		if x.Duration <= 0 {
 			continue
 		}
-		s.clock.At(s.clock.Now()+x.Duration+int64(s.random.Next()*float64(x.Jitter)), func() {
-			s.balancers[i].startProcess()
-			if s.peers != nil {
-				s.peers.Start(i)
-				s.peers.Fleet(i).SetServers(s.serverIDs(), s.clock.Now())
+		bs.clock.At(bs.clock.Now()+x.Duration+int64(bs.random.Next()*float64(x.Jitter)), func() {
+			bs.balancers[i].startProcess()
+			if bs.peers != nil {
+				bs.peers.Start(i)
+				bs.peers.Fleet(i).SetServers(bs.serverIDs(), bs.clock.Now())
 			}
 		})
 	}
 	return func() {}
 }
 
-// ids are those of all servers.
-func (s *Balancers) serverIDs() (ids []string) {
-	for _, x := range s.fleet.Servers {
+// serverIDs gives the ids of all servers.
+func (bs *Balancers) serverIDs() (ids []string) {
+	for _, x := range bs.fleet.Servers {
 		ids = append(ids, x.ID)
 	}
 	return ids
--- a/rehearse/emu/server.go
+++ b/rehearse/emu/server.go
@@ -1,7 +1,7 @@
 package emu
 
-// This file owns the model of one server: cores, a queue, speed, a cache of keys, a cold ramp, and what ails it. It must
-// never look at who sends: a server knows reqs alone.
+// This file holds the model of one server: its cores, queue, speed, key cache, warm-up after a start, and faults. A
+// server's behaviour never depends on which balancer sends a request.
 
 import (
 	"slices"
@@ -10,37 +10,37 @@
 	"ivybank/internal/rng"
 )
 
-// Nature is what all servers of a fleet have in common.
+// ServerParams are the parameters that all servers of a fleet share. Times are in nanoseconds.
 type ServerParams struct {
-	QueueCapacity  int     // reqs that may wait; more are turned away
-	CacheKeys      int     // keys that a server remembers
-	CacheTTL       int64   // for how long
-	CacheSavings   float64 // part of the work that a remembered key saves
-	RampTime       int64   // from a start until a server is warm
-	StartCapacity  float64 // part of its capacity at its start
-	OverloadFactor float64 // a cold server that is offered more than this multiple of what it can do
-	OverloadWindow int64   // for so long falls over; 0: none does
-	ReportInterval int64   // how old a load report may be
+	QueueCapacity  int     // number of requests that may wait; further ones are refused
+	CacheKeys      int     // number of keys that a server caches; 0: none
+	CacheTTL       int64   // how long a key stays cached
+	CacheSavings   float64 // fraction of the work that a cached key saves
+	RampTime       int64   // time from a start until a server has its full capacity
+	StartCapacity  float64 // fraction of its capacity that a server has at its start
+	OverloadFactor float64 // a server that is still warming up and is offered more than this multiple of its capacity
+	OverloadWindow int64   // within this time fails; 0: servers don't fail from overload
+	ReportInterval int64   // maximum age of a load report
 }
 
-// Machine is one server's own.
+// Machine holds the properties of one server.
 type Machine struct {
 	ID, Zone string
 	Cell     int64
 	Cores    int
-	Speed    float64 // work done in a unit of time by one core
-	Share    float64 // its size as listed
+	Speed    float64 // work that one core does per unit of time
+	Share    float64 // its relative size in the list of discovery
 }
 
-// Job is one attempt of a req as a server has it.
+// Job is one attempt of a request at a server.
 type Job struct {
 	RequestID string
-	Balancer  int // the balancer that sent it
+	Balancer  int // index of the balancer that sent it
 	SentAt    int64
 	Work      int64
 	Key       string
 	RuleSet   balance.RuleSet
-	Done      func(balance.Outcome) // called once at the most: silence is a way to fail
+	Done      func(balance.Outcome) // called at most once; a server that gives no response never calls it
 	ended     bool
 	started   bool
 }
@@ -52,49 +52,49 @@
 	}
 }
 
-// Load is a load report.
+// LoadReport is a server's report of its load.
 type LoadReport struct {
 	InFlight, Waiting int
 	Util              float64
 }
 
-// ails is what is wrong with a server now.
+// activeFaults are the faults in effect at a server.
 type activeFaults struct {
 	crashed, hung, vanished bool
-	slowdown                float64 // times slower; 0: not
-	errorRatio, resetRatio  float64 // part of reqs that end so
+	slowdown                float64 // factor by which work takes longer; 0: none
+	errorRatio, resetRatio  float64 // fractions of requests that fail in these ways
 }
 
-// Server is one server at work.
+// Server is the model of one running server.
 type Server struct {
 	Machine
 	params       *ServerParams
 	clock        Clock
 	random       *rng.Source
 	checker      *Checker
-	startTime    int64 // its latest start; 0: long past
+	startTime    int64 // time of its latest start; 0: long ago, so the server is warm
 	draining     bool
 	overloaded   bool
 	faults       activeFaults
-	running      []*Job           // in the cores; emptied as they end
-	waiting      []*Job           // emptied as cores come free
-	stalled      []*Job           // taken while hung; emptied by a start
-	cache        map[string]int64 // when a key was last met; the oldest goes past the number remembered
-	recentWork   []offeredWork    // to a cold server lately; emptied as they age
+	running      []*Job           // jobs that occupy a core
+	waiting      []*Job           // jobs that wait for a core
+	stalled      []*Job           // jobs accepted while the server hangs; cleared by a start
+	cache        map[string]int64 // time of each key's latest use; beyond CacheKeys the oldest is evicted
+	recentWork   []offeredWork    // work offered within OverloadWindow while the server warms up
 	lastReport   LoadReport
 	lastReportAt int64
-	busyTime     int64 // core time spent, for its utilisation
+	busyTime     int64 // core time spent on completed jobs, for Utilisation
 	createdAt    int64
 }
 
 type offeredWork struct{ at, work int64 }
 
-// NewServer makes a warm server.
-func NewServer(m Machine, n *ServerParams, c Clock, d *rng.Source, j *Checker) *Server {
-	return &Server{Machine: m, params: n, clock: c, random: d, checker: j, cache: map[string]int64{}, createdAt: c.Now()}
+// NewServer makes a server that is warmed up.
+func NewServer(m Machine, params *ServerParams, c Clock, random *rng.Source, checker *Checker) *Server {
+	return &Server{Machine: m, params: params, clock: c, random: random, checker: checker, cache: map[string]int64{}, createdAt: c.Now()}
 }
 
-// Warmth is the part of its capacity that a server has by its age.
+// CapacityFraction gives the fraction of its capacity that a server has, by the time since its start.
 func (s *Server) CapacityFraction() float64 {
 	age := s.clock.Now() - s.startTime
 	if s.startTime == 0 || s.params.RampTime <= 0 || age >= s.params.RampTime {
@@ -103,18 +103,18 @@
 	return s.params.StartCapacity + (1-s.params.StartCapacity)*float64(age)/float64(s.params.RampTime)
 }
 
-// Up says whether connections come up.
+// AcceptsConnections says whether connections to the server can be established.
 func (s *Server) AcceptsConnections() bool {
 	return !s.faults.crashed && !s.faults.vanished && !s.overloaded
 }
 
-// Well says whether a probe is answered.
+// Healthy says whether the server answers a probe.
 func (s *Server) Healthy() bool { return s.AcceptsConnections() && !s.faults.hung }
 
-// Silent says whether nothing at all comes back, not even that a connection is refused.
+// Unresponsive says whether nothing comes back from the machine, not even a refused connection.
 func (s *Server) Unresponsive() bool { return s.faults.vanished }
 
-// Offer gives a server a req whose last byte has come.
+// Offer hands the server a request that has arrived completely.
 func (s *Server) Offer(j *Job) {
 	switch {
 	case s.faults.vanished:
@@ -142,7 +142,7 @@
 	}
 }
 
-// Cancel ends an attempt that its sender has given up; what has not begun never does.
+// Cancel ends an attempt that its sender has abandoned; a job that still waits is never run.
 func (s *Server) Cancel(j *Job) {
 	j.ended = true
 	s.waiting = slices.DeleteFunc(s.waiting, func(x *Job) bool { return x == j })
@@ -152,7 +152,7 @@
 	}
 }
 
-// next fills the cores.
+// startWaiting starts waiting jobs on free cores.
 func (s *Server) startWaiting() {
 	for len(s.running) < s.Cores && len(s.waiting) > 0 && !s.faults.hung && s.AcceptsConnections() {
 		j := s.waiting[0]
@@ -163,31 +163,31 @@
 		j.started = true
 		s.running = append(s.running, j)
 		s.checker.executionStarted(s, j)
-		took := int64(float64(s.workFor(j)) * max(1, s.faults.slowdown) / (s.Speed * s.CapacityFraction()))
+		duration := int64(float64(s.workFor(j)) * max(1, s.faults.slowdown) / (s.Speed * s.CapacityFraction()))
 		s.cacheKey(j.Key)
-		process := s.startTime
-		s.clock.At(s.clock.Now()+max(1, took), func() {
+		startTime := s.startTime
+		s.clock.At(s.clock.Now()+max(1, duration), func() {
 			i := slices.Index(s.running, j)
-			if i < 0 || process != s.startTime || s.faults.hung {
-				return // given up, or of an earlier process
+			if i < 0 || startTime != s.startTime || s.faults.hung {
+				return // cancelled, or belongs to an earlier process
 			}
 			s.running = slices.Delete(s.running, i, i+1)
-			s.busyTime += took
+			s.busyTime += duration
 			j.finish(balance.Served)
 			s.startWaiting()
 		})
 	}
 }
 
-// need is the work that a req takes here.
+// workFor gives the work that a job takes here, less if its key is cached.
 func (s *Server) workFor(j *Job) int64 {
-	if met, ok := s.cache[j.Key]; ok && j.Key != "" && s.clock.Now()-met <= s.params.CacheTTL {
+	if usedAt, ok := s.cache[j.Key]; ok && j.Key != "" && s.clock.Now()-usedAt <= s.params.CacheTTL {
 		return int64(float64(j.Work) * (1 - s.params.CacheSavings))
 	}
 	return j.Work
 }
 
-// meet remembers a key.
+// cacheKey adds a key to the cache and evicts the oldest one if the cache is full.
 func (s *Server) cacheKey(key string) {
 	if key == "" || s.params.CacheKeys <= 0 {
 		return
@@ -204,11 +204,12 @@
 	s.cache[key] = s.clock.Now()
 }
 
-// strain is what is offered to a cold server against what it can do.
+// checkOverload compares the work offered to a server that is warming up with its capacity, and fails the server if it
+// is overloaded.
 func (s *Server) checkOverload(j *Job) {
 	now, n := s.clock.Now(), s.params
-	warmth := s.CapacityFraction()
-	if warmth >= 1 || n.OverloadWindow <= 0 || n.OverloadFactor <= 0 {
+	fraction := s.CapacityFraction()
+	if fraction >= 1 || n.OverloadWindow <= 0 || n.OverloadFactor <= 0 {
 		s.recentWork = nil
 		return
 	}
@@ -218,16 +219,16 @@
 	for _, o := range s.recentWork {
 		total += o.work
 	}
-	can := s.Speed * float64(s.Cores) * warmth * float64(n.OverloadWindow)
-	s.checker.recordOverload(float64(total) / can / n.OverloadFactor)
-	if float64(total) > n.OverloadFactor*can {
+	capacity := s.Speed * float64(s.Cores) * fraction * float64(n.OverloadWindow)
+	s.checker.recordOverload(float64(total) / capacity / n.OverloadFactor)
+	if float64(total) > n.OverloadFactor*capacity {
 		s.checker.serverOverloaded(s)
 		s.overloaded = true
 		s.endAll(balance.Reset)
 	}
 }
 
-// lose ends all that the server has.
+// endAll ends all jobs that the server has.
 func (s *Server) endAll(o balance.Outcome) {
 	all := slices.Concat(s.running, s.waiting, s.stalled)
 	s.running, s.waiting, s.stalled = nil, nil, nil
@@ -236,33 +237,33 @@
 	}
 }
 
-// Crash ends the process; connections are reset.
+// Crash ends the process and resets its connections.
 func (s *Server) Crash() {
 	s.faults.crashed = true
 	s.endAll(balance.Reset)
 }
 
-// Vanish ends the machine; nobody is told.
+// Vanish takes the machine away without any response to its clients.
 func (s *Server) Vanish() {
 	s.faults.vanished = true
 	s.running, s.waiting, s.stalled = nil, nil, nil
 }
 
-// Hang stops all work; connections stay.
+// Hang stops all work; connections stay open.
 func (s *Server) Hang() {
 	s.faults.hung = true
 	s.stalled = append(s.stalled, slices.Concat(s.running, s.waiting)...)
 	s.running, s.waiting = nil, nil
 }
 
-// Start begins a new process, cold; what the old one had is reset.
+// Start begins a new process with an empty cache and its warm-up ahead; the jobs of the old one are reset.
 func (s *Server) Start() {
 	s.endAll(balance.Reset)
 	s.faults.crashed, s.faults.hung, s.faults.vanished, s.overloaded, s.draining = false, false, false, false, false
 	s.startTime, s.cache, s.recentWork = s.clock.Now(), map[string]int64{}, nil
 }
 
-// Report is the load report that an answer may carry; it may be old.
+// Report gives the load report that an answer may carry; it is up to ReportInterval old.
 func (s *Server) Report() LoadReport {
 	now := s.clock.Now()
 	if s.lastReportAt == 0 || now-s.lastReportAt >= s.params.ReportInterval {
@@ -272,12 +273,13 @@
 	return s.lastReport
 }
 
-// Utilisation is the part of its core time that was spent on whole reqs since it was made.
+// Utilisation gives the fraction of the server's core time since its creation that went into completed requests.
 func (s *Server) Utilisation() float64 {
 	return float64(s.busyTime) / float64(int64(s.Cores)*max(1, s.clock.Now()-s.createdAt))
 }
 
-// Expect is how long a req of so much work would take here by the server's true state; less than 0 where it would not be served.
+// ExpectedLatency gives how long a request of so much work would take here, by the server's true state; negative if it
+// would not be served.
 func (s *Server) ExpectedLatency(work int64) float64 {
 	if !s.AcceptsConnections() || s.faults.hung || s.draining || s.faults.errorRatio > 0.5 || s.faults.resetRatio > 0.5 {
 		return -1
