--- a/rehearse/timeline/simulation.go
+++ b/rehearse/timeline/simulation.go
@@ -1,8 +1,8 @@
 package timeline
 
-// This file owns the modelled network and time: datagrams that are lost, doubled, late and garbled, ways that
-// are cut, processes that are killed and stopped, clocks that are wrong. Chance is drawn from one seed. It
-// must never let a datagram arrive by a way that is cut.
+// This file holds the simulated network and time: datagrams that are lost, duplicated, delayed and corrupted, links
+// that are cut, processes that are killed and stopped, and clocks that are wrong. All randomness comes from one seed. A
+// datagram never arrives over a link that is cut.
 
 import (
 	"slices"
@@ -13,31 +13,31 @@
 const (
 	ms            = int64(1e6)
 	tickMillis    = 20  // ms between a node's ticks
-	maxLatenessNs = 5e9 // how late a late datagram is at the most
-	queueCapacity = 64  // datagrams that wait at one that is stopped
+	maxLatenessNs = 5e9 // bound of the extra delay of a late datagram
+	queueCapacity = 64  // number of datagrams that are queued at a stopped node; further ones are lost
 )
 
-// World is where a run takes place. Times are ns since its beginning.
+// Simulation is the environment of a run. Times are in nanoseconds since its start.
 type Simulation struct {
 	Names       []string
 	Now         int64
 	cluster     Cluster
 	nodes       []node
-	inFlight    []datagram // emptied as they arrive
+	inFlight    []datagram // sorted by arrival; removed when they arrive
 	brokenLinks map[[2]int]bool
-	probability map[string]float64 // loss, double, garble, late
-	maxDelay    int64              // the longest, in calm
+	probability map[string]float64 // by verb: loss, double, garble, late
+	maxDelay    int64              // bound of the random delay of a datagram that isn't late
 	random      rng.Source
 }
 
 type node struct {
-	Node                         // nil: it is dead
+	Node                         // nil: the process is dead
 	incarnation                  uint64
 	stopped                      bool
-	datagramsUntilStop           int
+	datagramsUntilStop           int // 0: no stop is due
 	restartInterval, restartedAt int64
 	clockOffset, clockRatePPM    int64
-	queued                       []datagram // emptied as it wakes
+	queued                       []datagram // received while stopped; delivered when it wakes
 }
 
 type datagram struct {
@@ -51,80 +51,81 @@
 		probability: map[string]float64{}, maxDelay: 2 * ms, random: rng.Source{Seed: seed}}
 }
 
-// Clock is a node's own.
-func (w *Simulation) LocalTime(place int) int64 {
-	n := &w.nodes[place]
-	return 1e9 + w.Now + w.Now*n.clockRatePPM/1e6 + n.clockOffset
+// LocalTime gives the time of a node's own clock, in nanoseconds.
+func (s *Simulation) LocalTime(node int) int64 {
+	n := &s.nodes[node]
+	return 1e9 + s.Now + s.Now*n.clockRatePPM/1e6 + n.clockOffset
 }
 
-// Node is the process in a place; nil where it is dead.
-func (w *Simulation) Node(place int) Node { return w.nodes[place].Node }
+// Node gives the process of a node; nil if it is dead.
+func (s *Simulation) Node(node int) Node { return s.nodes[node].Node }
 
-// Stopped says whether a process is.
-func (w *Simulation) Stopped(place int) bool { return w.nodes[place].stopped }
+// Stopped says whether a node's process is stopped.
+func (s *Simulation) Stopped(node int) bool { return s.nodes[node].stopped }
 
-// Start begins a process anew in a place.
-func (w *Simulation) Start(place int) {
-	n := &w.nodes[place]
-	n.incarnation = max(n.incarnation+1, uint64(w.Now/ms+1))
+// Start starts a new process of a node.
+func (s *Simulation) Start(node int) {
+	n := &s.nodes[node]
+	n.incarnation = max(n.incarnation+1, uint64(s.Now/ms+1))
 	n.stopped, n.queued, n.datagramsUntilStop = false, nil, 0
-	n.Node = w.cluster.Start(place, n.incarnation, w.LocalTime(place))
+	n.Node = s.cluster.Start(node, n.incarnation, s.LocalTime(node))
 }
 
-// Befall has one of the runner's own verbs befall a node (-1: all).
-func (w *Simulation) Inject(place int, verb string, args ...string) error {
-	_, err := w.inject(place, verb, args)
+// Inject applies one of the package's own verbs to a node (-1: all).
+func (s *Simulation) Inject(node int, verb string, args ...string) error {
+	_, err := s.inject(node, verb, args)
 	return err
 }
 
-// Run lets time pass up to a moment.
-func (w *Simulation) Run(until int64) error {
-	for ; w.Now < until; w.Now += ms {
-		for i := range w.nodes {
-			if n := &w.nodes[i]; n.restartInterval > 0 && w.Now-n.restartedAt >= n.restartInterval {
-				n.restartedAt = w.Now
-				w.Start(i)
+// Run advances the simulation to the time until, and stops early with the cluster's error if an invariant is violated.
+func (s *Simulation) Run(until int64) error {
+	for ; s.Now < until; s.Now += ms {
+		for i := range s.nodes {
+			if n := &s.nodes[i]; n.restartInterval > 0 && s.Now-n.restartedAt >= n.restartInterval {
+				n.restartedAt = s.Now
+				s.Start(i)
 			}
 		}
 		due := 0
-		for due < len(w.inFlight) && w.inFlight[due].at <= w.Now {
+		for due < len(s.inFlight) && s.inFlight[due].at <= s.Now {
 			due++
 		}
-		now := slices.Clone(w.inFlight[:due])
-		w.inFlight = slices.Delete(w.inFlight, 0, due)
-		for _, f := range now {
-			w.deliver(f)
+		arriving := slices.Clone(s.inFlight[:due])
+		s.inFlight = slices.Delete(s.inFlight, 0, due)
+		for _, f := range arriving {
+			s.deliver(f)
 		}
-		for i := range w.nodes {
-			if n := &w.nodes[i]; n.Node != nil && !n.stopped && (w.Now/ms+int64(i*7))%tickMillis == 0 {
-				n.Tick(w.LocalTime(i))
-				w.sendAll(i)
+		for i := range s.nodes {
+			if n := &s.nodes[i]; n.Node != nil && !n.stopped && (s.Now/ms+int64(i*7))%tickMillis == 0 {
+				n.Tick(s.LocalTime(i))
+				s.sendAll(i)
 			}
 		}
-		if err := w.cluster.Step(); err != nil {
+		if err := s.cluster.Step(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *Simulation) deliver(f datagram) {
-	n := &w.nodes[f.to]
+// deliver hands a datagram to its receiver, or queues it if that is stopped.
+func (s *Simulation) deliver(f datagram) {
+	n := &s.nodes[f.to]
 	switch {
-	case n.Node == nil || w.brokenLinks[[2]int{f.from, f.to}]:
+	case n.Node == nil || s.brokenLinks[[2]int{f.from, f.to}]:
 	case n.stopped:
 		if len(n.queued) < queueCapacity {
 			n.queued = append(n.queued, f)
 		}
 	default:
-		n.Receive(f.from, f.body, w.LocalTime(f.to))
-		w.countDatagram(n)
-		w.sendAll(f.to)
+		n.Receive(f.from, f.body, s.LocalTime(f.to))
+		s.countDatagram(n)
+		s.sendAll(f.to)
 	}
 }
 
-// step burns a fuse.
-func (w *Simulation) countDatagram(n *node) {
+// countDatagram counts a datagram received or sent, and stops the node if it was the last one before a stop.
+func (s *Simulation) countDatagram(n *node) {
 	if n.datagramsUntilStop > 0 {
 		if n.datagramsUntilStop--; n.datagramsUntilStop == 0 {
 			n.stopped = true
@@ -132,57 +133,58 @@
 	}
 }
 
-func (w *Simulation) resume(place int) {
-	n := &w.nodes[place]
+// resume lets a stopped node run again, with the datagrams queued meanwhile.
+func (s *Simulation) resume(node int) {
+	n := &s.nodes[node]
 	n.stopped = false
-	waits := n.queued
+	queued := n.queued
 	n.queued = nil
 	if n.Node == nil {
 		return
 	}
-	for _, f := range waits {
-		w.deliver(f)
+	for _, f := range queued {
+		s.deliver(f)
 	}
-	w.sendAll(place)
+	s.sendAll(node)
 }
 
-// carry sends what a node has to say.
-func (w *Simulation) sendAll(from int) {
-	n := &w.nodes[from]
+// sendAll sends the pending datagrams of a node.
+func (s *Simulation) sendAll(from int) {
+	n := &s.nodes[from]
 	for !n.stopped {
 		to, body, ok := n.Next()
 		if !ok {
 			return
 		}
-		w.send(from, to, body)
-		w.countDatagram(n)
+		s.send(from, to, body)
+		s.countDatagram(n)
 	}
 }
 
-func (w *Simulation) send(from, to int, body []byte) {
-	if to < 0 || to >= len(w.nodes) || to == from || w.random.Next() < w.probability["loss"] {
+func (s *Simulation) send(from, to int, body []byte) {
+	if to < 0 || to >= len(s.nodes) || to == from || s.random.Next() < s.probability["loss"] {
 		return
 	}
 	copies := 1
-	if w.random.Next() < w.probability["double"] {
+	if s.random.Next() < s.probability["double"] {
 		copies = 2
 	}
 	for range copies {
 		b := slices.Clone(body)
-		if w.random.Next() < w.probability["garble"] {
-			i := int(w.random.Next() * float64(len(b)))
-			b[i] ^= 1 << int(w.random.Next()*8)
+		if s.random.Next() < s.probability["garble"] {
+			i := int(s.random.Next() * float64(len(b)))
+			b[i] ^= 1 << int(s.random.Next()*8)
 		}
-		at := w.Now + int64(w.random.Next()*float64(w.maxDelay))
-		if w.random.Next() < w.probability["late"] {
-			at += int64(w.random.Next() * maxLatenessNs)
+		at := s.Now + int64(s.random.Next()*float64(s.maxDelay))
+		if s.random.Next() < s.probability["late"] {
+			at += int64(s.random.Next() * maxLatenessNs)
 		}
-		i, _ := slices.BinarySearchFunc(w.inFlight, at, func(f datagram, at int64) int {
+		i, _ := slices.BinarySearchFunc(s.inFlight, at, func(f datagram, at int64) int {
 			if f.at <= at {
 				return -1
 			}
 			return 1
 		})
-		w.inFlight = slices.Insert(w.inFlight, i, datagram{at, from, to, b})
+		s.inFlight = slices.Insert(s.inFlight, i, datagram{at, from, to, b})
 	}
 }
--- a/rehearse/timeline/timeline.go
+++ b/rehearse/timeline/timeline.go
@@ -1,18 +1,19 @@
-// Package timeline plays runs that are drawn as text: one column a node, one row a moment. A cell says what
-// befalls a node, or, with a question mark, what is to be seen there; played, the table comes back with what
-// was seen in its place.
+// Package timeline runs simulations that are written as a table in text, with one column per node and one row per
+// time. A cell holds an event that happens to a node or, with a question mark, something to observe there. The run
+// gives the table back with each observation in place of its question.
 //
 //	at    rig       a       b       c
 //	0s    .         ask 9   ask 9   ask 9
 //	3s    cut a|bc  has?    has?    has?
 //
-// Cells stand two spaces or more apart, `.` is an empty one, `; ` separates several in one. The column `rig`
-// is for what befalls all.
-//
-// This file owns reading and drawing, and the verbs that any core understands. It must never know what the
-// nodes settle among themselves (that is a Cluster's), nor use chance or time of its own.
+// Cells are separated by two or more spaces, `.` is an empty cell, and `; ` separates several entries of one cell. The
+// column `rig` is for events that concern all nodes.
 package timeline
 
+// This file holds the reading and writing of tables, and the verbs that apply to any kind of node. It never depends on
+// the protocol between the nodes (that is left to a Cluster), and never uses randomness or a clock other than the
+// Simulation's.
+
 import (
 	"errors"
 	"fmt"
@@ -24,29 +25,30 @@
 	"unicode/utf8"
 )
 
-// Node is one process's core. Times are ns by its own clock.
+// Node is the state machine of one process under test. Times are in nanoseconds by its own clock.
 type Node interface {
 	Tick(now int64)
 	Receive(from int, body []byte, now int64)
 	Next() (to int, body []byte, ok bool)
 }
 
-// Cluster is what a core's test makes of nodes.
+// Cluster is implemented by the test of a kind of node. A place is the index of a node.
 type Cluster interface {
-	// Start begins a process in a place; life is later at each start.
-	Start(place int, life uint64, now int64) Node
-	// Do is what befalls a node (-1: all), in a word that the runner does not know.
+	// Start starts a process at a place; incarnation grows with each start.
+	Start(place int, incarnation uint64, now int64) Node
+	// Apply applies an event to a node (-1: all) whose verb is not one of the package's own.
 	Apply(place int, verb string, args []string) error
-	// See gives what is seen of a node (-1: of all).
+	// Observe gives an observation of a node (-1: of all).
 	Observe(place int, what string) (string, error)
-	// Live is called each ms: what clients do then, and what must hold. An error is drawn, and ends the run.
+	// Step is called each millisecond, to act for clients and to check invariants. An error goes into the table and ends
+	// the run.
 	Step() error
 }
 
-// Report is a run as it was.
+// Report is the result of a run.
 type Report struct {
 	Table string
-	Err   error // what did not hold, or was not understood
+	Err   error // the invariant that was violated, or the entry that was not understood
 }
 
 type row struct {
@@ -57,7 +59,7 @@
 
 var cellSeparator = regexp.MustCompile(`\s{2,}`)
 
-// read takes a drawn run apart.
+// parse parses a table.
 func parse(text string) (names []string, rows []row, err error) {
 	for i, line := range strings.Split(strings.TrimRight(text, "\n"), "\n") {
 		cells := cellSeparator.Split(strings.TrimSpace(line), -1)
@@ -84,130 +86,130 @@
 	return names, rows, nil
 }
 
-// Names gives the nodes of a drawn run.
+// Names gives the names of the nodes in a table.
 func Names(text string) ([]string, error) {
 	names, _, err := parse(text)
 	return names, err
 }
 
-// Play plays a drawn run; begin makes its cluster.
-func Play(text string, seed uint64, begin func(w *Simulation) Cluster) (r Report) {
+// Play runs a table; begin makes its cluster, and seed decides all random events.
+func Play(text string, seed uint64, begin func(s *Simulation) Cluster) (r Report) {
 	names, rows, err := parse(text)
 	if err != nil {
 		return Report{text, err}
 	}
-	w := newSimulation(names, seed)
-	w.cluster = begin(w)
-	drawn := [][]string{append([]string{"at", "rig"}, names...)}
+	s := newSimulation(names, seed)
+	s.cluster = begin(s)
+	table := [][]string{append([]string{"at", "rig"}, names...)}
 	for i := range names {
-		w.Start(i)
+		s.Start(i)
 	}
 	for _, x := range rows {
-		if r.Err = w.Run(x.at); r.Err != nil {
-			drawn = append(drawn, []string{time.Duration(w.Now).String(), "! " + r.Err.Error()})
+		if r.Err = s.Run(x.at); r.Err != nil {
+			table = append(table, []string{time.Duration(s.Now).String(), "! " + r.Err.Error()})
 			break
 		}
 		out := []string{x.cells[0]}
 		for i, cell := range x.cells[1:] {
-			var said []string
+			var results []string
 			for _, word := range strings.Split(cell, "; ") {
-				s, err := w.runCell(i-1, word)
+				result, err := s.runCell(i-1, word)
 				if err != nil {
-					return Report{render(drawn), fmt.Errorf("line %d: %q: %w", x.line, word, err)}
+					return Report{render(table), fmt.Errorf("line %d: %q: %w", x.line, word, err)}
 				}
-				said = append(said, s)
+				results = append(results, result)
 			}
-			out = append(out, strings.Join(said, "; "))
+			out = append(out, strings.Join(results, "; "))
 		}
-		drawn = append(drawn, out)
+		table = append(table, out)
 	}
-	r.Table = render(drawn)
+	r.Table = render(table)
 	return r
 }
 
-// cell does what one says, or looks.
-func (w *Simulation) runCell(place int, word string) (string, error) {
+// runCell applies the event of a cell's entry, or makes its observation, and gives the entry's text for the result.
+func (s *Simulation) runCell(node int, word string) (string, error) {
 	if word == "." {
 		return word, nil
 	}
 	if what, ok := strings.CutSuffix(word, "?"); ok {
-		return w.cluster.Observe(place, what)
+		return s.cluster.Observe(node, what)
 	}
 	f := strings.Fields(word)
-	if done, err := w.inject(place, f[0], f[1:]); done || err != nil {
+	if done, err := s.inject(node, f[0], f[1:]); done || err != nil {
 		return word, err
 	}
-	return word, w.cluster.Apply(place, f[0], f[1:])
+	return word, s.cluster.Apply(node, f[0], f[1:])
 }
 
 var oneWay = regexp.MustCompile(`^(\S+)-x->(\S+)$`)
 
-// befall is what any core understands.
-func (w *Simulation) inject(place int, verb string, args []string) (done bool, err error) {
+// inject applies an event that any kind of node understands; done is false if the verb is not such a one.
+func (s *Simulation) inject(node int, verb string, args []string) (done bool, err error) {
 	arg := ""
 	if len(args) > 0 {
 		arg = args[len(args)-1]
 	}
 	if m := oneWay.FindStringSubmatch(verb); m != nil {
-		return true, w.cutLinks(m[1], m[2])
+		return true, s.cutLinks(m[1], m[2])
 	}
-	if place < 0 {
+	if node < 0 {
 		switch verb {
 		case "cut":
 			groups := strings.Split(arg, "|")
 			for _, x := range groups {
 				for _, y := range groups {
 					if x != y && err == nil {
-						err = w.cutLinks(x, y)
+						err = s.cutLinks(x, y)
 					}
 				}
 			}
 			return true, err
 		case "heal":
-			clear(w.brokenLinks)
+			clear(s.brokenLinks)
 			return true, nil
 		case "loss", "double", "garble", "late":
-			w.probability[verb], err = strconv.ParseFloat(arg, 64)
+			s.probability[verb], err = strconv.ParseFloat(arg, 64)
 			return true, err
 		case "delay":
 			d, err := time.ParseDuration(arg)
-			w.maxDelay = int64(d)
+			s.maxDelay = int64(d)
 			return true, err
 		case "kill", "back":
-			for i := range w.nodes {
-				_, _ = w.inject(i, verb, nil)
+			for i := range s.nodes {
+				_, _ = s.inject(i, verb, nil)
 			}
 			return true, nil
 		}
 		return false, nil
 	}
-	n := &w.nodes[place]
+	n := &s.nodes[node]
 	switch verb {
 	case "kill":
 		n.Node, n.stopped, n.queued, n.restartInterval = nil, false, nil, 0
 	case "back":
-		w.Start(place)
+		s.Start(node)
 	case "stop":
-		if n.datagramsUntilStop = 0; len(args) > 0 { // after so many more datagrams, heard or sent
+		if n.datagramsUntilStop = 0; len(args) > 0 { // stop only after this many more datagrams received or sent
 			n.datagramsUntilStop, err = strconv.Atoi(arg)
 		} else {
 			n.stopped = true
 		}
 	case "wake":
 		n.datagramsUntilStop = 0
-		w.resume(place)
+		s.resume(node)
 	case "flap":
 		d, bad := time.ParseDuration(arg)
-		n.restartInterval, n.restartedAt, err = int64(d), w.Now, bad
+		n.restartInterval, n.restartedAt, err = int64(d), s.Now, bad
 	case "steady":
 		n.restartInterval = 0
 	case "clock":
 		d, bad := time.ParseDuration(arg)
 		n.clockOffset, err = n.clockOffset+int64(d), bad
-	case "rate": // millionths
+	case "rate": // in parts per million
 		var ppm int64
 		ppm, err = strconv.ParseInt(arg, 10, 64)
-		n.clockOffset = w.LocalTime(place) - w.Now - w.Now*ppm/1e6
+		n.clockOffset = s.LocalTime(node) - s.Now - s.Now*ppm/1e6
 		n.clockRatePPM = ppm
 	default:
 		return false, nil
@@ -215,16 +217,16 @@
 	return true, err
 }
 
-// cut cuts the way from each of some nodes to each of others; names are one letter each, or stand with commas
-// between them.
-func (w *Simulation) cutLinks(from, to string) error {
+// cutLinks cuts the links from each node of one group to each node of another. Names have one letter each, or are
+// separated by commas.
+func (s *Simulation) cutLinks(from, to string) error {
 	for _, x := range splitNames(from) {
 		for _, y := range splitNames(to) {
-			i, j := slices.Index(w.Names, x), slices.Index(w.Names, y)
+			i, j := slices.Index(s.Names, x), slices.Index(s.Names, y)
 			if i < 0 || j < 0 {
 				return fmt.Errorf("no node %s or %s", x, y)
 			}
-			w.brokenLinks[[2]int{i, j}] = true
+			s.brokenLinks[[2]int{i, j}] = true
 		}
 	}
 	return nil
@@ -237,16 +239,16 @@
 	return strings.Split(s, "")
 }
 
-// render sets cells in columns.
+// render aligns cells in columns.
 func render(rows [][]string) string {
-	var wide []int
+	var widths []int
 	for _, r := range rows {
 		for i, c := range r {
-			if i == len(wide) {
-				wide = append(wide, 0)
+			if i == len(widths) {
+				widths = append(widths, 0)
 			}
 			if n := utf8.RuneCountInString(c); len(r) == len(rows[0]) || i == 0 {
-				wide[i] = max(wide[i], n)
+				widths[i] = max(widths[i], n)
 			}
 		}
 	}
@@ -254,18 +256,18 @@
 	for _, r := range rows {
 		line := ""
 		for i, c := range r {
-			line += c + strings.Repeat(" ", max(0, wide[i]-utf8.RuneCountInString(c))+2)
+			line += c + strings.Repeat(" ", max(0, widths[i]-utf8.RuneCountInString(c))+2)
 		}
 		b.WriteString(strings.TrimRight(line, " ") + "\n")
 	}
 	return b.String()
 }
 
-// Beside sets two drawn runs side by side, with a mark at each row that differs.
-func SideBySide(was, wanted string) string {
-	x := strings.Split(strings.TrimRight(was, "\n"), "\n")
-	y := strings.Split(strings.TrimRight(wanted, "\n"), "\n")
-	rows := [][]string{{" ", "as it was", "as it was wanted"}}
+// SideBySide puts two tables side by side, with a mark at each row that differs.
+func SideBySide(got, want string) string {
+	x := strings.Split(strings.TrimRight(got, "\n"), "\n")
+	y := strings.Split(strings.TrimRight(want, "\n"), "\n")
+	rows := [][]string{{" ", "got", "want"}}
 	for i := range max(len(x), len(y)) {
 		var a, b string
 		if i < len(x) {
--- a/rehearse/timeline/timeline_test.go
+++ b/rehearse/timeline/timeline_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// gossip is a core that tells its number to all, each tick, and keeps the highest that it has heard of each.
+// gossip is a node that sends a datagram to all on each tick and counts the datagrams received from each.
 type gossip struct {
 	me, of   int
 	ticks    int
@@ -37,7 +37,7 @@
 
 type chat struct {
 	*Simulation
-	maxTicks int // ticks after which it does not hold
+	maxTicks int // number of ticks of a node above which the invariant is violated; 0: no bound
 }
 
 func (c *chat) Start(place int, _ uint64, _ int64) Node {
@@ -77,7 +77,7 @@
 	return Play(text, 1, func(w *Simulation) Cluster { return &chat{w, most} })
 }
 
-// Ways are cut as they are drawn, the dead and the stopped say nothing, and the run comes back as it was.
+// Links are cut as the table says, dead and stopped nodes send nothing, and the result shows what was observed.
 func TestPlay(t *testing.T) {
 	got := play(`
 at    rig       a         b       c
@@ -119,8 +119,8 @@
 	return all
 }
 
-// What does not hold is drawn as the run's last row; what is no run is told with its line.
-func TestFaultsAreTold(t *testing.T) {
+// A violated invariant is the last row of the table; a table that can't be run is reported with its line.
+func TestErrorsAreReported(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                               "an empty run",
 		"at  a  b":                       "line 1: expected at, rig and the nodes' names",
@@ -138,7 +138,7 @@
 	}
 	r := play("at  rig  a\n3s  .  .", 100)
 	if !strings.Contains(r.Table, "! a ticked 101 times") {
-		t.Errorf("not drawn:\n%s", r.Table)
+		t.Errorf("not in the table:\n%s", r.Table)
 	}
 	s := SideBySide("x  1\nsame", "x  2\nsame")
 	if !strings.Contains(s, "*  x  1") || strings.Count(s, "*") != 1 {
@@ -146,12 +146,12 @@
 	}
 }
 
-// Datagrams are lost, doubled and late as drawn, and the same run is the same again.
-func TestSameAgain(t *testing.T) {
+// With lost, duplicated, late and corrupted datagrams, the same table and seed give the same result.
+func TestSameSeedSameRun(t *testing.T) {
 	text := "at  rig  a  b\n" +
 		"0s  loss 0.5; double 0.5; late 0.5; garble 0.2  rate 100  clock 90s\n3s  .  heard?  heard?\n"
-	one := play(text, 0)
-	if two := play(text, 0); one.Err != nil || one.Table != two.Table {
-		t.Errorf("%v\n%s", one.Err, SideBySide(one.Table, two.Table))
+	first := play(text, 0)
+	if second := play(text, 0); first.Err != nil || first.Table != second.Table {
+		t.Errorf("%v\n%s", first.Err, SideBySide(first.Table, second.Table))
 	}
 }
