--- a/rehearse/trace/trace.go
+++ b/rehearse/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace reads public cluster traces in CSV, row by row, into one row type. It owns the column layouts that it
-// knows and what counts as a bad row. It must never hold a file, put rows into another order, or pass over a row without
-// saying so.
+// Package trace reads public cluster traces in CSV, row by row, into one row type. It defines the known column layouts
+// and what counts as a bad row. It never keeps a whole file in memory, reorders rows, or drops a bad row without an
+// error.
 package trace
 
 import (
@@ -14,17 +14,17 @@
 	"strings"
 )
 
-// Row is one row that stands for work that arrived.
+// Row is one row of a trace, which describes the arrival of work.
 type Row struct {
 	Line   int
-	At     int64 // nanoseconds from the trace's own start
-	Work   int64 // nanoseconds of one core
+	At     int64 // nanoseconds since the start of the trace
+	Work   int64 // core time in nanoseconds
 	Kind   string
 	Key    string
 	Tenant string
 }
 
-// Problem is what is wrong with one row, which is left out for it.
+// RowError is the error of one bad row, which is skipped.
 type RowError struct {
 	Line   int
 	Reason string
@@ -32,25 +32,25 @@
 
 func (p *RowError) Error() string { return fmt.Sprintf("line %d: %s", p.Line, p.Reason) }
 
-// Layout says which columns mean what. Names count where the file has a header, else places from 0.
+// Layout assigns meanings to the columns of a file. Columns are found by name if the file has a header, else by position.
 type Layout struct {
 	Header          bool
-	Columns         []string          // all of them, in order; with a header only those that must be there
-	At              string            // arrival; End less Work where there is none
-	End             string            // end, where the file tells that instead
-	Work            string            // duration; End less At where there is none
-	Kind            string            // what the rule set goes by
-	Key             string            // what reqs are about
-	Tenant          string            // who asks
-	Filter          map[string]string // rows with other values in these columns are no arrivals, and are no problem
-	UnitNanoseconds float64           // nanoseconds in a unit of time
-	WorkScale       float64           // what a unit of Work is in units of time; 0: one
+	Columns         []string          // all columns in order; with a header only the required ones
+	At              string            // arrival; if empty, it is End minus Work
+	End             string            // end, for files that have it instead of one of the others
+	Work            string            // duration; if empty, it is End minus At
+	Kind            string            // what a rule set is chosen by
+	Key             string            // the key that requests concern
+	Tenant          string            // who sends the request
+	Filter          map[string]string // rows with other values in these columns are skipped without an error
+	UnitNanoseconds float64           // length of the file's unit of time, in nanoseconds
+	WorkScale       float64           // factor from the unit of Work to the unit of time; 0: the same
 }
 
-// Layouts are those known by name, after the published descriptions of each trace.
+// Layouts are the known layouts by name, from the published description of each trace.
 var Layouts = map[string]Layout{
-	// Google cluster data 2011, task_events: microseconds, no header; event type 0 is a submission. Its request for cores
-	// stands in for the work, which the table does not tell.
+	// Google cluster data 2011, task_events: microseconds, no header; event type 0 is a submission. The requested cores are
+	// used as the work, which the table doesn't contain.
 	"google-2011-task-events": {
 		Columns: []string{"time", "missing_info", "job_id", "task_index", "machine_id", "event_type", "user",
 			"scheduling_class", "priority", "cpu_request", "memory_request", "disk_space_request", "different_machines"},
@@ -64,24 +64,24 @@
 		At: "start_time", End: "end_time", Kind: "task_type", Key: "job_name", Tenant: "task_type",
 		Filter: map[string]string{"status": "Terminated"}, UnitNanoseconds: 1e9,
 	},
-	// Azure Functions invocation trace 2021: seconds, with a header; it tells when an invocation ended.
+	// Azure Functions invocation trace 2021: seconds, with a header; it contains the end of each invocation.
 	"azure-2021-invocations": {
 		Header: true, Columns: []string{"app", "func", "end_timestamp", "duration"},
 		End: "end_timestamp", Work: "duration", Kind: "func", Key: "func", Tenant: "app", UnitNanoseconds: 1e9,
 	},
 }
 
-// Reader reads rows.
+// Reader reads the rows of a trace.
 type Reader struct {
 	csv         *csv.Reader
 	layout      Layout
-	columnIndex map[string]int // place of each column
+	columnIndex map[string]int // position of each column by name
 	width       int
 	lastArrival int64
 	input       *lastByteReader
 }
 
-// tail remembers the last byte that was read: a file that does not end a line was cut.
+// lastByteReader keeps the last byte that was read: a file whose last line has no end was truncated.
 type lastByteReader struct {
 	io.Reader
 	last byte
@@ -95,13 +95,13 @@
 	return n, err
 }
 
-// NewReader reads a header, if the layout has one. Names renames columns: what the layout calls them to what the file does.
+// NewReader reads the header, if the layout has one. Names maps column names of the layout to those of the file.
 func NewReader(r io.Reader, l Layout, names map[string]string) (*Reader, error) {
-	t := &lastByteReader{Reader: r}
-	x := &Reader{csv: csv.NewReader(t), layout: l, columnIndex: map[string]int{}, lastArrival: math.MinInt64, input: t}
+	input := &lastByteReader{Reader: r}
+	x := &Reader{csv: csv.NewReader(input), layout: l, columnIndex: map[string]int{}, lastArrival: math.MinInt64, input: input}
 	x.csv.FieldsPerRecord, x.csv.ReuseRecord = -1, true
 	if l.UnitNanoseconds <= 0 {
-		return nil, errors.New("no unit of time")
+		return nil, errors.New("layout has no unit of time")
 	}
 	columns := slices.Clone(l.Columns)
 	for i, c := range columns {
@@ -131,7 +131,7 @@
 	return x, nil
 }
 
-// Next gives the next arrival. A *Problem leaves one row out and reading may go on; io.EOF is the end.
+// Next gives the next arrival. After a *RowError, which skips one row, reading can go on; io.EOF is the end.
 func (r *Reader) Next() (Row, error) {
 	for {
 		record, err := r.csv.Read()
@@ -155,15 +155,15 @@
 }
 
 func (r *Reader) row(line int, record []string) (row Row, skip bool, err error) {
-	wrong := func(format string, a ...any) (Row, bool, error) {
+	bad := func(format string, a ...any) (Row, bool, error) {
 		return Row{}, false, &RowError{line, fmt.Sprintf(format, a...)}
 	}
 	if len(record) != r.width {
-		what := "missing columns, or a line that was cut"
+		reason := "missing columns, or a truncated line"
 		if len(record) > r.width {
-			what = "too many columns"
+			reason = "too many columns"
 		}
-		return wrong("%s: %d of %d", what, len(record), r.width)
+		return bad("%s: %d of %d", reason, len(record), r.width)
 	}
 	l := r.layout
 	value := func(column string) string {
@@ -207,15 +207,15 @@
 		work = end - at
 	}
 	if at < 0 || work < 0 || at*l.UnitNanoseconds > math.MaxInt64/4 || work*l.UnitNanoseconds > math.MaxInt64/4 {
-		return wrong("times out of range: arrival %g, work %g", at, work)
+		return bad("times out of range: arrival %g, work %g", at, work)
 	}
 	row = Row{line, int64(math.Round(at * l.UnitNanoseconds)), int64(math.Round(work * l.UnitNanoseconds)), value(l.Kind), value(l.Key), value(l.Tenant)}
 	if row.At < r.lastArrival {
-		return wrong("out of time order: %.6f s after %.6f s", float64(row.At)/1e9, float64(r.lastArrival)/1e9)
+		return bad("out of time order: %.6f s after %.6f s", float64(row.At)/1e9, float64(r.lastArrival)/1e9)
 	}
 	r.lastArrival = row.At
 	return row, false, nil
 }
 
-// Cut says, after the end, whether the last line was not ended.
+// Truncated says, after the end of the file, whether its last line has no end.
 func (r *Reader) Truncated() bool { return r.input.last != 0 && r.input.last != '\n' }
