--- a/rehearse/system/standins.go
+++ b/rehearse/system/standins.go
@@ -1,5 +1,5 @@
-// Package system has stand-ins for what a router fleet meets outside: hosts of models and the platform's list of them.
-// They speak as much of the protocol as rehearsals on loopback need.
+// Package system has stand-ins for the external systems of a router fleet: hosts of models, and the platform that lists
+// them. They implement the part of the protocol that tests on loopback need.
 package system
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Instance is one entry of the platform's list.
+// Instance is one entry of the platform's list of hosts.
 type Instance struct {
 	ID      string `json:"id"`
 	Backend string `json:"backend"`
@@ -24,10 +24,10 @@
 	State   string `json:"state"`
 }
 
-// pageSize is small, so that a rehearsal meets several pages.
+// pageSize is small, so that tests get several pages.
 const pageSize = 2
 
-// Platform lists hosts.
+// Platform is an HTTP server that lists hosts. Calls counts the calls that it got.
 type Platform struct {
 	*httptest.Server
 	Calls atomic.Int64
@@ -36,17 +36,17 @@
 	instances []Instance
 }
 
-// NewPlatform starts a platform that lists nothing.
+// NewPlatform starts a platform with an empty list.
 func NewPlatform() *Platform {
 	p := &Platform{}
 	p.Server = httptest.NewServer(http.HandlerFunc(p.handleList))
 	return p
 }
 
-// Address is where it listens, host:port.
+// Address gives the address that the platform listens on, as host:port.
 func (p *Platform) Address() string { return strings.TrimPrefix(p.URL, "http://") }
 
-// Set replaces the list.
+// SetInstances replaces the list.
 func (p *Platform) SetInstances(instances ...Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,66 +71,66 @@
 	_ = json.NewEncoder(w).Encode(page)
 }
 
-// Behaviour says how a host treats a request.
+// Behaviour says how a host handles a request.
 type Behaviour int
 
 // The behaviours of a host.
 const (
 	Serve              Behaviour = iota
 	RefuseUnexecuted             // 503 with Not-Executed
-	TruncateStream               // a stream ends in the middle of its third event
-	FailInternally               // 500 of its own
-	AnswerOtherRequest           // the answer of another request
-	NeverAnswer                  // nothing comes until the caller leaves
+	TruncateStream               // a stream is broken off in the middle of its third event
+	FailInternally               // status 500
+	AnswerOtherRequest           // an answer with the id of another request
+	NeverAnswer                  // no answer until the caller disconnects
 )
 
-// Events is how many events a whole stream of a host has.
+// StreamEvents is the number of events in a complete stream of a host.
 const StreamEvents = 6
 
-// Host is one host of a service.
+// Host is one model host of a service.
 type Host struct {
 	*httptest.Server
 	ID string
 
 	mu         sync.Mutex
 	behaviour  Behaviour
-	executed   []string // ids of the requests that it ran
+	executed   []string // ids of the requests that it executed
 	lastHeader http.Header
 	lastBody   string
 }
 
-// NewHost starts a host that serves.
+// NewHost starts a host with the behaviour Serve.
 func NewHost(id string) *Host {
 	h := &Host{ID: id}
 	h.Server = httptest.NewServer(http.HandlerFunc(h.handle))
 	return h
 }
 
-// Address is where it listens, host:port.
+// Address gives the address that the host listens on, as host:port.
 func (h *Host) Address() string { return strings.TrimPrefix(h.URL, "http://") }
 
-// Behave changes what it does from now on.
+// SetBehaviour changes how the host handles requests from now on.
 func (h *Host) SetBehaviour(b Behaviour) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.behaviour = b
 }
 
-// Runs gives the ids of the requests that it ran.
+// ExecutedRequests gives the ids of the requests that the host executed.
 func (h *Host) ExecutedRequests() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string{}, h.executed...)
 }
 
-// Last gives the header and body of the newest request that it ran.
+// LastRequest gives the header and body of the latest request that the host executed.
 func (h *Host) LastRequest() (http.Header, string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastHeader, h.lastBody
 }
 
-// Seal is the stamp of a host's answer to a request.
+// ResponseSeal gives the value of the header Response-Seal in a host's answer to a request.
 func ResponseSeal(host, id string) string { return host + "." + id }
 
 func (h *Host) handle(w http.ResponseWriter, r *http.Request) {
@@ -184,7 +184,7 @@
 		}
 		fmt.Fprintf(w, "id: %d\ndata: event %d\n\n", i, i)
 		w.(http.Flusher).Flush()
-		time.Sleep(time.Millisecond) // a model makes events one after the other
+		time.Sleep(time.Millisecond) // a model generates events one after the other
 	}
 }
 
--- a/rehearse/system/system_test.go
+++ b/rehearse/system/system_test.go
@@ -27,7 +27,7 @@
 	"ivybank/wire"
 )
 
-// fleet is a whole system on loopback: three control processes, an agent and a router.
+// testFleet is a complete system on loopback: control processes, an agent and a router.
 type testFleet struct {
 	t        *testing.T
 	platform *system.Platform
@@ -35,7 +35,7 @@
 	front    string
 	ready    string
 	seeds    []string
-	tolerate int // control processes that may fail at once
+	tolerate int // number of control processes that may fail at the same time
 	port     int
 }
 
@@ -45,7 +45,7 @@
 	done     chan struct{}
 }
 
-// nextPort keeps the fleets of this package's tests apart; those of other processes have other addresses.
+// nextPort separates the fleets of this package's tests; test processes differ in their IP addresses.
 var nextPort = 21000 + os.Getpid()%150*64
 
 func startFleet(t *testing.T, instances ...system.Instance) *testFleet {
@@ -53,7 +53,7 @@
 	return startFleetOf(t, 3, instances...)
 }
 
-// startOf starts a fleet with so many control processes, three of them seeds.
+// startFleetOf starts a fleet with the given number of control processes, three of them seeds.
 func startFleetOf(t *testing.T, controls int, instances ...system.Instance) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, platform: system.NewPlatform(), port: nextPort, tolerate: controls / 2}
@@ -111,7 +111,7 @@
 	<-m.done
 }
 
-// config makes a configuration with one stream and one plain route, and two tenants.
+// config makes a configuration with four routes (two of them streams) and two tenants.
 func config(revision int) []byte {
 	route := func(name, prefix, kind string, attempts int, resumable bool) map[string]any {
 		return map[string]any{"name": name, "hostname": "a.example", "path_prefix": prefix, "route_type": kind,
@@ -134,7 +134,7 @@
 
 var client = &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// order sends an order to one control process.
+// replaceConfig sends a configuration to one control process and gives the status of the answer, or 0 without one.
 func (f *testFleet) replaceConfig(i, base int, body []byte) int {
 	f.t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+f.seeds[i]+"/v1/Config.Replace", bytes.NewReader(body))
@@ -148,11 +148,11 @@
 	return response.StatusCode
 }
 
-// orderUntilClear sends an order to each control process in turn until the answer is clear.
+// replaceConfigUntilDecided sends a configuration to each control process in turn until the answer is 200 or 4xx.
 func (f *testFleet) replaceConfigUntilDecided(base int, body []byte) int {
 	f.t.Helper()
 	status := 0
-	f.eventually("a clear answer to an order", func() bool {
+	f.eventually("a decisive answer to a configuration", func() bool {
 		for i := range f.seeds {
 			if status = f.replaceConfig(i, base, body); status == 200 || status >= 400 && status < 500 {
 				return true
@@ -172,10 +172,10 @@
 	return s, json.NewDecoder(response.Body).Decode(&s) == nil
 }
 
-func (f *testFleet) eventually(what string, is func() bool) {
+func (f *testFleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
-		if is() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("waiting for %s", what)
@@ -212,7 +212,7 @@
 	return reply{response.StatusCode, response.Header, string(text), err == nil}
 }
 
-// serving waits until the router serves a first configuration.
+// waitUntilServing sends a first configuration and waits until the router is ready with it.
 func (f *testFleet) waitUntilServing() {
 	f.t.Helper()
 	assert.Equal(f.t, f.replaceConfigUntilDecided(0, config(1)), 200)
@@ -232,7 +232,7 @@
 	return h, system.Instance{ID: id, Backend: "model", Address: h.Address(), Slots: 4, State: "ready"}
 }
 
-func TestWholePath(t *testing.T) {
+func TestRequestPath(t *testing.T) {
 	one, a := newHost(t, "one")
 	two, b := newHost(t, "two")
 	f := startFleet(t, a, b, system.Instance{ID: "other", Backend: "elsewhere", Address: "127.0.0.1:1", State: "ready"})
@@ -266,8 +266,8 @@
 		assert.Equal(t, f.request("/unsafe/", "other", "").status, 401)
 		assert.Equal(t, f.request("/unsafe/", "key", strings.Repeat("x", 1001)).status, 413)
 	})
-	t.Run("a stream goes on at another host behind the last whole event", func(t *testing.T) {
-		for range 60 { // earn what the repeats below cost: a fleet that has just started has none to give
+	t.Run("a stream is resumed at another host after the last complete event", func(t *testing.T) {
+		for range 60 { // fill the retry budget for the retries below; it is empty when a fleet starts
 			assert.Equal(t, f.request("/again/", "key", "").status, 200)
 		}
 		one.SetBehaviour(system.TruncateStream)
@@ -281,7 +281,7 @@
 		}
 		one.SetBehaviour(system.Serve)
 	})
-	t.Run("a stream that may not run twice is cut where its host breaks off", func(t *testing.T) {
+	t.Run("a stream that may not run twice ends where its host breaks it off", func(t *testing.T) {
 		one.SetBehaviour(system.TruncateStream)
 		two.SetBehaviour(system.TruncateStream)
 		got := f.request("/once/stream/", "key", "")
@@ -289,7 +289,7 @@
 		one.SetBehaviour(system.Serve)
 		two.SetBehaviour(system.Serve)
 	})
-	t.Run("a refused request gets a promise and never ran", func(t *testing.T) {
+	t.Run("a refused request is told when to retry and never ran", func(t *testing.T) {
 		one.SetBehaviour(system.RefuseUnexecuted)
 		two.SetBehaviour(system.RefuseUnexecuted)
 		got := f.request("/unsafe/", "key", "")
@@ -298,14 +298,14 @@
 		one.SetBehaviour(system.Serve)
 		two.SetBehaviour(system.Serve)
 	})
-	t.Run("an answer of another request never reaches the client", func(t *testing.T) {
+	t.Run("the answer to another request never reaches the client", func(t *testing.T) {
 		one.SetBehaviour(system.AnswerOtherRequest)
 		two.SetBehaviour(system.AnswerOtherRequest)
 		assert.Equal(t, f.request("/unsafe/", "key", "").status, 502)
 		one.SetBehaviour(system.Serve)
 		two.SetBehaviour(system.Serve)
 	})
-	t.Run("a tenant beyond its limit is told when to come back", func(t *testing.T) {
+	t.Run("a tenant above its limit is told when to retry", func(t *testing.T) {
 		last := reply{}
 		for range 8 {
 			last = f.request("/unsafe/", "small-key", "")
@@ -313,22 +313,22 @@
 		assert.Equal(t, last.status, 429)
 		assert.Assert(t, last.header.Get("Retry-After") != "")
 	})
-	t.Run("a draining host gets nothing more", func(t *testing.T) {
+	t.Run("a draining host gets no more requests", func(t *testing.T) {
 		draining := a
 		draining.State = "draining"
 		f.platform.SetInstances(draining, b)
-		ran := func() int { return len(one.ExecutedRequests()) }
+		executed := func() int { return len(one.ExecutedRequests()) }
 		f.eventually("the drain to be known", func() bool {
-			before := ran()
+			before := executed()
 			for range 8 {
 				f.request("/unsafe/", "key", "")
 			}
-			return ran() == before
+			return executed() == before
 		})
 	})
 }
 
-// members says how many members a control process knows, once no change of them is under way.
+// members gives the number of members that a control process knows, or 0 while the membership is changing.
 func (f *testFleet) members(i int) int {
 	s, ok := f.status(i)
 	if !ok || s.Changing || s.Commit != s.Entry {
@@ -343,7 +343,7 @@
 		f.eventually("five members at each", func() bool { return f.members(i) == 5 })
 	}
 	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200)
-	f.control[1].stopAndWait() // two lose their disks at once
+	f.control[1].stopAndWait() // two lose their disks at the same time
 	f.control[2].stopAndWait()
 	f.control[1] = f.startControl(1, t.TempDir(), false)
 	f.control[2] = f.startControl(2, t.TempDir(), false)
@@ -353,28 +353,28 @@
 	}
 }
 
-func TestConfigurationOutlivesItsReplicas(t *testing.T) {
+func TestConfigurationSurvivesItsReplicas(t *testing.T) {
 	h, a := newHost(t, "one")
 	f := startFleet(t, a)
 	f.waitUntilServing()
-	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200, "the same order again")
-	assert.Equal(t, f.replaceConfigUntilDecided(0, config(2)), 412, "another on the same base")
+	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200, "the same configuration again")
+	assert.Equal(t, f.replaceConfigUntilDecided(0, config(2)), 412, "another configuration on the same base")
 	assert.Equal(t, f.replaceConfigUntilDecided(1, config(1)), 400, "no higher revision")
 	assert.Equal(t, f.replaceConfigUntilDecided(1, []byte("{")), 400)
 	assert.Equal(t, f.replaceConfigUntilDecided(1, config(3)), 200)
 
 	f.control[0].stopAndWait()
 	assert.Equal(t, f.replaceConfigUntilDecided(3, config(5)), 200, "two of three are enough")
-	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200, "an order that was taken is never refused")
+	assert.Equal(t, f.replaceConfigUntilDecided(0, config(1)), 200, "a configuration that was accepted is never refused later")
 
-	f.control[0] = f.startControl(0, t.TempDir(), false) // without its disk
-	f.eventually("the replica to be taken in", func() bool {
+	f.control[0] = f.startControl(0, t.TempDir(), false) // with an empty disk
+	f.eventually("the replica to become a member", func() bool {
 		s, ok := f.status(0)
 		return ok && s.Commit == s.Entry && !s.Changing && s.Revision == 5 &&
 			slices.ContainsFunc(s.Members, func(m wire.Member) bool { return m.ID == s.ID })
 	})
 	f.control[1].stopAndWait()
-	assert.Equal(t, f.replaceConfigUntilDecided(5, config(7)), 200, "the replica that was taken in counts")
+	assert.Equal(t, f.replaceConfigUntilDecided(5, config(7)), 200, "the new replica counts towards the quorum")
 	f.control[1] = f.startControl(1, f.control[1].settings.DataDir, false)
 	assert.Equal(t, f.replaceConfigUntilDecided(7, config(9)), 200)
 
@@ -385,7 +385,7 @@
 		<-m.done
 		f.control[i] = f.startControl(i, m.settings.DataDir, false)
 	}
-	f.eventually("the configuration to be read back", func() bool {
+	f.eventually("the configuration to be read after the restart", func() bool {
 		response, err := client.Get("http://" + f.seeds[1] + "/v1/Config.Get")
 		if err != nil {
 			return false
