--- a/rehearse/system/system_test.go
+++ b/rehearse/system/system_test.go
@@ -232,7 +232,7 @@
 	return h, system.Instance{ID: id, Backend: "model", Address: h.Address(), Slots: 4, State: "ready"}
 }
 
-func TestRequestPath(t *testing.T) {
+func TestWholePath(t *testing.T) {
 	one, a := newHost(t, "one")
 	two, b := newHost(t, "two")
 	f := startFleet(t, a, b, system.Instance{ID: "other", Backend: "elsewhere", Address: "127.0.0.1:1", State: "ready"})
--- a/rehearse/trace/trace.go
+++ b/rehearse/trace/trace.go
@@ -32,7 +32,8 @@
 
 func (p *RowError) Error() string { return fmt.Sprintf("line %d: %s", p.Line, p.Reason) }
 
-// Layout assigns meanings to the columns of a file. Columns are found by name if the file has a header, else by position.
+// Layout assigns meanings to the columns of a file. Columns are found by name if the file has a header, else by position,
+// counted from 0.
 type Layout struct {
 	Header          bool
 	Columns         []string          // all columns in order; with a header only the required ones
