--- a/cmd/ivybank/lab.go
+++ b/cmd/ivybank/commands.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command line beside serving: files to check, and the laboratory. It must never start a proxy by itself.
+// This file holds the command line: the root command, check and lab. Only the root command and serve start a proxy.
 
 import (
 	"errors"
@@ -20,29 +20,30 @@
 	"ivybank/rehearse/lab"
 )
 
-// status is an error with the exit status that it ends the program with.
-type status struct {
+// exitError is an error with the process's exit status.
+type exitError struct {
 	error
 	code int
 }
 
-// commands is the command line. Without a command it serves, as it always has.
+// commands returns the root command. Without a subcommand it serves, as it did before there were any.
 func commands() *cobra.Command {
 	root := &cobra.Command{Use: "ivybank", Short: "A client proxy and load balancer beside every client process",
-		Long: "ivybank takes the reqs of the application beside it and decides alone which server each goes to.\nWithout a command it serves.",
+		Long: "ivybank takes the requests of the application beside it and decides by itself which server each goes to.\nWithout a command it serves.",
 		Args: cobra.NoArgs, SilenceErrors: true, SilenceUsage: true,
 		RunE: func(*cobra.Command, []string) error { return serve("") }}
 	root.CompletionOptions.DisableDefaultCmd = true
 	var operator string
-	one := &cobra.Command{Use: "serve", Short: "Serve by the configuration that GW_CONFIG names", Args: cobra.NoArgs,
+	serving := &cobra.Command{Use: "serve", Short: "Serve with the configuration file that GW_CONFIG names",
+		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return serve(operator) }}
-	one.Flags().StringVar(&operator, "operator", "", "an operator file to put in force, see deploy/operator.toml")
+	serving.Flags().StringVar(&operator, "operator", "", "the operator file to use, see deploy/operator.toml")
 	check := &cobra.Command{Use: "check FILE...",
-		Short: "Check an operator file, an experiment, a configuration, or a charter's files together",
+		Short: "Check an operator file, an experiment, a configuration, or the files of a charter together",
 		Args:  cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			var files []*charter.File
 			for _, path := range args {
-				kind, file, err := checked(path)
+				kind, file, err := checkFile(path)
 				if err != nil {
 					return err
 				}
@@ -50,22 +51,23 @@
 					files = append(files, file)
 					continue
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: a sound %s\n", path, kind)
+				fmt.Fprintf(c.OutOrStdout(), "%s: a valid %s\n", path, kind)
 			}
 			return checkCharter(c.OutOrStdout(), files, time.Now().UnixNano())
 		}}
-	root.AddCommand(one, check, labCommands(), ledgerCommand(), stateCommands(), planCommands())
+	root.AddCommand(serving, check, labCommands(), ledgerCommand(), stateCommands(), planCommands())
 	return root
 }
 
-// checked loads a file as what it says it is; one of a charter is for the caller to merge.
-func checked(path string) (string, *charter.File, error) {
+// checkFile loads a file according to its format and returns its kind. A file of a charter is returned for the caller
+// to merge with the others.
+func checkFile(path string) (string, *charter.File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", nil, err
 	}
 	if strings.HasSuffix(path, ".json") {
-		_, _, err := load(path)
+		_, _, err := loadConfig(path)
 		return "configuration", nil, err
 	}
 	switch format := conf.Format(text); format {
@@ -85,63 +87,66 @@
 		}
 		return kind, nil, err
 	default:
-		return "", nil, fmt.Errorf("%s: format %q is not known: expected %q, %q or %q",
+		return "", nil, fmt.Errorf("%s: unknown format %q: expected %q, %q or %q",
 			path, format, conf.OperatorFormat, lab.Format, charter.Format)
 	}
 }
 
-// checkCharter merges files and prints what contradicts, what is in force now and where each value comes from.
+// checkCharter merges the files of a charter and prints conflicts, the values in force at time now, and where each
+// value comes from.
 func checkCharter(w io.Writer, files []*charter.File, now int64) error {
 	if len(files) == 0 {
 		return nil
 	}
 	at := map[string]charter.Place{}
 	for _, f := range files {
-		if had, ok := at[f.Namespace]; ok {
-			return fmt.Errorf("%s: namespace: %s is that of %s", f.At, f.Namespace, had)
+		if other, ok := at[f.Namespace]; ok {
+			return fmt.Errorf("%s: namespace: %s is already used by %s", f.At, f.Namespace, other)
 		}
 		at[f.Namespace] = f.At
 	}
 	c := charter.Merge(files, now, nil)
 	c.Tell(w, now)
 	if n := len(c.Refused()); n > 0 {
-		return fmt.Errorf("the charter is refused: %d conflicts", n)
+		return fmt.Errorf("the charter is rejected: %d conflicts", n)
 	}
-	fmt.Fprintf(w, "a sound charter of %d namespaces\n", len(files))
+	fmt.Fprintf(w, "a valid charter of %d namespaces\n", len(files))
 	return nil
 }
 
 func labCommands() *cobra.Command {
-	group := &cobra.Command{Use: "lab", Short: "Rehearse a fleet: experiments, traces and what came of them", Args: cobra.NoArgs,
+	group := &cobra.Command{Use: "lab", Short: "Rehearse a fleet: run experiments, replay traces, print results",
+		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return errors.New("lab: expected run, replay or report") }}
 	var out string
-	run := &cobra.Command{Use: "run FILE", Short: "Play an experiment and keep tables and a chart", Args: cobra.ExactArgs(1),
+	run := &cobra.Command{Use: "run FILE", Short: "Run an experiment and write tables and a chart", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := lab.Load(args[0])
 			if err != nil {
 				return err
 			}
-			return play(c, e, out)
+			return runExperiment(c, e, out)
 		}}
-	run.Flags().StringVar(&out, "out", "found", "the folder under which results are kept")
+	run.Flags().StringVar(&out, "out", "found", "the folder under which results are written")
 	var policy string
-	replay := &cobra.Command{Use: "replay FILE", Short: "Play the trace of an experiment once, with one policy in virtual time",
-		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
+	replay := &cobra.Command{Use: "replay FILE",
+		Short: "Replay the trace of an experiment once, with one policy in virtual time",
+		Args:  cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			e, err := lab.Load(args[0])
 			if err != nil {
 				return err
 			}
 			if e.Trace == nil {
-				return fmt.Errorf("%s: trace: an experiment to replay names a trace", args[0])
+				return fmt.Errorf("%s: trace: missing; replay requires an experiment with a trace", args[0])
 			}
 			if err := e.Once(policy); err != nil {
 				return err
 			}
-			return play(c, e, out)
+			return runExperiment(c, e, out)
 		}}
-	replay.Flags().StringVar(&out, "out", "found", "the folder under which results are kept")
-	replay.Flags().StringVar(&policy, "policy", "module", "what decides: "+strings.Join(lab.Policies, ", "))
-	report := &cobra.Command{Use: "report FOLDER", Short: "Print a result that was kept, and write its tables and chart anew",
+	replay.Flags().StringVar(&out, "out", "found", "the folder under which results are written")
+	replay.Flags().StringVar(&policy, "policy", "module", "the balancing policy: "+strings.Join(lab.Policies, ", "))
+	report := &cobra.Command{Use: "report FOLDER", Short: "Print a stored result, and rewrite its tables and chart",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			r, err := lab.ReadResult(args[0])
 			if err != nil {
@@ -154,54 +159,56 @@
 	var rows int
 	var rate float64
 	var seed uint64
-	made := &cobra.Command{Use: "trace", Short: "Write a made trace in a public layout to standard output", Args: cobra.NoArgs,
+	trace := &cobra.Command{Use: "trace", Short: "Write a synthetic trace in a public layout to standard output",
+		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return lab.MakeTrace(c.OutOrStdout(), layout, rows, rate, seed)
 		}}
-	made.Flags().StringVar(&layout, "layout", lab.MadeLayouts[1], "one of "+strings.Join(lab.MadeLayouts, ", "))
-	made.Flags().IntVar(&rows, "rows", 1000, "arrivals")
-	made.Flags().Float64Var(&rate, "rate", 100, "arrivals a second")
-	made.Flags().Uint64Var(&seed, "seed", 1, "what it is drawn by")
-	group.AddCommand(run, replay, report, made)
+	trace.Flags().StringVar(&layout, "layout", lab.MadeLayouts[1], "one of "+strings.Join(lab.MadeLayouts, ", "))
+	trace.Flags().IntVar(&rows, "rows", 1000, "number of arrivals")
+	trace.Flags().Float64Var(&rate, "rate", 100, "arrivals per second")
+	trace.Flags().Uint64Var(&seed, "seed", 1, "seed of the random numbers")
+	group.AddCommand(run, replay, report, trace)
 	return group
 }
 
-// play runs an experiment and keeps its result. What was played before an error is kept too.
-func play(c *cobra.Command, e *lab.Experiment, out string) error {
+// runExperiment runs an experiment and writes its result. Runs that ended before an error are written too.
+func runExperiment(c *cobra.Command, e *lab.Experiment, out string) error {
 	w := c.OutOrStdout()
 	runs, err := lab.Run(e, func(format string, a ...any) { fmt.Fprintf(w, format+"\n", a...) })
 	folder := filepath.Join(out, e.Name)
 	if len(runs) > 0 {
-		r := lab.NewResult(e, commit(), runs)
+		r := lab.NewResult(e, buildCommit(), runs)
 		r.Table(w)
 		if err := r.Write(folder); err != nil {
-			return status{err, 1}
+			return exitError{err, 1}
 		}
-		fmt.Fprintf(w, "kept in %s: runs.csv, summary.csv, service.svg, result.json\n", folder)
+		fmt.Fprintf(w, "written to %s: runs.csv, summary.csv, service.svg, result.json\n", folder)
 	}
 	if err != nil {
-		return status{err, 1}
+		return exitError{err, 1}
 	}
 	return nil
 }
 
-// commit is what the program was built from. Where the build was told to leave that out, it is what the folder that the
-// program stands in holds now.
-func commit() string {
-	at := map[string]string{}
+// buildCommit returns the commit that the program was built from, with a "+" if files were modified. If the build
+// omitted it, it is the current commit of the folder that contains the program.
+func buildCommit() string {
+	settings := map[string]string{}
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
-			at[s.Key] = s.Value
+			settings[s.Key] = s.Value
 		}
 	}
-	if id := at["vcs.revision"]; len(id) >= 7 {
-		if at["vcs.modified"] == "true" {
+	if id := settings["vcs.revision"]; len(id) >= 7 {
+		if settings["vcs.modified"] == "true" {
 			return id[:7] + "+"
 		}
 		return id[:7]
 	}
 	if self, err := os.Executable(); err == nil {
-		if out, err := exec.Command("git", "-C", filepath.Dir(self), "describe", "--always", "--abbrev=7", "--dirty=+").Output(); err == nil {
+		if out, err := exec.Command("git", "-C", filepath.Dir(self), "describe",
+			"--always", "--abbrev=7", "--dirty=+").Output(); err == nil {
 			return strings.TrimSpace(string(out))
 		}
 	}
--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -17,18 +17,19 @@
 	"ivybank/rehearse/lab"
 )
 
-// rehearse starts so many processes of the program that hear one another through the rig, with a little load to be played.
-func rehearse(t *testing.T, proxies int, length, more string) *lab.Rehearsal {
+// startFleet starts the given number of proxy processes, which exchange datagrams through the test rig, with a light
+// load to be played.
+func startFleet(t *testing.T, proxies int, length, more string) *lab.Rehearsal {
 	t.Helper()
 	operator, err := filepath.Abs("../../rehearse/lab/experiments/operator/fleet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rehearseWith(t, proxies, length, operator, 90, "", more)
+	return startFleetWith(t, proxies, length, operator, 90, "", more)
 }
 
-// rehearseWith is the same with another operator file, and so many reqs a second.
-func rehearseWith(t *testing.T, proxies int, length, operator string, rate float64, ramp, more string) *lab.Rehearsal {
+// startFleetWith is startFleet with another operator file, a rate in requests per second and a ramp.
+func startFleetWith(t *testing.T, proxies int, length, operator string, rate float64, ramp, more string) *lab.Rehearsal {
 	t.Helper()
 	e, err := lab.Read(filepath.Join(t.TempDir(), "e.toml"), fmt.Appendf(nil, strings.Replace(`format = "ivybank/experiment/1"
 name = "test"
@@ -54,7 +55,7 @@
 speed = 1.0
 share = 1.0
 [load]
-rate = %.1f # of 120 that the servers can do
+rate = %.1f # the servers can do 120
 work = "50ms"
 timeout = "3s"
 retries = 3
@@ -86,49 +87,51 @@
 	return r
 }
 
-// sees says whether a proxy's view of a member is one of some states.
+// sees reports whether a proxy believes a member to be in one of the given states.
 func sees(r *lab.Rehearsal, proxy, member int, states ...string) bool {
 	v, ok := r.View(proxy)
 	return ok && member < len(v.Members) && slices.Contains(states, v.Members[member].State)
 }
 
-// together waits until all of some proxies hold so many members to be alive.
-func together(t *testing.T, r *lab.Rehearsal, alive int, proxies ...int) {
+// waitAlive waits until each of the given proxies believes that the given number of members is alive.
+func waitAlive(t *testing.T, r *lab.Rehearsal, alive int, proxies ...int) {
 	t.Helper()
 	for _, i := range proxies {
-		eventually(t, fmt.Sprintf("proxy %d holds %d alive", i, alive), func() bool {
+		eventually(t, fmt.Sprintf("proxy %d sees %d members alive", i, alive), func() bool {
 			v, ok := r.View(i)
-			heard := 0
+			seen := 0
 			for _, m := range v.Members {
 				if m.State == "alive" {
-					heard++
+					seen++
 				}
 			}
-			return ok && heard == alive
+			return ok && seen == alive
 		})
 	}
 }
 
-// Two processes find each other by their configuration; one that is killed is known to be dead, and known again when it is back.
+// Two processes find each other by their configuration. A killed one is declared dead, and alive again after its
+// restart.
 func TestFleetOfTwo(t *testing.T) {
-	r := rehearse(t, 2, "4s", "")
-	together(t, r, 2, 0, 1)
+	r := startFleet(t, 2, "4s", "")
+	waitAlive(t, r, 2, 0, 1)
 	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 6e9})
 	defer undo()
-	eventually(t, "the killed one is held to be dead", func() bool { return sees(r, 0, 1, "dead") })
-	together(t, r, 2, 0, 1)
-	eventually(t, "it lives another life", func() bool {
+	eventually(t, "the killed member is declared dead", func() bool { return sees(r, 0, 1, "dead") })
+	waitAlive(t, r, 2, 0, 1)
+	eventually(t, "the restarted member has a new life number", func() bool {
 		v, ok := r.View(0)
 		w, also := r.View(1)
 		return ok && also && v.Members[1].Life == w.Life
 	})
 }
 
-// surge is 1.8 times what the servers can do, from the second second on.
+// surge is a load of 1.8 times what the servers can do, from 2 s on.
 const surge = "[[fault]]\nkind = \"surge\"\nat = \"2s\"\nfor = \"6s\"\nsize = 2.4\n"
 
-// served plays the load and holds what came of it against what a fleet that denies as one would do.
-func served(t *testing.T, r *lab.Rehearsal, valuable float64) *lab.Figures {
+// playOverload plays the load and checks that the fleet protects valuable requests: at least the given fraction of
+// them has to be served in time.
+func playOverload(t *testing.T, r *lab.Rehearsal, valuable float64) *lab.Figures {
 	t.Helper()
 	f, err := r.Play()
 	if err != nil {
@@ -138,62 +141,65 @@
 		t.Errorf("breaches %v, %d crashes: %v", f.Breaches, f.Crashes, f.Notes)
 	}
 	if f.Classes["filing"] < valuable {
-		t.Errorf("%.2f of the valuable reqs served in time, want %.2f at the least (of the others %.2f)", f.Classes["filing"], valuable, f.Classes["batch"])
+		t.Errorf("%.2f of the valuable requests served in time, want at least %.2f (of the others %.2f)",
+			f.Classes["filing"], valuable, f.Classes["batch"])
 	}
 	if n := len(f.Line); n < 2 || f.Line[n-2] < 0.8 {
-		t.Errorf("service by seconds %.2f: it has not come back", f.Line)
+		t.Errorf("service by seconds %.2f: it has not recovered", f.Line)
 	}
 	return f
 }
 
-// shedders counts the members that have denied by the cut.
-func shedders(f *lab.Figures) int {
-	who := map[int]bool{}
+// countShedders returns the number of members that have shed requests by the common cut-off value.
+func countShedders(f *lab.Figures) int {
+	members := map[int]bool{}
 	for _, v := range f.Views {
 		if v.Shed > 0 {
-			who[v.Proxy] = true
+			members[v.Proxy] = true
 		}
 	}
-	return len(who)
+	return len(members)
 }
 
-// An overload with clients that ask three more times at once: all deny the least valuable, and it ends with its cause. Whatever befalls
-// the members meanwhile, the valuable reqs are served and all four rules are kept.
+// An overload from clients that retry three times at once: all members deny the least valuable requests, and the
+// overload ends with its cause. Whatever happens to the members meanwhile, valuable requests are served and no rule
+// is broken.
 func TestFleetOverload(t *testing.T) {
 	for _, c := range []struct {
 		name, fault string
 		valuable    float64
 	}{
-		{"alone", "", 0.85},
+		{"no fault", "", 0.85},
 		{"half cut off", "[[fault]]\nkind = \"split\"\nat = \"3s\"\nfor = \"4s\"\nproxies = [0, 1]\n", 0.75},
 		{"half not heard", "[[fault]]\nkind = \"split\"\nat = \"3s\"\nfor = \"4s\"\nproxies = [0, 1]\nway = \"out\"\n", 0.75},
 		{"one killed at the peak", "[[fault]]\nkind = \"proxy_kill\"\nat = \"4s\"\nfor = \"500ms\"\nproxies = [2]\n", 0.75},
-		{"one stopped, with an old cut", "[[fault]]\nkind = \"proxy_pause\"\nat = \"4s\"\nfor = \"3s\"\nproxies = [1]\n", 0.6},
-		{"datagrams lost, late, doubled, garbled", "[[fault]]\nkind = \"datagrams\"\nat = \"0s\"\nloss = 0.1\ndouble = 0.2\ngarble = 0.1\ndelay = \"20ms\"\nspread = \"80ms\"\n", 0.75},
-		{"all at one, then at another", "[[fault]]\nkind = \"pour\"\nat = \"2s\"\nfor = \"3s\"\nproxies = [0]\n[[fault]]\nkind = \"pour\"\nat = \"5s\"\nfor = \"3s\"\nproxies = [3]\n", 0.6},
+		{"one paused, with an outdated cut-off", "[[fault]]\nkind = \"proxy_pause\"\nat = \"4s\"\nfor = \"3s\"\nproxies = [1]\n", 0.6},
+		{"datagrams lost, delayed, duplicated, corrupted", "[[fault]]\nkind = \"datagrams\"\nat = \"0s\"\nloss = 0.1\ndouble = 0.2\ngarble = 0.1\ndelay = \"20ms\"\nspread = \"80ms\"\n", 0.75},
+		{"all load at one, then at another", "[[fault]]\nkind = \"pour\"\nat = \"2s\"\nfor = \"3s\"\nproxies = [0]\n[[fault]]\nkind = \"pour\"\nat = \"5s\"\nfor = \"3s\"\nproxies = [3]\n", 0.6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := rehearse(t, 4, "12s", surge+c.fault)
-			together(t, r, 4, 0, 1, 2, 3)
-			if n := shedders(served(t, r, c.valuable)); n < 1 {
-				t.Error("nobody has denied by the cut")
+			r := startFleet(t, 4, "12s", surge+c.fault)
+			waitAlive(t, r, 4, 0, 1, 2, 3)
+			if n := countShedders(playOverload(t, r, c.valuable)); n < 1 {
+				t.Error("no member has shed requests by the cut-off")
 			}
 		})
 	}
 }
 
-// Two that report what cannot be, one of all and one of nothing, and one of another build: the others go on as they would without.
-func TestFleetLiars(t *testing.T) {
-	r := rehearse(t, 5, "6s", "")
-	together(t, r, 5, 0, 1, 2)
-	for _, place := range []int{3, 4} {
-		as, peers, err := r.Pose(place)
+// Two members report impossible values, one an enormous load and one none, and send datagrams of another build. The
+// others must behave as they would without them.
+func TestFleetFalseReports(t *testing.T) {
+	r := startFleet(t, 5, "6s", "")
+	waitAlive(t, r, 5, 0, 1, 2)
+	for _, index := range []int{3, 4} {
+		conn, peers, err := r.Pose(index)
 		if err != nil {
 			t.Fatal(err)
 		}
 		over := make(chan bool)
-		t.Cleanup(func() { close(over); _ = as.Close() })
-		go lie(as, peers, place, over)
+		t.Cleanup(func() { close(over); _ = conn.Close() })
+		go sendFalseReports(conn, peers, index, over)
 	}
 	f, err := r.Play()
 	if err != nil {
@@ -208,17 +214,18 @@
 			t.Errorf("proxy %d: offered %.0f, %d shed, wary of %v", i, v.Offered, v.Counts.Shed, v.Wary)
 		}
 	}
-	eventually(t, "what is impossible is counted", func() bool {
-		v, ok := r.View(2) // the neighbour of the one that lies about all
+	eventually(t, "impossible reports are counted", func() bool {
+		v, ok := r.View(2) // the neighbour of the member that reports an enormous load
 		return ok && v.Odd > 0
 	})
 }
 
-// lie answers pings as a member would and tells of a load that nobody can have, or of none, and that all servers are lost.
-func lie(as *net.UDPConn, peers []*net.UDPAddr, place int, over chan bool) {
+// sendFalseReports answers pings as a member would. Member 3 reports a load that no member can have, the other one
+// none, and both report that all servers are lost.
+func sendFalseReports(conn *net.UDPConn, peers []*net.UDPAddr, index int, over chan bool) {
 	name, life := peer.Fleet("rehearsal"), swim.LifeOf(time.Now().UnixNano())
 	load := fold.Load{}
-	if place == 3 {
+	if index == 3 {
 		load = fold.Load{First: 1e9, Served: 1e9}
 		load.Offered[0] = 1e9
 	}
@@ -229,31 +236,34 @@
 			return
 		default:
 		}
-		_ = as.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		d := peer.Datagram{From: place, Life: life, Count: n, Sums: []peer.Sum{{Block: place, Life: life, Of: 1, Load: load.Bytes()}}}
+		_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+		d := peer.Datagram{From: index, Life: life, Count: n,
+			Sums: []peer.Sum{{Block: index, Life: life, Of: 1, Load: load.Bytes()}}}
 		to := peers[int(n)%3]
-		if size, from, err := as.ReadFromUDP(b); err == nil {
+		if size, from, err := conn.ReadFromUDP(b); err == nil {
 			if got, err := peer.Decode(name, b[:size]); err == nil && got.Kind == peer.Ping {
-				d.Kind, d.Seq, d.About, to = peer.Ack, got.Seq, place, from
+				d.Kind, d.Seq, d.About, to = peer.Ack, got.Seq, index, from
 			}
 		}
 		for i := range 2 {
-			d.Hints = append(d.Hints, peer.Hint{Server: peer.Server(fmt.Sprintf("s-%03d", i+1)), By: place, What: peer.Lost})
+			d.Hints = append(d.Hints, peer.Hint{Server: peer.Server(fmt.Sprintf("s-%03d", i+1)),
+				By: index, What: peer.Lost})
 		}
 		text, err := peer.Encode(name, &d)
 		if err != nil {
 			continue
 		}
-		_, _ = as.WriteToUDP(text, to)
+		_, _ = conn.WriteToUDP(text, to)
 		text[0]++ // another build
-		_, _ = as.WriteToUDP(text, to)
+		_, _ = conn.WriteToUDP(text, to)
 	}
 }
 
-// All servers turn slow together: there are hardly any further dispatches, and no member ejects by another's word.
+// All servers turn slow together: there are hardly any further dispatches, and no member ejects a server because of
+// another's report.
 func TestFleetAllSlow(t *testing.T) {
-	r := rehearse(t, 4, "14s", "[[fault]]\nkind = \"slow\"\nat = \"3s\"\nfor = \"4s\"\nsize = 12.0\ncount = 6\n")
-	together(t, r, 4, 0, 1, 2, 3)
+	r := startFleet(t, 4, "14s", "[[fault]]\nkind = \"slow\"\nat = \"3s\"\nfor = \"4s\"\nsize = 12.0\ncount = 6\n")
+	waitAlive(t, r, 4, 0, 1, 2, 3)
 	f, err := r.Play()
 	if err != nil {
 		t.Fatal(err)
@@ -265,14 +275,15 @@
 		t.Errorf("%.2f further dispatches for each first one", further)
 	}
 	if n := len(f.Line); f.Line[n-2] < 0.8 {
-		t.Errorf("service by seconds %.2f: it has not come back", f.Line)
+		t.Errorf("service by seconds %.2f: it has not recovered", f.Line)
 	}
 }
 
-// The first prober of a hanging server dies as the server comes back, cold: another takes over, and all together do not push it over.
+// The first prober of a hanging server dies while the server comes back cold: another member takes over, and all of
+// them together do not overload it.
 func TestFleetProberDies(t *testing.T) {
-	r := rehearse(t, 4, "14s", "[[fault]]\nkind = \"hang\"\nat = \"2s\"\nfor = \"4s\"\nservers = [\"s-002\"]\n")
-	together(t, r, 4, 0, 1, 2, 3)
+	r := startFleet(t, 4, "14s", "[[fault]]\nkind = \"hang\"\nat = \"2s\"\nfor = \"4s\"\nservers = [\"s-002\"]\n")
+	waitAlive(t, r, 4, 0, 1, 2, 3)
 	owner := -1
 	eventually(t, "the server has a first prober", func() bool {
 		v, ok := r.View(0)
@@ -298,17 +309,18 @@
 	}
 }
 
-// A proxy that runs by fits does not take its neighbours for dead, nor do most of them it.
+// A proxy that gets processor time only intermittently does not declare its neighbours dead, nor do most of them
+// declare it dead.
 func TestFleetStarved(t *testing.T) {
-	r := rehearse(t, 4, "8s", "[[fault]]\nkind = \"proxy_starve\"\nat = \"1s\"\nfor = \"6s\"\nproxies = [2]\nsize = 0.7\n")
-	together(t, r, 4, 0, 1, 2, 3)
+	r := startFleet(t, 4, "8s", "[[fault]]\nkind = \"proxy_starve\"\nat = \"1s\"\nfor = \"6s\"\nproxies = [2]\nsize = 0.7\n")
+	waitAlive(t, r, 4, 0, 1, 2, 3)
 	f, err := r.Play()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, v := range f.Views {
 		if v.Proxy == 2 && len(v.Dead) > 0 {
-			t.Fatalf("at %.1f s it holds %v to be dead", v.At, v.Dead)
+			t.Fatalf("at %.1f s it has declared %v dead", v.At, v.Dead)
 		}
 	}
 	if f.Breaches != [5]int{} {
@@ -316,45 +328,46 @@
 	}
 }
 
-// A proxy that is told to end is known to have left, and the others are told of what is wrong with a file at the reload, which changes nothing.
+// A proxy that is told to stop is known to have left.
 func TestFleetLeave(t *testing.T) {
-	r := rehearse(t, 3, "4s", "")
-	together(t, r, 3, 0, 1, 2)
+	r := startFleet(t, 3, "4s", "")
+	waitAlive(t, r, 3, 0, 1, 2)
 	r.Strike(emu.Fault{Kind: "proxy_end", Proxies: []int{1}})
 	eventually(t, "it has left", func() bool { return sees(r, 0, 1, "left") && sees(r, 2, 1, "left") })
 }
 
-// A new operator file is taken by SIGHUP whole or not at all, and the door says what is in force.
+// SIGHUP applies a new operator file completely or not at all, and the admin address shows what is in force.
 func TestFleetReload(t *testing.T) {
-	one, d := newHost(t, saying(text(200, "", "one"), true)), newRegistry(t)
-	p := prepare(t, d.addr, 1024, entry("s-1", one.Addr().String(), "ready"))
+	one, d := newFakeHost(t, replyWith(httpResponse(200, "", "one"), true)), newFakeDiscovery(t)
+	p := prepareProxy(t, d.addr, 1024, hostEntry("s-1", one.Addr().String(), "ready"))
 	mine, other := freeAddr(t), freeAddr(t)
 	file := func(name, more string) string {
 		return fmt.Sprintf("format = \"ivybank/operator/1\"\n[fleet]\nname = %q\nlisten = %q\npeers = [%q, %q]\nme = 0\ndatagrams_per_second = 20.0\nack_wait = \"100ms\"\nquiet = \"1s\"\n%s",
 			name, mine, mine, other, more)
 	}
-	operator := write(t, t.TempDir(), "o.toml", "format = \"ivybank/operator/1\"\n")
+	operator := writeFile(t, t.TempDir(), "o.toml", "format = \"ivybank/operator/1\"\n")
 	p.args = []string{"serve", "--operator", operator}
 	p.start(t)
-	if got := p.operate(t, "GET", "/fleet"); got != 404 {
+	if got := p.callAdminAPI(t, "GET", "/fleet"); got != 404 {
 		t.Errorf("got %d without a fleet", got)
 	}
 	put := func(text string) {
-		write(t, filepath.Dir(operator), "o.toml", text)
-		p.hup(t, p.text(t))
+		writeFile(t, filepath.Dir(operator), "o.toml", text)
+		p.reload(t, p.configText(t))
 	}
 	put(file("a", ""))
-	eventually(t, "peers are heard", func() bool { return p.operate(t, "GET", "/fleet") == 200 })
+	eventually(t, "the fleet is joined", func() bool { return p.callAdminAPI(t, "GET", "/fleet") == 200 })
 	put(file("a", "[fleet.overload]\nfurther = 7.0\n"))
-	eventually(t, "the bad file is told of", func() bool { return p.out.count("new configuration ignored") == 1 })
-	if p.out.count("fleet.overload.further: expected a fraction from 0 to 1") != 1 || p.operate(t, "GET", "/fleet") != 200 {
-		t.Errorf("not told, or not as before: %s", p.out)
+	eventually(t, "the invalid file is logged", func() bool { return p.out.count("new configuration ignored") == 1 })
+	if p.out.count("fleet.overload.further: expected a fraction from 0 to 1") != 1 ||
+		p.callAdminAPI(t, "GET", "/fleet") != 200 {
+		t.Errorf("not logged, or the fleet has changed: %s", p.out)
 	}
 	put("format = \"ivybank/operator/1\"\n")
-	eventually(t, "none are heard any more", func() bool { return p.operate(t, "GET", "/fleet") == 404 })
+	eventually(t, "the fleet is left", func() bool { return p.callAdminAPI(t, "GET", "/fleet") == 404 })
 	put(file("b", ""))
-	eventually(t, "they are heard again", func() bool { return p.operate(t, "GET", "/fleet") == 200 })
-	if a, _ := p.ask(t, call("POST", "r1", "once", "x")); a.StatusCode != 200 {
-		t.Errorf("got %d for a req", a.StatusCode)
+	eventually(t, "the fleet is joined again", func() bool { return p.callAdminAPI(t, "GET", "/fleet") == 200 })
+	if a, _ := p.do(t, clientRequest("POST", "r1", "once", "x")); a.StatusCode != 200 {
+		t.Errorf("got %d for a request", a.StatusCode)
 	}
 }
--- a/cmd/ivybank/helpers_test.go
+++ b/cmd/ivybank/helpers_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// binary is the program as TestMain built it.
+// binary is the path of the program as TestMain built it.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -36,36 +36,37 @@
 	os.Exit(code)
 }
 
-// patience bounds every wait of a test; it is never part of a verdict.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test. No verdict depends on it.
+const testTimeout = 20 * time.Second
 
-// standin is a host that answers as it is told and notes the calls that it was sent.
-type standin struct {
+// fakeHost is a host that answers as configured and records the requests that it gets.
+type fakeHost struct {
 	net.Listener
-	mu     sync.Mutex
-	calls  []string // ids
-	bodies []string
-	lost   int // connections that the proxy ended before their answer
+	mu          sync.Mutex
+	ids         []string // request IDs
+	bodies      []string
+	closedEarly int // connections that the proxy closed before a response
 }
 
-// newHost starts a host; reply writes what it likes and says whether the connection stays.
-func newHost(t *testing.T, reply func(c net.Conn, r *http.Request) bool) *standin {
+// newFakeHost starts a host. Reply writes the response and reports whether the connection stays open. If it is nil,
+// the test calls handleConns.
+func newFakeHost(t *testing.T, reply func(c net.Conn, r *http.Request) bool) *fakeHost {
 	t.Helper()
 	// Not 127.0.0.1: nbio would dial that, whatever address it was given.
 	l, err := net.Listen("tcp", "127.0.0.2:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &standin{Listener: l}
+	h := &fakeHost{Listener: l}
 	t.Cleanup(func() { _ = l.Close() })
-	if reply != nil { // else the test says what to do with each connection
-		h.each(func(c net.Conn) { h.serve(c, reply) })
+	if reply != nil {
+		h.handleConns(func(c net.Conn) { h.serve(c, reply) })
 	}
 	return h
 }
 
-// each takes every connection of a host, one beside another.
-func (h *standin) each(do func(c net.Conn)) {
+// handleConns accepts all connections of a host and handles each in a goroutine.
+func (h *fakeHost) handleConns(do func(c net.Conn)) {
 	go func() {
 		for {
 			c, err := h.Accept()
@@ -77,7 +78,7 @@
 	}()
 }
 
-func (h *standin) serve(c net.Conn, reply func(net.Conn, *http.Request) bool) {
+func (h *fakeHost) serve(c net.Conn, reply func(net.Conn, *http.Request) bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -87,7 +88,7 @@
 		}
 		body, _ := io.ReadAll(r.Body)
 		h.mu.Lock()
-		h.calls, h.bodies = append(h.calls, r.Header.Get("Request-Id")), append(h.bodies, string(body))
+		h.ids, h.bodies = append(h.ids, r.Header.Get("Request-Id")), append(h.bodies, string(body))
 		h.mu.Unlock()
 		if !reply(c, r) {
 			return
@@ -95,52 +96,52 @@
 	}
 }
 
-func (h *standin) seen() int {
+func (h *fakeHost) requestCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.calls)
+	return len(h.ids)
 }
 
-// hold waits until the proxy ends the connection.
-func (h *standin) hold(c net.Conn) {
+// waitForClose blocks until the proxy closes the connection.
+func (h *fakeHost) waitForClose(c net.Conn) {
 	_, _ = c.Read(make([]byte, 1))
 	h.mu.Lock()
-	h.lost++
+	h.closedEarly++
 	h.mu.Unlock()
 }
 
-func text(status int, more, body string) string {
+func httpResponse(status int, more, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, more, len(body), body)
 }
 
-// saying is a host's reply that is always the same.
-func saying(answer string, stays bool) func(net.Conn, *http.Request) bool {
+// replyWith returns a reply function that always writes the same response.
+func replyWith(response string, keepOpen bool) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
-		_, _ = io.WriteString(c, answer)
-		return stays
+		_, _ = io.WriteString(c, response)
+		return keepOpen
 	}
 }
 
-// registry is a discovery service that tells its watches what it is given.
-type registry struct {
+// fakeDiscovery is a discovery service whose watches get the lines that the test sends.
+type fakeDiscovery struct {
 	*http.Server
-	addr  string
-	lines chan string
-	asked chan string // the version from which each watch was asked
-	mute  atomic.Bool // no empty lines come
-	full  atomic.Bool // calls are turned away
+	addr         string
+	lines        chan string
+	watchedFrom  chan string // the version from which each watch was requested
+	noHeartbeats atomic.Bool // no empty lines are sent
+	unavailable  atomic.Bool // requests are refused
 }
 
-func newRegistry(t *testing.T) *registry {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &registry{addr: l.Addr().String(), lines: make(chan string), asked: make(chan string, 64)}
+	r := &fakeDiscovery{addr: l.Addr().String(), lines: make(chan string), watchedFrom: make(chan string, 64)}
 	r.Server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.asked <- q.URL.Query().Get("from")
-		if r.full.Load() {
+		r.watchedFrom <- q.URL.Query().Get("from")
+		if r.unavailable.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -149,11 +150,11 @@
 			select {
 			case line := <-r.lines:
 				if line == "" {
-					panic(http.ErrAbortHandler) // the connection breaks
+					panic(http.ErrAbortHandler) // breaks the connection
 				}
 				_, _ = io.WriteString(w, line+"\n")
 			case <-time.After(time.Second):
-				if r.mute.Load() {
+				if r.noHeartbeats.Load() {
 					continue
 				}
 				_, _ = io.WriteString(w, "\n")
@@ -168,15 +169,16 @@
 	return r
 }
 
-func entry(id, addr, state string) string {
-	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","lifecycle":%q,"weight":1.0,"startedAtMs":0}`, id, addr, state)
+func hostEntry(id, addr, state string) string {
+	return fmt.Sprintf(`{"instanceId":%q,"hostPort":%q,"zone":"a","lifecycle":%q,"weight":1.0,"startedAtMs":0}`,
+		id, addr, state)
 }
 
-func list(version int, reset bool, entries ...string) string {
+func hostList(version int, reset bool, entries ...string) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, version, reset, strings.Join(entries, ","))
 }
 
-const settings = `{"FleetSize":1,"Zone":"a","TickNs":5000000,"Discovery":"on_request","Unknown":{"New":1},
+const testSettings = `{"FleetSize":1,"Zone":"a","TickNs":5000000,"Discovery":"on_request","Unknown":{"New":1},
  "Ceilings":{"Cancel":true,"ConnIdleNs":60000000000,"DialTimeoutNs":250000000,"MaxDispatches":3,
   "MaxRetryAfterNs":1500000000,"RetryAfter":true,"ParallelTries":false},
  "Contract":{"AskWithinNs":2000000000,"StartCapacity":0.2,"RampTimeNs":1000000000},
@@ -187,25 +189,25 @@
    "BillingValue":1.0,"OverdueBillingValue":0.0,"WindowNs":5000000000}],
  "Tenants":[{"Name":"acme","Share":1.0,"AllowancePerS":100.0}]}`
 
-// program is one running client proxy.
-type program struct {
+// proxyProcess is one client proxy in a process of its own.
+type proxyProcess struct {
 	*exec.Cmd
-	addr, config string
-	admin        string   // the operators' door
-	listener     *os.File // inherited where it is set
-	args         []string
-	out          *output
+	addr, configPath string
+	adminAddr        string
+	listener         *os.File // inherited by the process; nil: it binds the address itself
+	args             []string
+	out              *processOutput
 }
 
-// givenAddrs are the addresses that freeAddr has given to a test of this run.
+// givenAddrs are the addresses that freeAddr has returned in this run.
 var givenAddrs sync.Map
 
-// freeAddr gives an address that is free and that no other test has been given: tests run side by side, and a program takes
+// freeAddr returns an address that is free and that no other test has got. Tests run in parallel, and a process binds
 // its address only some time after it was found free.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for {
-		// No connection goes out from this address, so that none takes the port before the program does.
+		// No outgoing connection uses this address, so that none takes the port before the process binds it.
 		l, err := net.Listen("tcp", "127.0.0.3:0")
 		if err != nil {
 			t.Fatal(err)
@@ -218,18 +220,19 @@
 	}
 }
 
-// begin starts a proxy that knows the entries, and waits until it is ready.
-func begin(t *testing.T, discovery string, sockets int, entries ...string) *program {
+// startProxy starts a proxy that knows the given hosts, and waits until it is ready.
+func startProxy(t *testing.T, discovery string, sockets int, entries ...string) *proxyProcess {
 	t.Helper()
-	p := prepare(t, discovery, sockets, entries...)
+	p := prepareProxy(t, discovery, sockets, entries...)
 	p.start(t)
 	return p
 }
 
-func (p *program) start(t *testing.T) {
+func (p *proxyProcess) start(t *testing.T) {
 	t.Helper()
-	p.Cmd, p.out = exec.Command(binary, p.args...), &output{}
-	p.Env = append(os.Environ(), "GW_CONFIG="+p.config, "GW_ADMIN_ADDR="+p.admin, "TMPDIR="+filepath.Dir(p.config))
+	p.Cmd, p.out = exec.Command(binary, p.args...), &processOutput{}
+	p.Env = append(os.Environ(), "GW_CONFIG="+p.configPath, "GW_ADMIN_ADDR="+p.adminAddr,
+		"TMPDIR="+filepath.Dir(p.configPath))
 	p.Stdout, p.Stderr = p.out, p.out
 	if p.listener != nil {
 		p.ExtraFiles, p.Env = []*os.File{p.listener}, append(p.Env, "GW_SOCKET_FD=3")
@@ -242,45 +245,45 @@
 		_ = cmd.Process.Kill()
 		err := cmd.Wait()
 		if t.Failed() {
-			t.Logf("the program at %s and %s ended with %v and wrote:\n%s", p.addr, p.admin, err, out)
+			t.Logf("the process at %s and %s ended with %v and wrote:\n%s", p.addr, p.adminAddr, err, out)
 		}
 	})
-	eventually(t, "the program is ready", func() bool { return p.operate(t, "GET", "/healthcheck") == 200 })
+	eventually(t, "the process is ready", func() bool { return p.callAdminAPI(t, "GET", "/healthcheck") == 200 })
 }
 
-// output is what a program has written so far.
-type output struct {
+// processOutput is what a process has written so far.
+type processOutput struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (o *output) Write(b []byte) (int, error) {
+func (o *processOutput) Write(b []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(b)
 }
 
-func (o *output) String() string {
+func (o *processOutput) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.String()
 }
 
-func (o *output) count(what string) int { return strings.Count(o.String(), what) }
+func (o *processOutput) count(substring string) int { return strings.Count(o.String(), substring) }
 
-// fails runs the program where it cannot start.
-func (p *program) fails(t *testing.T, env ...string) (string, int) {
+// runToFailure runs the program to its end, for a test in which it cannot start.
+func (p *proxyProcess) runToFailure(t *testing.T, env ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(binary, p.args...)
-	cmd.Env = append(append(os.Environ(), "GW_CONFIG="+p.config, "TMPDIR="+filepath.Dir(p.config)), env...)
+	cmd.Env = append(append(os.Environ(), "GW_CONFIG="+p.configPath, "TMPDIR="+filepath.Dir(p.configPath)), env...)
 	out, _ := cmd.CombinedOutput()
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// operate makes one call at the door; 0 where there is none.
-func (p *program) operate(t *testing.T, method, path string) int {
+// callAdminAPI makes one call to the admin address and returns the status; 0 if nothing listens.
+func (p *proxyProcess) callAdminAPI(t *testing.T, method, path string) int {
 	t.Helper()
-	r, err := http.NewRequest(method, "http://"+p.admin+path, nil)
+	r, err := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,8 +295,8 @@
 	return a.StatusCode
 }
 
-// inherit has the test hold the clients' listener, as the platform would.
-func inherit(t *testing.T, addr string) *os.File {
+// inheritedListener opens the listener that a process inherits from the platform.
+func inheritedListener(t *testing.T, addr string) *os.File {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -308,101 +311,103 @@
 	return f
 }
 
-// beside is a second process of the same proxy, with a door of its own; it is not started.
-func (p *program) beside(t *testing.T) *program {
+// secondProcess returns a second process of the same proxy with its own admin address. It is not started.
+func (p *proxyProcess) secondProcess(t *testing.T) *proxyProcess {
 	t.Helper()
-	return &program{addr: p.addr, admin: freeAddr(t), config: p.config, listener: p.listener}
+	return &proxyProcess{addr: p.addr, adminAddr: freeAddr(t), configPath: p.configPath, listener: p.listener}
 }
 
-// prepare is begin without the start.
-func prepare(t *testing.T, discovery string, sockets int, entries ...string) *program {
+// prepareProxy is startProxy without the start.
+func prepareProxy(t *testing.T, discovery string, sockets int, entries ...string) *proxyProcess {
 	t.Helper()
-	p := &program{addr: freeAddr(t), admin: freeAddr(t), config: filepath.Join(t.TempDir(), "config.json")}
+	p := &proxyProcess{addr: freeAddr(t), adminAddr: freeAddr(t), configPath: filepath.Join(t.TempDir(), "config.json")}
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-		p.addr, discovery, sockets, list(1, true, entries...), settings)
-	p.rewrite(t, text)
+		p.addr, discovery, sockets, hostList(1, true, entries...), testSettings)
+	p.writeConfig(t, text)
 	return p
 }
 
-// text is the configuration as it stands.
-func (p *program) text(t *testing.T) string {
+// configText returns the current configuration.
+func (p *proxyProcess) configText(t *testing.T) string {
 	t.Helper()
-	text, err := os.ReadFile(p.config)
+	text, err := os.ReadFile(p.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// hup replaces the configuration and has the program read it.
-func (p *program) hup(t *testing.T, text string) {
+// reload replaces the configuration and sends SIGHUP.
+func (p *proxyProcess) reload(t *testing.T, text string) {
 	t.Helper()
-	p.rewrite(t, text)
+	p.writeConfig(t, text)
 	if err := p.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// onRelease answers as saying does, but to the req "slow" what it is released with.
-func onRelease(release <-chan string, answer string) func(net.Conn, *http.Request) bool {
+// replyOnRelease replies as replyWith does, but answers the request with ID "slow" with what comes from release.
+func replyOnRelease(release <-chan string, response string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, r *http.Request) bool {
-		said := answer
+		sent := response
 		if r.Header.Get("Request-Id") == "slow" {
-			said = <-release
+			sent = <-release
 		}
-		_, _ = io.WriteString(c, said)
+		_, _ = io.WriteString(c, sent)
 		return true
 	}
 }
 
-// pairOnInherited is a proxy that is not started yet, on a listener of the platform's, with two hosts and discovery.
-func pairOnInherited(t *testing.T) (p *program, one, two *standin, d *registry) {
+// twoHostsInherited returns a proxy with an inherited listener, two hosts and discovery. It is not started.
+func twoHostsInherited(t *testing.T) (p *proxyProcess, one, two *fakeHost, d *fakeDiscovery) {
 	t.Helper()
-	one, two = newHost(t, saying(text(200, "", "one"), true)), newHost(t, saying(text(200, "", "two"), true))
-	d = newRegistry(t)
-	p = prepare(t, d.addr, 1024, entry("s-1", one.Addr().String(), "ready"), entry("s-2", two.Addr().String(), "ready"))
-	p.listener = inherit(t, p.addr)
+	one, two = newFakeHost(t, replyWith(httpResponse(200, "", "one"), true)),
+		newFakeHost(t, replyWith(httpResponse(200, "", "two"), true))
+	d = newFakeDiscovery(t)
+	p = prepareProxy(t, d.addr, 1024, hostEntry("s-1", one.Addr().String(), "ready"),
+		hostEntry("s-2", two.Addr().String(), "ready"))
+	p.listener = inheritedListener(t, p.addr)
 	return p, one, two, d
 }
 
-// rewrite replaces the configuration.
-func (p *program) rewrite(t *testing.T, text string) {
+// writeConfig replaces the configuration file.
+func (p *proxyProcess) writeConfig(t *testing.T, text string) {
 	t.Helper()
-	if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never seen: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// call writes one call as it goes over the wire.
-func call(method, id, ruleSet, body string) string {
+// clientRequest returns a request in the form in which a client sends it.
+func clientRequest(method, id, ruleSet, body string) string {
 	return fmt.Sprintf("%s /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: %s\r\nRequest-Class: %s\r\nTenant: acme\r\n"+
 		"Affinity-Key: k\r\nRequest-Timeout: 3.000\r\nContent-Length: %d\r\n\r\n%s", method, id, ruleSet, len(body), body)
 }
 
-// dial opens a client's connection.
-func (p *program) dial(t *testing.T) (net.Conn, *bufio.Reader) {
+// dial opens a client connection.
+func (p *proxyProcess) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
-// answer reads one whole answer.
-func answer(t *testing.T, in *bufio.Reader) (*http.Response, string) {
+// readResponse reads one complete response.
+func readResponse(t *testing.T, in *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	r, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -415,19 +420,19 @@
 	return r, string(body)
 }
 
-// ask sends bytes on a connection of their own and reads the answer.
-func (p *program) ask(t *testing.T, text string) (*http.Response, string) {
+// do sends a request on a connection of its own and reads the response.
+func (p *proxyProcess) do(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c, in := p.dial(t)
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	return answer(t, in)
+	return readResponse(t, in)
 }
 
-func (p *program) counters(t *testing.T) map[string]int {
+func (p *proxyProcess) counters(t *testing.T) map[string]int {
 	t.Helper()
-	_, body := p.ask(t, "GET /_counters HTTP/1.1\r\n\r\n")
+	_, body := p.do(t, "GET /_counters HTTP/1.1\r\n\r\n")
 	m := map[string]int{}
 	if err := json.Unmarshal([]byte(body), &m); err != nil {
 		t.Fatal(err)
@@ -435,8 +440,8 @@
 	return m
 }
 
-// asks sends bytes on a connection of their own and leaves the answer to be read.
-func (p *program) asks(t *testing.T, text string) net.Conn {
+// send sends a request on a connection of its own and leaves the response to be read.
+func (p *proxyProcess) send(t *testing.T, text string) net.Conn {
 	t.Helper()
 	c, _ := p.dial(t)
 	if _, err := io.WriteString(c, text); err != nil {
--- a/cmd/ivybank/limits_test.go
+++ b/cmd/ivybank/limits_test.go
@@ -16,8 +16,8 @@
 	"ivybank/rehearse/lab"
 )
 
-// limiting is what proxies are set to that keep one limit together.
-const limiting = `format = "ivybank/operator/1"
+// limitFleet is the operator file of proxies that share one limit, without the limit.
+const limitFleet = `format = "ivybank/operator/1"
 [fleet]
 name = "rehearsal"
 datagrams_per_second = 24.0
@@ -25,7 +25,7 @@
 quiet = "2300ms"
 `
 
-const oneLimit = `[fleet.limits]
+const limitTemplate = `[fleet.limits]
 voters = 3
 drift = 200
 [[fleet.limits.limit]]
@@ -39,9 +39,10 @@
 lease = "2s"
 `
 
-func limitOf(t *testing.T, text string) (path string, l conf.Limit) {
+// loadLimit writes an operator file and returns its path and first limit.
+func loadLimit(t *testing.T, text string) (path string, l conf.Limit) {
 	t.Helper()
-	path = write(t, t.TempDir(), "o.toml", text)
+	path = writeFile(t, t.TempDir(), "o.toml", text)
 	o, err := conf.LoadOperator(path)
 	if err != nil {
 		t.Fatal(err)
@@ -49,71 +50,71 @@
 	return path, o.Fleet.Limits.All[0]
 }
 
-// limitsAt is what a proxy tells of the fleet's limits at its door.
-func limitsAt(r *lab.Rehearsal, proxy int) []lease.Status {
+// limitStatus returns what a proxy reports of the fleet limits at its admin address.
+func limitStatus(r *lab.Rehearsal, proxy int) []lease.Status {
 	var v struct{ Limits []lease.Status }
-	text, err := knockAt(http.MethodGet, r.Door(proxy), "/fleet", nil)
+	text, err := callAdmin(http.MethodGet, r.Door(proxy), "/fleet", nil)
 	if err != nil || json.Unmarshal(text, &v) != nil {
 		return nil
 	}
 	return v.Limits
 }
 
-// A file's bound is printed beforehand, and a limit that nobody could keep is refused.
+// "ivybank check" prints by how much a limit may be exceeded, and a limit that nothing would enforce is rejected.
 func TestLimitCheck(t *testing.T) {
-	path, _ := limitOf(t, limiting+strings.NewReplacer("MODE", "bounded", "FLOOR", "4.0").Replace(oneLimit))
+	path, _ := loadLimit(t, limitFleet+strings.NewReplacer("MODE", "bounded", "FLOOR", "4.0").Replace(limitTemplate))
 	out, err := exec.Command(binary, "check", path).CombinedOutput()
 	want := "limit filings: 24 a second, 6 at once, exceeded by at most 4 for each member but one"
 	if err != nil || !strings.Contains(string(out), want) {
 		t.Errorf("%v: %s", err, out)
 	}
-	one, d := newHost(t, saying(text(200, "", "one"), true)), newRegistry(t)
-	p := prepare(t, d.addr, 1024, entry("s-1", one.Addr().String(), "ready"))
+	one, d := newFakeHost(t, replyWith(httpResponse(200, "", "one"), true)), newFakeDiscovery(t)
+	p := prepareProxy(t, d.addr, 1024, hostEntry("s-1", one.Addr().String(), "ready"))
 	p.args = []string{"serve", "--operator", path}
-	if out, code := p.fails(t); code != 2 || !strings.Contains(out, "fleet.limits: no peers are named") {
+	if out, code := p.runToFailure(t); code != 2 || !strings.Contains(out, "fleet.limits: no peers are named") {
 		t.Errorf("exit %d: %s", code, out)
 	}
 }
 
-// leased waits until all of some proxies hold a unit.
-func leased(t *testing.T, r *lab.Rehearsal, proxies ...int) {
+// waitForLeases waits until each of the given proxies holds a unit.
+func waitForLeases(t *testing.T, r *lab.Rehearsal, proxies ...int) {
 	t.Helper()
 	for _, i := range proxies {
 		eventually(t, "a proxy holds a lease", func() bool {
-			l := limitsAt(r, i)
+			l := limitStatus(r, i)
 			return len(l) == 1 && l[0].Holds > 0
 		})
 	}
 }
 
-// apart has one of three cut off from the third second to the ninth.
+// partition cuts one of three proxies off from the third second to the ninth.
 const (
-	apart    = "[[fault]]\nkind = \"split\"\nat = \"3s\"\nfor = \"6s\"\nproxies = [0]\n"
-	cutAt    = 3 * time.Second
-	healedAt = 9 * time.Second
+	partition = "[[fault]]\nkind = \"split\"\nat = \"3s\"\nfor = \"6s\"\nproxies = [0]\n"
+	cutAt     = 3 * time.Second
+	healedAt  = 9 * time.Second
 )
 
-// leaseEnd is when the last lease of the one cut off ends: by what it asked for until then. The one that owns the limit goes
-// on to answer itself for as long as the others have promised it, which is a third of a lease. To be called before the play,
-// and what it gives after it.
+// leaseEnd returns when the last lease of the proxy that is cut off ends, given what it requested until then. If it
+// owns the limit, it goes on to grant itself leases for as long as the others have promised, a third of a lease.
+// leaseEnd is called before the play, the function that it returns after it.
 func leaseEnd(r *lab.Rehearsal, l conf.Limit) func() time.Duration {
-	owned := make(chan bool, 1)
-	time.AfterFunc(cutAt+100*time.Millisecond, func() { // one that owned when it was cut off does so still
-		x := limitsAt(r, 0)
-		owned <- len(x) == 1 && x[0].Owns
+	owner := make(chan bool, 1)
+	time.AfterFunc(cutAt+100*time.Millisecond, func() { // a proxy that owned the limit when it was cut off still does
+		x := limitStatus(r, 0)
+		owner <- len(x) == 1 && x[0].Owns
 	})
 	return func() time.Duration {
 		end := r.Struck("split") + time.Duration(l.Lease)
-		if <-owned {
+		if <-owner {
 			end += time.Duration(l.Lease) / 3
 		}
 		return end
 	}
 }
 
-// Three processes keep a limit together that is asked for twice over, while one is cut off from the others:
-// the stand-ins never see more than it, what is cut off denies or falls to its floor once its lease is over,
-// and the others use the rest. Without the limit the same judge finds it passed.
+// Three processes share a limit while clients request twice as much and one process is cut off from the others. The
+// servers never see more than the limit. The process that is cut off denies requests, or admits its floor, once its
+// lease has ended, and the others use the rest. Without the limit the same check finds it exceeded.
 func TestLimit(t *testing.T) {
 	for _, c := range []struct {
 		name, mode, floor string
@@ -121,33 +122,33 @@
 	}{
 		{"strict", "strict", "0.0", func(t *testing.T, r *lab.Rehearsal, end time.Duration, o lab.OverLimit) {
 			if o.Over > 0 {
-				t.Errorf("over by %.1f reqs: let in by seconds %v", o.Over, o.Seconds)
+				t.Errorf("over by %.1f requests: admitted by seconds %v", o.Over, o.Seconds)
 			}
 			if n := r.LetIn(0, "filing", end, healedAt); n > 0 {
-				t.Errorf("the one cut off let in %d after its lease, which ended at %v", n, end)
+				t.Errorf("the proxy cut off admitted %d after its lease, which ended at %v", n, end)
 			}
 		}},
 		{"bounded", "bounded", "4.0", func(t *testing.T, r *lab.Rehearsal, end time.Duration, o lab.OverLimit) {
 			if o.Breach > 0 {
-				t.Errorf("over by %.1f reqs more than its floors: let in by seconds %v", o.Breach, o.Seconds)
+				t.Errorf("over by %.1f requests more than the floors: admitted by seconds %v", o.Breach, o.Seconds)
 			}
 			if n := r.LetIn(0, "filing", end, healedAt); n < 6 || n > 17 {
-				t.Errorf("the one cut off let in %d in %v by a floor of 4 a second", n, healedAt-end)
+				t.Errorf("the proxy cut off admitted %d in %v with a floor of 4 per second", n, healedAt-end)
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			path, l := limitOf(t, limiting+strings.NewReplacer("MODE", c.mode, "FLOOR", c.floor).Replace(oneLimit))
-			r := rehearseWith(t, 3, "14s", path, 90, "", apart)
-			together(t, r, 3, 0, 1, 2)
-			leased(t, r, 0, 1, 2)
+			path, l := loadLimit(t, limitFleet+strings.NewReplacer("MODE", c.mode, "FLOOR", c.floor).Replace(limitTemplate))
+			r := startFleetWith(t, 3, "14s", path, 90, "", partition)
+			waitAlive(t, r, 3, 0, 1, 2)
+			waitForLeases(t, r, 0, 1, 2)
 			end := leaseEnd(r, l)
 			f, err := r.Play()
 			if err != nil {
 				t.Fatal(err)
 			}
 			o := r.Limit(l)
-			t.Logf("over by %.1f reqs, bound %.1f a second; let in by seconds %v", o.Over, o.Bound, o.Seconds)
+			t.Logf("over by %.1f requests, bound %.1f per second; admitted by seconds %v", o.Over, o.Bound, o.Seconds)
 			c.check(t, r, end(), o)
 			if f.Breaches != [5]int{} || f.Crashes > 0 {
 				t.Errorf("breaches %v, %d crashes: %v", f.Breaches, f.Crashes, f.Notes)
@@ -155,7 +156,7 @@
 			others := r.LetIn(1, "filing", 5*time.Second, 9*time.Second) +
 				r.LetIn(2, "filing", 5*time.Second, 9*time.Second)
 			if others < 20 {
-				t.Errorf("those not cut off let in %d in 4 s of %.0f a second", others, l.Amount)
+				t.Errorf("the proxies not cut off admitted %d in 4 s of %.0f per second", others, l.Amount)
 			}
 		})
 	}
@@ -175,14 +176,14 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			path, l := limitOf(t, limiting+strings.NewReplacer("MODE", "strict", "FLOOR", "0.0").Replace(oneLimit))
-			r := rehearseWith(t, 3, "13s", path, 90, "", "")
-			together(t, r, 3, 0, 1, 2)
-			leased(t, r, 0, 1, 2)
+			path, l := loadLimit(t, limitFleet+strings.NewReplacer("MODE", "strict", "FLOOR", "0.0").Replace(limitTemplate))
+			r := startFleetWith(t, 3, "13s", path, 90, "", "")
+			waitAlive(t, r, 3, 0, 1, 2)
+			waitForLeases(t, r, 0, 1, 2)
 			owner := -1
-			eventually(t, "one owns", func() bool {
+			eventually(t, "one proxy owns the limit", func() bool {
 				for i := range 3 {
-					if x := limitsAt(r, i); len(x) == 1 && x[0].Owns {
+					if x := limitStatus(r, i); len(x) == 1 && x[0].Owns {
 						owner = i
 					}
 				}
@@ -194,60 +195,61 @@
 				t.Fatal(err)
 			}
 			o := r.Limit(l)
-			t.Logf("over by %.1f reqs, bound 0; let in by seconds %v", o.Over, o.Seconds)
+			t.Logf("over by %.1f requests, bound 0; admitted by seconds %v", o.Over, o.Seconds)
 			if o.Over > 0 || f.Breaches != [5]int{} || f.Crashes > 0 {
-				t.Errorf("over by %.1f reqs, breaches %v, %d crashes: %v", o.Over, f.Breaches, f.Crashes, f.Notes)
+				t.Errorf("over by %.1f requests, breaches %v, %d crashes: %v", o.Over, f.Breaches, f.Crashes, f.Notes)
 			}
-			leased(t, r, 0, 1, 2) // all are back
+			waitForLeases(t, r, 0, 1, 2) // all have recovered
 		})
 	}
 	t.Run("without", func(t *testing.T) {
-		_, l := limitOf(t, limiting+strings.NewReplacer("MODE", "strict", "FLOOR", "0.0").Replace(oneLimit))
-		r := rehearseWith(t, 3, "5s", write(t, t.TempDir(), "o.toml", limiting), 90, "", "")
-		together(t, r, 3, 0, 1, 2)
+		_, l := loadLimit(t, limitFleet+strings.NewReplacer("MODE", "strict", "FLOOR", "0.0").Replace(limitTemplate))
+		r := startFleetWith(t, 3, "5s", writeFile(t, t.TempDir(), "o.toml", limitFleet), 90, "", "")
+		waitAlive(t, r, 3, 0, 1, 2)
 		if _, err := r.Play(); err != nil {
 			t.Fatal(err)
 		}
 		if o := r.Limit(l); o.Over < 10 {
-			t.Errorf("over by %.1f with no limit: the judge sees nothing", o.Over)
+			t.Errorf("over by %.1f with no limit: the check detects nothing", o.Over)
 		}
 	})
 }
 
-// A fleet of one keeps a limit by itself: reqs past it are denied at once with the time to stay away, a file without it lifts it, and one
-// with a fault changes nothing.
+// A fleet of one enforces a limit by itself: requests beyond it are denied at once with a Retry-After. A reload
+// without the limit lifts it, and an invalid file changes nothing.
 func TestLimitReload(t *testing.T) {
-	one, d := newHost(t, saying(text(200, "", "one"), true)), newRegistry(t)
-	p := prepare(t, d.addr, 1024, entry("s-1", one.Addr().String(), "ready"))
-	mine := freeAddr(t)
-	alone := strings.Replace(limiting, "[fleet]\n", fmt.Sprintf("[fleet]\nlisten = %q\npeers = [%q]\nme = 0\n", mine, mine), 1)
+	one, d := newFakeHost(t, replyWith(httpResponse(200, "", "one"), true)), newFakeDiscovery(t)
+	p := prepareProxy(t, d.addr, 1024, hostEntry("s-1", one.Addr().String(), "ready"))
+	ownAddr := freeAddr(t)
+	alone := strings.Replace(limitFleet, "[fleet]\n", fmt.Sprintf("[fleet]\nlisten = %q\npeers = [%q]\nme = 0\n",
+		ownAddr, ownAddr), 1)
 	limit := strings.NewReplacer("MODE", "strict", "FLOOR", "0.0", "filing", "once", "voters = 3", "voters = 1",
-		"24.0", "1.0", "250ms", "1s", `lease = "2s"`, `lease = "1s"`).Replace(oneLimit)
-	operator := write(t, t.TempDir(), "o.toml", alone+limit)
+		"24.0", "1.0", "250ms", "1s", `lease = "2s"`, `lease = "1s"`).Replace(limitTemplate)
+	operator := writeFile(t, t.TempDir(), "o.toml", alone+limit)
 	p.args = []string{"serve", "--operator", operator}
 	p.start(t)
 	n := 0
 	ask := func() *http.Response {
 		n++
-		a, _ := p.ask(t, call("POST", fmt.Sprint("r", n), "once", "x"))
+		a, _ := p.do(t, clientRequest("POST", fmt.Sprint("r", n), "once", "x"))
 		return a
 	}
-	eventually(t, "one is let in", func() bool { return ask().StatusCode == http.StatusOK })
-	eventually(t, "one is denied, with the time to stay away", func() bool {
+	eventually(t, "a request is admitted", func() bool { return ask().StatusCode == http.StatusOK })
+	eventually(t, "a request is denied, with a Retry-After", func() bool {
 		a := ask()
 		return a.StatusCode == http.StatusServiceUnavailable && a.Header.Get("Retry-After") != ""
 	})
-	if a, _ := p.ask(t, call("GET", "other", "again", "")); a.StatusCode != http.StatusOK {
-		t.Errorf("got %d for a rule set that has no limit", a.StatusCode)
+	if a, _ := p.do(t, clientRequest("GET", "other", "again", "")); a.StatusCode != http.StatusOK {
+		t.Errorf("got %d for a rule set without a limit", a.StatusCode)
 	}
 	put := func(text string) {
-		write(t, filepath.Dir(operator), "o.toml", text)
-		p.hup(t, p.text(t))
+		writeFile(t, filepath.Dir(operator), "o.toml", text)
+		p.reload(t, p.configText(t))
 	}
 	put(alone + strings.Replace(limit, "amount = 1.0", "amount = 1.5", 1))
-	eventually(t, "the fault is told of", func() bool { return p.out.count("expected a multiple of 1") == 1 })
+	eventually(t, "the invalid file is logged", func() bool { return p.out.count("expected a multiple of 1") == 1 })
 	put(alone)
-	eventually(t, "nothing is denied any more", func() bool {
+	eventually(t, "no request is denied any more", func() bool {
 		for range 5 {
 			if ask().StatusCode != http.StatusOK {
 				return false
--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -1,5 +1,5 @@
-// Command ivybank is one client proxy on sockets. This file owns configuration, start, signals and exit;
-// it must never decide anything, and takes no tunables.
+// Command ivybank runs one client proxy. This file holds its configuration, start, signals and exit. It must not make
+// balancing decisions, and it has no tuning parameters of its own.
 package main
 
 import (
@@ -31,12 +31,12 @@
 )
 
 const (
-	pollers  = 1
-	heapPart = 0.6 // of the memory limit, for Go's heap; the rest is for stacks, buffers and files
+	pollers      = 1
+	heapFraction = 0.6 // of the memory limit, for Go's heap; the rest is for stacks, buffers and files
 )
 
-// orders is the configuration as the operators write it.
-type orders struct {
+// platformConfig is the platform's configuration file (GW_CONFIG) and, if there is one, the operator file.
+type platformConfig struct {
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
 	Seed      string `json:"seed"`
@@ -45,61 +45,61 @@
 		Memory  float64 `json:"memory_mb"`
 		Sockets int     `json:"sockets"`
 	} `json:"limits"`
-	Admin    string               `json:"admin_addr"` // absent: no door
-	Peer     string               `json:"peer_listen"`
-	Peers    []string             `json:"peers"`
-	operator *conf.OperatorConfig // nil: none
-	Known    json.RawMessage      `json:"known"`
-	Settings json.RawMessage      `json:"settings"`
+	AdminAddr  string               `json:"admin_addr"` // empty: the proxy has no admin address
+	PeerListen string               `json:"peer_listen"`
+	Peers      []string             `json:"peers"`
+	operator   *conf.OperatorConfig // nil: there is no operator file
+	Known      json.RawMessage      `json:"known"`
+	Settings   json.RawMessage      `json:"settings"`
 }
 
-// load reads the configuration from its file.
-func load(path string) (orders, proxy.Config, error) {
+// loadConfig reads the platform's configuration from its file.
+func loadConfig(path string) (platformConfig, proxy.Config, error) {
 	if path == "" {
-		return orders{}, proxy.Config{}, errors.New("GW_CONFIG names no file")
+		return platformConfig{}, proxy.Config{}, errors.New("GW_CONFIG is not set to the path of a configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return orders{}, proxy.Config{}, err
+		return platformConfig{}, proxy.Config{}, err
 	}
-	o, s, err := read(text)
+	o, s, err := parseConfig(text)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
 	return o, s, err
 }
 
-// apply puts in force what the operator file says of the log.
-func (o *orders) apply() {
+// applyLogging applies the operator file's log settings.
+func (o *platformConfig) applyLogging() {
 	if o.operator != nil {
 		o.operator.ApplyLogging()
 	}
 }
 
-// loadAll reads the configuration and, where there is one, the operator file.
-func loadAll(path, operator string) (orders, proxy.Config, error) {
+// loadAll reads the platform's configuration and, if operator is not empty, the operator file.
+func loadAll(path, operator string) (platformConfig, proxy.Config, error) {
 	var op *conf.OperatorConfig
 	if operator != "" {
 		var err error
 		if op, err = conf.LoadOperator(operator); err != nil {
-			return orders{}, proxy.Config{}, err
+			return platformConfig{}, proxy.Config{}, err
 		}
 	}
-	o, s, err := load(path)
+	o, s, err := loadConfig(path)
 	if err != nil {
 		return o, s, err
 	}
-	if s.Fleet, err = fleetOf(op, o, s.LongestTimeout); err != nil {
+	if s.Fleet, err = fleetConfig(op, o, s.LongestTimeout); err != nil {
 		return o, s, fmt.Errorf("%s: %w", path, err)
 	}
 	if o.operator = op; op != nil {
-		s.Idempotency, s.Recovery, s.Maintenance = keysOf(op), returnOf(op), maintenanceOf(op)
+		s.Idempotency, s.Recovery, s.Maintenance = idempotencyConfig(op), recoveryConfig(op), maintenanceConfig(op)
 	}
 	return o, s, nil
 }
 
-// read turns the configuration into what the proxy starts from.
-func read(text []byte) (o orders, s proxy.Config, err error) {
+// parseConfig decodes and validates the platform's configuration.
+func parseConfig(text []byte) (o platformConfig, s proxy.Config, err error) {
 	if err := json.Unmarshal(text, &o); err != nil {
 		return o, s, err
 	}
@@ -117,9 +117,10 @@
 		return o, s, fmt.Errorf("settings: %w", err)
 	}
 	s = proxy.Config{Listen: o.Listen, Discovery: o.Discovery, Sockets: o.Limits.Sockets, Pollers: pollers,
-		Memory: int64(o.Limits.Memory * heapPart * (1 << 20)), KnownHosts: o.Known, Terms: terms.Decode(v, seed),
+		Memory: int64(o.Limits.Memory * heapFraction * (1 << 20)), KnownHosts: o.Known, Terms: terms.Decode(v, seed),
 		DialTimeout: v.Int("Ceilings.DialTimeoutNs"), ConnIdle: v.Int("Ceilings.ConnIdleNs")}
-	s.Terms.ListOnRequest = v.Raw["Discovery"] != "pushed" // not set: as it always was, the module asks
+	// If Discovery is not set, the decision module requests lists, as it did before the setting existed.
+	s.Terms.ListOnRequest = v.Raw["Discovery"] != "pushed"
 	for i := range v.Int("RuleSets.count") {
 		s.LongestTimeout = max(s.LongestTimeout, v.Int(fmt.Sprintf("RuleSets.%d.ClientTimeoutNs", i)))
 	}
@@ -138,11 +139,11 @@
 	return o, s, nil
 }
 
-// follows says whether a new configuration may take the place of the running one: whatever that one names has to be
-// there, as a file that was cut or lost a name in editing still reads as one.
-func follows(old, next orders) error {
+// checkReload checks whether a new configuration may replace the running one. Everything that the running one names
+// has to be present: a file that was truncated, or lost a name in editing, may still parse.
+func checkReload(old, next platformConfig) error {
 	if old.Listen != next.Listen {
-		return fmt.Errorf("listen=%q: it was %q, which takes a new start", next.Listen, old.Listen)
+		return fmt.Errorf("listen=%q: it was %q, and a change requires a restart", next.Listen, old.Listen)
 	}
 	if (next.Limits.Cores <= 0 && old.Limits.Cores > 0) || (next.Limits.Memory <= 0 && old.Limits.Memory > 0) ||
 		(next.Limits.Sockets <= 0 && old.Limits.Sockets > 0) {
@@ -151,9 +152,9 @@
 	return terms.CheckNoneMissing(old.Settings, next.Settings)
 }
 
-// open adds what the process finds around it: a listener that it inherits, a folder shared with the process before or
-// after it, the operators' door.
-func open(o orders, start proxy.Config) (*proxy.Proxy, error) {
+// newProxy creates the proxy with what the process finds in its environment: an inherited listener, the files shared
+// with the process before or after it, and the admin address.
+func newProxy(o platformConfig, start proxy.Config) (*proxy.Proxy, error) {
 	if text := os.Getenv("GW_SOCKET_FD"); text != "" {
 		fd, err := strconv.Atoi(text)
 		if err != nil || fd < 3 {
@@ -163,17 +164,17 @@
 			return nil, err
 		}
 	}
-	// Several proxies may share the folder; the processes of one share the address.
+	// Several proxies may share the folder; the address identifies the processes of one of them.
 	base := filepath.Join(os.TempDir(), "ivybank-"+strings.NewReplacer(":", "-", "/", "-").Replace(start.Listen))
 	var err error
 	if start.SiblingLock, err = sibling.Acquire(base + ".seats"); err != nil {
-		logrus.Warnf("other processes of this proxy are not seen: %v", err)
+		logrus.Warnf("other processes of this proxy cannot be detected: %v", err)
 	}
 	if start.Holds, err = holds.Open(base + ".holds"); err != nil {
-		logrus.Warnf("hosts out by hand: %v", err)
+		logrus.Warnf("file of hosts taken out of use by operators: %v", err)
 	}
 	p := proxy.New(start)
-	if addr := cmp.Or(os.Getenv("GW_ADMIN_ADDR"), o.Admin); addr != "" {
+	if addr := cmp.Or(os.Getenv("GW_ADMIN_ADDR"), o.AdminAddr); addr != "" {
 		if _, err := admin.Listen(addr, p.HandleAdmin); err != nil {
 			return nil, fmt.Errorf("admin_addr: %w", err)
 		}
@@ -181,13 +182,14 @@
 	return p, nil
 }
 
-// keysOf is what an operator file sets on idempotency keys.
-func keysOf(o *conf.OperatorConfig) *proxy.IdempotencyConfig {
+// idempotencyConfig returns the configuration of idempotency keys; nil if the operator file has none.
+func idempotencyConfig(o *conf.OperatorConfig) *proxy.IdempotencyConfig {
 	k := o.Idempotency
 	if k == nil {
 		return nil
 	}
-	x := &proxy.IdempotencyConfig{Header: k.Header, Terms: idempotency.Config{MaxKeys: k.MaxKeys, MaxResponseBytes: k.MaxResponseBytes, MaxResponseSize: k.MaxResponseSize, MaxWaiters: k.MaxWaiters,
+	x := &proxy.IdempotencyConfig{Header: k.Header, Terms: idempotency.Config{MaxKeys: k.MaxKeys,
+		MaxResponseBytes: k.MaxResponseBytes, MaxResponseSize: k.MaxResponseSize, MaxWaiters: k.MaxWaiters,
 		MaxKeyLength: k.MaxKeyLength, RetryAfter: int64(k.RetryAfter), Retain: map[string]int64{}}}
 	for _, r := range k.RuleSets {
 		x.Terms.Retain[r.Name] = int64(r.Retain)
@@ -198,26 +200,27 @@
 	return x
 }
 
-// returnOf is what an operator file sets on coming back.
-func returnOf(o *conf.OperatorConfig) *proxy.RecoveryConfig {
+// recoveryConfig returns the configuration of recovery; nil if the operator file has none.
+func recoveryConfig(o *conf.OperatorConfig) *proxy.RecoveryConfig {
 	if x := o.Recovery; x != nil {
 		return &proxy.RecoveryConfig{Folder: x.Folder, Every: int64(x.SnapshotInterval), Trust: int64(x.MaxObservationAge)}
 	}
 	return nil
 }
 
-// maintenanceOf is what an operator file sets on plans.
-func maintenanceOf(o *conf.OperatorConfig) *proxy.MaintenanceConfig {
+// maintenanceConfig returns the configuration of maintenance plans; nil if the operator file has none.
+func maintenanceConfig(o *conf.OperatorConfig) *proxy.MaintenanceConfig {
 	if x := o.Maintenance; x != nil {
-		return &proxy.MaintenanceConfig{Folder: x.Folder, Voters: x.Voters, Service: x.MinService, Settle: int64(x.SettleTime), Grace: int64(x.DrainGrace)}
+		return &proxy.MaintenanceConfig{Folder: x.Folder, Voters: x.Voters, Service: x.MinService,
+			Settle: int64(x.SettleTime), Grace: int64(x.DrainGrace)}
 	}
 	return nil
 }
 
-// fleetOf is what an operator file sets on peers, at the addresses that it or the platform's configuration names; nil where neither
-// does, or the settings let proxies not tell one another anything. A limit of the fleet is an error then: nobody
-// would keep it. A req may run for longest ns.
-func fleetOf(op *conf.OperatorConfig, o orders, longest int64) (*proxy.FleetConfig, error) {
+// fleetConfig returns the configuration of peers, whose addresses the operator file or the platform's configuration
+// names. It is nil if neither does, or if the settings forbid that proxies send one another anything. A fleet limit is
+// an error then, since nothing would enforce it. A request takes at most longestRequest ns.
+func fleetConfig(op *conf.OperatorConfig, o platformConfig, longestRequest int64) (*proxy.FleetConfig, error) {
 	if op == nil || op.Fleet == nil {
 		return nil, nil
 	}
@@ -229,13 +232,13 @@
 	f := &proxy.FleetConfig{Name: x.Name, Listen: x.Listen}
 	addrs, me := x.Peers, x.SelfIndex
 	if len(addrs) == 0 {
-		if len(o.Peers) == 0 || o.Peer == "" || v.Raw["Ceilings.MayTell"] != "" && !v.Bool("Ceilings.MayTell") {
+		if len(o.Peers) == 0 || o.PeerListen == "" || v.Raw["Ceilings.MayTell"] != "" && !v.Bool("Ceilings.MayTell") {
 			if x.Limits != nil {
-				return nil, errors.New("fleet.limits: no peers are named, or they may not be told anything")
+				return nil, errors.New("fleet.limits: no peers are named, or the settings forbid to send them anything")
 			}
 			return nil, nil
 		}
-		f.Listen, addrs, me = o.Peer, o.Peers, int(v.Int("Me"))
+		f.Listen, addrs, me = o.PeerListen, o.Peers, int(v.Int("Me"))
 	}
 	for _, a := range addrs {
 		at, err := netip.ParseAddrPort(a)
@@ -245,18 +248,18 @@
 		f.Peers = append(f.Peers, at)
 	}
 	if me < 0 || me >= len(addrs) {
-		return nil, fmt.Errorf("settings: Me=%d: expected a place among the %d peers", me, len(addrs))
+		return nil, fmt.Errorf("settings: Me=%d: expected an index into the %d peers", me, len(addrs))
 	}
 	f.Terms = x.MemberConfig(me, len(addrs), v.Raw["Ceilings.Probes"] == "" || v.Bool("Ceilings.Probes"))
 	f.Terms.Learn = op.LearnConfig()
 	if l := x.Limits; l != nil {
 		if l.VoterCount > len(addrs) {
-			return nil, fmt.Errorf("fleet.limits.voters: %d of %d peers", l.VoterCount, len(addrs))
+			return nil, fmt.Errorf("fleet.limits.voters: %d is more than the %d peers", l.VoterCount, len(addrs))
 		}
-		f.Limits, f.Voters, f.Drift = l.LeaseLimits(longest), l.VoterCount, l.ClockDriftPPM
-		for _, one := range f.Limits {
-			if !one.Fits(len(addrs)) {
-				return nil, fmt.Errorf("fleet.limits: %s: the lease is too short for %d members", one.Name, len(addrs))
+		f.Limits, f.Voters, f.Drift = l.LeaseLimits(longestRequest), l.VoterCount, l.ClockDriftPPM
+		for _, limit := range f.Limits {
+			if !limit.Fits(len(addrs)) {
+				return nil, fmt.Errorf("fleet.limits: %s: the lease is too short for %d members", limit.Name, len(addrs))
 			}
 		}
 	}
@@ -266,65 +269,66 @@
 	return f, v.Err
 }
 
-// library sends nbio's log to logrus.
-type library struct{}
+// nbioLogger sends nbio's log to logrus; its info lines are logged at debug level.
+type nbioLogger struct{}
 
-func (library) Debug(format string, v ...any) { logrus.Debugf(format, v...) }
-func (library) Info(format string, v ...any)  { logrus.Debugf(format, v...) }
-func (library) Warn(format string, v ...any)  { logrus.Warnf(format, v...) }
-func (library) Error(format string, v ...any) { logrus.Errorf(format, v...) }
+func (nbioLogger) Debug(format string, v ...any) { logrus.Debugf(format, v...) }
+func (nbioLogger) Info(format string, v ...any)  { logrus.Debugf(format, v...) }
+func (nbioLogger) Warn(format string, v ...any)  { logrus.Warnf(format, v...) }
+func (nbioLogger) Error(format string, v ...any) { logrus.Errorf(format, v...) }
 
 func main() {
 	if err := commands().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "ivybank:", strings.SplitN(err.Error(), "\n", 2)[0])
 		code := 2
-		if s := (status{}); errors.As(err, &s) {
-			code = s.code
+		if e := (exitError{}); errors.As(err, &e) {
+			code = e.code
 		}
 		os.Exit(code)
 	}
 }
 
-// serve is one client proxy from start to end.
-func serve(operator string) error {
-	// Caught from the first moment: uncaught it ends the program. One that comes before the file is read waits.
-	reread := make(chan os.Signal, 1)
-	signal.Notify(reread, syscall.SIGHUP)
+// serve runs the proxy until it has drained. The operator file is optional.
+func serve(operatorFile string) error {
+	// SIGHUP is caught from the start, since it ends the process if it is not. A signal that comes before the
+	// configuration has been read waits in the channel.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	path := os.Getenv("GW_CONFIG")
-	o, start, err := loadAll(path, operator)
+	o, start, err := loadAll(path, operatorFile)
 	if err != nil {
 		return err
 	}
-	o.apply()
-	logging.SetLogger(library{})
-	// A poller that waits in the kernel holds a processor of Go's until it is taken away from it, so the
-	// pollers come on top of the cores.
+	o.applyLogging()
+	logging.SetLogger(nbioLogger{})
+	// A poller that waits in the kernel occupies one of Go's processors until the runtime takes it away, so the
+	// pollers are counted in addition to the cores.
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(o.Limits.Cores))) + pollers)
 	if start.Memory > 0 {
 		debug.SetMemoryLimit(start.Memory)
 	}
-	p, err := open(o, start)
+	p, err := newProxy(o, start)
 	if err != nil {
 		return err
 	}
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM, os.Interrupt)
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, os.Interrupt)
 	go func() {
-		<-term
+		<-terminate
 		p.Drain()
 	}()
 	go func() {
-		for range reread {
-			next, start, err := loadAll(path, operator)
+		for range reload {
+			next, start, err := loadAll(path, operatorFile)
 			if err == nil {
-				err = follows(o, next)
+				err = checkReload(o, next)
 			}
 			if err != nil {
 				logrus.Warnf("new configuration ignored: %v", err)
 				continue
 			}
 			o = next
-			o.apply()
+			o.applyLogging()
 			p.Reconfigure(start)
 		}
 	}()
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -19,8 +19,8 @@
 	"ivybank/rehearse/lab"
 )
 
-// planning is what proxies that carry plans through are set to do.
-const planning = `format = "ivybank/operator/1"
+// planOperatorFile is the operator file of proxies that carry out plans.
+const planOperatorFile = `format = "ivybank/operator/1"
 [fleet]
 name = "rehearsal"
 datagrams_per_second = 24.0
@@ -34,19 +34,20 @@
 grace = "200ms"
 `
 
-const work = "format = \"ivybank/fleet/plan/1\"\nid = \"kernel\"\nall = true\nmost_out = 1\nleast_capacity = 0.5\norder = \"zone\"\ndone_by = \"start\"\n"
+const testPlan = "format = \"ivybank/fleet/plan/1\"\nid = \"kernel\"\nall = true\nmost_out = 1\nleast_capacity = 0.5\norder = \"zone\"\ndone_by = \"start\"\n"
 
-// mechanics restart each server that any proxy says is out, once, and note what was out at once. They are the operators, not the proxies.
-type mechanics struct {
-	mu     sync.Mutex
-	worked map[string]int
-	down   int
-	most   int
+// maintenanceCrew stands for the operators. It restarts each server once that any proxy reports as out, and records
+// how many were down at once.
+type maintenanceCrew struct {
+	mu      sync.Mutex
+	worked  map[string]int
+	down    int
+	maxDown int
 }
 
-// plans is what a proxy tells of a plan at its door.
-func plans(r *lab.Rehearsal, proxy int) (x crew.Status, ok bool) {
-	text, err := knockAt(http.MethodGet, r.Door(proxy), "/plans/kernel", nil)
+// planStatus returns what a proxy reports of the plan at its admin address.
+func planStatus(r *lab.Rehearsal, proxy int) (x crew.Status, ok bool) {
+	text, err := callAdmin(http.MethodGet, r.Door(proxy), "/plans/kernel", nil)
 	var all []crew.Status
 	if err != nil || json.Unmarshal(text, &all) != nil || len(all) != 1 {
 		return x, false
@@ -54,12 +55,13 @@
 	return all[0], true
 }
 
-// mend looks at the proxies' doors until the plan has ended by the word of one.
-func (m *mechanics) mend(t *testing.T, r *lab.Rehearsal, proxies int) {
+// workUntilEnded polls the proxies' admin addresses and works on servers until one of them reports that the plan has
+// ended.
+func (m *maintenanceCrew) workUntilEnded(t *testing.T, r *lab.Rehearsal, proxies int) {
 	t.Helper()
-	for end := time.Now().Add(3 * patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(3 * testTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for i := range proxies {
-			x, ok := plans(r, i)
+			x, ok := planStatus(r, i)
 			if ok && x.Standing == "ended" {
 				return
 			}
@@ -68,7 +70,7 @@
 				if s.Phase == "out" && m.worked[s.Server] == 0 {
 					m.worked[s.Server]++
 					m.down++
-					m.most = max(m.most, m.down)
+					m.maxDown = max(m.maxDown, m.down)
 					go func() {
 						undo := r.Strike(emu.Fault{Kind: "crash", Servers: []string{s.Server}})
 						time.Sleep(200 * time.Millisecond)
@@ -83,27 +85,28 @@
 		}
 	}
 	for i := range proxies {
-		x, ok := plans(r, i)
+		x, ok := planStatus(r, i)
 		t.Logf("proxy %d: %v %+v", i, ok, x)
 	}
 	t.Fatalf("the plan has not ended, worked on %v", m.worked)
 }
 
-// A plan handed in at one door takes every server out once and one at a time, whatever becomes of a proxy meanwhile; no rule is broken.
+// A plan submitted to one proxy takes every server out once and one at a time, whatever happens to a proxy meanwhile.
+// No rule is broken.
 func TestPlan(t *testing.T) {
 	for _, c := range []struct {
 		name, fault string
 		strike      func(r *lab.Rehearsal, leader int)
 	}{
-		{"undisturbed", "", nil},
+		{"no fault", "", nil},
 		{"the leader killed", "", func(r *lab.Rehearsal, leader int) {
 			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, For: 1e9})
 		}},
-		{"the leader stopped, and woken", "", func(r *lab.Rehearsal, leader int) {
+		{"the leader paused and resumed", "", func(r *lab.Rehearsal, leader int) {
 			undo := r.Strike(emu.Fault{Kind: "proxy_pause", Proxies: []int{leader}})
 			time.AfterFunc(5*time.Second, undo)
 		}},
-		{"the leader cut off, one way", "", func(r *lab.Rehearsal, leader int) {
+		{"the leader cut off in one direction", "", func(r *lab.Rehearsal, leader int) {
 			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Way: "out"})
 			time.AfterFunc(5*time.Second, undo)
 		}},
@@ -111,16 +114,17 @@
 			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, For: 3e8})
 		}},
 		{"a voter's folder lost", "", func(r *lab.Rehearsal, leader int) {
-			who := (leader + 1) % 3
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{who}, For: 5e8})
-			r.Strike(emu.Fault{Kind: "state_lost", Proxies: []int{who}})
+			voter := (leader + 1) % 3
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{voter}, For: 5e8})
+			r.Strike(emu.Fault{Kind: "state_lost", Proxies: []int{voter}})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := rehearseWith(t, 4, "24s", write(t, t.TempDir(), "o.toml", planning), 40, `ramp = "300ms"`, c.fault)
-			together(t, r, 4, 0, 1, 2, 3)
-			m := &mechanics{worked: map[string]int{}}
+			r := startFleetWith(t, 4, "24s", writeFile(t, t.TempDir(), "o.toml", planOperatorFile), 40,
+				`ramp = "300ms"`, c.fault)
+			waitAlive(t, r, 4, 0, 1, 2, 3)
+			m := &maintenanceCrew{worked: map[string]int{}}
 			var f *lab.Figures
 			var played sync.WaitGroup
 			played.Go(func() {
@@ -129,17 +133,17 @@
 					t.Error(err)
 				}
 			})
-			time.Sleep(time.Second) // of load
-			eventually(t, "the plan is taken", func() bool {
-				_, err := knockAt(http.MethodPut, r.Door(3), "/plans/kernel", []byte(work))
+			time.Sleep(time.Second) // of load before the plan
+			eventually(t, "the plan is accepted", func() bool {
+				_, err := callAdmin(http.MethodPut, r.Door(3), "/plans/kernel", []byte(testPlan))
 				return err == nil
 			})
 			if c.strike != nil {
 				struck := false
 				go func() {
-					for end := time.Now().Add(patience); !struck && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+					for end := time.Now().Add(testTimeout); !struck && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 						for i := range 3 {
-							x, ok := plans(r, i)
+							x, ok := planStatus(r, i)
 							for _, s := range x.Steps {
 								if ok && !struck && x.Leader >= 0 && s.Phase == "drains" {
 									struck = true
@@ -150,12 +154,13 @@
 					}
 				}()
 			}
-			m.mend(t, r, 4)
-			if len(m.worked) != 6 || m.most != 1 {
-				t.Errorf("%v were worked on, %d at once", m.worked, m.most)
+			m.workUntilEnded(t, r, 4)
+			if len(m.worked) != 6 || m.maxDown != 1 {
+				t.Errorf("worked on %v, %d at once", m.worked, m.maxDown)
 			}
 			for i := range 4 {
-				eventually(t, fmt.Sprintf("proxy %d knows that it has ended", i), func() bool { x, ok := plans(r, i); return ok && x.Standing == "ended" })
+				eventually(t, fmt.Sprintf("proxy %d reports that the plan has ended", i),
+					func() bool { x, ok := planStatus(r, i); return ok && x.Standing == "ended" })
 			}
 			played.Wait()
 			if f != nil && (f.Breaches != [5]int{} || f.Crashes > 0) {
@@ -165,10 +170,11 @@
 	}
 }
 
-// The commands on plans and snapshots say in one line what is wrong, with an exit status of their own.
+// The commands for plans and snapshots print one line on an error and have a fixed exit status for each kind.
 func TestPlanAndStateCommands(t *testing.T) {
 	folder := t.TempDir()
-	good, bad := write(t, folder, "good.toml", work), write(t, folder, "bad.toml", "format = \"ivybank/fleet/plan/1\"\nid = \"x\"\nall = true\nmost_out = 0\n")
+	good, bad := writeFile(t, folder, "good.toml", testPlan),
+		writeFile(t, folder, "bad.toml", "format = \"ivybank/fleet/plan/1\"\nid = \"x\"\nall = true\nmost_out = 0\n")
 	state := filepath.Join(folder, "state")
 	at := time.Now().UnixNano()
 	if err := snap.Write(state, &recall.Memory{Whose: "127.0.0.1:80", Number: 3, Wall: at}); err != nil {
@@ -183,15 +189,15 @@
 		code int
 		want string
 	}{
-		"a sound plan":        {"plan check " + good, 0, "a sound plan"},
-		"a plan of none":      {"plan check " + bad, 2, "bad.toml:4: most_out: expected one at least"},
-		"no door":             {"plan show", 2, "--door: expected the address"},
-		"nobody at the door":  {"plan show --door " + nowhere, 1, "connection refused"},
-		"a whole snapshot":    {"state check " + snap.Path(state), 0, "whole, of 127.0.0.1:80"},
-		"what it holds":       {"state show " + snap.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
-		"one of the future":   {"state check " + snap.Path(ahead), 1, "from the future"},
-		"no snapshot":         {"state check " + good, 1, "not a snapshot"},
-		"no such file at all": {"state show " + folder + "/none", 2, "no such file"},
+		"a valid plan":               {"plan check " + good, 0, "a valid plan"},
+		"a plan that takes none out": {"plan check " + bad, 2, "bad.toml:4: most_out: expected one at least"},
+		"no admin address":           {"plan show", 2, "--door: expected the admin address"},
+		"nothing listens":            {"plan show --door " + unreachableAddr, 1, "connection refused"},
+		"an intact snapshot":         {"state check " + snap.Path(state), 0, "intact, written by 127.0.0.1:80"},
+		"its content":                {"state show " + snap.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
+		"written in the future":      {"state check " + snap.Path(ahead), 1, "in the future"},
+		"not a snapshot":             {"state check " + good, 1, "not a snapshot"},
+		"no such file":               {"state show " + folder + "/none", 2, "no such file"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command(binary, strings.Fields(c.args)...)
--- a/cmd/ivybank/state.go
+++ b/cmd/ivybank/state.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the commands that show a snapshot and say what a proxy would believe of it. They must never write one.
+// This file holds the commands that print a snapshot and check whether a proxy would use it. They must not write one.
 
 import (
 	"encoding/json"
@@ -18,34 +18,38 @@
 )
 
 func stateCommands() *cobra.Command {
-	group := &cobra.Command{Use: "state", Short: "Look at the snapshot that a proxy keeps", Args: cobra.NoArgs,
+	group := &cobra.Command{Use: "state", Short: "Inspect the snapshot that a proxy writes", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return fmt.Errorf("state: expected show or check") }}
-	var whole bool
-	show := &cobra.Command{Use: "show FILE", Short: "Print what a snapshot holds; the file is only read", Args: cobra.ExactArgs(1),
+	var asJSON bool
+	show := &cobra.Command{Use: "show FILE", Short: "Print the content of a snapshot; the file is only read",
+		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			m, err := readState(args[0])
 			if err != nil {
 				return err
 			}
-			if whole {
+			if asJSON {
 				e := json.NewEncoder(c.OutOrStdout())
 				e.SetIndent("", " ")
 				return e.Encode(m)
 			}
 			return showState(c.OutOrStdout(), &m)
 		}}
-	show.Flags().BoolVar(&whole, "json", false, "all of it, as JSON")
-	check := &cobra.Command{Use: "check FILE", Short: "Say whether a snapshot is whole, and how old", Args: cobra.ExactArgs(1),
+	show.Flags().BoolVar(&asJSON, "json", false, "print everything, as JSON")
+	check := &cobra.Command{Use: "check FILE", Short: "Check whether a snapshot is intact, and print its age",
+		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			m, err := readState(args[0])
 			if err != nil {
 				return err
 			}
-			age, sound := m.Age(recall.Now{Wall: time.Now().UnixNano()})
-			if !sound {
-				return status{fmt.Errorf("%s: from the future by %.1f s: a proxy starts without it", args[0], float64(m.Wall-time.Now().UnixNano())/1e9), 1}
+			age, valid := m.Age(recall.Now{Wall: time.Now().UnixNano()})
+			if !valid {
+				return exitError{fmt.Errorf("%s: written %.1f s in the future: a proxy starts without it", args[0],
+					float64(m.Wall-time.Now().UnixNano())/1e9), 1}
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: whole, of %s, %.1f s old by the clock of the day\n", args[0], m.Whose, float64(age)/1e9)
+			fmt.Fprintf(c.OutOrStdout(), "%s: intact, written by %s, %.1f s old by the wall clock\n",
+				args[0], m.Whose, float64(age)/1e9)
 			return nil
 		}}
 	group.AddCommand(show, check)
@@ -59,31 +63,33 @@
 	}
 	m, err := snap.Decode(b)
 	if err != nil {
-		return m, status{fmt.Errorf("%s: %w: a proxy starts without it", path, err), 1}
+		return m, exitError{fmt.Errorf("%s: %w: a proxy starts without it", path, err), 1}
 	}
 	return m, nil
 }
 
 func showState(w io.Writer, m *recall.Memory) error {
-	fmt.Fprintf(w, "snapshot %d of %s, life %d, written %s, %d servers on its list of generation %d\n", m.Number, m.Whose, m.Life,
-		time.Unix(0, m.Wall).UTC().Format(time.RFC3339Nano), len(m.List.Hosts), m.List.Generation)
-	fmt.Fprintf(w, "%.1f answers a second, service %.3f, %d popular keys, %d hosts by hand\n", m.Module.Rate, m.Service, len(m.Module.Keys), len(m.Holds.Hosts))
+	fmt.Fprintf(w, "snapshot %d of %s, life %d, written %s, %d servers in its host list of generation %d\n",
+		m.Number, m.Whose, m.Life, time.Unix(0, m.Wall).UTC().Format(time.RFC3339Nano), len(m.List.Hosts), m.List.Generation)
+	fmt.Fprintf(w, "%.1f responses per second, service %.3f, %d popular keys, %d hosts taken out of use by operators\n",
+		m.Module.Rate, m.Service, len(m.Module.Keys), len(m.Holds.Hosts))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SERVER\tLISTED AS\tHEALTH\tSTREAK\tOUT FOR\tEJECTIONS\tANSWER\tLAST MET")
 	states := map[string]balance.State{}
 	for _, h := range m.List.Hosts {
 		states[h.ID] = h.State
 	}
-	for _, l := range m.Module.Servers {
-		out, met := "-", "never"
-		if l.EjectionLeft > 0 {
-			out = time.Duration(l.EjectionLeft).Round(time.Millisecond).String()
+	for _, s := range m.Module.Servers {
+		ejectedFor, lastOutcome := "-", "never"
+		if s.EjectionLeft > 0 {
+			ejectedFor = time.Duration(s.EjectionLeft).Round(time.Millisecond).String()
 		}
-		if l.LastOutcomeAge >= 0 {
-			met = time.Duration(l.LastOutcomeAge).Round(time.Millisecond).String()
+		if s.LastOutcomeAge >= 0 {
+			lastOutcome = time.Duration(s.LastOutcomeAge).Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.2f\t%d\t%s\t%d\t%s\t%s\n", l.ID, [...]string{"ready", "draining", "gone"}[states[l.ID]], l.Health, l.Streak, out, l.Ejections,
-			time.Duration(l.Latency).Round(100*time.Microsecond), met)
+		fmt.Fprintf(t, "%s\t%s\t%.2f\t%d\t%s\t%d\t%s\t%s\n", s.ID,
+			[...]string{"ready", "draining", "gone"}[states[s.ID]], s.Health, s.Streak, ejectedFor, s.Ejections,
+			time.Duration(s.Latency).Round(100*time.Microsecond), lastOutcome)
 	}
 	return t.Flush()
 }
