--- a/cmd/ivybank/main.go
+++ b/cmd/ivybank/main.go
@@ -119,7 +119,7 @@
 	s = proxy.Config{Listen: o.Listen, Discovery: o.Discovery, Sockets: o.Limits.Sockets, Pollers: pollers,
 		Memory: int64(o.Limits.Memory * heapFraction * (1 << 20)), KnownHosts: o.Known, Terms: terms.Decode(v, seed),
 		DialTimeout: v.Int("Ceilings.DialTimeoutNs"), ConnIdle: v.Int("Ceilings.ConnIdleNs")}
-	// If Discovery is not set, the decision module requests lists, as it did before the setting existed.
+	// If Discovery is not set, the balancer requests lists, as it did before the setting existed.
 	s.Terms.ListOnRequest = v.Raw["Discovery"] != "pushed"
 	for i := range v.Int("RuleSets.count") {
 		s.LongestTimeout = max(s.LongestTimeout, v.Int(fmt.Sprintf("RuleSets.%d.ClientTimeoutNs", i)))
@@ -258,7 +258,7 @@
 		}
 		f.Limits, f.Voters, f.Drift = l.LeaseLimits(longestRequest), l.VoterCount, l.ClockDriftPPM
 		for _, limit := range f.Limits {
-			if !limit.Fits(len(addrs)) {
+			if !limit.LeaseIsRenewable(len(addrs)) {
 				return nil, fmt.Errorf("fleet.limits: %s: the lease is too short for %d members", limit.Name, len(addrs))
 			}
 		}
--- a/cmd/ivybank/plan.go
+++ b/cmd/ivybank/plan.go
@@ -18,8 +18,8 @@
 
 	"github.com/spf13/cobra"
 
-	"ivybank/fleet/crew"
 	"ivybank/fleet/plan"
+	"ivybank/fleet/planexec"
 )
 
 func planCommands() *cobra.Command {
@@ -126,7 +126,7 @@
 
 // showPlans prints plans and their steps as a table.
 func showPlans(w io.Writer, text []byte) error {
-	var all []crew.Status
+	var all []planexec.Status
 	if err := json.Unmarshal(text, &all); err != nil {
 		return exitError{err, 1}
 	}
@@ -136,9 +136,9 @@
 		if p.Leader < 0 {
 			leader = "no leader is known: no further servers are taken out"
 		}
-		fmt.Fprintf(t, "%s\t%s %s\t%s\n", p.Plan, p.Standing, p.Why, leader)
+		fmt.Fprintf(t, "%s\t%s %s\t%s\n", p.Plan, p.State, p.Reason, leader)
 		for _, s := range p.Steps {
-			fmt.Fprintf(t, "  %s\t%s %s\t%s\n", s.Server, s.Phase, s.Note, strings.Join(s.Waits, "; "))
+			fmt.Fprintf(t, "  %s\t%s %s\t%s\n", s.Server, s.Phase, s.Note, strings.Join(s.WaitingFor, "; "))
 		}
 	}
 	return t.Flush()
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/crew"
-	"ivybank/fleet/recall"
-	"ivybank/fleet/snap"
+	"ivybank/fleet/planexec"
+	"ivybank/fleet/snapshot"
+	"ivybank/fleet/warmstart"
 	"ivybank/rehearse/emu"
 	"ivybank/rehearse/lab"
 )
@@ -46,9 +46,9 @@
 }
 
 // planStatus returns what a proxy reports of the plan at its admin address.
-func planStatus(r *lab.Rehearsal, proxy int) (x crew.Status, ok bool) {
+func planStatus(r *lab.Rehearsal, proxy int) (x planexec.Status, ok bool) {
 	text, err := callAdmin(http.MethodGet, r.Door(proxy), "/plans/kernel", nil)
-	var all []crew.Status
+	var all []planexec.Status
 	if err != nil || json.Unmarshal(text, &all) != nil || len(all) != 1 {
 		return x, false
 	}
@@ -62,7 +62,7 @@
 	for end := time.Now().Add(3 * testTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		for i := range proxies {
 			x, ok := planStatus(r, i)
-			if ok && x.Standing == "ended" {
+			if ok && x.State == "ended" {
 				return
 			}
 			for _, s := range x.Steps {
@@ -100,22 +100,22 @@
 	}{
 		{"no fault", "", nil},
 		{"the leader killed", "", func(r *lab.Rehearsal, leader int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, For: 1e9})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, Duration: 1e9})
 		}},
 		{"the leader paused and resumed", "", func(r *lab.Rehearsal, leader int) {
 			undo := r.Strike(emu.Fault{Kind: "proxy_pause", Proxies: []int{leader}})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"the leader cut off in one direction", "", func(r *lab.Rehearsal, leader int) {
-			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Way: "out"})
+			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Direction: "out"})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"all killed", "", func(r *lab.Rehearsal, _ int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, For: 3e8})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, Duration: 3e8})
 		}},
 		{"a voter's folder lost", "", func(r *lab.Rehearsal, leader int) {
 			voter := (leader + 1) % 3
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{voter}, For: 5e8})
+			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{voter}, Duration: 5e8})
 			r.Strike(emu.Fault{Kind: "state_lost", Proxies: []int{voter}})
 		}},
 	} {
@@ -160,7 +160,7 @@
 			}
 			for i := range 4 {
 				eventually(t, fmt.Sprintf("proxy %d reports that the plan has ended", i),
-					func() bool { x, ok := planStatus(r, i); return ok && x.Standing == "ended" })
+					func() bool { x, ok := planStatus(r, i); return ok && x.State == "ended" })
 			}
 			played.Wait()
 			if f != nil && (f.Breaches != [5]int{} || f.Crashes > 0) {
@@ -177,11 +177,11 @@
 		writeFile(t, folder, "bad.toml", "format = \"ivybank/fleet/plan/1\"\nid = \"x\"\nall = true\nmost_out = 0\n")
 	state := filepath.Join(folder, "state")
 	at := time.Now().UnixNano()
-	if err := snap.Write(state, &recall.Memory{Whose: "127.0.0.1:80", Number: 3, Wall: at}); err != nil {
+	if err := snapshot.Write(state, &warmstart.Snapshot{Proxy: "127.0.0.1:80", Number: 3, WallTime: at}); err != nil {
 		t.Fatal(err)
 	}
 	ahead := filepath.Join(folder, "ahead")
-	if err := snap.Write(ahead, &recall.Memory{Whose: "127.0.0.1:80", Wall: at + 3600e9}); err != nil {
+	if err := snapshot.Write(ahead, &warmstart.Snapshot{Proxy: "127.0.0.1:80", WallTime: at + 3600e9}); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
@@ -193,9 +193,9 @@
 		"a plan that takes none out": {"plan check " + bad, 2, "bad.toml:4: most_out: expected one at least"},
 		"no admin address":           {"plan show", 2, "--door: expected the admin address"},
 		"nothing listens":            {"plan show --door " + unreachableAddr, 1, "connection refused"},
-		"an intact snapshot":         {"state check " + snap.Path(state), 0, "intact, written by 127.0.0.1:80"},
-		"its content":                {"state show " + snap.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
-		"written in the future":      {"state check " + snap.Path(ahead), 1, "in the future"},
+		"an intact snapshot":         {"state check " + snapshot.Path(state), 0, "intact, written by 127.0.0.1:80"},
+		"its content":                {"state show " + snapshot.Path(state), 0, "snapshot 3 of 127.0.0.1:80"},
+		"written in the future":      {"state check " + snapshot.Path(ahead), 1, "in the future"},
 		"not a snapshot":             {"state check " + good, 1, "not a snapshot"},
 		"no such file":               {"state show " + folder + "/none", 2, "no such file"},
 	} {
--- a/cmd/ivybank/pushed_discovery_test.go
+++ b/cmd/ivybank/pushed_discovery_test.go
@@ -13,7 +13,7 @@
 		`"Discovery":"pushed","Weights":"live","ScoringMix":{"Tail":0.3}`, 1)
 }
 
-// If discovery pushes lists, the proxy keeps a watch open by itself: the decision module never requests one.
+// If discovery pushes lists, the proxy keeps a watch open by itself: the balancer never requests one.
 func TestPushedDiscovery(t *testing.T) {
 	h := newFakeHost(t, replyWith(httpResponse(200, "", "one"), true))
 	d := newFakeDiscovery(t)
@@ -73,7 +73,7 @@
 	reload(strings.Replace(valid, `"Discovery":"on_request"`,
 		`"Discovery":"on_request","Weights":"nominal","ScoringMix":{"Tail":0}`, 1), 2)
 	if n := <-d.watchedFrom; n == "" {
-		t.Error("the decision module watches from no version")
+		t.Error("the balancer watches from no version")
 	}
 	d.lines <- hostList(2, true, hostEntry("s-1", one.Addr().String(), "ready"))
 	eventually(t, "the list is received", func() bool { return p.counters(t)["lines"] == 1 })
--- a/cmd/ivybank/recovery_test.go
+++ b/cmd/ivybank/recovery_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"ivybank/fleet/snap"
+	"ivybank/fleet/snapshot"
 	"ivybank/rehearse/emu"
 	"ivybank/rehearse/lab"
 )
@@ -103,8 +103,8 @@
 	eventually(t, "there is a snapshot", func() bool { v, ok := r.Returned(1); return ok && v.Written > 0 })
 	for n := range 8 {
 		before, _ := r.View(1)
-		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 1e6})
-		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Life > before.Life })
+		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 1e6})
+		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Incarnation > before.Incarnation })
 		v, ok := r.Returned(1)
 		if !ok || v.Refused > 0 || len(v.Kept) == 0 {
 			t.Fatalf("start %d: %d snapshots refused, %v kept", n, v.Refused, v.Kept)
@@ -122,7 +122,7 @@
 	eventually(t, "writing fails", func() bool { v, ok := r.Returned(0); return ok && v.Unwritten > 1 })
 	f, err := r.Play()
 	checkRecovered(t, f, err)
-	if _, err := snap.Read(filepath.Join(r.Folder(0), "state")); err != nil {
+	if _, err := snapshot.Read(filepath.Join(r.Folder(0), "state")); err != nil {
 		t.Errorf("the old snapshot is missing: %v", err)
 	}
 }
@@ -158,8 +158,8 @@
 		}
 		answers += v.Answers
 		view, _ := r.View(i)
-		if len(view.Wary) > 0 {
-			t.Errorf("proxy %d is wary of %v", i, view.Wary)
+		if len(view.ReducedShares) > 0 {
+			t.Errorf("proxy %d has reduced shares %v", i, view.ReducedShares)
 		}
 	}
 	if answers == 0 {
@@ -216,7 +216,7 @@
 	waitAlive(t, r, 3, 0, 1, 2)
 	f, err := r.Play()
 	checkRecovered(t, f, err)
-	if v, ok := r.Returned(1); !ok || v.Stood == 0 {
+	if v, ok := r.Returned(1); !ok || v.Stalls == 0 {
 		t.Errorf("it has not noticed the pause: %+v", v)
 	}
 }
@@ -244,8 +244,8 @@
 	f, err := r.Play()
 	checkRecovered(t, f, err)
 	v, ok := r.Returned(1)
-	if !ok || v.List != "disk" || v.Drained != 1 {
-		t.Fatalf("it uses the list from %s, peers have reported %d drains", v.List, v.Drained)
+	if !ok || v.List != "disk" || v.DrainingByPeers != 1 {
+		t.Fatalf("it uses the list from %s, peers have reported %d drains", v.List, v.DrainingByPeers)
 	}
 	if n := r.ProxySentSince(1, 8500*time.Millisecond, "s-002"); n > 0 {
 		t.Errorf("%d dispatches to the draining server after the report", n)
@@ -275,7 +275,7 @@
 				t.Fatalf("got %d (%s) for the first request with a key", status, outcome)
 			}
 			time.Sleep(1500 * time.Millisecond) // until peers know and a snapshot has been written; a longer wait does no harm
-			if r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 500e6}); c.fault != "" {
+			if r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 500e6}); c.fault != "" {
 				r.Strike(emu.Fault{Kind: c.fault, Proxies: []int{1}})
 			} else if err := os.RemoveAll(filepath.Join(r.Folder(1), "keys")); err != nil {
 				t.Fatal(err)
--- a/cmd/ivybank/state.go
+++ b/cmd/ivybank/state.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"ivybank/balance"
-	"ivybank/fleet/recall"
-	"ivybank/fleet/snap"
+	"ivybank/fleet/snapshot"
+	"ivybank/fleet/warmstart"
 )
 
 func stateCommands() *cobra.Command {
@@ -43,43 +43,43 @@
 			if err != nil {
 				return err
 			}
-			age, valid := m.Age(recall.Now{Wall: time.Now().UnixNano()})
+			age, valid := m.Age(warmstart.Clocks{WallTime: time.Now().UnixNano()})
 			if !valid {
 				return exitError{fmt.Errorf("%s: written %.1f s in the future: a proxy starts without it", args[0],
-					float64(m.Wall-time.Now().UnixNano())/1e9), 1}
+					float64(m.WallTime-time.Now().UnixNano())/1e9), 1}
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: intact, written by %s, %.1f s old by the wall clock\n",
-				args[0], m.Whose, float64(age)/1e9)
+				args[0], m.Proxy, float64(age)/1e9)
 			return nil
 		}}
 	group.AddCommand(show, check)
 	return group
 }
 
-func readState(path string) (recall.Memory, error) {
+func readState(path string) (warmstart.Snapshot, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return recall.Memory{}, err
+		return warmstart.Snapshot{}, err
 	}
-	m, err := snap.Decode(b)
+	m, err := snapshot.Decode(b)
 	if err != nil {
 		return m, exitError{fmt.Errorf("%s: %w: a proxy starts without it", path, err), 1}
 	}
 	return m, nil
 }
 
-func showState(w io.Writer, m *recall.Memory) error {
+func showState(w io.Writer, m *warmstart.Snapshot) error {
 	fmt.Fprintf(w, "snapshot %d of %s, life %d, written %s, %d servers in its host list of generation %d\n",
-		m.Number, m.Whose, m.Life, time.Unix(0, m.Wall).UTC().Format(time.RFC3339Nano), len(m.List.Hosts), m.List.Generation)
+		m.Number, m.Proxy, m.Incarnation, time.Unix(0, m.WallTime).UTC().Format(time.RFC3339Nano), len(m.List.Hosts), m.List.Generation)
 	fmt.Fprintf(w, "%.1f responses per second, service %.3f, %d popular keys, %d hosts taken out of use by operators\n",
-		m.Module.Rate, m.Service, len(m.Module.Keys), len(m.Holds.Hosts))
+		m.Balancer.Rate, m.Service, len(m.Balancer.Keys), len(m.Holds.Hosts))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "SERVER\tLISTED AS\tHEALTH\tSTREAK\tOUT FOR\tEJECTIONS\tANSWER\tLAST MET")
 	states := map[string]balance.State{}
 	for _, h := range m.List.Hosts {
 		states[h.ID] = h.State
 	}
-	for _, s := range m.Module.Servers {
+	for _, s := range m.Balancer.Servers {
 		ejectedFor, lastOutcome := "-", "never"
 		if s.EjectionLeft > 0 {
 			ejectedFor = time.Duration(s.EjectionLeft).Round(time.Millisecond).String()
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"ivybank/balance"
-	"ivybank/fleet/duty"
-	"ivybank/fleet/fold"
+	"ivybank/fleet/aggregate"
+	"ivybank/fleet/assign"
 	"ivybank/fleet/peer"
 	"ivybank/fleet/swim"
 	"ivybank/internal/rng"
@@ -15,10 +15,10 @@
 
 const begun = int64(1e15)
 
-func terms(me, of int) Terms {
-	return Terms{Me: me, Of: of, Life: swim.LifeOf(begun) + uint64(me), Seed: uint64(me + 1), Datagrams: 40, AckWait: 300 * ms, Quiet: 2300 * ms,
-		RuleSets: []balance.RuleSet{{Name: "low", BillingValue: 1}, {Name: "high", BillingValue: 8}}, MaxAdvice: sec, Over: 0.2,
-		Overload: &Overload{Further: 0.1, Most: 1000}, Probes: &duty.Terms{Every: sec, After: 3 * sec}}
+func terms(me, of int) Config {
+	return Config{Index: me, Members: of, Incarnation: swim.IncarnationAt(begun) + uint64(me), Seed: uint64(me + 1), DatagramsPerSecond: 40, AckTimeout: 300 * ms, MinSilence: 2300 * ms,
+		RuleSets: []balance.RuleSet{{Name: "low", BillingValue: 1}, {Name: "high", BillingValue: 8}}, MaxRetryAfter: sec, OverShareFactor: 0.2,
+		Overload: &Overload{RetryRatio: 0.1, MaxMemberRate: 1000}, Probes: &assign.Config{Interval: sec, TakeOverAfter: 3 * sec}}
 }
 
 // mesh carries datagrams between members at once, and time by steps of 10 ms.
@@ -35,7 +35,7 @@
 	m := &mesh{now: begun, passes: func(int, int) bool { return true }, probes: map[string][]int{}, advice: make([]balance.Advice, n)}
 	for i := range n {
 		m.members = append(m.members, New(terms(i, n), m.now))
-		m.members[i].Servers(servers(10), m.now)
+		m.members[i].SetServers(servers(10), m.now)
 	}
 	return m
 }
@@ -50,7 +50,7 @@
 func (m *mesh) run(d int64, each func()) {
 	for end := m.now + d; m.now < end; m.now += 10 * ms {
 		for i, f := range m.members {
-			if f.ticked+50*ms <= m.now {
+			if f.lastTick+50*ms <= m.now {
 				f.Tick(m.now)
 			}
 			m.carry(i)
@@ -66,14 +66,14 @@
 		switch a.Kind {
 		case Send:
 			if m.passes(i, a.To) {
-				m.members[a.To].Heard(&a.Datagram, m.now)
+				m.members[a.To].Receive(&a.Datagram, m.now)
 			}
 		case Probe:
 			m.probes[a.Server] = append(m.probes[a.Server], i)
-			m.members[i].Probed(a.Server, true, m.now)
+			m.members[i].ProbeEnded(a.Server, true, m.now)
 		case Advise:
 			m.advice[i] = a.Advice
-		case Tell:
+		case Log:
 			m.told = append(m.told, a.Text)
 		}
 	}
@@ -98,15 +98,15 @@
 					set = 1
 				}
 				luck := dice.Next()
-				if shed, _ := f.Arrive(set, 0, luck, false, m.now); shed {
+				if shed, _ := f.Admit(set, 0, luck, false, m.now); shed {
 					continue
 				}
 				if left >= 1 {
 					left--
-					f.Finished("s-1", balance.Served, true, took, m.now)
-					f.Done(m.now)
+					f.DispatchEnded("s-1", balance.Served, true, took, m.now)
+					f.ServedInTime(m.now)
 				} else {
-					f.Lost(luck, m.now)
+					f.Missed(luck, m.now)
 				}
 			}
 		}
@@ -121,20 +121,20 @@
 	m.run(10*sec, m.load(3, 1, 120)) // 240 a second come, half of them can be borne
 	var parts []float64
 	for i, f := range m.members {
-		if !f.cut.On {
+		if !f.shedder.Active {
 			t.Fatalf("member %d has no cut", i)
 		}
-		if high := f.cut.Pass[f.cut.Class(1, 0)]; high < 0.99 {
+		if high := f.shedder.AdmittedByClass[f.shedder.Class(1, 0)]; high < 0.99 {
 			t.Errorf("member %d lets in %.2f of the valuable", i, high)
 		}
-		parts = append(parts, f.cut.Pass[f.cut.Class(0, 0)])
+		parts = append(parts, f.shedder.AdmittedByClass[f.shedder.Class(0, 0)])
 	}
 	if low, high := slices.Min(parts), slices.Max(parts); high-low > 0.1 || low < 0.15 || high > 0.5 {
 		t.Errorf("of the others %.2f are let in, want one part of about a third", parts)
 	}
 	m.run(3*sec, m.load(1, 1, 1000))
 	for i, f := range m.members {
-		if shed, _ := f.Arrive(0, 0, 0.999, false, m.now); shed {
+		if shed, _ := f.Admit(0, 0, 0.999, false, m.now); shed {
 			t.Errorf("member %d sheds after the overload", i)
 		}
 	}
@@ -143,22 +143,22 @@
 // What was denied is denied again at any member while the cut stands, and is no further demand.
 func TestRetries(t *testing.T) {
 	f := New(terms(0, 1), begun)
-	f.cut.On = true
-	f.cut.Pass[f.cut.Class(0, 0)] = 0.5
+	f.shedder.Active = true
+	f.shedder.AdmittedByClass[f.shedder.Class(0, 0)] = 0.5
 	for range 3 {
-		if shed, wait := f.Arrive(0, 0, 0.7, false, begun); !shed || wait < int64(0.3*float64(sec)) || wait > sec {
+		if shed, wait := f.Admit(0, 0, 0.7, false, begun); !shed || wait < int64(0.3*float64(sec)) || wait > sec {
 			t.Errorf("shed %v for %d ms", shed, wait/ms)
 		}
 	}
-	if f.Count.Retries != 2 || f.offered[f.cut.Class(0, 0)].Value != 1 {
-		t.Errorf("%d retries, %v asked, want two and one", f.Count.Retries, f.offered[f.cut.Class(0, 0)].Value)
+	if f.Count.Retries != 2 || f.offered[f.shedder.Class(0, 0)].Value != 1 {
+		t.Errorf("%d retries, %v asked, want two and one", f.Count.Retries, f.offered[f.shedder.Class(0, 0)].Value)
 	}
 	// Lost and come again: not lost yet.
-	f.Lost(0.2, begun)
-	if f.Arrive(0, 0, 0.2, false, begun); f.lacked.Value != 0 {
-		t.Errorf("%v lacked", f.lacked.Value)
+	f.Missed(0.2, begun)
+	if f.Admit(0, 0, 0.2, false, begun); f.unserved.Value != 0 {
+		t.Errorf("%v lacked", f.unserved.Value)
 	}
-	if f.Arrive(0, 0, 0.3, true, begun); f.Count.Retries != 4 {
+	if f.Admit(0, 0, 0.3, true, begun); f.Count.Retries != 4 {
 		t.Error("a marked retry counts as demand")
 	}
 }
@@ -167,7 +167,7 @@
 // served here.
 func TestWary(t *testing.T) {
 	lost := func(server string, by int) peer.Hint {
-		return peer.Hint{Server: peer.Server(server), By: by, What: peer.Lost}
+		return peer.Hint{Server: peer.ServerHash(server), Origin: by, Observation: peer.DispatchesLost}
 	}
 	all := func(int) bool { return true }
 	for name, c := range map[string]struct {
@@ -178,28 +178,28 @@
 	}{
 		"one's word":              {[]peer.Hint{lost("s-1", 1)}, "", all, nil},
 		"the same twice":          {[]peer.Hint{lost("s-1", 1), lost("s-1", 1)}, "", all, nil},
-		"two":                     {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", all, map[string]float64{"s-1": careful}},
-		"three":                   {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-1", 3)}, "", all, map[string]float64{"s-1": more}},
+		"two":                     {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", all, map[string]float64{"s-1": reducedShare}},
+		"three":                   {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-1", 3)}, "", all, map[string]float64{"s-1": lowestShare}},
 		"two, but served here":    {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "s-1", all, nil},
 		"one of them dead":        {[]peer.Hint{lost("s-1", 1), lost("s-1", 2)}, "", func(i int) bool { return i != 2 }, nil},
 		"one with a broken link":  {[]peer.Hint{lost("s-1", 1), lost("s-1", 2), lost("s-2", 2), lost("s-3", 2), lost("s-4", 2)}, "", all, nil},
-		"a prober and another":    {[]peer.Hint{lost("s-1", 1), {Server: peer.Server("s-1"), By: 2, What: peer.Absent}}, "", all, map[string]float64{"s-1": careful}},
-		"a prober that says both": {[]peer.Hint{lost("s-1", 2), {Server: peer.Server("s-1"), By: 2, What: peer.Absent}}, "", all, nil},
+		"a prober and another":    {[]peer.Hint{lost("s-1", 1), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, map[string]float64{"s-1": reducedShare}},
+		"a prober that says both": {[]peer.Hint{lost("s-1", 2), {Server: peer.ServerHash("s-1"), Origin: 2, Observation: peer.ProbeUnanswered}}, "", all, nil},
 		"no server of the list":   {[]peer.Hint{lost("other", 1), lost("other", 2)}, "", all, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := &wary{}
-			w.list(servers(10))
+			w := &serverReports{}
+			w.setServers(servers(10))
 			if c.good != "" {
 				w.served(c.good, begun)
 			}
 			for _, h := range c.hints {
-				w.heard(h, begun)
+				w.receiveHint(h, begun)
 			}
-			if got := w.care(0, c.alive, begun); fmt.Sprint(got) != fmt.Sprint(c.want) {
+			if got := w.shareFactors(0, c.alive, begun); fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
-			if got := w.care(0, c.alive, begun+hintFor); len(got) > 0 {
+			if got := w.shareFactors(0, c.alive, begun+reportMaxAge); len(got) > 0 {
 				t.Errorf("%v is still there when the reports are old", got)
 			}
 		})
@@ -216,11 +216,11 @@
 			return
 		}
 		for i := range 2 {
-			m.members[i].Sent("s-4", false, m.now)
-			m.members[i].Finished("s-4", balance.TimedOut, true, 0, m.now)
+			m.members[i].Dispatched("s-4", false, m.now)
+			m.members[i].DispatchEnded("s-4", balance.TimedOut, true, 0, m.now)
 		}
 	})
-	if got := m.advice[3].ShareFactors["s-4"]; got == 0 || got > careful || len(m.advice[3].ShareFactors) != 1 {
+	if got := m.advice[3].ShareFactors["s-4"]; got == 0 || got > reducedShare || len(m.advice[3].ShareFactors) != 1 {
 		t.Errorf("a third is told %v", m.advice[3].ShareFactors)
 	}
 	m.run(6*sec, nil)
@@ -251,25 +251,25 @@
 	m.run(2*sec, m.load(1, 1, 1000))
 	m.run(3*sec, m.load(4, 1, 20))
 	f := m.members[1]
-	if !f.cut.On {
+	if !f.shedder.Active {
 		t.Fatal("no cut to begin with")
 	}
-	late := peer.Datagram{From: 0, Life: m.members[0].swim.Life(), Count: 1 << 40, Kind: peer.Push}
+	late := peer.Datagram{From: 0, Incarnation: m.members[0].swim.Incarnation(), Number: 1 << 40, Kind: peer.Push}
 	now := m.now + 5*sec
-	f.Heard(&late, now)
+	f.Receive(&late, now)
 	if f.Count.Stale != 1 {
 		t.Error("what waited was taken")
 	}
 	f.Tick(now)
-	if _, of := f.fold.Picture(now); f.cut.On || of != 1 {
-		t.Errorf("cut %v, %d counted, want neither from before", f.cut.On, of)
+	if _, of := f.load.FleetLoad(now); f.shedder.Active || of != 1 {
+		t.Errorf("cut %v, %d counted, want neither from before", f.shedder.Active, of)
 	}
 	for i := range 3 {
 		if !f.swim.Alive(i) {
 			t.Errorf("member %d is held to be dead by one that did not run", i)
 		}
 	}
-	f.Heard(&late, now+deafFor)
+	f.Receive(&late, now+ignoreAfterStall)
 	if f.Count.Stale != 1 {
 		t.Error("what comes afterwards is not taken")
 	}
@@ -279,13 +279,13 @@
 func TestImpossible(t *testing.T) {
 	m := newMesh(2)
 	m.run(2*sec, nil)
-	wild := fold.Load{First: 1e9}
+	wild := aggregate.Load{First: 1e9}
 	wild.Offered[0] = 1e9
-	m.members[0].fold.Heard([]peer.Sum{{Block: 1, Of: 1, Life: 1 << 60, Load: wild.Bytes()}}, m.now)
-	if got, _ := m.members[0].fold.Picture(m.now); got.All() > 1000 {
-		t.Errorf("%v believed", got.All())
+	m.members[0].load.Receive([]peer.LoadSum{{Block: 1, Members: 1, Incarnation: 1 << 60, Load: wild.Bytes()}}, m.now)
+	if got, _ := m.members[0].load.FleetLoad(m.now); got.TotalOffered() > 1000 {
+		t.Errorf("%v believed", got.TotalOffered())
 	}
-	if m.members[0].fold.Impossible != 1 {
+	if m.members[0].load.Implausible != 1 {
 		t.Error("not counted")
 	}
 }
@@ -295,14 +295,14 @@
 	m := newMesh(1)
 	m.run(sec, nil)
 	for range 40 {
-		m.members[0].Sent("s-1", false, m.now)
+		m.members[0].Dispatched("s-1", false, m.now)
 	}
 	m.run(200*ms, nil)
 	if a := m.advice[0]; !a.RetriesLimited || a.RetriesLeft < 2 {
 		t.Fatalf("told %+v", a)
 	}
 	for range 10 {
-		m.members[0].Sent("s-1", true, m.now)
+		m.members[0].Dispatched("s-1", true, m.now)
 	}
 	m.run(200*ms, nil)
 	if a := m.advice[0]; a.RetriesLeft != 0 {
@@ -313,7 +313,7 @@
 // What a req costs the fleet's part: no allocation.
 func TestReqAllocatesNothing(t *testing.T) {
 	f, n := New(terms(0, 12), begun), int64(0)
-	f.Servers(servers(10), begun)
+	f.SetServers(servers(10), begun)
 	if got := testing.AllocsPerRun(1000, func() { one(f, &n) }); got != 0 {
 		t.Errorf("%v allocations", got)
 	}
@@ -323,15 +323,15 @@
 	*n++
 	luck := float64(*n%9973)/9973 + 1e-9
 	now := begun + *n*ms
-	f.Arrive(1, 0, luck, false, now)
-	f.Sent("s-3", false, now)
-	f.Finished("s-3", balance.Served, true, ms, now)
-	f.Done(now)
+	f.Admit(1, 0, luck, false, now)
+	f.Dispatched("s-3", false, now)
+	f.DispatchEnded("s-3", balance.Served, true, ms, now)
+	f.ServedInTime(now)
 }
 
 func BenchmarkReq(b *testing.B) {
 	f, n := New(terms(0, 12), begun), int64(0)
-	f.Servers(servers(10), begun)
+	f.SetServers(servers(10), begun)
 	b.ReportAllocs()
 	for b.Loop() {
 		one(f, &n)
--- a/fleet/learn.go
+++ b/fleet/learn.go
@@ -1,176 +1,181 @@
 package fleet
 
-// This file owns what a member that has just begun asks of those that live longer, and what these tell it. It must never teach what was
-// not met in this life, nor let askers have more than their part of what a member may send.
+// This file holds how a member that has just started queries older members about servers, and how those answer. A
+// member never reports what it has not observed in its own lifetime, and answers use no more than their fraction
+// of its datagram limit.
 
 import (
 	"slices"
 
 	"ivybank/balance"
 	"ivybank/fleet/peer"
-	"ivybank/fleet/recall"
+	"ivybank/fleet/warmstart"
 )
 
 const (
-	askEvery  = 100 * ms // between questions to one other each
-	oldEnough = 5 * sec  // of life from which a member teaches: before, it has met too little
-	metFor    = 30 * sec // what was met longer ago is not taught
-	teachPart = 0.25     // of its datagrams a second that a member teaches with, and a second's worth of all at once
-	worthTold = 0.9      // a server in use with more health than this is told of last
+	queryInterval     = 100 * ms // between queries, each to another member
+	minTeacherAge     = 5 * sec  // a younger member does not answer: it has observed too little
+	maxObservationAge = 30 * sec // older observations are not reported
+	answerFraction    = 0.25     // of the datagram limit, with a burst of one second's worth of datagrams
+	healthyAbove      = 0.9      // healthier servers in use are reported last
 )
 
-// Learn is what operators set on learning from others.
-type Learn struct {
-	Others int   // that have to answer
-	For    int64 // for so long after the start they are asked
+// LearnConfig configures learning from peers.
+type LearnConfig struct {
+	MinPeers int   // how many peers have to answer
+	Timeout  int64 // how long after its start a member queries peers
 }
 
-// learn is what a member has asked and heard, and how much it may still teach.
-type learn struct {
-	until  int64
-	askAt  int64
-	asked  []bool        // by place
-	told   []recall.Told // by who tells; emptied when the time is over
-	taught bucket        // answers that may go now
-	marks  []uint64      // by place: Unix ms of the newest idempotency key that it has told of
-	Mark   uint64        // the own one
-	Found  uint64        // the newest that another has heard from this place before
-	begun  int64
-	Asked  int // questions asked
-	Taught int // answers given
-	Heard  int // answers that came
+// learner holds the queries and answers of a member, and the limit on its own answers.
+type learner struct {
+	until           int64
+	queryAt         int64
+	queried         []bool                 // by member
+	reports         []warmstart.PeerReport // by reporting member
+	answerTokens    tokenBucket            // for answers
+	newestKeys      []uint64               // by member: Unix ms of the newest idempotency key that it has reported
+	ownKey          uint64                 // Unix ms of this member's newest key
+	reportedKey     uint64                 // Unix ms of the newest key that peers remember from an earlier process of this member
+	startedAt       int64
+	queriesSent     int
+	answersSent     int
+	answersReceived int
 }
 
-func begin(t Terms, now int64) learn {
-	x := learn{begun: now}
-	if t.Learn != nil {
-		x.until, x.asked, x.marks, x.taught = now+t.Learn.For, make([]bool, t.Of), make([]uint64, t.Of), bucket{t.Datagrams, now}
+func newLearner(cfg Config, now int64) learner {
+	l := learner{startedAt: now}
+	if cfg.Learn != nil {
+		l.until, l.queried, l.newestKeys, l.answerTokens = now+cfg.Learn.Timeout, make([]bool, cfg.Members), make([]uint64, cfg.Members), tokenBucket{cfg.DatagramsPerSecond, now}
 	}
-	return x
+	return l
 }
 
-// Learns says whether answers are still waited for.
-func (f *Fleet) Learns(now int64) bool {
-	return f.t.Learn != nil && now < f.learn.until && len(f.learn.told) < f.t.Learn.Others
+// Learning reports whether this member still waits for answers.
+func (f *Fleet) Learning(now int64) bool {
+	return f.cfg.Learn != nil && now < f.learner.until && len(f.learner.reports) < f.cfg.Learn.MinPeers
 }
 
-// ask asks one other, until enough have answered.
-func (f *Fleet) ask(now int64) {
-	x := &f.learn
-	if !f.Learns(now) || now < x.askAt {
+// queryPeer queries one peer at a time until enough have answered.
+func (f *Fleet) queryPeer(now int64) {
+	l := &f.learner
+	if !f.Learning(now) || now < l.queryAt {
 		return
 	}
-	x.askAt = now + askEvery
-	// Who is known to have begun about now knows nothing either.
-	who := f.oneThat(0, f.t.Of, func(i int) bool {
+	l.queryAt = now + queryInterval
+	// Members that are known to have started at about the same time have nothing to report.
+	target := f.randomMember(0, f.cfg.Members, func(i int) bool {
 		m := f.swim.Member(i)
-		return i != f.t.Me && !x.asked[i] && m.Alive() && !(m.Known && m.Life>>8 != 0 && int64(m.Life>>8)*ms > f.startedAt()-oldEnough)
+		return i != f.cfg.Index && !l.queried[i] && m.Alive() && !(m.Known && m.Incarnation>>8 != 0 && int64(m.Incarnation>>8)*ms > f.startedAt()-minTeacherAge)
 	})
-	if who < 0 {
-		clear(x.asked) // all were: some may not have heard
+	if target < 0 {
+		clear(l.queried) // all were queried; some may not have received it
 		return
 	}
-	x.asked[who] = true
-	x.Asked++
-	d, _ := f.swim.Datagram(peer.Want)
-	f.todo = append(f.todo, Action{Kind: Send, To: who, Datagram: d, due: true})
+	l.queried[target] = true
+	l.queriesSent++
+	d, _ := f.swim.Datagram(peer.Query)
+	f.actions = append(f.actions, Action{Kind: Send, To: target, Datagram: d, due: true})
 }
 
-// startedAt is this process's start by the clock of the day, as lives have it.
-func (f *Fleet) startedAt() int64 { return int64(f.swim.Life()>>8) * ms }
+// startedAt is this process's start by wall time, as encoded in its incarnation.
+func (f *Fleet) startedAt() int64 { return int64(f.swim.Incarnation()>>8) * ms }
 
-// lesson takes what a datagram asks or answers about servers.
-func (f *Fleet) lesson(d *peer.Datagram, now int64) {
-	x := &f.learn
-	if f.t.Learn == nil || d.From == f.t.Me || d.From >= f.t.Of {
+// receiveLearning handles queries and answers about servers.
+func (f *Fleet) receiveLearning(d *peer.Datagram, now int64) {
+	l := &f.learner
+	if f.cfg.Learn == nil || d.From == f.cfg.Index || d.From >= f.cfg.Members {
 		return
 	}
 	switch d.Kind {
-	case peer.Want:
-		x.taught.fill(teachPart*f.t.Datagrams, f.t.Datagrams, now)
-		if (now-x.begun >= oldEnough || x.marks[d.From] > 0) && x.taught.n >= 1 {
-			x.taught.n--
-			f.todo = append(f.todo, Action{Kind: Teach, To: d.From})
+	case peer.Query:
+		l.answerTokens.fill(answerFraction*f.cfg.DatagramsPerSecond, f.cfg.DatagramsPerSecond, now)
+		if (now-l.startedAt >= minTeacherAge || l.newestKeys[d.From] > 0) && l.answerTokens.tokens >= 1 {
+			l.answerTokens.tokens--
+			f.actions = append(f.actions, Action{Kind: AnswerQuery, To: d.From})
 		}
-	case peer.Teach:
-		if now >= x.until {
+	case peer.Answer:
+		if now >= l.until {
 			return
 		}
-		x.Heard++
-		x.Found = max(x.Found, d.Mark)
-		i := slices.IndexFunc(x.told, func(t recall.Told) bool { return t.By == d.From })
+		l.answersReceived++
+		l.reportedKey = max(l.reportedKey, d.NewestKey)
+		i := slices.IndexFunc(l.reports, func(t warmstart.PeerReport) bool { return t.Member == d.From })
 		if i < 0 {
-			i = len(x.told)
-			x.told = append(x.told, recall.Told{By: d.From})
+			i = len(l.reports)
+			l.reports = append(l.reports, warmstart.PeerReport{Member: d.From})
 		}
 		for _, b := range d.Beliefs {
-			id := f.wary.id(b.Server)
-			if id == "" || peer.Ns(b.Age) > metFor {
+			id := f.reports.idOf(b.Server)
+			if id == "" || peer.Nanoseconds(b.Age) > maxObservationAge {
 				continue
 			}
-			x.told[i].Beliefs = append(x.told[i].Beliefs, recall.Belief{Heard: now, Start: b.Since, Server: balance.ServerSnapshot{ID: id,
-				Health: float64(b.Health) / 100, EjectionLeft: peer.Ns(b.Left), Draining: b.Drains, LastOutcomeAge: peer.Ns(b.Age)}})
+			l.reports[i].Beliefs = append(l.reports[i].Beliefs, warmstart.Belief{HeardAt: now, StartTime: b.Since, Server: balance.ServerSnapshot{ID: id,
+				Health: float64(b.Health) / 100, EjectionLeft: peer.Nanoseconds(b.EjectionLeft), Draining: b.Draining, LastOutcomeAge: peer.Nanoseconds(b.Age)}})
 		}
-		if len(x.told[i].Beliefs) > len(f.servers) { // it said some things twice
-			x.told[i].Beliefs = x.told[i].Beliefs[len(x.told[i].Beliefs)-len(f.servers):]
+		if len(l.reports[i].Beliefs) > len(f.servers) { // the peer reported some servers more than once
+			l.reports[i].Beliefs = l.reports[i].Beliefs[len(l.reports[i].Beliefs)-len(f.servers):]
 		}
-		f.todo = append(f.todo, Action{Kind: Recall, Told: slices.Clone(x.told)})
+		f.actions = append(f.actions, Action{Kind: ApplyPeerReports, Reports: slices.Clone(l.reports)})
 	default:
-		if d.Mark > x.marks[d.From] {
-			x.marks[d.From] = d.Mark
+		if d.NewestKey > l.newestKeys[d.From] {
+			l.newestKeys[d.From] = d.NewestKey
 		}
 	}
 }
 
-// Answer tells one that comes back what this process has met itself: what is out or drains first, then what is unwell.
-func (f *Fleet) Answer(to int, servers []balance.ServerSnapshot, now int64) {
-	met := slices.DeleteFunc(slices.Clone(servers), func(l balance.ServerSnapshot) bool {
-		return now-f.learn.begun < oldEnough || !l.Draining && (l.LastOutcomeAge < 0 || l.LastOutcomeAge > metFor || l.EjectionLeft == 0 && l.Health > worthTold)
+// SendBeliefs answers a query with what this process has observed itself. Ejected and draining servers come first,
+// then unhealthy ones.
+func (f *Fleet) SendBeliefs(to int, servers []balance.ServerSnapshot, now int64) {
+	observed := slices.DeleteFunc(slices.Clone(servers), func(server balance.ServerSnapshot) bool {
+		return now-f.learner.startedAt < minTeacherAge || !server.Draining && (server.LastOutcomeAge < 0 || server.LastOutcomeAge > maxObservationAge || server.EjectionLeft == 0 && server.Health > healthyAbove)
 	})
-	slices.SortStableFunc(met, func(x, y balance.ServerSnapshot) int { return rank(x) - rank(y) })
-	f.learn.Taught++
-	for begun := false; len(met) > 0 || !begun; begun = true {
-		d, room := f.swim.Datagram(peer.Teach)
-		if mark := f.learn.marks[to]; mark > 0 && room.Mark() {
-			d.Mark = mark
+	slices.SortStableFunc(observed, func(x, y balance.ServerSnapshot) int { return beliefPriority(x) - beliefPriority(y) })
+	f.learner.answersSent++
+	for sent := false; len(observed) > 0 || !sent; sent = true {
+		d, room := f.swim.Datagram(peer.Answer)
+		if newestKey := f.learner.newestKeys[to]; newestKey > 0 && room.NewestKey() {
+			d.NewestKey = newestKey
 		}
-		for len(met) > 0 && room.Belief() {
-			l := met[0]
-			met = met[1:]
-			d.Beliefs = append(d.Beliefs, peer.Belief{Server: peer.Server(l.ID), Since: peer.Start(l.Since), Health: uint8(100 * min(1, max(0, l.Health))),
-				Left: uint16(min(l.EjectionLeft/1e7, 1<<16-1)), Drains: l.Draining, Age: peer.Hundredths(max(0, l.LastOutcomeAge))})
+		for len(observed) > 0 && room.Belief() {
+			server := observed[0]
+			observed = observed[1:]
+			d.Beliefs = append(d.Beliefs, peer.Belief{Server: peer.ServerHash(server.ID), Since: peer.StartTime(server.Since), Health: uint8(100 * min(1, max(0, server.Health))),
+				EjectionLeft: uint16(min(server.EjectionLeft/1e7, 1<<16-1)), Draining: server.Draining, Age: peer.Hundredths(max(0, server.LastOutcomeAge))})
 		}
-		f.todo = append(f.todo, Action{Kind: Send, To: to, Datagram: d, due: !begun})
+		f.actions = append(f.actions, Action{Kind: Send, To: to, Datagram: d, due: !sent})
 	}
 }
 
-func rank(l balance.ServerSnapshot) int {
+func beliefPriority(server balance.ServerSnapshot) int {
 	switch {
-	case l.Draining:
+	case server.Draining:
 		return 0
-	case l.EjectionLeft > 0:
+	case server.EjectionLeft > 0:
 		return 1
 	}
 	return 2
 }
 
-// mark adds how new the newest idempotency key is: should this process lose its ledger, others know that there were such.
-func (f *Fleet) mark(d *peer.Datagram, room *peer.Room) {
-	if f.t.Learn != nil && f.learn.Mark > 0 && room.Mark() {
-		d.Mark = f.learn.Mark
+// addNewestKey adds the time of the newest idempotency key. If this process loses its ledger, peers know that such
+// keys existed.
+func (f *Fleet) addNewestKey(d *peer.Datagram, room *peer.Room) {
+	if f.cfg.Learn != nil && f.learner.ownKey > 0 && room.NewestKey() {
+		d.NewestKey = f.learner.ownKey
 	}
 }
 
-// Keyed tells of an idempotency key's beginning, in Unix ns.
-func (f *Fleet) Keyed(at int64) { f.learn.Mark = max(f.learn.Mark, uint64(at/ms)) }
+// RecordKey records the start of an idempotency key, in Unix ns.
+func (f *Fleet) RecordKey(startedAt int64) {
+	f.learner.ownKey = max(f.learner.ownKey, uint64(startedAt/ms))
+}
 
-// Witnessed is the beginning of the newest key, in Unix ns, that others have heard this place tell of before it began anew; and whether
-// anybody has answered.
-func (f *Fleet) Witnessed() (newest int64, heard bool) {
-	return int64(f.learn.Found) * ms, f.learn.Heard > 0
+// ReportedKey returns the start, in Unix ns, of the newest key that peers remember from an earlier process of this
+// member, and whether any peer has answered.
+func (f *Fleet) ReportedKey() (newest int64, heard bool) {
+	return int64(f.learner.reportedKey) * ms, f.learner.answersReceived > 0
 }
 
-// Lessons is how often this member has asked, was answered and has answered.
-func (f *Fleet) Lessons() (asked, answers, taught int) {
-	return f.learn.Asked, f.learn.Heard, f.learn.Taught
+// LearnCounts returns how often this member has queried, was answered and has answered.
+func (f *Fleet) LearnCounts() (asked, answers, taught int) {
+	return f.learner.queriesSent, f.learner.answersReceived, f.learner.answersSent
 }
--- a/fleet/swim/swim.go
+++ b/fleet/swim/swim.go
@@ -1,6 +1,6 @@
-// Package swim says who is a member of the fleet: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health (Dadgar,
-// Phillips, Currey, 2018), free of I/O. It is handed datagrams and the time, and hands out datagrams. It owns the table of
-// members. It must never let what it says of a member hold up a req, nor declare one dead that it has just heard.
+// Package swim implements fleet membership: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's local health
+// (Dadgar, Phillips, Currey, 2018), free of I/O. It is passed datagrams and the time, and returns datagrams.
+// Membership never delays a request, and never declares a member dead that it has just heard.
 package swim
 
 import (
@@ -14,145 +14,150 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	helpers     = 3  // members asked to ping on one's behalf
-	confirmers  = 2  // further members whose suspicion brings the death forward to its least time
-	spread      = 3  // a piece of news goes out so many times the logarithm of the members
-	mostHealth  = 6  // steps by which trouble of one's own lengthens one's waits
-	knock       = 4  // every so many periods one who is not a member is pinged
-	manyAway    = 20 // where more than one in so many is away one of them is pinged each period: a partition may be over
-	newsEach    = 3  // pieces of news in an answer or a question
-	remindApart = 1 * sec
-	farewells   = 2                                       // times that each of a few is told of the end
-	verdict     = 3                                       // waits from a ping until the one is suspected
-	lateTick    = 30 * ms                                 // a tick later than this is time in which this process did not run
-	maxQuiet    = 600 * sec                               // silences longer than this are told as this
-	window      = 64                                      // datagrams of one life that may come out of order
-	tickEvery   = 50 * ms                                 // between looks at what is due
-	crowd       = 1.2                                     // logarithm, to 10, of the members from which patience grows
-	lostNews    = 8                                       // pieces of news that one member's word may add in one datagram
-	longAgo     = -1 << 62                                // before anything was heard
-	fewMembers  = 16                                      // so few tell all others of their end
-	lifeSpan    = 1000 * 3600 * 24 * 365 * 10 << lifeBits // past this one's own start no life can be
+	indirectPingers      = 3 // members that are asked for an indirect ping
+	maxConfirmations     = 2 // further suspecting members that reduce the suspicion timeout to its minimum
+	updateSendFactor     = 3 // an update is sent this factor times the binary logarithm of the members
+	maxHealthScore       = 6 // limit of the health score, which lengthens this process's timeouts
+	probeNonMembersEvery = 4 // a non-member is pinged every this many periods
+	// If more than one in this many members is absent, an absent one is pinged each period: a partition may have
+	// ended.
+	partitionDivisor     = 20
+	updatesPerDatagram   = 3 // in a ping or an answer
+	remindInterval       = 1 * sec
+	leaveCopies          = 2                                             // sent to each receiver of a leave
+	suspectAfterTimeouts = 3                                             // in timeouts from the ping
+	stallThreshold       = 30 * ms                                       // a tick later than this shows that the process did not run
+	maxSilence           = 600 * sec                                     // longest silence that is reported
+	replayWindow         = 64                                            // datagrams of one incarnation that may arrive out of order
+	tickInterval         = 50 * ms                                       // between checks of what is due
+	largeFleetLog        = 1.2                                           // decimal logarithm of the members above which suspicion timeouts grow
+	maxUpdatesTaken      = 8                                             // updates accepted from one datagram
+	never                = -1 << 62                                      // time before anything was heard
+	smallFleet           = 16                                            // in a fleet of this size all others are told of a leave
+	maxIncarnationLead   = 1000 * 3600 * 24 * 365 * 10 << refutationBits // an incarnation further ahead of this process's own is invalid
 )
 
-// Terms is what a member is told of the fleet. Times are nanoseconds.
-type Terms struct {
-	Me, Of  int   // own place, places in all
-	Period  int64 // between pings
-	AckWait int64 // for an answer, directly and by way of others
-	Quiet   int64 // nobody is dead who was heard within so long
-	Seed    uint64
+// Config is the configuration of a member. Times are in nanoseconds.
+type Config struct {
+	Index, Members int   // own index, and size of the fleet
+	Period         int64 // between pings
+	AckTimeout     int64 // for the answer to a ping, direct or indirect
+	MinSilence     int64 // a member heard within this time is not declared dead
+	Seed           uint64
 }
 
-// Member is what is known of one.
+// Member is what is known of one member.
 type Member struct {
-	Known bool // was heard of since this process's start; else it is presumed to be there, as it is configured
-	State peer.State
-	Life  uint64
-	Since int64 // when it came to its state
-	Heard int64 // latest sign of its life that this process has had
-	By    int   // who suspected it first
+	Known       bool // heard of since this process started; otherwise it is presumed alive because it is configured
+	State       peer.State
+	Incarnation uint64
+	Since       int64 // time of the latest change of state
+	LastHeard   int64 // time of the latest sign of life known to this process
+	SuspectedBy int   // member that reported the suspicion
 }
 
-// Alive says whether it takes part. A suspect does, until it is dead.
+// Alive reports whether the member takes part. A suspect does until it is declared dead.
 func (m Member) Alive() bool { return !m.Known || m.State <= peer.Suspect }
 
 type member struct {
 	Member
-	doubts   []int  // who suspects it; emptied with the suspicion
-	told     int    // times that its news went out
-	fresh    bool   // its news has not gone out often enough
-	start    uint64 // of the process whose datagrams are counted; its life may be known from others before it is heard
-	count    uint64 // newest datagram of that,
-	reminded int64  // when it was last told what is said of it
-	seen     uint64 // and which of those before it came, as bits
-}
-
-// ping is one that waits for its answer.
-type ping struct {
-	seq   uint32
-	who   int
-	at    int64
-	asked bool // helpers were asked
-	nacks int  // of them, who has answered that there is no answer
-	back  int  // pinged for another: who; -1 for oneself
-	seqOf uint32
-}
-
-// Send is a datagram for a member.
-type Send struct {
+	suspectedBy []int // members that suspect it; emptied when the suspicion ends
+	timesSent   int   // how often its update was sent
+	pending     bool  // its update was not sent often enough yet
+	// Start of the process that the following fields belong to. Its incarnation may be known from others before
+	// its first datagram arrives.
+	start        uint64
+	newestNumber uint64 // newest datagram number received
+	remindedAt   int64  // time at which it was last told what is said about it
+	received     uint64 // bit set of the numbers before newestNumber that were received
+}
+
+// pendingPing is a ping that waits for its answer.
+type pendingPing struct {
+	seq           uint32
+	target        int
+	sentAt        int64
+	helpRequested bool // indirect pings were requested
+	nacks         int  // helpers that reported no answer
+	requester     int  // member that asked for this indirect ping; -1 for an own ping
+	requesterSeq  uint32
+}
+
+// Outgoing is a datagram to be sent to a member.
+type Outgoing struct {
 	To int
 	peer.Datagram
 }
 
-// Change is one that came to another state.
+// Change is a change of a member's state.
 type Change struct {
-	Who  int
-	From string // "" where it was not known
-	To   peer.State
-	By   int
-	At   int64
-}
-
-// Swim is one member's view of all.
-type Swim struct {
-	t       Terms
-	life    uint64
-	members []member // one for each place
-	order   []int    // in which they are pinged; drawn anew when it is through
-	next    int
-	pings   []ping // emptied as they are answered or over
-	out     []Send // emptied by Out
-	changes []Change
-	fresh   []int // members whose news has not gone out often enough; emptied as it does
-	doubted []int // suspects; emptied as they are cleared or dead
-	dice    rng.Source
-	seq     uint32
-	count   uint64
-	pingAt  int64
-	ticked  int64
-	health  int // 0: well; how much longer this process waits as it seems to be slow itself
-	periods int
-	left    bool
-	version int // counts changes of who is alive
-	alive   int
-	Away    int64 // time in which this process did not run, as far as it noticed
-	Dropped struct{ Twice, Past, Nobody int }
-}
-
-// New begins a life. Who is configured is presumed to be there, and found missing by the same pings as any.
-func New(t Terms, life uint64, now int64) *Swim {
-	s := &Swim{t: t, life: life, members: make([]member, t.Of), dice: rng.Source{Seed: t.Seed}, ticked: now}
-	s.pingAt = now + int64(s.dice.Next()*float64(t.Period))
+	Member int
+	From   string // "" if the member was not known
+	To     peer.State
+	By     int
+	At     int64
+}
+
+// Membership is one member's view of the fleet.
+type Membership struct {
+	cfg            Config
+	incarnation    uint64
+	members        []member // by index
+	pingOrder      []int    // shuffled anew at each end
+	nextPing       int
+	pings          []pendingPing // removed when answered or timed out
+	out            []Outgoing    // emptied by TakeDatagrams
+	changes        []Change
+	pendingUpdates []int // members whose updates were not sent often enough yet
+	suspects       []int // removed when cleared or dead
+	rng            rng.Source
+	seq            uint32
+	sentNumber     uint64
+	pingAt         int64
+	lastTick       int64
+	healthScore    int // 0: healthy; a slow process lengthens its timeouts by it (Lifeguard)
+	periods        int
+	left           bool
+	version        int // number of changes of who is alive
+	alive          int
+	Stalled        int64 // ns in which this process did not run, as far as it noticed
+	Dropped        struct{ Duplicates, Outdated, UnknownSender int }
+}
+
+// New starts an incarnation. Configured members are presumed alive; those that are absent are detected by the
+// usual pings.
+func New(cfg Config, incarnation uint64, now int64) *Membership {
+	s := &Membership{cfg: cfg, incarnation: incarnation, members: make([]member, cfg.Members), rng: rng.Source{Seed: cfg.Seed}, lastTick: now}
+	s.pingAt = now + int64(s.rng.Next()*float64(cfg.Period))
 	for i := range s.members {
-		s.members[i].Heard = longAgo
+		s.members[i].LastHeard = never
 	}
-	s.members[t.Me] = member{Member: Member{Known: true, Life: life, Since: now, Heard: now}}
-	s.rouse(t.Me)
-	s.alive = t.Of
+	s.members[cfg.Index] = member{Member: Member{Known: true, Incarnation: incarnation, Since: now, LastHeard: now}}
+	s.sendUpdateAgain(cfg.Index)
+	s.alive = cfg.Members
 	return s
 }
 
-// Life is this process's, higher each time that it had to refute.
-func (s *Swim) Life() uint64 { return s.life }
+// Incarnation returns this process's incarnation, which grows with each refutation.
+func (s *Membership) Incarnation() uint64 { return s.incarnation }
 
-// Health is how slow this process takes itself to be, 0 for not at all.
-func (s *Swim) Health() int { return s.health }
+// Health returns the local health score; 0 means that the process is not slow.
+func (s *Membership) Health() int { return s.healthScore }
 
-// Version changes whenever somebody comes to be alive or no longer is.
-func (s *Swim) Version() int { return s.version }
+// Version changes whenever a member becomes alive or stops being alive.
+func (s *Membership) Version() int { return s.version }
 
-// Count is how many are alive, this one included.
-func (s *Swim) Count() int { return s.alive }
+// AliveCount returns the number of alive members, including this one.
+func (s *Membership) AliveCount() int { return s.alive }
 
-// Member is what is known of a place.
-func (s *Swim) Member(i int) Member { return s.members[i].Member }
+// Member returns what is known of a member.
+func (s *Membership) Member(i int) Member { return s.members[i].Member }
 
-// Alive says whether a place's member takes part.
-func (s *Swim) Alive(i int) bool { return s.members[i].Alive() }
+// Alive reports whether a member takes part.
+func (s *Membership) Alive(i int) bool { return s.members[i].Alive() }
 
-// Living are the places of all that take part, in order.
-func (s *Swim) Living() (all []int) {
+// AliveMembers returns the indexes of all members that take part, in order.
+func (s *Membership) AliveMembers() (all []int) {
 	for i := range s.members {
 		if s.members[i].Alive() {
 			all = append(all, i)
@@ -161,161 +166,168 @@
 	return all
 }
 
-// Out hands over what is to be sent; Changes who came to another state. Both begin anew with it.
-func (s *Swim) Out() []Send {
+// TakeDatagrams returns the datagrams to be sent since the last call.
+func (s *Membership) TakeDatagrams() []Outgoing {
 	out := s.out
 	s.out = nil
 	return out
 }
 
-// Changes hands over who came to another state since the last call.
-func (s *Swim) Changes() []Change {
+// TakeChanges returns the changes of state since the last call.
+func (s *Membership) TakeChanges() []Change {
 	c := s.changes
 	s.changes = nil
 	return c
 }
 
-// Datagram begins one of this life, which carries nothing yet.
-func (s *Swim) Datagram(k peer.Kind) (peer.Datagram, peer.Room) {
-	s.count++
-	return peer.Datagram{From: s.t.Me, Life: s.life, Count: s.count, Kind: k}, peer.Whole()
+// Datagram returns a new datagram of this incarnation without content, and the room left in it.
+func (s *Membership) Datagram(k peer.Kind) (peer.Datagram, peer.Room) {
+	s.sentNumber++
+	return peer.Datagram{From: s.cfg.Index, Incarnation: s.incarnation, Number: s.sentNumber, Kind: k}, peer.FullRoom()
 }
 
-// Tell adds so many pieces of news at the most, those that went out least often. The table of members is also that of news: each has one.
-func (s *Swim) Tell(d *peer.Datagram, room *peer.Room, n int) {
-	slices.SortStableFunc(s.fresh, func(x, y int) int { return s.members[x].told - s.members[y].told })
-	most := int(math.Ceil(spread * math.Log2(float64(s.alive)+1)))
-	for _, i := range s.fresh {
-		if n--; n < 0 || !room.News() {
+// AddUpdates adds up to n updates, those first that were sent least often. Each member has one update, built from
+// the table of members.
+func (s *Membership) AddUpdates(d *peer.Datagram, room *peer.Room, n int) {
+	slices.SortStableFunc(s.pendingUpdates, func(x, y int) int { return s.members[x].timesSent - s.members[y].timesSent })
+	maxSends := int(math.Ceil(updateSendFactor * math.Log2(float64(s.alive)+1)))
+	for _, i := range s.pendingUpdates {
+		if n--; n < 0 || !room.MemberUpdate() {
 			break
 		}
-		d.News = append(d.News, s.news(i))
-		s.members[i].told++
+		d.Updates = append(d.Updates, s.updateOf(i))
+		s.members[i].timesSent++
 	}
-	s.fresh = slices.DeleteFunc(s.fresh, func(i int) bool {
+	s.pendingUpdates = slices.DeleteFunc(s.pendingUpdates, func(i int) bool {
 		m := &s.members[i]
-		m.fresh = m.told < most
-		return !m.fresh
+		m.pending = m.timesSent < maxSends
+		return !m.pending
 	})
 }
 
-func (s *Swim) news(i int) peer.News {
+func (s *Membership) updateOf(i int) peer.MemberUpdate {
 	m := &s.members[i]
-	n := peer.News{Who: i, State: m.State, Life: m.Life, By: m.By}
+	n := peer.MemberUpdate{Member: i, State: m.State, Incarnation: m.Incarnation, Origin: m.SuspectedBy}
 	if m.State == peer.Suspect {
-		n.Quiet = peer.Hundredths(min(maxQuiet, s.ticked-m.Heard))
+		n.Silence = peer.Hundredths(min(maxSilence, s.lastTick-m.LastHeard))
 	}
 	return n
 }
 
-func (s *Swim) send(to int, k peer.Kind, seq uint32, about int) {
+func (s *Membership) send(to int, k peer.Kind, seq uint32, subject int) {
 	d, room := s.Datagram(k)
-	d.Seq, d.About = seq, about
-	s.Tell(&d, &room, newsEach)
-	s.out = append(s.out, Send{to, d})
+	d.Seq, d.Subject = seq, subject
+	s.AddUpdates(&d, &room, updatesPerDatagram)
+	s.out = append(s.out, Outgoing{to, d})
 }
 
-// Fresh says whether a datagram is a member's, of its present life and not met before; else it is to be dropped and says nothing.
-func (s *Swim) Fresh(d *peer.Datagram) bool {
-	if d.From >= s.t.Of || d.From == s.t.Me || d.Life > s.life+lifeSpan {
-		s.Dropped.Nobody++
+// Accept reports whether a datagram comes from the present incarnation of a member and was not received before.
+// Other datagrams must be dropped.
+func (s *Membership) Accept(d *peer.Datagram) bool {
+	if d.From >= s.cfg.Members || d.From == s.cfg.Index || d.Incarnation > s.incarnation+maxIncarnationLead {
+		s.Dropped.UnknownSender++
 		return false
 	}
 	m := &s.members[d.From]
 	switch {
-	case m.Known && (d.Life>>lifeBits < m.Life>>lifeBits || m.State == peer.Left && d.Life <= m.Life):
-		s.Dropped.Past++
+	case m.Known && (d.Incarnation>>refutationBits < m.Incarnation>>refutationBits || m.State == peer.Left && d.Incarnation <= m.Incarnation):
+		s.Dropped.Outdated++
 		if d.Kind == peer.Ping {
-			// One whose clock was set back begins with a life that is past. It is told, and takes a later one.
-			s.remind(d.From, s.news(d.From))
+			// A process whose clock was set back starts with an outdated incarnation. It is told so and takes a
+			// later one.
+			s.remind(d.From, s.updateOf(d.From))
 		}
 		return false
-	case d.Life>>lifeBits > m.start:
-		m.start, m.count, m.seen = d.Life>>lifeBits, 0, 0
-	case d.Life>>lifeBits < m.start:
-		s.Dropped.Past++
+	case d.Incarnation>>refutationBits > m.start:
+		m.start, m.newestNumber, m.received = d.Incarnation>>refutationBits, 0, 0
+	case d.Incarnation>>refutationBits < m.start:
+		s.Dropped.Outdated++
 		return false
 	}
-	switch past := m.count - d.Count; {
-	case d.Count > m.count:
-		if ahead := d.Count - m.count; ahead < window {
-			m.seen = m.seen<<ahead | 1
+	switch past := m.newestNumber - d.Number; {
+	case d.Number > m.newestNumber:
+		if ahead := d.Number - m.newestNumber; ahead < replayWindow {
+			m.received = m.received<<ahead | 1
 		} else {
-			m.seen = 1
+			m.received = 1
 		}
-		m.count = d.Count
-	case past >= window:
-		s.Dropped.Past++
+		m.newestNumber = d.Number
+	case past >= replayWindow:
+		s.Dropped.Outdated++
 		return false
-	case m.seen&(1<<past) != 0:
-		s.Dropped.Twice++
+	case m.received&(1<<past) != 0:
+		s.Dropped.Duplicates++
 		return false
 	default:
-		m.seen |= 1 << past
+		m.received |= 1 << past
 	}
 	return true
 }
 
-// lifeBits of a life count refutations, the others the start. A life handed to New holds the start alone.
-const lifeBits = 8
+// The lower refutationBits of an incarnation count refutations, the upper bits hold the start time. The
+// incarnation passed to New holds the start time only.
+const refutationBits = 8
 
-// LifeOf is the life of a process that starts at a clock time.
-func LifeOf(unixNs int64) uint64 { return uint64(max(1, unixNs/ms)) << lifeBits }
+// IncarnationAt returns the incarnation of a process that starts at a wall time in ns.
+func IncarnationAt(unixNs int64) uint64 { return uint64(max(1, unixNs/ms)) << refutationBits }
 
-// After is the least life of a process that begins after one of a life.
-func After(life uint64) uint64 { return (life>>lifeBits + 1) << lifeBits }
+// NextIncarnation returns the lowest incarnation of a process that starts after one with the given incarnation.
+func NextIncarnation(incarnation uint64) uint64 {
+	return (incarnation>>refutationBits + 1) << refutationBits
+}
 
-// Heard takes a fresh datagram.
-func (s *Swim) Heard(d *peer.Datagram, now int64) {
+// Receive handles a datagram that Accept accepted.
+func (s *Membership) Receive(d *peer.Datagram, now int64) {
 	m := &s.members[d.From]
-	m.Heard = now
+	m.LastHeard = now
 	switch {
 	case d.Kind == peer.Leave:
-		s.become(d.From, peer.Left, d.Life, d.From, now)
+		s.setState(d.From, peer.Left, d.Incarnation, d.From, now)
 		return
-	case !m.Known || d.Life > m.Life:
-		s.become(d.From, peer.Alive, d.Life, d.From, now)
+	case !m.Known || d.Incarnation > m.Incarnation:
+		s.setState(d.From, peer.Alive, d.Incarnation, d.From, now)
 	case m.State == peer.Dead || m.State == peer.Suspect:
-		// What was just heard lives, whatever is said. It is told what is said of it, so that it can refute that to all.
-		s.rouse(d.From)
-		n := s.news(d.From)
+		// A member that was just heard is alive, whatever others report. It is told what is said about it, so that
+		// it can refute it.
+		s.sendUpdateAgain(d.From)
+		n := s.updateOf(d.From)
 		if m.State == peer.Dead {
-			s.become(d.From, peer.Suspect, m.Life, m.By, now)
+			s.setState(d.From, peer.Suspect, m.Incarnation, m.SuspectedBy, now)
 		}
 		if d.Kind != peer.Ping {
 			s.remind(d.From, n)
 		}
 	}
-	for _, n := range d.News[:min(len(d.News), lostNews)] {
-		s.learn(n, now)
+	for _, n := range d.Updates[:min(len(d.Updates), maxUpdatesTaken)] {
+		s.applyUpdate(n, now)
 	}
 	switch d.Kind {
 	case peer.Ping:
-		s.send(d.From, peer.Ack, d.Seq, s.t.Me)
+		s.send(d.From, peer.Ack, d.Seq, s.cfg.Index)
 	case peer.Ack, peer.Nack:
-		s.answered(d, now)
-	case peer.Ask:
-		if d.About < s.t.Of && d.About != s.t.Me {
-			s.ping(d.About, d.From, d.Seq, now)
+		s.receiveAnswer(d, now)
+	case peer.PingRequest:
+		if d.Subject < s.cfg.Members && d.Subject != s.cfg.Index {
+			s.sendPing(d.Subject, d.From, d.Seq, now)
 		}
 	}
 }
 
-// remind tells a member what is said of it.
-func (s *Swim) remind(who int, n peer.News) {
-	m := &s.members[who]
-	if s.ticked-m.reminded < remindApart {
+// remind tells a member what is said about it, so that it can refute it.
+func (s *Membership) remind(member int, n peer.MemberUpdate) {
+	m := &s.members[member]
+	if s.lastTick-m.remindedAt < remindInterval {
 		return
 	}
-	m.reminded = s.ticked
+	m.remindedAt = s.lastTick
 	d, _ := s.Datagram(peer.Push)
-	d.News = []peer.News{n}
-	s.out = append(s.out, Send{who, d})
+	d.Updates = []peer.MemberUpdate{n}
+	s.out = append(s.out, Outgoing{member, d})
 }
 
-// answered ends a ping, or passes its answer on to the one on whose behalf it was.
-func (s *Swim) answered(d *peer.Datagram, now int64) {
-	i := slices.IndexFunc(s.pings, func(p ping) bool { return p.seq == d.Seq })
+// receiveAnswer completes a ping, or forwards its answer to the member that requested the ping.
+func (s *Membership) receiveAnswer(d *peer.Datagram, now int64) {
+	i := slices.IndexFunc(s.pings, func(p pendingPing) bool { return p.seq == d.Seq })
 	if i < 0 {
 		return
 	}
@@ -324,134 +336,135 @@
 		p.nacks++
 		return
 	}
-	if d.About != p.who {
+	if d.Subject != p.target {
 		return
 	}
-	if s.members[p.who].Known {
-		s.members[p.who].Heard = now // by way of another
+	if s.members[p.target].Known {
+		s.members[p.target].LastHeard = now // by an indirect ping
 	}
-	if p.back >= 0 {
-		s.send(p.back, peer.Ack, p.seqOf, p.who)
+	if p.requester >= 0 {
+		s.send(p.requester, peer.Ack, p.requesterSeq, p.target)
 	} else {
-		s.health = max(0, s.health-1)
+		s.healthScore = max(0, s.healthScore-1)
 	}
 	s.pings = slices.Delete(s.pings, i, i+1)
 }
 
-func (s *Swim) ping(who, back int, seqOf uint32, now int64) {
+func (s *Membership) sendPing(target, requester int, requesterSeq uint32, now int64) {
 	s.seq++
-	s.pings = append(s.pings, ping{seq: s.seq, who: who, at: now, back: back, seqOf: seqOf})
-	if m := &s.members[who]; m.Known && m.State != peer.Alive {
-		s.rouse(who) // it is told, to refute
+	s.pings = append(s.pings, pendingPing{seq: s.seq, target: target, sentAt: now, requester: requester, requesterSeq: requesterSeq})
+	if m := &s.members[target]; m.Known && m.State != peer.Alive {
+		s.sendUpdateAgain(target) // so that the member can refute its state
 	}
-	s.send(who, peer.Ping, s.seq, who)
+	s.send(target, peer.Ping, s.seq, target)
 }
 
-// learn takes one piece of news.
-func (s *Swim) learn(n peer.News, now int64) {
-	if n.Who >= s.t.Of || n.By >= s.t.Of || n.Life > s.life+lifeSpan {
+// applyUpdate applies one update.
+func (s *Membership) applyUpdate(update peer.MemberUpdate, now int64) {
+	if update.Member >= s.cfg.Members || update.Origin >= s.cfg.Members || update.Incarnation > s.incarnation+maxIncarnationLead {
 		return
 	}
-	if n.Who == s.t.Me {
-		if n.Life >= s.life && (n.State != peer.Alive || n.Life > s.life) && !s.left {
-			// Refuted by the living. Being suspected is a sign of being slow oneself; a life beyond one's own is an earlier process's
-			// whose clock was ahead.
-			if n.State == peer.Suspect {
-				s.health = min(mostHealth, s.health+1)
+	if update.Member == s.cfg.Index {
+		if update.Incarnation >= s.incarnation && (update.State != peer.Alive || update.Incarnation > s.incarnation) && !s.left {
+			// The update about this process is refuted with a higher incarnation. A suspicion is a sign that this
+			// process is slow. A higher incarnation belongs to an earlier process whose clock was ahead.
+			if update.State == peer.Suspect {
+				s.healthScore = min(maxHealthScore, s.healthScore+1)
 			}
-			s.life = n.Life + 1
-			s.members[s.t.Me].Life = s.life
-			s.rouse(s.t.Me)
+			s.incarnation = update.Incarnation + 1
+			s.members[s.cfg.Index].Incarnation = s.incarnation
+			s.sendUpdateAgain(s.cfg.Index)
 		}
 		return
 	}
-	m := &s.members[n.Who]
-	sign := now - peer.Ns(n.Quiet) // latest sign of life that By had
+	m := &s.members[update.Member]
+	lastSign := now - peer.Nanoseconds(update.Silence) // latest sign of life known to the reporting member
 	switch {
 	case !m.Known:
-		m.Heard = max(m.Heard, sign)
-		s.become(n.Who, n.State, n.Life, n.By, now)
-	case n.Life < m.Life || n.Life == m.Life && n.State < m.State:
-	case n.State == peer.Suspect && m.State == peer.Suspect && n.Life == m.Life:
-		m.Heard = max(m.Heard, sign)
-		s.doubt(n.Who, n.By)
-	case n.Life == m.Life && n.State == m.State:
-	case n.State == peer.Suspect:
-		heard := m.Heard
-		m.Heard = max(m.Heard, sign)
-		s.become(n.Who, n.State, n.Life, n.By, now)
-		if quiet := now - heard; quiet > s.t.Quiet/2 && quiet < 2*s.t.Quiet {
-			s.doubt(n.Who, s.t.Me) // it used to be heard here, and is not
+		m.LastHeard = max(m.LastHeard, lastSign)
+		s.setState(update.Member, update.State, update.Incarnation, update.Origin, now)
+	case update.Incarnation < m.Incarnation || update.Incarnation == m.Incarnation && update.State < m.State:
+	case update.State == peer.Suspect && m.State == peer.Suspect && update.Incarnation == m.Incarnation:
+		m.LastHeard = max(m.LastHeard, lastSign)
+		s.confirmSuspicion(update.Member, update.Origin)
+	case update.Incarnation == m.Incarnation && update.State == m.State:
+	case update.State == peer.Suspect:
+		heard := m.LastHeard
+		m.LastHeard = max(m.LastHeard, lastSign)
+		s.setState(update.Member, update.State, update.Incarnation, update.Origin, now)
+		if silence := now - heard; silence > s.cfg.MinSilence/2 && silence < 2*s.cfg.MinSilence {
+			s.confirmSuspicion(update.Member, s.cfg.Index) // it used to be heard here and no longer is
 		}
-		s.look(n.Who)
-	case n.State == peer.Dead && now-m.Heard < s.t.Quiet/2:
-		// It was heard here just now: one that others cannot reach is not dead. It is told, and refutes.
-		if n.Life > m.Life {
-			s.become(n.Who, peer.Alive, n.Life, n.By, now)
+		s.pingSoon(update.Member)
+	case update.State == peer.Dead && now-m.LastHeard < s.cfg.MinSilence/2:
+		// It was heard here just now. A member that others cannot reach is not dead; it is pinged and refutes the
+		// update.
+		if update.Incarnation > m.Incarnation {
+			s.setState(update.Member, peer.Alive, update.Incarnation, update.Origin, now)
 		}
-		s.look(n.Who)
+		s.pingSoon(update.Member)
 	default:
-		if n.State == peer.Alive {
-			m.Heard = max(m.Heard, now-s.t.Quiet/2) // it lived a while ago
+		if update.State == peer.Alive {
+			m.LastHeard = max(m.LastHeard, now-s.cfg.MinSilence/2) // it was alive a while ago
 		}
-		s.become(n.Who, n.State, n.Life, n.By, now)
+		s.setState(update.Member, update.State, update.Incarnation, update.Origin, now)
 	}
 }
 
-// look has one pinged next.
-func (s *Swim) look(who int) {
-	if i := slices.Index(s.order, who); i > s.next {
-		s.order[s.next], s.order[i] = s.order[i], s.order[s.next]
-	} else if i < 0 || i < s.next {
-		s.order = slices.Insert(s.order, s.next, who)
+// pingSoon moves a member to the front of the ping order.
+func (s *Membership) pingSoon(member int) {
+	if i := slices.Index(s.pingOrder, member); i > s.nextPing {
+		s.pingOrder[s.nextPing], s.pingOrder[i] = s.pingOrder[i], s.pingOrder[s.nextPing]
+	} else if i < 0 || i < s.nextPing {
+		s.pingOrder = slices.Insert(s.pingOrder, s.nextPing, member)
 	}
 }
 
-// doubt adds one more who suspects a member.
-func (s *Swim) doubt(who, by int) {
-	m := &s.members[who]
-	if !slices.Contains(m.doubts, by) && len(m.doubts) <= confirmers {
-		m.doubts = append(m.doubts, by)
-		m.By = by
-		s.rouse(who) // passed on, as it is further evidence
+// confirmSuspicion adds a member that suspects another.
+func (s *Membership) confirmSuspicion(member, by int) {
+	m := &s.members[member]
+	if !slices.Contains(m.suspectedBy, by) && len(m.suspectedBy) <= maxConfirmations {
+		m.suspectedBy = append(m.suspectedBy, by)
+		m.SuspectedBy = by
+		s.sendUpdateAgain(member) // forwarded, because it is further evidence
 	}
 }
 
-// rouse has a member's news go out again.
-func (s *Swim) rouse(i int) {
-	if m := &s.members[i]; !m.fresh {
-		m.fresh = true
-		s.fresh = append(s.fresh, i)
+// sendUpdateAgain restarts the sending of a member's update.
+func (s *Membership) sendUpdateAgain(i int) {
+	if m := &s.members[i]; !m.pending {
+		m.pending = true
+		s.pendingUpdates = append(s.pendingUpdates, i)
 	}
-	s.members[i].told = 0
+	s.members[i].timesSent = 0
 }
 
-// become brings a member to a state.
-func (s *Swim) become(i int, state peer.State, life uint64, by int, now int64) {
+// setState changes a member's state.
+func (s *Membership) setState(i int, state peer.State, incarnation uint64, by int, now int64) {
 	m := &s.members[i]
 	was, from, presumed := m.Alive(), "", !m.Known
 	if m.Known {
-		from = Word(m.State)
+		from = StateName(m.State)
 	}
 	if !m.Known || m.State != state {
 		m.Since = now
 		s.changes = append(s.changes, Change{i, from, state, by, now})
 	}
-	if life>>lifeBits > m.Life>>lifeBits && m.Known {
-		s.version++ // another process at the same place
+	if incarnation>>refutationBits > m.Incarnation>>refutationBits && m.Known {
+		s.version++ // another process at the same index
 	}
-	m.Known, m.State, m.Life, m.By, m.doubts = true, state, life, by, nil
+	m.Known, m.State, m.Incarnation, m.SuspectedBy, m.suspectedBy = true, state, incarnation, by, nil
 	if state == peer.Suspect {
-		m.doubts = []int{by}
-		if quiet := now - m.Heard; by == s.t.Me && quiet > 2*s.t.Quiet {
-			m.Heard = now - verdict*s.t.AckWait // it was not heard here for long anyway: its silence counts from the ping
+		m.suspectedBy = []int{by}
+		if silence := now - m.LastHeard; by == s.cfg.Index && silence > 2*s.cfg.MinSilence {
+			m.LastHeard = now - suspectAfterTimeouts*s.cfg.AckTimeout // it was not heard here for long, so its silence counts from the ping
 		}
-		if !slices.Contains(s.doubted, i) {
-			s.doubted = append(s.doubted, i)
+		if !slices.Contains(s.suspects, i) {
+			s.suspects = append(s.suspects, i)
 		}
 	}
-	if !presumed || state != peer.Alive { // that one is there who is configured is no news
-		s.rouse(i)
+	if !presumed || state != peer.Alive { // that a configured member is present is not worth an update
+		s.sendUpdateAgain(i)
 	}
 	if m.Alive() != was {
 		s.version++
@@ -459,193 +472,195 @@
 			s.alive--
 		} else {
 			s.alive++
-			s.look(i)
+			s.pingSoon(i)
 		}
 	}
 }
 
-// Tick does what is due and says when to come again. It is to be called often: a tick that comes late shows that this process did
-// not run meanwhile, and then nobody else's silence counts.
-func (s *Swim) Tick(now int64) (next int64) {
-	if away := now - s.ticked - tickEvery; away > lateTick {
-		s.stood(away, now)
+// Tick does what is due and returns when to call it again. It has to be called often: a late tick shows that this
+// process did not run, and then the silence of others does not count.
+func (s *Membership) Tick(now int64) (next int64) {
+	if late := now - s.lastTick - tickInterval; late > stallThreshold {
+		s.resume(late, now)
 	}
-	away := now - s.ticked - tickEvery
-	s.ticked = now
-	if away > s.t.Quiet/3 { // some may doubt by now that this process lives: it shows at once that it does
-		for _, to := range s.some(fewMembers, -1) {
-			s.ping(to, -1, 0, now)
+	late := now - s.lastTick - tickInterval
+	s.lastTick = now
+	// Others may suspect this process by now, so it shows at once that it is alive.
+	if late > s.cfg.MinSilence/3 {
+		for _, to := range s.randomAlive(smallFleet, -1) {
+			s.sendPing(to, -1, 0, now)
 		}
 	}
-	s.overdue(now)
-	s.bury(now)
+	s.checkPings(now)
+	s.checkSuspects(now)
 	if now >= s.pingAt && !s.left {
-		s.pingAt = now + s.wait(s.t.Period)
-		s.round(now)
+		s.pingAt = now + s.scaleByHealth(s.cfg.Period)
+		s.pingNext(now)
 	}
-	return now + tickEvery
+	return now + tickInterval
 }
 
-// stood takes account of time in which this process did not run.
-func (s *Swim) stood(away, now int64) {
-	s.Away += away
-	s.health = min(mostHealth, s.health+1)
+// resume excludes the time in which this process did not run from all silences and timeouts.
+func (s *Membership) resume(stalled, now int64) {
+	s.Stalled += stalled
+	s.healthScore = min(maxHealthScore, s.healthScore+1)
 	for i := range s.members {
-		if m := &s.members[i]; m.Heard > longAgo {
-			m.Heard = min(now, m.Heard+away)
+		if m := &s.members[i]; m.LastHeard > never {
+			m.LastHeard = min(now, m.LastHeard+stalled)
 		}
 	}
 	for i := range s.pings {
-		s.pings[i].at = min(now, s.pings[i].at+away)
+		s.pings[i].sentAt = min(now, s.pings[i].sentAt+stalled)
 	}
 }
 
-// wait lengthens a time while this process seems to be slow itself.
-func (s *Swim) wait(t int64) int64 { return t + t*int64(s.health)/2 }
+// scaleByHealth lengthens a time by the health score.
+func (s *Membership) scaleByHealth(t int64) int64 { return t + t*int64(s.healthScore)/2 }
 
-// round pings the next in order.
-func (s *Swim) round(now int64) {
+// pingNext pings the next member in the ping order.
+func (s *Membership) pingNext(now int64) {
 	s.periods++
-	if s.periods%knock == 0 || s.alive == 1 || s.t.Of-s.alive > s.t.Of/manyAway {
-		s.knockAtOne(now)
+	if s.periods%probeNonMembersEvery == 0 || s.alive == 1 || s.cfg.Members-s.alive > s.cfg.Members/partitionDivisor {
+		s.pingNonMember(now)
 	}
-	for range len(s.order) + 2 {
-		if s.next >= len(s.order) {
-			s.order, s.next = s.Living(), 0
-			s.shuffle(s.order)
+	for range len(s.pingOrder) + 2 {
+		if s.nextPing >= len(s.pingOrder) {
+			s.pingOrder, s.nextPing = s.AliveMembers(), 0
+			s.shuffle(s.pingOrder)
 		}
-		if len(s.order) == 0 {
+		if len(s.pingOrder) == 0 {
 			return
 		}
-		who := s.order[s.next]
-		s.next++
-		if who != s.t.Me && s.members[who].Alive() {
-			s.ping(who, -1, 0, now)
+		member := s.pingOrder[s.nextPing]
+		s.nextPing++
+		if member != s.cfg.Index && s.members[member].Alive() {
+			s.sendPing(member, -1, 0, now)
 			return
 		}
 	}
 }
 
-// knockAtOne pings one that is not a member: it may have come, or be on this side again after a partition.
-func (s *Swim) knockAtOne(now int64) {
-	var away []int
+// pingNonMember pings an absent member: it may have started, or be reachable again after a partition.
+func (s *Membership) pingNonMember(now int64) {
+	var absent []int
 	for i := range s.members {
-		if i != s.t.Me && !s.members[i].Alive() {
-			away = append(away, i)
+		if i != s.cfg.Index && !s.members[i].Alive() {
+			absent = append(absent, i)
 		}
 	}
-	if len(away) > 0 {
-		s.ping(away[int(s.dice.Next()*float64(len(away)))], -1, 0, now)
+	if len(absent) > 0 {
+		s.sendPing(absent[int(s.rng.Next()*float64(len(absent)))], -1, 0, now)
 	}
 }
 
-func (s *Swim) shuffle(x []int) {
+func (s *Membership) shuffle(x []int) {
 	for i := len(x) - 1; i > 0; i-- {
-		j := int(s.dice.Next() * float64(i+1))
+		j := int(s.rng.Next() * float64(i+1))
 		x[i], x[j] = x[j], x[i]
 	}
 }
 
-// some draws members that take part, other than two.
-func (s *Swim) some(n, but int) []int {
-	all := slices.DeleteFunc(s.Living(), func(i int) bool { return i == s.t.Me || i == but || s.members[i].State != peer.Alive })
+// randomAlive returns up to n random alive members other than this one and except.
+func (s *Membership) randomAlive(n, except int) []int {
+	all := slices.DeleteFunc(s.AliveMembers(), func(i int) bool { return i == s.cfg.Index || i == except || s.members[i].State != peer.Alive })
 	s.shuffle(all)
 	return all[:min(n, len(all))]
 }
 
-// overdue looks after pings that have no answer: others are asked, then the one is suspected.
-func (s *Swim) overdue(now int64) {
-	wait := s.wait(s.t.AckWait)
-	s.pings = slices.DeleteFunc(s.pings, func(p ping) bool {
+// checkPings handles overdue pings: it requests indirect pings, then suspects the target.
+func (s *Membership) checkPings(now int64) {
+	timeout := s.scaleByHealth(s.cfg.AckTimeout)
+	s.pings = slices.DeleteFunc(s.pings, func(p pendingPing) bool {
 		switch {
-		case p.back >= 0 && now >= p.at+s.t.AckWait*3/4: // however slow this one is, the asker counts on it
-			s.send(p.back, peer.Nack, p.seqOf, p.who) // in time for the one who asked
+		case p.requester >= 0 && now >= p.sentAt+s.cfg.AckTimeout*3/4: // without scaling by health, because the requester waits
+			s.send(p.requester, peer.Nack, p.requesterSeq, p.target) // arrives before the requester's timeout
 			return true
-		case now < p.at+wait:
+		case now < p.sentAt+timeout:
 			return false
 		}
-		return p.back < 0 && !s.members[p.who].Alive()
+		return p.requester < 0 && !s.members[p.target].Alive()
 	})
-	// The others may send, which must not change the table that is walked through.
+	// A separate loop, because sending must not change the table during the deletion above.
 	for i := range s.pings {
 		p := &s.pings[i]
-		if now < p.at+wait || p.asked {
+		if now < p.sentAt+timeout || p.helpRequested {
 			continue
 		}
-		p.asked = true
-		for _, h := range s.some(helpers, p.who) {
-			s.send(h, peer.Ask, p.seq, p.who)
+		p.helpRequested = true
+		for _, h := range s.randomAlive(indirectPingers, p.target) {
+			s.send(h, peer.PingRequest, p.seq, p.target)
 		}
 	}
 	for i := 0; i < len(s.pings); {
 		p := s.pings[i]
-		if !p.asked || now < p.at+verdict*wait {
+		if !p.helpRequested || now < p.sentAt+suspectAfterTimeouts*timeout {
 			i++
 			continue
 		}
 		s.pings = slices.Delete(s.pings, i, i+1)
-		m := &s.members[p.who]
+		m := &s.members[p.target]
 		if p.nacks == 0 && s.alive > 2 {
-			s.health = min(mostHealth, s.health+1) // no helper has said a word: the fault may be here
+			s.healthScore = min(maxHealthScore, s.healthScore+1) // no helper answered at all, so the fault may be local
 		}
 		switch {
-		case m.Heard > p.at:
+		case m.LastHeard > p.sentAt:
 		case m.State == peer.Alive:
-			s.become(p.who, peer.Suspect, m.Life, s.t.Me, now)
+			s.setState(p.target, peer.Suspect, m.Incarnation, s.cfg.Index, now)
 		case m.State == peer.Suspect:
-			s.doubt(p.who, s.t.Me)
+			s.confirmSuspicion(p.target, s.cfg.Index)
 		}
 	}
 }
 
-// slow lengthens a time for fleets in which word takes longer to get about.
-func (s *Swim) slow(t int64) int64 {
-	return int64(float64(t) * max(1, math.Log10(float64(s.alive))/crowd))
+// scaleBySize lengthens a time for large fleets, in which updates spread more slowly.
+func (s *Membership) scaleBySize(t int64) int64 {
+	return int64(float64(t) * max(1, math.Log10(float64(s.alive))/largeFleetLog))
 }
 
-// Patience is how long a suspect may be silent: it falls from its most to its least as further members confirm (Lifeguard).
-func (s *Swim) Patience(doubts int) int64 {
-	least := float64(s.slow(s.t.Quiet))
+// SuspicionTimeout returns how long a suspect may be silent. It falls from its maximum to its minimum as further
+// members confirm the suspicion (Lifeguard).
+func (s *Membership) SuspicionTimeout(suspecting int) int64 {
+	least := float64(s.scaleBySize(s.cfg.MinSilence))
 	most := 2 * least
-	k, part := float64(min(confirmers, s.alive-2)), 1.0
-	if k > 0 { // somebody is there to confirm
-		part = math.Log(float64(max(1, doubts))) / math.Log(k+1)
+	k, part := float64(min(maxConfirmations, s.alive-2)), 1.0
+	if k > 0 { // there are members that can confirm
+		part = math.Log(float64(max(1, suspecting))) / math.Log(k+1)
 	}
-	return s.wait(int64(max(least, most-(most-least)*part)))
+	return s.scaleByHealth(int64(max(least, most-(most-least)*part)))
 }
 
-// bury declares those dead that were suspected and silent for long enough.
-func (s *Swim) bury(now int64) {
-	for _, i := range s.doubted {
+// checkSuspects declares suspects dead that were silent for long enough.
+func (s *Membership) checkSuspects(now int64) {
+	for _, i := range s.suspects {
 		m := &s.members[i]
-		switch quiet := now - m.Heard; {
+		switch silence := now - m.LastHeard; {
 		case m.State != peer.Suspect:
-		case quiet >= s.Patience(len(m.doubts)) && now-m.Since >= s.slow(verdict*s.t.AckWait): // it had time to refute
-			s.become(i, peer.Dead, m.Life, s.t.Me, now)
-		case quiet < s.t.AckWait && m.Since < m.Heard:
-			// Heard since it was suspected. It refutes to all; here its word is enough.
-			m.State, m.doubts, m.Since = peer.Alive, nil, now
-			s.changes = append(s.changes, Change{i, Word(peer.Suspect), peer.Alive, i, now})
+		case silence >= s.SuspicionTimeout(len(m.suspectedBy)) && now-m.Since >= s.scaleBySize(suspectAfterTimeouts*s.cfg.AckTimeout): // it had time to refute
+			s.setState(i, peer.Dead, m.Incarnation, s.cfg.Index, now)
+		case silence < s.cfg.AckTimeout && m.Since < m.LastHeard:
+			// It was heard since it was suspected. It refutes the suspicion to all; here the datagram is enough.
+			m.State, m.suspectedBy, m.Since = peer.Alive, nil, now
+			s.changes = append(s.changes, Change{i, StateName(peer.Suspect), peer.Alive, i, now})
 		}
 	}
-	s.doubted = slices.DeleteFunc(s.doubted, func(i int) bool { return s.members[i].State != peer.Suspect })
+	s.suspects = slices.DeleteFunc(s.suspects, func(i int) bool { return s.members[i].State != peer.Suspect })
 }
 
-// Leave tells of the end of this process.
-func (s *Swim) Leave() {
+// Leave tells other members that this process ends.
+func (s *Membership) Leave() {
 	s.left = true
-	n := helpers
-	if s.alive <= fewMembers {
+	n := indirectPingers
+	if s.alive <= smallFleet {
 		n = s.alive
 	}
-	for _, to := range s.some(n, -1) {
-		for range farewells {
-			s.send(to, peer.Leave, 0, s.t.Me)
+	for _, to := range s.randomAlive(n, -1) {
+		for range leaveCopies {
+			s.send(to, peer.Leave, 0, s.cfg.Index)
 		}
 	}
 }
 
-// Word is a state's name.
-func Word(s peer.State) string {
+// StateName returns the name of a state.
+func StateName(s peer.State) string {
 	return [...]string{peer.Alive: "alive", peer.Suspect: "suspect", peer.Dead: "dead", peer.Left: "left"}[s]
 }
