--- a/keys/idempotency/store.go
+++ b/keys/idempotency/store.go
@@ -40,7 +40,7 @@
 // Outcome is how a key's request ended.
 type Outcome int
 
-// The outcomes, as the decision module tells them apart.
+// The outcomes, as the balancer tells them apart.
 const (
 	Served  Outcome = iota
 	Denied          // provably not executed
