--- a/fleet/lease/election.go
+++ b/fleet/lease/election.go
@@ -1,10 +1,10 @@
 package lease
 
-// This file owns who owns a limit: a voter promises it to one member at a time, for a stated time from its
-// answer; whoever has a majority's promises owns, for the same time from when it asked, so that its own ends
-// first. Who would own asks first who would promise, so that one that hears nobody takes no promises. It must
-// never promise while a promise may be out, of an earlier life's too, nor have two in authority at any
-// moment.
+// This file holds the election of a limit's owner. A voter promises the limit to one candidate at a time, for a fixed
+// duration from its answer. A candidate with the promises of a majority is the owner for the same duration from when it
+// asked, so that its own period ends first. A candidate first asks who would promise (a pre-vote), so that one that
+// receives no answers collects no promises. A voter must never promise while another promise may be valid, one of its
+// earlier incarnation included, and there must never be two owners at once.
 
 import (
 	"math/bits"
@@ -12,160 +12,164 @@
 )
 
 const (
-	standApart = 100 * ms // between members of neighbouring rank
-	standFor   = 300 * ms // after which one without a majority gives up
+	candidacyStagger = 100 * ms // between the campaigns of voters of neighbouring rank
+	candidacyTimeout = 300 * ms // after which a candidate without a majority gives up
 )
 
-// vote is what this member has promised.
+// vote is the promise that this member has given as a voter.
 type vote struct {
-	mute int64  // by sure: until then an earlier life's promises may be out
-	seen uint64 // highest term
-	to   int
-	life uint64 // of to
-	term uint64
-	end  int64 // by sure
+	silentUntil          int64  // by Member.elapsed: until then promises of an earlier incarnation may be valid
+	highestTerm          uint64 // of all vote requests
+	candidate            int
+	candidateIncarnation uint64
+	term                 uint64
+	expires              int64 // by Member.elapsed
 }
 
-// bid is this member's own try to own.
-type bid struct {
-	on    bool
-	would uint64 // voters that would promise, as bits
-	term  uint64 // unique with this member's life
-	seen  uint64
-	count uint64  // of tries; 0: it only asks who would
-	sent  int64   // by the clock
-	oks   []int64 // by voter: when what it promised to was sent
-	from  int64   // by sure: since when
-	next  int64   // by sure
+// candidacy is this member's own campaign for ownership.
+type candidacy struct {
+	active      bool
+	prevotes    uint64 // bit set of the voters that would promise
+	term        uint64 // unique together with this member's incarnation
+	highestTerm uint64
+	round       uint64  // of vote requests; 0: pre-vote
+	sentAt      int64   // of the latest round, by the clock
+	promisedAt  []int64 // by voter: when the request that it answered with a promise was sent
+	startedAt   int64   // by Member.elapsed
+	nextAt      int64   // of the next round or campaign, by Member.elapsed
 }
 
-// stood answers one that would own.
-func (m *Member) stood(l *limit, from int, life uint64, it Item) {
+// handleVoteRequest answers a candidate.
+func (m *Member) handleVoteRequest(l *limitState, from int, incarnation uint64, it Item) {
 	v := &l.vote
-	if m.t.Index >= m.t.Voters || from >= m.t.Voters || m.sure < v.mute {
+	if m.cfg.Index >= m.cfg.Voters || from >= m.cfg.Voters || m.elapsed < v.silentUntil {
 		return
 	}
-	if it.Term < v.seen || m.sure < v.end && (v.to != from || v.life != life) {
-		m.post(from, l, Item{Kind: Refuse, Term: v.seen})
+	if it.Term < v.highestTerm || m.elapsed < v.expires && (v.candidate != from || v.candidateIncarnation != incarnation) {
+		m.send(from, l, Item{Kind: VoteRefusal, Term: v.highestTerm})
 		return
 	}
-	if it.Count == 0 {
-		if l.bid.on && from != m.t.Index { // both would: the one of lower rank goes on
-			if l.rank[from] > l.rank[m.t.Index] {
-				m.post(from, l, Item{Kind: Refuse, Term: v.seen})
+	if it.Seq == 0 {
+		if l.candidacy.active && from != m.cfg.Index { // both campaign: the one of lower rank goes on
+			if l.rank[from] > l.rank[m.cfg.Index] {
+				m.send(from, l, Item{Kind: VoteRefusal, Term: v.highestTerm})
 				return
 			}
-			m.resign(l)
+			m.stepDown(l)
 		}
-		m.post(from, l, Item{Kind: Vote, Term: it.Term, Epoch: life})
+		m.send(from, l, Item{Kind: Vote, Term: it.Term, Epoch: incarnation})
 		return
 	}
-	v.seen, v.to, v.life, v.term, v.end = it.Term, from, life, it.Term, m.sure+m.lasts(l.authority())
-	m.post(from, l, Item{Kind: Vote, Term: it.Term, Epoch: life, Count: it.Count})
+	v.highestTerm, v.candidate, v.candidateIncarnation, v.term, v.expires =
+		it.Term, from, incarnation, it.Term, m.elapsed+m.worstCaseDuration(l.ownershipDuration())
+	m.send(from, l, Item{Kind: Vote, Term: it.Term, Epoch: incarnation, Seq: it.Seq})
 }
 
-// freed takes back a promise that is not wanted any more.
-func (v *vote) freed(from int, life, term uint64) {
-	if v.to == from && v.life == life && v.term == term {
-		v.end = 0
+// release ends a promise that its candidate has returned.
+func (v *vote) release(from int, incarnation, term uint64) {
+	if v.candidate == from && v.candidateIncarnation == incarnation && v.term == term {
+		v.expires = 0
 	}
 }
 
-// voted takes a promise.
-func (m *Member) voted(l *limit, from int, it Item, now int64) {
-	b := &l.bid
-	if !b.on || it.Term != b.term || it.Epoch != m.t.Incarnation || it.Count != b.count || from >= m.t.Voters {
-		m.Count.Unasked++
+// handleVote counts a promise or the answer to a pre-vote.
+func (m *Member) handleVote(l *limitState, from int, it Item, now int64) {
+	c := &l.candidacy
+	if !c.active || it.Term != c.term || it.Epoch != m.cfg.Incarnation || it.Seq != c.round || from >= m.cfg.Voters {
+		m.Drops.Unsolicited++
 		return
 	}
-	if b.count == 0 {
-		if b.would |= 1 << from; bits.OnesCount64(b.would) > m.t.Voters/2 {
-			m.try(l, now)
+	if c.round == 0 {
+		if c.prevotes |= 1 << from; bits.OnesCount64(c.prevotes) > m.cfg.Voters/2 {
+			m.requestVotes(l, now)
 		}
 		return
 	}
-	if l.own != nil && !m.owns(l, now) { // another may have owned since
-		m.resign(l)
+	if l.ownership != nil && !m.owns(l, now) { // another member may have been the owner since
+		m.stepDown(l)
 		return
 	}
-	b.oks[from] = b.sent
-	if l.own == nil && now < m.until(l) {
-		l.own = newOwner(b.term, m.t.Members, m.sure+m.lasts(l.LeaseDuration)+m.linger(l))
+	c.promisedAt[from] = c.sentAt
+	if l.ownership == nil && now < m.ownershipEnd(l) {
+		l.ownership = newOwnership(c.term, m.cfg.Members, m.elapsed+m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l))
 	}
 }
 
-// until is when this member's authority ends, by the clock.
-func (m *Member) until(l *limit) int64 {
-	if !l.bid.on {
+// ownershipEnd is when this member's ownership expires, by the clock; never if it has no majority.
+func (m *Member) ownershipEnd(l *limitState) int64 {
+	if !l.candidacy.active {
 		return never
 	}
-	at := slices.Sorted(slices.Values(l.bid.oks))
-	if x := at[len(at)-(m.t.Voters/2+1)]; x != never {
-		return x + l.authority()
+	at := slices.Sorted(slices.Values(l.candidacy.promisedAt))
+	if x := at[len(at)-(m.cfg.Voters/2+1)]; x != never {
+		return x + l.ownershipDuration()
 	}
 	return never
 }
 
 const never = int64(-1 << 62)
 
-// owns says whether this member is in authority.
-func (m *Member) owns(l *limit, now int64) bool { return l.own != nil && now < m.until(l) }
+// owns reports whether this member is the owner now.
+func (m *Member) owns(l *limitState, now int64) bool {
+	return l.ownership != nil && now < m.ownershipEnd(l)
+}
 
-// stand tries to own a limit that nobody seems to, and stays its owner.
-func (m *Member) stand(l *limit, now int64) {
-	b, v := &l.bid, &l.vote
-	if m.t.Index >= m.t.Voters {
+// campaign runs for ownership of a limit that seems to have no owner, and renews an ownership.
+func (m *Member) campaign(l *limitState, now int64) {
+	c, v := &l.candidacy, &l.vote
+	if m.cfg.Index >= m.cfg.Voters {
 		return
 	}
 	switch {
-	case b.on && l.own != nil && !m.owns(l, now), b.on && l.own == nil && m.sure-b.from > standFor:
-		m.resign(l)
+	case c.active && l.ownership != nil && !m.owns(l, now),
+		c.active && l.ownership == nil && m.elapsed-c.startedAt > candidacyTimeout:
+		m.stepDown(l)
 		return
-	case b.on:
-	case m.sure < v.mute:
+	case c.active:
+	case m.elapsed < v.silentUntil:
 		return
-	case m.sure < v.end: // promised to another
-		b.next = v.end + m.late(l)
+	case m.elapsed < v.expires: // promised to another candidate
+		c.nextAt = v.expires + m.candidacyDelay(l)
 		return
-	case m.sure < b.next:
+	case m.elapsed < c.nextAt:
 		return
 	default:
-		b.on, b.from, b.count, b.would = true, m.sure, 0, 0
-		b.term = (max(v.seen, b.seen)>>6+1)<<6 | uint64(m.t.Index)
-		b.oks = slices.Repeat([]int64{never}, m.t.Voters)
-		m.say(l, Item{Kind: Stand, Term: b.term})
+		c.active, c.startedAt, c.round, c.prevotes = true, m.elapsed, 0, 0
+		c.term = (max(v.highestTerm, c.highestTerm)>>6+1)<<6 | uint64(m.cfg.Index)
+		c.promisedAt = slices.Repeat([]int64{never}, m.cfg.Voters)
+		m.sendToVoters(l, Item{Kind: VoteRequest, Term: c.term})
 		return
 	}
-	if l.own != nil {
-		m.cry(l)
+	if l.ownership != nil {
+		m.announce(l)
 	}
-	if b.count > 0 && m.sure >= b.next {
-		m.try(l, now)
+	if c.round > 0 && m.elapsed >= c.nextAt {
+		m.requestVotes(l, now)
 	}
 }
 
-// try asks for promises, at first and again while they last.
-func (m *Member) try(l *limit, now int64) {
-	b := &l.bid
-	b.count++
-	b.sent, b.next = now, m.sure+l.authority()/4
-	m.say(l, Item{Kind: Stand, Term: b.term, Count: b.count})
+// requestVotes asks the voters for promises, at first and to renew them.
+func (m *Member) requestVotes(l *limitState, now int64) {
+	c := &l.candidacy
+	c.round++
+	c.sentAt, c.nextAt = now, m.elapsed+l.ownershipDuration()/4
+	m.sendToVoters(l, Item{Kind: VoteRequest, Term: c.term, Seq: c.round})
 }
 
-// say tells all voters.
-func (m *Member) say(l *limit, it Item) {
-	for i := range m.t.Voters {
-		m.post(i, l, it)
+// sendToVoters sends an item to all voters.
+func (m *Member) sendToVoters(l *limitState, it Item) {
+	for i := range m.cfg.Voters {
+		m.send(i, l, it)
 	}
 }
 
-// resign ends a bid, or its ownership: from here on nothing is granted by it.
-func (m *Member) resign(l *limit) {
-	b := &l.bid
-	if !b.on {
+// stepDown ends a candidacy or ownership: from then on it grants nothing.
+func (m *Member) stepDown(l *limitState) {
+	c := &l.candidacy
+	if !c.active {
 		return
 	}
-	l.own, b.on = nil, false
-	b.next = m.sure + standApart + m.late(l) + int64(m.dice.Next()*float64(2*standApart))
-	m.say(l, Item{Kind: Free, Term: b.term})
+	l.ownership, c.active = nil, false
+	c.nextAt = m.elapsed + candidacyStagger + m.candidacyDelay(l) + int64(m.random.Next()*float64(2*candidacyStagger))
+	m.sendToVoters(l, Item{Kind: VoteRelease, Term: c.term})
 }
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -11,41 +11,43 @@
 	"ivybank/internal/rng"
 )
 
-// The graph of a fleet of three with one strict limit: in steps of a fifth of a second, in any of which one
-// member may be killed, or stopped before it, amid it when it has sent and not heard, or heard and not sent
-// (and come back in any later one), and one member cut off, both ways or one. What ran at servers for one
-// that is killed runs on. States are the cores' own, with times, terms and counts taken from where they stand
-// now, so that what differs by age alone is one state.
+// Exhaustive search of the states of a fleet of three with one strict limit, in steps of 200 ms. In any step one member
+// may be killed, or stopped before the step, after sending and before receiving, or after receiving and before sending,
+// and return in any later step; and one member may be cut off, in both directions or one. Reqs of a killed member go on
+// running at the servers. The states are those of the members themselves; times, terms and sequence numbers are taken
+// relative to the present, so that states that differ only in age are one.
 
 const (
-	quantum = 200 * ms
-	three   = 3
+	graphStep    = 200 * ms
+	graphMembers = 3
 )
 
-var walked = Limit{Name: "one", Kind: InFlight, Units: 6, LeaseDuration: 1200 * ms, MaxRequestDuration: 600 * ms, Strict: true}
+var graphLimit = Limit{Name: "one", Kind: InFlight, Units: 6, LeaseDuration: 1200 * ms,
+	MaxRequestDuration: 600 * ms, Strict: true}
 
-// cuts: 0 none; else member (c-1)/3 is cut off, both ways, from what it sends or from what it hears.
-const kindsOfCut = 3 * three
+// Values of graphState.cut: 0 for none; otherwise member (cut-1)/3 is cut off, by (cut-1)%3 in both directions, from
+// sending or from receiving.
+const cutKinds = 3 * graphMembers
 
-type letter struct {
+type message struct {
 	from, to int
 	d        Datagram
 }
 
-// graphState is one of the fleet.
+// graphState is one state of the fleet.
 type graphState struct {
-	procs   [three]*process // nil: it is dead
-	lives   [three]uint64
-	now     int64
-	hurt    int // member that is killed or stopped; -1: none now
-	stopped bool
-	midway  int // in which it stops: 0 before it, 1 having sent, 2 having heard
-	runs    int // reqs of one that was killed,
-	until   int64
-	waits   []letter // at the one that is stopped
-	cut     int
-	hurts   int // that may still come
-	cuts    int
+	procs         [graphMembers]*process // nil: killed
+	incarnations  [graphMembers]uint64
+	now           int64
+	faulty        int // member that is killed or stopped now; -1: none
+	stopped       bool
+	midway        int // where in the step it stops: 0 at its start, 1 after sending, 2 after receiving
+	orphaned      int // running reqs of a killed member, until orphanedUntil
+	orphanedUntil int64
+	queued        []message // for the stopped member
+	cut           int
+	faultsLeft    int // faults that may still occur
+	cutsLeft      int
 }
 
 func (p *process) clone() *process {
@@ -53,26 +55,27 @@
 		return nil
 	}
 	m := p.Member
-	n := &Member{t: m.t, last: m.last, sure: m.sure, dice: m.dice, Count: m.Count, todo: slices.Clone(m.todo)}
+	n := &Member{cfg: m.cfg, lastClock: m.lastClock, elapsed: m.elapsed, random: m.random, Drops: m.Drops,
+		outbox: slices.Clone(m.outbox)}
 	for _, l := range m.limits {
-		c := &limit{Limit: l.Limit, id: l.id, rank: l.rank, vote: l.vote, bid: l.bid, hold: l.hold}
-		c.bid.oks = slices.Clone(l.bid.oks)
-		if l.own != nil {
-			o := *l.own
-			o.who, o.parts = slices.Clone(o.who), slices.Clone(o.parts)
-			for i := range o.who {
-				o.who[i].ghosts = slices.Clone(o.who[i].ghosts)
+		c := &limitState{Limit: l.Limit, id: l.id, rank: l.rank, vote: l.vote, candidacy: l.candidacy, holder: l.holder}
+		c.candidacy.promisedAt = slices.Clone(l.candidacy.promisedAt)
+		if l.ownership != nil {
+			o := *l.ownership
+			o.members, o.shares = slices.Clone(o.members), slices.Clone(o.shares)
+			for i := range o.members {
+				o.members[i].previous = slices.Clone(o.members[i].previous)
 			}
-			c.own = &o
+			c.ownership = &o
 		}
-		x := newLine(&l.Limit)
-		x.until.Store(l.hold.line.until.Load())
-		x.units.Store(l.hold.line.units.Load())
-		c.hold.line = x
+		x := newLocalLimit(&l.Limit)
+		x.validUntil.Store(l.holder.local.validUntil.Load())
+		x.units.Store(l.holder.local.units.Load())
+		c.holder.local = x
 		n.limits = append(n.limits, c)
 	}
-	n.publish(m.last)
-	n.tick.Store(m.tick.Load())
+	n.publishLimiter(m.lastClock)
+	n.lastTick.Store(m.lastTick.Load())
 	return &process{Member: n, flaw: p.flaw}
 }
 
@@ -81,17 +84,18 @@
 	for i, p := range g.procs {
 		n.procs[i] = p.clone()
 	}
-	n.waits = slices.Clone(g.waits)
+	n.queued = slices.Clone(g.queued)
 	return &n
 }
 
 func (g *graphState) start(i int, f flaw) {
-	g.lives[i]++
-	t := Config{Index: i, Members: three, Voters: three, Incarnation: g.lives[i], DriftPPM: 100, Limits: []Limit{walked}}
+	g.incarnations[i]++
+	t := Config{Index: i, Members: graphMembers, Voters: graphMembers, Incarnation: g.incarnations[i], DriftPPM: 100,
+		Limits: []Limit{graphLimit}}
 	g.procs[i] = &process{Member: New(t, g.now), flaw: f}
 }
 
-func (g *graphState) passes(from, to int) bool {
+func (g *graphState) connected(from, to int) bool {
 	if g.cut == 0 {
 		return true
 	}
@@ -99,53 +103,53 @@
 	return !(from == who && way != 2) && !(to == who && way != 1)
 }
 
-// step lets a quantum of time pass.
+// step advances the time by graphStep.
 func (g *graphState) step() {
-	g.now += quantum
-	var wire []letter
+	g.now += graphStep
+	var inFlight []message
 	send := func(i int) {
 		for p := g.procs[i]; ; {
 			to, d, ok := p.Member.NextDatagram()
 			if !ok {
 				return
 			}
-			wire = append(wire, letter{i, to, d})
+			inFlight = append(inFlight, message{i, to, d})
 		}
 	}
-	hear := func(l letter) {
+	hear := func(l message) {
 		l.d.Items = slices.Clone(l.d.Items)
-		g.procs[l.to].hears(l.from, &l.d, g.now)
-		if !(g.stopped && g.hurt == l.to && g.midway == 2) {
+		g.procs[l.to].receive(l.from, &l.d, g.now)
+		if !(g.stopped && g.faulty == l.to && g.midway == 2) {
 			send(l.to)
 		}
 	}
-	for _, l := range g.waits {
+	for _, l := range g.queued {
 		if !g.stopped && g.procs[l.to] != nil {
 			hear(l)
 		}
 	}
 	if !g.stopped {
-		g.waits = nil
+		g.queued = nil
 	}
 	for i, p := range g.procs {
-		if p == nil || g.stopped && g.hurt == i && g.midway == 0 {
+		if p == nil || g.stopped && g.faulty == i && g.midway == 0 {
 			continue
 		}
-		h := &p.limits[0].hold
-		h.line.denied.Store(1) // always more is wanted
+		h := &p.limits[0].holder
+		h.local.denied.Store(1) // the demand always exceeds the lease
 		p.Tick(g.now)
-		h.want = walked.Units
-		if !(g.stopped && g.hurt == i && g.midway == 2) {
+		h.want = graphLimit.Units
+		if !(g.stopped && g.faulty == i && g.midway == 2) {
 			send(i)
 		}
 	}
-	for n := 0; n < len(wire); n++ {
-		l := wire[n]
+	for n := 0; n < len(inFlight); n++ {
+		l := inFlight[n]
 		switch {
-		case g.procs[l.to] == nil || !g.passes(l.from, l.to):
-		case g.stopped && g.hurt == l.to && g.midway != 2:
-			if len(g.waits) < 6 { // what came first is what is oldest when it wakes
-				g.waits = append(g.waits, l)
+		case g.procs[l.to] == nil || !g.connected(l.from, l.to):
+		case g.stopped && g.faulty == l.to && g.midway != 2:
+			if len(g.queued) < 6 { // keeps the first six, which are the oldest when it wakes
+				g.queued = append(g.queued, l)
 			}
 		default:
 			hear(l)
@@ -154,19 +158,19 @@
 	g.midway = 0
 	for _, p := range g.procs {
 		if p != nil {
-			p.dice, p.Count = rng.Source{}, Count{} // the same draw each time
+			p.random, p.Drops = rng.Source{}, DropCounts{} // random draws are the same in each step
 		}
 	}
 }
 
-// sum is what may be in use.
-func (g *graphState) sum() (n int) {
-	if g.now < g.until {
-		n = g.runs
+// totalInUse returns how many units may be in use.
+func (g *graphState) totalInUse() (n int) {
+	if g.now < g.orphanedUntil {
+		n = g.orphaned
 	}
 	for _, p := range g.procs {
 		if p != nil {
-			if x := p.limits[0].hold.line; g.now < x.until.Load() && g.now-p.tick.Load() <= stale {
+			if x := p.limits[0].holder.local; g.now < x.validUntil.Load() && g.now-p.lastTick.Load() <= maxTickAge {
 				n += int(x.units.Load())
 			}
 		}
@@ -174,7 +178,7 @@
 	return n
 }
 
-// next is all that may follow.
+// next returns all successor states.
 func (g *graphState) next(f flaw) (all []*graphState) {
 	add := func(change func(n *graphState)) {
 		n := g.clone()
@@ -183,53 +187,53 @@
 		all = append(all, n)
 	}
 	add(func(*graphState) {})
-	if g.hurt >= 0 {
+	if g.faulty >= 0 {
 		add(func(n *graphState) {
 			if !n.stopped {
-				n.start(n.hurt, f)
+				n.start(n.faulty, f)
 			}
-			n.hurt, n.stopped = -1, false
+			n.faulty, n.stopped = -1, false
 		})
 	}
-	for i := range three {
-		if g.hurts > 0 && g.hurt < 0 {
+	for i := range graphMembers {
+		if g.faultsLeft > 0 && g.faulty < 0 {
 			add(func(n *graphState) {
-				if l := n.procs[i].limits[0]; n.now < l.hold.end {
-					n.runs, n.until = l.hold.units, n.now+walked.MaxRequestDuration
+				if l := n.procs[i].limits[0]; n.now < l.holder.expires {
+					n.orphaned, n.orphanedUntil = l.holder.units, n.now+graphLimit.MaxRequestDuration
 				}
-				n.hurts--
-				n.hurt, n.procs[i] = i, nil
+				n.faultsLeft--
+				n.faulty, n.procs[i] = i, nil
 			})
 			for midway := range 3 {
-				add(func(n *graphState) { n.hurts--; n.hurt, n.stopped, n.midway = i, true, midway })
+				add(func(n *graphState) { n.faultsLeft--; n.faulty, n.stopped, n.midway = i, true, midway })
 			}
 		}
 	}
 	if g.cut > 0 {
 		add(func(n *graphState) { n.cut = 0 })
 	}
-	for c := range kindsOfCut {
-		if g.cuts > 0 {
-			add(func(n *graphState) { n.cuts--; n.cut = c + 1 })
+	for c := range cutKinds {
+		if g.cutsLeft > 0 {
+			add(func(n *graphState) { n.cutsLeft--; n.cut = c + 1 })
 		}
 	}
 	return all
 }
 
-// letters are those that have not arrived.
-func (g *graphState) letters() []letter {
-	all := slices.Clone(g.waits)
+// undelivered returns the messages that have not arrived.
+func (g *graphState) undelivered() []message {
+	all := slices.Clone(g.queued)
 	for i, p := range g.procs {
 		if p != nil {
-			for _, x := range p.todo {
-				all = append(all, letter{i, x.to, Datagram{Life: p.t.Incarnation, Items: []Item{x.Item}}})
+			for _, x := range p.outbox {
+				all = append(all, message{i, x.to, Datagram{Incarnation: p.cfg.Incarnation, Items: []Item{x.Item}}})
 			}
 		}
 	}
 	return all
 }
 
-// key is a state with all that is told by ages alone left out.
+// key hashes a state without what differs by age alone.
 func (g *graphState) key(seed maphash.Seed) uint64 {
 	least := ^uint64(0)
 	low := func(t uint64) {
@@ -240,16 +244,16 @@
 	for _, p := range g.procs {
 		if p != nil {
 			l := p.limits[0]
-			low(l.vote.seen)
+			low(l.vote.highestTerm)
 			low(l.vote.term)
-			low(max(l.vote.seen, l.bid.seen))
-			low(l.hold.term)
-			if l.bid.on {
-				low(l.bid.term)
+			low(max(l.vote.highestTerm, l.candidacy.highestTerm))
+			low(l.holder.term)
+			if l.candidacy.active {
+				low(l.candidacy.term)
 			}
 		}
 	}
-	for _, w := range g.letters() {
+	for _, w := range g.undelivered() {
 		for _, it := range w.d.Items {
 			low(it.Term)
 		}
@@ -272,30 +276,30 @@
 		}
 		return 0
 	}
-	put(int64(g.hurt), bit(g.stopped), int64(g.cut), int64(g.hurts), int64(g.cuts))
-	if g.now < g.until {
-		put(int64(g.runs), g.until-g.now)
+	put(int64(g.faulty), bit(g.stopped), int64(g.cut), int64(g.faultsLeft), int64(g.cutsLeft))
+	if g.now < g.orphanedUntil {
+		put(int64(g.orphaned), g.orphanedUntil-g.now)
 	}
 	past := func(at, now, most int64) int64 { return max(at-now, -most) }
-	// Of asks' counts only the order matters: those to come are above all.
-	var counts [three][]uint64
+	// Of the sequence numbers of lease requests only the order matters: later ones are greater than all.
+	var counts [graphMembers][]uint64
 	for i, p := range g.procs {
 		for _, q := range g.procs {
-			if q != nil && q.limits[0].own != nil {
-				counts[i] = append(counts[i], q.limits[0].own.who[i].count)
+			if q != nil && q.limits[0].ownership != nil {
+				counts[i] = append(counts[i], q.limits[0].ownership.members[i].seq)
 			}
 		}
 		if p != nil {
-			counts[i] = append(counts[i], p.limits[0].hold.count)
+			counts[i] = append(counts[i], p.limits[0].holder.requestSeq)
 		}
 	}
-	for _, w := range g.letters() {
+	for _, w := range g.undelivered() {
 		for _, it := range w.d.Items {
 			switch it.Kind {
-			case Ask:
-				counts[w.from] = append(counts[w.from], it.Count)
-			case Grant:
-				counts[w.to] = append(counts[w.to], it.Count)
+			case LeaseRequest:
+				counts[w.from] = append(counts[w.from], it.Seq)
+			case LeaseGrant:
+				counts[w.to] = append(counts[w.to], it.Seq)
 			}
 		}
 	}
@@ -305,106 +309,107 @@
 	}
 	rank := func(i int, count uint64) int64 { return int64(slices.Index(counts[i], count)) }
 	for i, p := range g.procs {
-		put(int64(g.lives[i]))
+		put(int64(g.incarnations[i]))
 		if p == nil {
 			put(-1)
 			continue
 		}
-		l, s := p.limits[0], p.sure
-		v, d, h := &l.vote, &l.bid, &l.hold
-		full := p.lasts(l.LeaseDuration) + p.linger(l)
-		put(past(p.last, g.now, full), past(v.mute, s, 0), int64(term(v.seen)), past(v.end, s, 0), min(s, full+1))
-		if s < v.end {
-			put(int64(v.to), int64(v.life), int64(term(v.term)))
-		}
-		put(bit(d.on), int64(term(max(v.seen, d.seen))), past(d.next, s, 0))
-		if d.on {
-			put(int64(term(d.term)), min(int64(d.count), 1))
-			if d.count == 0 {
-				put(int64(d.would))
+		l, s := p.limits[0], p.elapsed
+		v, d, h := &l.vote, &l.candidacy, &l.holder
+		full := p.worstCaseDuration(l.LeaseDuration) + p.maxOverrun(l)
+		put(past(p.lastClock, g.now, full), past(v.silentUntil, s, 0), int64(term(v.highestTerm)), past(v.expires, s, 0),
+			min(s, full+1))
+		if s < v.expires {
+			put(int64(v.candidate), int64(v.candidateIncarnation), int64(term(v.term)))
+		}
+		put(bit(d.active), int64(term(max(v.highestTerm, d.highestTerm))), past(d.nextAt, s, 0))
+		if d.active {
+			put(int64(term(d.term)), min(int64(d.round), 1))
+			if d.round == 0 {
+				put(int64(d.prevotes))
 			}
-			if l.own == nil {
-				put(past(d.from, s, standFor+1))
+			if l.ownership == nil {
+				put(past(d.startedAt, s, candidacyTimeout+1))
 			}
-			for _, at := range d.oks {
+			for _, at := range d.promisedAt {
 				put(past(at, g.now, full))
 			}
-			put(past(d.sent, g.now, full))
+			put(past(d.sentAt, g.now, full))
 		}
-		if o := l.own; o != nil {
-			put(int64(term(o.term)), past(o.ready, s, 0), int64(o.cried))
-			if s < o.ready {
-				put(int64(o.pool), int64(o.told))
+		if o := l.ownership; o != nil {
+			put(int64(term(o.term)), past(o.readyAt, s, 0), int64(o.announced))
+			if s < o.readyAt {
+				put(int64(o.reportedUnits), int64(o.reportedMembers))
 			}
-			for j := range o.who {
-				x := &o.who[j]
-				put(int64(x.life), rank(j, x.count), bit(x.told), past(x.heard, s, full+1), past(x.end, s, 0))
-				if s < x.end {
-					put(int64(x.use))
+			for j := range o.members {
+				x := &o.members[j]
+				put(int64(x.incarnation), rank(j, x.seq), bit(x.reported), past(x.heardAt, s, full+1), past(x.expires, s, 0))
+				if s < x.expires {
+					put(int64(x.units))
 				}
-				for _, gh := range x.ghosts {
-					if s < gh.end {
-						put(int64(gh.use), past(gh.end, s, 0))
+				for _, gh := range x.previous {
+					if s < gh.expires {
+						put(int64(gh.units), past(gh.expires, s, 0))
 					}
 				}
 			}
 		}
-		put(int64(h.owner), int64(term(h.term)), int64(h.epoch), bit(h.open), int64(min(h.silent, patient)),
-			past(h.at, s, l.LeaseDuration), bit(h.soon), past(h.end, g.now, 0), bit(h.paused), rank(i, h.count))
-		if h.open {
-			put(past(h.sent, g.now, full))
+		put(int64(h.owner), int64(term(h.term)), int64(h.epoch), bit(h.pending), int64(min(h.unanswered, maxUnanswered)),
+			past(h.sentAtElapsed, s, l.LeaseDuration), bit(h.renewNow), past(h.expires, g.now, 0), bit(h.timeSkipped),
+			rank(i, h.requestSeq))
+		if h.pending {
+			put(past(h.sentAt, g.now, full))
 		}
-		if g.now < h.end {
+		if g.now < h.expires {
 			put(int64(h.units))
 		}
-		if h.owner < 0 || h.silent > 0 {
-			put(int64(h.count % three))
+		if h.owner < 0 || h.unanswered > 0 {
+			put(int64(h.requestSeq % graphMembers))
 		}
 	}
-	tried := func(who int, it Item) int64 { // of a bid: none, the latest, an older one
-		if p := g.procs[who]; it.Count > 0 && p != nil && p.limits[0].bid.count == it.Count {
+	tried := func(who int, it Item) int64 { // a round of a candidacy: 0 pre-vote, 2 the latest, 1 an older one
+		if p := g.procs[who]; it.Seq > 0 && p != nil && p.limits[0].candidacy.round == it.Seq {
 			return 2
 		}
-		return min(int64(it.Count), 1)
+		return min(int64(it.Seq), 1)
 	}
-	for _, w := range g.letters() {
-		put(int64(w.from), int64(w.to), int64(w.d.Life))
+	for _, w := range g.undelivered() {
+		put(int64(w.from), int64(w.to), int64(w.d.Incarnation))
 		for _, it := range w.d.Items {
 			var count int64
 			switch it.Kind {
-			case Ask:
-				count = rank(w.from, it.Count)
-			case Grant:
-				count = rank(w.to, it.Count)
-			case Stand:
+			case LeaseRequest:
+				count = rank(w.from, it.Seq)
+			case LeaseGrant:
+				count = rank(w.to, it.Seq)
+			case VoteRequest:
 				count = tried(w.from, it)
 			case Vote:
 				count = tried(w.to, it)
 			}
-			put(int64(it.Kind), int64(term(it.Term)), int64(it.Epoch), count, int64(it.Want), int64(it.Use),
+			put(int64(it.Kind), int64(term(it.Term)), int64(it.Epoch), count, int64(it.Want), int64(it.Units),
 				bit(it.Settled))
 		}
 	}
 	return maphash.Bytes(seed, b)
 }
 
-// walk goes through the graph, first what is nearest, and gives the number of states, and the first that is
-// over.
+// walk searches the states breadth-first. It returns their number, and the first violation of the limit.
 func walk(f flaw, hurts, cuts, most int) (states int, over string) {
 	seed := maphash.MakeSeed()
-	g := &graphState{now: sec, hurt: -1, hurts: hurts, cuts: cuts}
-	for i := range three {
+	g := &graphState{now: sec, faulty: -1, faultsLeft: hurts, cutsLeft: cuts}
+	for i := range graphMembers {
 		g.start(i, f)
 	}
-	for range 60 { // in calm, until a lease is out
+	for range 60 { // without faults, until a lease is granted
 		g.step()
 	}
 	seen := map[uint64]bool{g.key(seed): true}
 	for todo := []*graphState{g}; len(todo) > 0; {
 		g, todo = todo[0], todo[1:]
 		for _, n := range g.next(f) {
-			if sum := n.sum(); sum > walked.Units {
-				return len(seen), fmt.Sprintf("%d in force of %d", sum, walked.Units)
+			if sum := n.totalInUse(); sum > graphLimit.Units {
+				return len(seen), fmt.Sprintf("%d units usable, want at most %d", sum, graphLimit.Units)
 			}
 			if k := n.key(seed); !seen[k] {
 				seen[k] = true
@@ -418,16 +423,16 @@
 	return len(seen), ""
 }
 
-// The whole graph has no state that is over, and each flawed build is found in it.
+// No state of the whole graph exceeds the limit, and each faulty variant is found in it.
 func TestGraph(t *testing.T) {
-	for f, name := range map[flaw]string{sound: "sound", unfenced: "no fencing",
-		fromReceipt: "lease counted from receipt", fresh: "fresh allowance on restart"} {
+	for f, name := range map[flaw]string{flawNone: "sound", flawUnfenced: "no fencing",
+		flawLeaseFromReceipt: "lease counted from receipt", flawForgetsEarlierLeases: "fresh allowance on restart"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			states, over := walk(f, 1, 1, 1<<20)
-			t.Logf("%d states: %s", states, cmp.Or(over, "the whole graph, none over"))
-			if states > 1<<20 || (over == "") != (f == sound) {
-				t.Errorf("%s", cmp.Or(over, "not whole, or not found"))
+			t.Logf("%d states: %s", states, cmp.Or(over, "whole graph, no violation"))
+			if states > 1<<20 || (over == "") != (f == flawNone) {
+				t.Errorf("%s", cmp.Or(over, "search not complete, or faulty variant not found"))
 			}
 		})
 	}
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -1,119 +1,121 @@
 package lease
 
-// This file owns what a member holds of a limit and asks for. A lease counts from when it was asked for, and
-// only the answer to the latest ask is taken. It must never use a unit past its lease, nor say that it holds
-// less than it may use.
+// This file holds a member's side of the leases: what it holds of each limit and requests. A lease counts from
+// when it was requested, and only the answer to the latest request is accepted. A member must never use a unit
+// past its lease, nor report that it holds less than it may use.
 
 const (
-	renewals = 8      // asks in a lease's time
-	hurry    = 20     // the same while what is wanted changes
-	apart    = 5 * ms // for each member, between the asks of one: in calm an owner answers 200 a second
-	patient  = 2      // asks without an answer after which others are asked who owns
+	renewalsPerLease     = 8      // requests in the duration of a lease
+	fastRenewalsPerLease = 20     // the same while the demand changes
+	minRequestGap        = 5 * ms // per member of the fleet: without faults an owner answers 200 requests a second
+	maxUnanswered        = 2      // requests without an answer after which other voters are asked for the owner
 )
 
-// holder is one limit's here.
+// holder is this member's lease of one limit, and its demand.
 type holder struct {
-	owner       int // place; -1: not known
-	term, epoch uint64
-	count       uint64
-	sent        int64 // by the clock, of the latest ask
-	open        bool  // it has no answer yet
-	silent      int   // asks without one
-	at          int64 // by sure, of the latest ask
-	soon        bool  // the next is due at once
-	asked       int   // what was wanted then
-	units       int
-	end         int64 // by the clock
-	want        int
-	demand      float64 // Rate: reqs in Per
-	carry       int64   // Rate: ns times units that have not made a whole req
-	tick        int64   // by the clock
-	accrued     int64   // by the clock: until when carry counts
-	paused      bool    // time was left out since the latest tick
-	gone        bool
-	line        *line
+	owner         int // index of the member; -1: unknown
+	term, epoch   uint64
+	requestSeq    uint64
+	sentAt        int64 // of the latest request, by the clock
+	pending       bool  // the latest request has no answer yet
+	unanswered    int   // requests since the latest answer
+	sentAtElapsed int64 // of the latest request, by Member.elapsed
+	renewNow      bool  // the next request is due at once
+	requested     int   // want in the latest request
+	units         int
+	expires       int64 // by the clock
+	want          int
+	demand        float64 // Rate: reqs in a period
+	accrual       int64   // Rate: ns times units that do not make up a whole token yet
+	countedAt     int64   // by the clock
+	accruedAt     int64   // by the clock: until when accrual is computed
+	timeSkipped   bool    // the clock jumped or the process was stopped since the latest tick
+	leaving       bool
+	local         *localLimit
 }
 
-// use does what is due of one limit.
-func (m *Member) use(l *limit, now int64) {
-	h := &l.hold
-	m.count(l, now)
-	m.show(l, now)
-	if h.gone {
+// maintainLease updates the demand for one limit and renews its lease when due.
+func (m *Member) maintainLease(l *limitState, now int64) {
+	h := &l.holder
+	m.updateDemand(l, now)
+	m.publishUnits(l, now)
+	if h.leaving {
 		return
 	}
-	every := max(l.LeaseDuration/renewals, int64(m.t.Members)*apart)
-	if h.want > h.asked || h.asked > 2*h.want || h.silent >= patient {
-		every = max(l.LeaseDuration/hurry, int64(m.t.Members)*apart/3)
+	every := max(l.LeaseDuration/renewalsPerLease, int64(m.cfg.Members)*minRequestGap)
+	if h.want > h.requested || h.requested > 2*h.want || h.unanswered >= maxUnanswered {
+		every = max(l.LeaseDuration/fastRenewalsPerLease, int64(m.cfg.Members)*minRequestGap/3)
 	}
-	if h.soon || m.sure-h.at >= every {
-		m.ask(l, now)
+	if h.renewNow || m.elapsed-h.sentAtElapsed >= every {
+		m.requestLease(l, now)
 	}
 }
 
-// ask tells what is wanted and what may be in use until the answer.
-func (m *Member) ask(l *limit, now int64) {
-	h := &l.hold
-	if h.open {
-		h.silent++
-	}
-	use := m.show(l, now)
-	h.count++
-	h.sent, h.at, h.open, h.asked, h.soon = now, m.sure, true, h.want, false
-	it := Item{Kind: Ask, Term: h.term, Epoch: h.epoch, Count: h.count, Want: h.want, Use: use,
-		Settled: m.sure > m.lasts(l.LeaseDuration)+m.linger(l)}
+// requestLease sends the owner the demand and what may be in use until its answer.
+func (m *Member) requestLease(l *limitState, now int64) {
+	h := &l.holder
+	if h.pending {
+		h.unanswered++
+	}
+	use := m.publishUnits(l, now)
+	h.requestSeq++
+	h.sentAt, h.sentAtElapsed, h.pending, h.requested, h.renewNow = now, m.elapsed, true, h.want, false
+	it := Item{Kind: LeaseRequest, Term: h.term, Epoch: h.epoch, Seq: h.requestSeq, Want: h.want, Units: use,
+		Settled: m.elapsed > m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)}
 	if h.owner >= 0 {
-		m.post(h.owner, l, it)
+		m.send(h.owner, l, it)
 	}
-	if other := int(h.count % uint64(m.t.Voters)); h.owner < 0 || h.silent >= patient && other != h.owner {
-		m.post(other, l, it)
+	if other := int(h.requestSeq % uint64(m.cfg.Voters)); h.owner < 0 ||
+		h.unanswered >= maxUnanswered && other != h.owner {
+		m.send(other, l, it)
 	}
 }
 
-// granted takes the answer to the latest ask.
-func (m *Member) granted(l *limit, from int, it Item, now int64) {
-	h := &l.hold
-	if !h.open || it.Count != h.count || it.Term != h.term || it.Epoch != h.epoch || from != h.owner {
-		m.Count.Unasked++
+// handleGrant accepts the answer to the latest request.
+func (m *Member) handleGrant(l *limitState, from int, it Item, now int64) {
+	h := &l.holder
+	if !h.pending || it.Seq != h.requestSeq || it.Term != h.term || it.Epoch != h.epoch || from != h.owner {
+		m.Drops.Unsolicited++
 		return
 	}
-	h.open, h.silent = false, 0
-	if h.gone || now >= h.sent+l.LeaseDuration || it.Use == 0 && !it.Settled {
-		return // a lease of nothing, as the owner knows nothing yet, would keep a floor out of force
+	h.pending, h.unanswered = false, 0
+	if h.leaving || now >= h.sentAt+l.LeaseDuration || it.Units == 0 && !it.Settled {
+		return // a lease of 0 units from an owner that knows no holdings yet would disable the floor
 	}
-	if l.Kind == Rate && !h.paused {
-		m.accrue(l, now) // until now it was what was held before
+	if l.Kind == Rate && !h.timeSkipped {
+		m.accrueTokens(l, now) // the time until now counts with the units held before
 	}
-	h.soon = it.Use < h.units // so that the owner hears of it
-	h.units, h.end = it.Use, h.sent+l.LeaseDuration
-	m.show(l, now)
+	h.renewNow = it.Units < h.units // so that the owner learns that fewer units are in use
+	h.units, h.expires = it.Units, h.sentAt+l.LeaseDuration
+	m.publishUnits(l, now)
 }
 
-// hinted hears who owns. One of an earlier term is believed only once the later one is silent.
-func (m *Member) hinted(l *limit, it Item) {
-	h := &l.hold
-	same := it.Use == h.owner && it.Term == h.term && it.Epoch == h.epoch
-	if it.Use >= m.t.Voters || same || it.Term <= h.term && h.silent < patient {
+// handleOwnerHint records who owns a limit. An owner of an earlier term is accepted only once the known one does
+// not answer.
+func (m *Member) handleOwnerHint(l *limitState, it Item) {
+	h := &l.holder
+	same := it.Units == h.owner && it.Term == h.term && it.Epoch == h.epoch
+	if it.Units >= m.cfg.Voters || same || it.Term <= h.term && h.unanswered < maxUnanswered {
 		return
 	}
-	h.owner, h.term, h.epoch, h.silent, h.open, h.soon = it.Use, it.Term, it.Epoch, 0, false, true
+	h.owner, h.term, h.epoch, h.unanswered, h.pending, h.renewNow = it.Units, it.Term, it.Epoch, 0, false, true
 }
 
-// count turns what the req path has counted into what is wanted and what has accrued.
-func (m *Member) count(l *limit, now int64) {
-	h, x := &l.hold, l.hold.line
-	dt := now - h.tick
-	if h.tick == 0 || h.paused {
-		dt, h.paused = 0, false
-		h.carry, h.accrued = 0, now
+// updateDemand derives the demand from the counters of the admission path, and accrues tokens.
+func (m *Member) updateDemand(l *limitState, now int64) {
+	h, x := &l.holder, l.holder.local
+	dt := now - h.countedAt
+	if h.countedAt == 0 || h.timeSkipped {
+		dt, h.timeSkipped = 0, false
+		h.accrual, h.accruedAt = 0, now
 		if l.Kind == Rate {
-			x.left.Store(0)
+			x.tokens.Store(0)
 		}
 	}
-	h.tick = now
-	tries, denied := x.tries.Swap(0), x.denied.Swap(0)
+	h.countedAt = now
+	tries, denied := x.attempts.Swap(0), x.denied.Swap(0)
 	if l.Kind == InFlight {
-		open := int(x.open.Load())
+		open := int(x.active.Load())
 		switch {
 		case denied > 0:
 			h.want = min(l.Units, max(h.want, 2*h.units+1))
@@ -132,52 +134,53 @@
 	if h.want = min(l.Units, int(h.demand+0.5)); tries > 0 {
 		h.want = max(1, h.want)
 	}
-	m.accrue(l, now)
+	m.accrueTokens(l, now)
 }
 
-// accrue turns the time since it was called last into reqs, by the units that are in force.
-func (m *Member) accrue(l *limit, now int64) {
-	h, x := &l.hold, l.hold.line
-	per := l.Period + (l.Period*m.t.DriftPPM+1e6-1)/1e6 // by the fastest clock no req too early
-	h.carry += (now - h.accrued) * int64(m.force(l, now))
-	h.accrued = now
-	if n := h.carry / per; n > 0 {
-		h.carry -= n * per
-		x.left.Add(n)
+// accrueTokens turns the time since its last call into tokens, by the usable units.
+func (m *Member) accrueTokens(l *limitState, now int64) {
+	h, x := &l.holder, l.holder.local
+	per := l.Period + (l.Period*m.cfg.DriftPPM+1e6-1)/1e6 // even with the fastest clock no token comes too early
+	h.accrual += (now - h.accruedAt) * int64(m.usableUnits(l, now))
+	h.accruedAt = now
+	if n := h.accrual / per; n > 0 {
+		h.accrual -= n * per
+		x.tokens.Add(n)
 	}
 }
 
-// force is how many units are in force here.
-func (m *Member) force(l *limit, now int64) int {
-	switch h := &l.hold; {
-	case now < h.end:
+// usableUnits returns how many units this member may use now.
+func (m *Member) usableUnits(l *limitState, now int64) int {
+	switch h := &l.holder; {
+	case now < h.expires:
 		return h.units
-	case l.Strict || h.gone:
+	case l.Strict || h.leaving:
 		return 0
 	}
 	return l.Floor
 }
 
-// show puts what is in force before the req path, and gives what may be in use by a lease from here on.
-func (m *Member) show(l *limit, now int64) int {
-	h, x := &l.hold, l.hold.line
-	n := m.force(l, now)
+// publishUnits passes the usable units to the admission path and returns how many units may be in use by a lease
+// from now on.
+func (m *Member) publishUnits(l *limitState, now int64) int {
+	h, x := &l.holder, l.holder.local
+	n := m.usableUnits(l, now)
 	until := int64(1<<63 - 1)
-	if now < h.end {
-		until = h.end
+	if now < h.expires {
+		until = h.expires
 	} else {
 		h.units = 0
-		if l.Strict || h.gone {
+		if l.Strict || h.leaving {
 			until = 0
 		}
 	}
-	x.until.Store(until)
+	x.validUntil.Store(until)
 	x.units.Store(int64(n))
-	for left := x.left.Load(); left > int64(n); left = x.left.Load() {
-		x.left.CompareAndSwap(left, int64(n))
+	for left := x.tokens.Load(); left > int64(n); left = x.tokens.Load() {
+		x.tokens.CompareAndSwap(left, int64(n))
 	}
 	if l.Kind == InFlight {
-		return max(h.units, int(x.open.Load())) // after units is stored: whoever comes in later has seen it
+		return max(h.units, int(x.active.Load())) // after units is stored: later admissions see the new value
 	}
 	return h.units
 }
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -1,11 +1,11 @@
-// Package lease keeps limits that hold for a whole fleet of proxies. Each limit is cut into whole units; a
-// member uses only units for which it holds a lease (Gray, Cheriton, 1989), one owner a limit hands them out,
-// and who owns is settled by promises of a majority of voters that end by themselves. Free of I/O: driven by
-// ticks, datagrams and a clock handed in.
+// Package lease enforces limits that apply to a whole fleet of proxies. Each limit is divided into whole units. A
+// member uses only units for which it holds a lease (Gray, Cheriton, 1989); one owner per limit grants the leases,
+// and it is elected by promises of a majority of voters, which expire by themselves. The package does no I/O: it
+// is driven by ticks, datagrams and a clock reading passed in.
 //
-// This file owns what a limit is, the two clocks of a member, and the order in which its parts are asked. It
-// must never let a time that others wait for end early, nor one that it uses itself end late: what others
-// hold is judged by `sure`, which leaves out every stop and jump, what is held here by the clock as it is.
+// This file defines limits, the two clocks of a member, and the dispatch to its parts. A time that others rely on
+// must never end early, and one that this member uses itself must never end late: what others hold is judged by
+// Member.elapsed, which leaves out every stop and jump, and what is held here by the clock as it is.
 package lease
 
 import (
@@ -20,35 +20,35 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	// TickInterval is how often a member wants to be ticked, in ns.
+	// TickInterval is how often Tick is to be called, in ns.
 	TickInterval = 20 * ms
-	stall        = 250 * ms // between events: more was a stop or a jump, and counts as no time
+	maxEventGap  = 250 * ms // between events: a longer gap was a stop or a jump of the clock, and counts as no time
 )
 
-// Kind is what a limit counts.
+// Kind says what a limit counts.
 type Kind uint8
 
-// The kinds.
+// The kinds of limit.
 const (
-	Rate     Kind = iota // reqs let in
-	InFlight             // reqs that may run
+	Rate     Kind = iota // admitted reqs
+	InFlight             // concurrent reqs
 )
 
-// Limit is one of the fleet's. Times are ns.
+// Limit is one fleet-wide limit. Durations are in ns.
 type Limit struct {
 	Name               string
-	RuleSet, Tenant    string // its scope; empty: all of them
+	RuleSet, Tenant    string // the reqs it applies to; empty: all
 	Kind               Kind
-	Units              int   // in all. Rate: each gives a req in Per, and holds one at most
-	Period             int64 // Rate
-	Strict             bool  // without a lease nothing is let in; else Floor units are
+	Units              int   // in the whole fleet. Rate: each admits one req in Period, and saves up at most one
+	Period             int64 // Rate only
+	Strict             bool  // without a lease nothing is admitted; otherwise Floor units are usable
 	Floor              int
 	LeaseDuration      int64
-	MaxRequestDuration int64 // Flight: so long a req may run after its proxy died, the longest client timeout
+	MaxRequestDuration int64 // InFlight only: a req may run so long after its proxy died; the longest client timeout
 }
 
-// ID is what stands for a limit on the wire. Its number of units, floor and mode may change while leases are
-// out; with anything else it is another limit.
+// ID identifies a limit on the wire. The number of units, the floor and the mode may change while leases are out;
+// a change of anything else makes another limit.
 func (l *Limit) ID() uint32 {
 	b := []byte(l.Name + "\x00" + l.RuleSet + "\x00" + l.Tenant)
 	for _, x := range [...]int64{int64(l.Kind), l.Period, l.LeaseDuration, l.MaxRequestDuration} {
@@ -57,8 +57,8 @@
 	return crc32.ChecksumIEEE(b)
 }
 
-// MaxExcess is by how many units at the most the fleet may be over, with so many members of which any may be cut
-// off: none where it is strict; else one member at least holds a lease while the others use their floors.
+// MaxExcess bounds by how many units a fleet of that many members may exceed the limit when any of them may be cut
+// off: 0 if it is strict; otherwise at least one member holds a lease while the others use their floors.
 func (l *Limit) MaxExcess(members int) int {
 	if l.Strict {
 		return 0
@@ -66,90 +66,91 @@
 	return (members - 1) * l.Floor
 }
 
-// LeaseIsRenewable says whether a lease is long enough to be renewed in time in a fleet of so many members.
-func (l *Limit) LeaseIsRenewable(members int) bool { return l.LeaseDuration >= 3*int64(members)*apart }
+// LeaseIsRenewable reports whether a lease is long enough to be renewed in time in a fleet of that many members.
+func (l *Limit) LeaseIsRenewable(members int) bool {
+	return l.LeaseDuration >= 3*int64(members)*minRequestGap
+}
 
-// authority is how long a majority's promises last.
-func (l *Limit) authority() int64 { return l.LeaseDuration / 3 }
+// ownershipDuration is how long the promises of a majority last, in ns.
+func (l *Limit) ownershipDuration() int64 { return l.LeaseDuration / 3 }
 
-// Config is what a member is told.
+// Config configures a member.
 type Config struct {
 	Index, Members int
-	Voters         int    // the first so many places
-	Incarnation    uint64 // another, later one at each start
+	Voters         int    // the first so many members vote
+	Incarnation    uint64 // greater at each start of the process
 	Seed           uint64
-	DriftPPM       int64 // by how many millionths a clock may run too fast or too slow
-	Weight         []int // by place; nil: all alike
+	DriftPPM       int64 // by how many parts per million a clock may run too fast or too slow
+	Weight         []int // by member; nil: all equal
 	Limits         []Limit
 }
 
-// Count is what a member has dropped, by cause.
-type Count struct{ Form, Unknown, Place, Late, Unasked int64 }
+// DropCounts counts the items and datagrams that a member dropped, by cause.
+type DropCounts struct{ Malformed, Unknown, BadSender, Stale, Unsolicited int64 }
 
-// Member is one proxy's part. Its Book may be read by any goroutine, all else by one at a time.
+// Member is the part of one proxy. Its Limiter is safe for concurrent use, nothing else is.
 type Member struct {
-	t      Config
-	last   int64 // latest clock handed in
-	sure   int64 // time that has surely passed since the start
-	limits []*limit
-	dice   rng.Source
-	todo   []post // emptied by Next
-	self   []Item // to itself; emptied before each return
-	book   atomic.Pointer[Limiter]
-	tick   atomic.Int64 // when the book was looked after
-	Count  Count
+	cfg       Config
+	lastClock int64 // latest clock reading passed in
+	elapsed   int64 // ns that have certainly passed since the start: without stops and jumps
+	limits    []*limitState
+	random    rng.Source
+	outbox    []outgoing // emptied by NextDatagram
+	selfInbox []Item     // items to itself; emptied before each return
+	limiter   atomic.Pointer[Limiter]
+	lastTick  atomic.Int64 // when usable units were last refreshed
+	Drops     DropCounts
 }
 
-type limit struct {
+type limitState struct {
 	Limit
-	id   uint32
-	rank []int64 // by voter; the lowest stands first, so that limits spread over the voters
-	vote vote
-	bid  bid
-	own  *owner // nil: another owns, or none
-	hold holder
+	id        uint32
+	rank      []int64 // by voter; the lowest campaigns first, which spreads the limits over the voters
+	vote      vote
+	candidacy candidacy
+	ownership *ownership // nil: another member is the owner, or none
+	holder    holder
 }
 
-type post struct {
+type outgoing struct {
 	to int
 	Item
 }
 
-// New begins. Nothing is known of an earlier life: what that may have promised is waited for.
+// New starts a member. It knows nothing of an earlier incarnation, so it waits until promises of that have expired.
 func New(t Config, now int64) *Member {
-	m := &Member{t: t, last: now, dice: rng.Source{Seed: t.Seed ^ uint64(t.Index+1)<<40 ^ t.Incarnation}}
+	m := &Member{cfg: t, lastClock: now, random: rng.Source{Seed: t.Seed ^ uint64(t.Index+1)<<40 ^ t.Incarnation}}
 	m.SetLimits(t.Limits, now)
 	return m
 }
 
-// SetLimits takes the limits as they are from now on. One whose units alone differ goes on; any other begins
-// anew.
+// SetLimits replaces the limits. A limit with the same ID keeps its state; any other starts anew.
 func (m *Member) SetLimits(all []Limit, now int64) {
 	old := m.limits
 	m.limits = nil
 	for _, x := range all {
 		id := x.ID()
-		l := &limit{Limit: x, id: id}
-		if i := slices.IndexFunc(old, func(o *limit) bool { return o.id == id }); i >= 0 {
+		l := &limitState{Limit: x, id: id}
+		if i := slices.IndexFunc(old, func(o *limitState) bool { return o.id == id }); i >= 0 {
 			l = old[i]
 			l.Limit = x
 		} else {
-			l.vote.mute = m.sure + m.lasts(l.authority())
-			l.rank = ranks(x.Name, m.t.Voters)
-			l.bid.next = l.vote.mute + m.late(l)
-			l.hold = holder{owner: -1, end: never, line: newLine(&x)}
+			l.vote.silentUntil = m.elapsed + m.worstCaseDuration(l.ownershipDuration())
+			l.rank = voterRanks(x.Name, m.cfg.Voters)
+			l.candidacy.nextAt = l.vote.silentUntil + m.candidacyDelay(l)
+			l.holder = holder{owner: -1, expires: never, local: newLocalLimit(&x)}
 		}
 		m.limits = append(m.limits, l)
 	}
-	m.publish(now)
+	m.publishLimiter(now)
 }
 
-// lasts is how long a time that another counts from an earlier moment, by a clock of its own, may last by
-// this one's; with room for one jump that is taken for time.
-func (m *Member) lasts(d int64) int64 { return d + d*m.t.DriftPPM*3/1e6 + stall }
+// worstCaseDuration bounds how long, by this member's clock, a duration may last that another member counts from an
+// earlier moment by its own clock. It allows for one jump that is taken for elapsed time.
+func (m *Member) worstCaseDuration(d int64) int64 { return d + d*m.cfg.DriftPPM*3/1e6 + maxEventGap }
 
-// ranks orders the voters by a hash of theirs and the limit's.
-func ranks(name string, voters int) []int64 {
+// voterRanks orders the voters by a hash of their index and the name of the limit.
+func voterRanks(name string, voters int) []int64 {
 	all := make([]int64, voters)
 	for i := range all {
 		mine := rng.Hash(strconv.Itoa(i), name)
@@ -162,109 +163,109 @@
 	return all
 }
 
-// late is by how much this member waits for those that stand before it.
-func (m *Member) late(l *limit) int64 {
-	if m.t.Index >= m.t.Voters {
+// candidacyDelay is how long this member leaves voters of lower rank the first try, in ns.
+func (m *Member) candidacyDelay(l *limitState) int64 {
+	if m.cfg.Index >= m.cfg.Voters {
 		return 0
 	}
-	return l.rank[m.t.Index] * standApart
+	return l.rank[m.cfg.Index] * candidacyStagger
 }
 
-// clock lets time pass. A clock that was set back voids all that is held here by it.
-func (m *Member) clock(now int64) {
-	d := now - m.last
-	m.last = now
-	if d >= 0 && d <= stall {
-		m.sure += d
+// advanceClock takes a new clock reading. A clock that was set back voids all leases and ownerships held here.
+func (m *Member) advanceClock(now int64) {
+	d := now - m.lastClock
+	m.lastClock = now
+	if d >= 0 && d <= maxEventGap {
+		m.elapsed += d
 		return
 	}
 	for _, l := range m.limits {
-		l.hold.paused = true
+		l.holder.timeSkipped = true
 		if d < 0 {
-			l.hold.end = never
-			m.resign(l)
+			l.holder.expires = never
+			m.stepDown(l)
 		}
 	}
 }
 
-// Tick does what is due.
+// Tick does what is due at the clock reading now. It is to be called each TickInterval.
 func (m *Member) Tick(now int64) {
-	m.clock(now)
+	m.advanceClock(now)
 	for _, l := range m.limits {
-		m.stand(l, now)
-		m.use(l, now)
+		m.campaign(l, now)
+		m.maintainLease(l, now)
 	}
-	m.settle(now)
-	m.tick.Store(now)
+	m.deliverToSelf(now)
+	m.lastTick.Store(now)
 }
 
-// Receive takes a datagram of another member; what is late, of another life or of no limit here is dropped and
-// counted.
+// Receive handles a datagram of another member. Items that are stale, of another incarnation or of an unknown limit
+// are dropped and counted.
 func (m *Member) Receive(d *Datagram, now int64) {
-	m.clock(now)
-	if d.From == m.t.Index || d.From < 0 || d.From >= m.t.Members {
-		m.Count.Place++
+	m.advanceClock(now)
+	if d.From == m.cfg.Index || d.From < 0 || d.From >= m.cfg.Members {
+		m.Drops.BadSender++
 		return
 	}
 	for _, it := range d.Items {
-		m.take(d.From, d.Life, it, now)
+		m.handleItem(d.From, d.Incarnation, it, now)
 	}
-	m.settle(now)
+	m.deliverToSelf(now)
 }
 
-// settle has this member hear what it says to itself.
-func (m *Member) settle(now int64) {
-	for len(m.self) > 0 {
-		it := m.self[0]
-		m.self = m.self[1:]
-		m.take(m.t.Index, m.t.Incarnation, it, now)
+// deliverToSelf handles the items that this member sent to itself.
+func (m *Member) deliverToSelf(now int64) {
+	for len(m.selfInbox) > 0 {
+		it := m.selfInbox[0]
+		m.selfInbox = m.selfInbox[1:]
+		m.handleItem(m.cfg.Index, m.cfg.Incarnation, it, now)
 	}
 }
 
-func (m *Member) take(from int, life uint64, it Item, now int64) {
-	i := slices.IndexFunc(m.limits, func(l *limit) bool { return l.id == it.Limit })
+func (m *Member) handleItem(from int, incarnation uint64, it Item, now int64) {
+	i := slices.IndexFunc(m.limits, func(l *limitState) bool { return l.id == it.Limit })
 	if i < 0 {
-		m.Count.Unknown++
+		m.Drops.Unknown++
 		return
 	}
 	l := m.limits[i]
 	switch it.Kind {
-	case Stand:
-		m.stood(l, from, life, it)
+	case VoteRequest:
+		m.handleVoteRequest(l, from, incarnation, it)
 	case Vote:
-		m.voted(l, from, it, now)
-	case Refuse:
-		l.bid.seen = max(l.bid.seen, it.Term)
-	case Free:
-		l.vote.freed(from, life, it.Term)
-	case Ask:
-		m.asked(l, from, life, it, now)
-	case Grant:
-		m.granted(l, from, it, now)
-	case Hint:
-		m.hinted(l, it)
+		m.handleVote(l, from, it, now)
+	case VoteRefusal:
+		l.candidacy.highestTerm = max(l.candidacy.highestTerm, it.Term)
+	case VoteRelease:
+		l.vote.release(from, incarnation, it.Term)
+	case LeaseRequest:
+		m.handleLeaseRequest(l, from, incarnation, it, now)
+	case LeaseGrant:
+		m.handleGrant(l, from, it, now)
+	case OwnerHint:
+		m.handleOwnerHint(l, it)
 	default:
-		m.Count.Unknown++
+		m.Drops.Unknown++
 	}
 }
 
-func (m *Member) post(to int, l *limit, it Item) {
+func (m *Member) send(to int, l *limitState, it Item) {
 	it.Limit = l.id
-	if to == m.t.Index {
-		m.self = append(m.self, it)
+	if to == m.cfg.Index {
+		m.selfInbox = append(m.selfInbox, it)
 	} else {
-		m.todo = append(m.todo, post{to, it})
+		m.outbox = append(m.outbox, outgoing{to, it})
 	}
 }
 
-// NextDatagram gives the next datagram and for whom it is; false when there is none.
+// NextDatagram returns the next datagram to send and the index of its recipient; ok is false if there is none.
 func (m *Member) NextDatagram() (to int, d Datagram, ok bool) {
-	if len(m.todo) == 0 {
+	if len(m.outbox) == 0 {
 		return 0, d, false
 	}
-	to, d = m.todo[0].to, Datagram{From: m.t.Index, Life: m.t.Incarnation}
-	m.todo = slices.DeleteFunc(m.todo, func(p post) bool {
-		if p.to != to || len(d.Items) == mostItems {
+	to, d = m.outbox[0].to, Datagram{From: m.cfg.Index, Incarnation: m.cfg.Incarnation}
+	m.outbox = slices.DeleteFunc(m.outbox, func(p outgoing) bool {
+		if p.to != to || len(d.Items) == maxItems {
 			return false
 		}
 		d.Items = append(d.Items, p.Item)
@@ -273,41 +274,41 @@
 	return to, d, true
 }
 
-// Leave gives back what is held and owned, as this process ends.
+// Leave returns all leases and ownerships, before the process ends.
 func (m *Member) Leave(now int64) {
-	m.clock(now)
+	m.advanceClock(now)
 	for _, l := range m.limits {
-		l.hold.units, l.hold.want, l.hold.gone = 0, 0, true
-		m.show(l, now)
-		m.ask(l, now)
-		m.resign(l)
+		l.holder.units, l.holder.want, l.holder.leaving = 0, 0, true
+		m.publishUnits(l, now)
+		m.requestLease(l, now)
+		m.stepDown(l)
 	}
-	m.settle(now)
+	m.deliverToSelf(now)
 }
 
-// Status is how a limit stands here, for operators.
+// Status describes the local state of a limit, for operators.
 type Status struct {
 	Limit       string `json:"limit"`
-	Units       int    `json:"units"` // in all
-	Held        int    `json:"holds"` // by a lease
+	Units       int    `json:"units"` // in the whole fleet
+	Held        int    `json:"holds"` // leased to this member
 	Demand      int    `json:"wants"`
-	Owner       int    `json:"owner"` // place; -1: none is known
+	Owner       int    `json:"owner"` // index of the owner; -1: unknown
 	Owns        bool   `json:"owns"`
-	Granted     int    `json:"out,omitempty"` // at the owner: units that are out
-	MaxExcess   int    `json:"over"`          // the bound, in units
+	Granted     int    `json:"out,omitempty"` // on the owner: units that may be in use
+	MaxExcess   int    `json:"over"`          // by how many units the fleet may exceed the limit
 	LeaseLeftMs int64  `json:"lease_left_ms"`
 }
 
-// Status gives all limits.
+// Status returns the status of all limits.
 func (m *Member) Status(now int64) (all []Status) {
 	for _, l := range m.limits {
-		h := &l.hold
-		s := Status{Limit: l.Name, Units: l.Units, Demand: h.want, Owner: h.owner, MaxExcess: l.MaxExcess(m.t.Members)}
-		if now < h.end {
-			s.Held, s.LeaseLeftMs = h.units, (h.end-now)/ms
+		h := &l.holder
+		s := Status{Limit: l.Name, Units: l.Units, Demand: h.want, Owner: h.owner, MaxExcess: l.MaxExcess(m.cfg.Members)}
+		if now < h.expires {
+			s.Held, s.LeaseLeftMs = h.units, (h.expires-now)/ms
 		}
 		if m.owns(l, now) {
-			s.Owns, s.Granted = true, l.own.out(m.sure)
+			s.Owns, s.Granted = true, l.ownership.unitsOut(m.elapsed)
 		}
 		all = append(all, s)
 	}
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -16,16 +16,16 @@
 	"ivybank/rehearse/timeline"
 )
 
-// act is one thing that befalls a run, after some ms.
-type act struct {
-	after int
+// event is a fault or a change of demand in a run.
+type event struct {
+	after int // ms after the previous event
 	place int
 	verb  string
 	arg   string
 }
 
-// script draws faults for some members.
-func script(members int) *rapid.Generator[[]act] {
+// drawEvents generates faults for a fleet of that many members.
+func drawEvents(members int) *rapid.Generator[[]event] {
 	names := "abcdefghijkl"[:members]
 	group := rapid.Custom(func(t *rapid.T) string {
 		var sides [2]string
@@ -38,8 +38,8 @@
 		}
 		return sides[0] + "|" + sides[1]
 	})
-	one := rapid.Custom(func(t *rapid.T) act {
-		a := act{after: rapid.IntRange(0, 2500).Draw(t, "after")}
+	one := rapid.Custom(func(t *rapid.T) event {
+		a := event{after: rapid.IntRange(0, 2500).Draw(t, "after")}
 		a.place = rapid.IntRange(0, members-1).Draw(t, "place")
 		verbs := []string{"kill", "back", "back", "stop", "stop", "wake", "wake", "clock", "cut", "cut",
 			"heal", "heal", "loss", "double", "late", "ask", "one-way", "flap", "steady"}
@@ -70,8 +70,8 @@
 	return rapid.SliceOfN(one, 5, 25)
 }
 
-// play has a script befall a fleet; the judges' error.
-func play(acts []act, members int, x Limit, f flaw, seed uint64) error {
+// playEvents applies events to a fleet and returns the first violation of an invariant.
+func playEvents(events []event, members int, x Limit, f flaw, seed uint64) error {
 	text := "at  rig"
 	row := "0s  ."
 	for _, c := range "abcdefghijkl"[:members] {
@@ -88,7 +88,7 @@
 	if r.Err != nil {
 		return r.Err
 	}
-	for _, a := range acts {
+	for _, a := range events {
 		if err := tw.Run(tw.Now + int64(a.after)*ms); err != nil {
 			return err
 		}
@@ -105,25 +105,26 @@
 	return tw.Run(tw.Now + 3*sec)
 }
 
-var strict = Limit{Name: "one", Units: 7, Period: 250 * ms, LeaseDuration: 2 * sec, Strict: true, MaxRequestDuration: sec}
+var strictLimit = Limit{Name: "one", Units: 7, Period: 250 * ms, LeaseDuration: 2 * sec, Strict: true,
+	MaxRequestDuration: sec}
 
-func flight() Limit {
-	x := strict
+func inFlightLimit() Limit {
+	x := strictLimit
 	x.Kind, x.Period = InFlight, 0
 	return x
 }
 
-// Whatever befalls, what may be in use never passes a strict limit, of a rate and of work in flight, nor a
-// bounded one its bound.
+// Under any faults, the units that may be in use never exceed a strict limit, of a rate or of reqs in flight, nor the
+// bound of a limit that is not strict.
 func TestNeverOver(t *testing.T) {
-	bounded := strict
+	bounded := strictLimit
 	bounded.Strict, bounded.Floor = false, 2
-	for name, x := range map[string]Limit{"rate": strict, "in flight": flight(), "bounded": bounded} {
+	for name, x := range map[string]Limit{"rate": strictLimit, "in flight": inFlightLimit(), "bounded": bounded} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				members := rapid.IntRange(3, 5).Draw(t, "members")
-				acts := script(members).Draw(t, "script")
-				if err := play(acts, members, x, sound, rapid.Uint64().Draw(t, "seed")); err != nil {
+				acts := drawEvents(members).Draw(t, "script")
+				if err := playEvents(acts, members, x, flawNone, rapid.Uint64().Draw(t, "seed")); err != nil {
 					t.Fatal(err)
 				}
 			})
@@ -131,34 +132,34 @@
 	}
 }
 
-// Each flawed build is caught by the same judges and scripts.
+// The same checks and events catch each faulty variant.
 func TestFlawsAreCaught(t *testing.T) {
 	for name, c := range map[string]struct {
 		flaw
 		Limit
-	}{"no fencing": {unfenced, strict}, "lease counted from receipt": {fromReceipt, strict},
-		"fresh allowance on restart": {fresh, flight()}} {
+	}{"no fencing": {flawUnfenced, strictLimit}, "lease counted from receipt": {flawLeaseFromReceipt, strictLimit},
+		"fresh allowance on restart": {flawForgetsEarlierLeases, inFlightLimit()}} {
 		t.Run(name, func(t *testing.T) {
 			for i := range 2000 {
-				if err := play(script(4).Example(i), 4, c.Limit, c.flaw, uint64(i)); err != nil {
-					t.Logf("script %d: %v", i, err)
+				if err := playEvents(drawEvents(4).Example(i), 4, c.Limit, c.flaw, uint64(i)); err != nil {
+					t.Logf("events %d: %v", i, err)
 					return
 				}
 			}
-			t.Error("not caught")
+			t.Error("the faulty variant was not caught")
 		})
 	}
 }
 
-// An owner stopped for 10 s at each point of its grants, and woken, is never over, and the others have the
-// limit by then.
+// An owner that is stopped for 10 s at any point of its grants, and resumed, never exceeds the limit; by then the
+// others use the whole limit.
 func TestStoppedAtEachPoint(t *testing.T) {
 	for point := range 40 {
 		text := fmt.Sprintf("at  rig  a  b  c  d\n0s  .  ask 9  ask 3  ask 9  ask 3\n"+
 			"5s  .  ask 0  ask 9  stop %d  ask 9\n"+
 			"12s  sum?  .  .  .  .\n15s  .  .  .  wake  .\n20s  sum?  owns?  owns?  owns?  owns?\n", point+1)
 		r := timeline.Play(text, uint64(point), func(w *timeline.World) timeline.Cluster {
-			return newWorld(w, strict, 100, sound)
+			return newWorld(w, strictLimit, 100, flawNone)
 		})
 		if r.Err != nil {
 			t.Errorf("stopped after %d datagrams: %v\n%s", point+1, r.Err, r.Drawn)
@@ -166,8 +167,7 @@
 	}
 }
 
-// Three hundred members: none but the owner sends ten datagrams a second, and the owner no more than it is
-// bound to.
+// In a fleet of 300 members, all but at most three send fewer than ten datagrams a second, and none more than 500.
 func TestMany(t *testing.T) {
 	const members = 300
 	text, row := "at  rig", "  ."
@@ -176,11 +176,11 @@
 	}
 	dots := strings.Repeat("  .", members+1)
 	text += "\n0s" + row + "\n14s" + dots + "\n24s  sum?; let?" + dots[3:] + "\n"
-	x := strict
+	x := strictLimit
 	x.Units, x.LeaseDuration = 300, 5*sec
 	var w *world
 	r := timeline.Play(text, 1, func(v *timeline.World) timeline.Cluster {
-		w = newWorld(v, x, 100, sound)
+		w = newWorld(v, x, 100, flawNone)
 		return w
 	})
 	if r.Err != nil {
@@ -188,7 +188,7 @@
 	}
 	before := make([]int, members)
 	for i, p := range w.procs {
-		before[i] = p.sent
+		before[i] = p.datagramsSent
 	}
 	let := w.admitted
 	if err := w.Run(w.Now + 10*sec); err != nil {
@@ -196,19 +196,19 @@
 	}
 	var rates []int
 	for i, p := range w.procs {
-		rates = append(rates, (p.sent-before[i])/10)
+		rates = append(rates, (p.datagramsSent-before[i])/10)
 	}
 	slices.Sort(rates)
 	used := float64(w.admitted-let) / (float64(x.Units) * 40)
 	t.Logf("datagrams a second: median %d, the two most %v; used %.3f", rates[members/2], rates[members-2:],
 		used)
 	if rates[members-4] >= 10 || rates[members-1] > 500 || used < 0.95 {
-		t.Error("too many datagrams, or too little used")
+		t.Error("too many datagrams sent, or too little of the limit used")
 	}
 }
 
-// Twelve that are asked by chance and unevenly (the n-th as 1 over n to 0.7) for more than there is: how much
-// of it is used, beside what equal division could at the best.
+// How much of a limit twelve members use whose demand is random and uneven (of the n-th proportional to n to the power
+// of -0.7), compared with the most that an equal division could use.
 func TestUsed(t *testing.T) {
 	const members = 12
 	for _, c := range []struct {
@@ -220,7 +220,7 @@
 		{60, 2, 2 * sec, 0.95, 1},
 		{600, 1.2, sec, 0.95, 1},
 	} {
-		x := strict
+		x := strictLimit
 		x.Period, x.Units = c.burst, int(c.rate*float64(c.burst)/1e9)
 		text, row, sum := "at  rig", "0s  .", 0.0
 		for i := range members {
@@ -228,14 +228,14 @@
 		}
 		var w *world
 		r := timeline.Play(text+"\n"+row+"\n", 1, func(v *timeline.World) timeline.Cluster {
-			w = newWorld(v, x, 100, sound)
-			w.dice = &rng.Source{Seed: 5}
+			w = newWorld(v, x, 100, flawNone)
+			w.random = &rng.Source{Seed: 5}
 			return w
 		})
 		equal := 0.0
 		for i, p := range w.procs {
 			d := c.rate * c.load * math.Pow(float64(i+1), -0.7) / sum
-			p.asks = d * float64(x.Period) / 1e9
+			p.demand = d * float64(x.Period) / 1e9
 			equal += min(d, c.rate/members) / c.rate
 		}
 		for _, until := range []int64{10 * sec, 40 * sec} {
@@ -244,20 +244,20 @@
 			}
 		}
 		used := float64(w.admitted) / (c.rate * 30)
-		t.Logf("%3.0f a second, asked for %.1f times, burst %.2f s: used %.3f, by equal division %.3f at the best",
+		t.Logf("%3.0f a second, demand %.1f times that, burst %.2f s: used %.3f, at most %.3f by equal division",
 			c.rate, c.load, float64(c.burst)/1e9, used, equal)
 		if r.Err != nil || used < c.least || used > c.most*(1+float64(c.burst)/30e9) {
-			t.Errorf("used %.3f, expected %.2f to %.2f: %v", used, c.least, c.most, r.Err)
+			t.Errorf("used %.3f, want %.2f to %.2f: %v", used, c.least, c.most, r.Err)
 		}
 	}
 }
 
-// Many limits at once: each has one owner, they are spread over the voters, and what is said of several
-// shares datagrams that fit.
+// With many limits, each has one owner, the owners are spread over the voters, and items of several limits share
+// datagrams within the size bound.
 func TestSpread(t *testing.T) {
 	var limits []Limit
 	for i := range 12 {
-		x := strict
+		x := strictLimit
 		x.Name = strconv.Itoa(i)
 		limits = append(limits, x)
 	}
@@ -283,7 +283,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					if len(d.Items) == mostItems {
+					if len(d.Items) == maxItems {
 						full++
 					}
 					all[to].Receive(&got, now)
@@ -297,7 +297,7 @@
 		held := 0
 		for _, m := range all {
 			if m.owns(m.limits[i], now) {
-				owners[m.t.Index]++
+				owners[m.cfg.Index]++
 				held++
 			}
 		}
@@ -311,56 +311,55 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	d := Datagram{From: 1, Life: 5, Items: []Item{{Kind: Ask, Limit: 3, Term: 9, Want: 4, Use: 2}}}
+	d := Datagram{From: 1, Incarnation: 5, Items: []Item{{Kind: LeaseRequest, Limit: 3, Term: 9, Want: 4, Units: 2}}}
 	b, err := Encode(fleetName, &d)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(b[head : len(b)-tail])
-	f.Fuzz(func(t *testing.T, body []byte) { // whole as far as its sum goes, so that the form itself is met
+	f.Add(b[headerBytes : len(b)-checksumBytes])
+	f.Fuzz(func(t *testing.T, body []byte) { // with a valid checksum, so that the decoder of the body is reached
 		b := append(binary.BigEndian.AppendUint32([]byte{Version}, fleetName), body...)
 		b = binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b))
 		d, err := Decode(fleetName, b)
 		if err != nil {
 			return
 		}
-		m := New(Config{Index: 0, Members: 3, Voters: 3, Incarnation: 1, Limits: []Limit{strict}}, 1)
+		m := New(Config{Index: 0, Members: 3, Voters: 3, Incarnation: 1, Limits: []Limit{strictLimit}}, 1)
 		m.Receive(&d, 2)
 		m.Tick(3)
 		for _, out, ok := m.NextDatagram(); ok; _, out, ok = m.NextDatagram() {
 			if _, err := Encode(fleetName, &out); err != nil {
-				t.Errorf("%+v cannot be sent", out)
+				t.Errorf("%+v cannot be encoded", out)
 			}
 		}
 	})
 }
 
-// The longest items that there may be fit into a datagram, as many as are put into one.
+// maxItems of the longest items fit into a datagram, and a corrupted byte is detected.
 func TestLongestFits(t *testing.T) {
-	it := Item{Kind: Ask, Limit: 1<<32 - 1, Term: 1<<64 - 1, Epoch: 1<<64 - 1, Count: 1<<64 - 1,
-		Want: mostUnits, Use: mostUnits, Settled: true}
-	d := Datagram{From: 1 << 16, Life: 1<<64 - 1}
-	for range mostItems {
+	it := Item{Kind: LeaseRequest, Limit: 1<<32 - 1, Term: 1<<64 - 1, Epoch: 1<<64 - 1, Seq: 1<<64 - 1,
+		Want: maxUnits, Units: maxUnits, Settled: true}
+	d := Datagram{From: 1 << 16, Incarnation: 1<<64 - 1}
+	for range maxItems {
 		d.Items = append(d.Items, it)
 	}
 	b, err := Encode(fleetName, &d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := Decode(fleetName, b); err != nil || len(back.Items) != mostItems || back.Items[0] != it {
+	if back, err := Decode(fleetName, b); err != nil || len(back.Items) != maxItems || back.Items[0] != it {
 		t.Errorf("%v: %+v", err, back)
 	}
 	for i := range b {
 		b[i] ^= 4
 		if _, err := Decode(fleetName, b); err == nil {
-			t.Errorf("byte %d garbled, and read", i)
+			t.Errorf("datagram with byte %d corrupted was decoded", i)
 		}
 		b[i] ^= 4
 	}
 }
 
-// What there is goes round: max-min fair by weight, what is left over by turns, and to the idle what nobody
-// wants.
+// Shares are max-min fair by weight; a remainder goes by turns, and units that nobody wants go to idle members too.
 func TestShare(t *testing.T) {
 	for name, c := range map[string]struct {
 		units        int
@@ -379,26 +378,26 @@
 		"none":                  {0, []int{1, 1, 1}, []int{0, 0, 0}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := strict
+			x := strictLimit
 			x.Units = c.units
 			m := New(Config{Members: len(c.wants), Voters: 1, Incarnation: 1, Weight: c.weight, Limits: []Limit{x}}, 0)
 			l := m.limits[0]
-			l.own = newOwner(1, len(c.wants), 0)
+			l.ownership = newOwnership(1, len(c.wants), 0)
 			for i, w := range c.wants {
-				l.own.who[i] = holding{life: 1, want: w}
+				l.ownership.members[i] = memberLease{incarnation: 1, want: w}
 			}
-			if got := m.shares(l); !slices.Equal(got, c.parts) {
+			if got := m.computeShares(l); !slices.Equal(got, c.parts) {
 				t.Errorf("got %v, want %v", got, c.parts)
 			}
 		})
 	}
 }
 
-// The cost of one member's tick at rest with ten limits, and of an owner's answer in a large fleet.
+// BenchmarkTick measures the tick of an idle member with ten limits.
 func BenchmarkTick(b *testing.B) {
 	var all []Limit
 	for i := range 10 {
-		x := strict
+		x := strictLimit
 		x.Name = strconv.Itoa(i)
 		all = append(all, x)
 	}
@@ -411,8 +410,9 @@
 	}
 }
 
+// BenchmarkAsked measures an owner's answer in a fleet of 2000 members.
 func BenchmarkAsked(b *testing.B) {
-	x := strict
+	x := strictLimit
 	x.Units = 5000
 	m := New(Config{Members: 2000, Voters: 1, Incarnation: 1, Limits: []Limit{x}}, 1)
 	now := int64(1)
@@ -423,12 +423,12 @@
 	l := m.limits[0]
 	b.ReportAllocs()
 	for i := range b.N {
-		it := Item{Kind: Ask, Limit: l.id, Term: l.own.term, Epoch: 1, Count: uint64(i + 1), Want: 3}
-		if i%4 == 0 { // 200 a second
+		it := Item{Kind: LeaseRequest, Limit: l.id, Term: l.ownership.term, Epoch: 1, Seq: uint64(i + 1), Want: 3}
+		if i%4 == 0 { // 200 requests a second
 			now += TickInterval
 			m.Tick(now)
 		}
-		m.Receive(&Datagram{From: 1 + i%1999, Life: 1, Items: []Item{it}}, now)
+		m.Receive(&Datagram{From: 1 + i%1999, Incarnation: 1, Items: []Item{it}}, now)
 		for _, _, ok := m.NextDatagram(); ok; _, _, ok = m.NextDatagram() {
 		}
 	}
@@ -442,8 +442,8 @@
 		now += TickInterval
 		m.Tick(now)
 	}
-	m.limits[0].hold.line.left.Store(1 << 60)
-	m.limits[0].hold.line.until.Store(1 << 62)
+	m.limits[0].holder.local.tokens.Store(1 << 60)
+	m.limits[0].holder.local.validUntil.Store(1 << 62)
 	book, s := m.Limiter(), Scope{"web", "acme"}
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
--- a/fleet/lease/limiter.go
+++ b/fleet/lease/limiter.go
@@ -1,74 +1,73 @@
 package lease
 
-// This file owns what the req path reads: one immutable list of lines, whose numbers are counted down in
-// place. It must never wait for a member's other parts, allocate, or let in by a picture that was not looked
-// after lately.
+// This file holds the admission path: an immutable list of limits with atomic counters. It must never block on
+// the rest of the member, allocate, or admit by usable units that were not refreshed lately.
 
 import "sync/atomic"
 
-const stale = 200 * ms // a picture that was not ticked for so long lets nothing in
+const maxTickAge = 200 * ms // above it since the latest tick nothing is admitted
 
-// Scope is what a req is counted by.
+// Scope is the rule set and the tenant by which a req is matched to limits.
 type Scope struct{ RuleSet, Tenant string }
 
-// Limiter is the limits in force. What was let in by one is given back to the same.
+// Limiter admits reqs by the limits in force. A req that it admitted is released on the same Limiter.
 type Limiter struct {
-	lines []*line
-	tick  *atomic.Int64
+	limits   []*localLimit
+	lastTick *atomic.Int64
 }
 
-// line is one limit as reqs see it.
-type line struct {
-	scope  Scope
-	flight bool
-	per    int64 // ns, Rate
-	retry  int64
+// localLimit is what the admission path sees of one limit.
+type localLimit struct {
+	scope      Scope
+	isInFlight bool
+	period     int64 // ns; Rate only
+	retryAfter int64
 
-	until, units, left, open, tries, denied atomic.Int64
+	validUntil, units, tokens, active, attempts, denied atomic.Int64
 }
 
-func newLine(l *Limit) *line {
-	return &line{scope: Scope{l.RuleSet, l.Tenant}, flight: l.Kind == InFlight, per: l.Period,
-		retry: l.LeaseDuration / renewals}
+func newLocalLimit(l *Limit) *localLimit {
+	return &localLimit{scope: Scope{l.RuleSet, l.Tenant}, isInFlight: l.Kind == InFlight, period: l.Period,
+		retryAfter: l.LeaseDuration / renewalsPerLease}
 }
 
-// publish puts the limits before the req path.
-func (m *Member) publish(now int64) {
-	b := &Limiter{tick: &m.tick}
+// publishLimiter replaces the Limiter that the admission path reads.
+func (m *Member) publishLimiter(now int64) {
+	lim := &Limiter{lastTick: &m.lastTick}
 	for _, l := range m.limits {
-		m.show(l, now)
-		b.lines = append(b.lines, l.hold.line)
+		m.publishUnits(l, now)
+		lim.limits = append(lim.limits, l.holder.local)
 	}
-	m.tick.Store(now)
-	m.book.Store(b)
+	m.lastTick.Store(now)
+	m.limiter.Store(lim)
 }
 
-// Limiter is the limits in force. Any goroutine may ask for it.
-func (m *Member) Limiter() *Limiter { return m.book.Load() }
+// Limiter returns the Limiter in force. It is safe for concurrent use.
+func (m *Member) Limiter() *Limiter { return m.limiter.Load() }
 
-func (x *line) meets(s Scope) bool {
-	return (x.scope.RuleSet == "" || x.scope.RuleSet == s.RuleSet) &&
-		(x.scope.Tenant == "" || x.scope.Tenant == s.Tenant)
+func (l *localLimit) matches(s Scope) bool {
+	return (l.scope.RuleSet == "" || l.scope.RuleSet == s.RuleSet) &&
+		(l.scope.Tenant == "" || l.scope.Tenant == s.Tenant)
 }
 
-// Admit says whether a req may come in by all limits that it meets, or for how many ns its client is to stay
-// away. What it took is to be given back by Done. Any goroutine may call it; a clock that reads less than at
-// the latest tick lets nothing in.
-func (b *Limiter) Admit(s Scope, now int64) (ok bool, retry int64) {
-	fresh := now - b.tick.Load()
-	for i, x := range b.lines {
-		if !x.meets(s) {
+// Admit reports whether all limits that match a req admit it, and otherwise after how many ns its client may
+// retry. An admitted req must be released by Done. It is safe for concurrent use; with a clock that reads less
+// than at the latest tick nothing is admitted.
+func (lim *Limiter) Admit(s Scope, now int64) (ok bool, retry int64) {
+	age := now - lim.lastTick.Load()
+	for i, l := range lim.limits {
+		if !l.matches(s) {
 			continue
 		}
-		x.tries.Add(1)
-		if ok, retry = false, x.retry; fresh >= 0 && fresh <= stale && now < x.until.Load() {
-			ok, retry = x.take()
+		l.attempts.Add(1)
+		if ok, retry = false, l.retryAfter; age >= 0 && age <= maxTickAge && now < l.validUntil.Load() {
+			ok, retry = l.acquire()
 		}
 		if !ok {
-			x.denied.Add(1)
-			for _, y := range b.lines[:i] {
-				if y.meets(s) {
-					y.give()
+			l.denied.Add(1)
+			for _, taken := range lim.limits[:i] {
+				if taken.matches(s) {
+					taken.release()
 				}
 			}
 			return false, retry
@@ -77,39 +76,39 @@
 	return true, 0
 }
 
-// Done tells that a req that this book let in runs no more, nor will.
-func (b *Limiter) Done(s Scope) {
-	for _, x := range b.lines {
-		if x.flight && x.meets(s) {
-			x.open.Add(-1)
+// Done releases a req that this Limiter admitted and that has ended, or will never run.
+func (lim *Limiter) Done(s Scope) {
+	for _, l := range lim.limits {
+		if l.isInFlight && l.matches(s) {
+			l.active.Add(-1)
 		}
 	}
 }
 
-// take takes one, or tells how long it is about until there is one.
-func (x *line) take() (ok bool, retry int64) {
-	if x.flight {
-		if x.open.Add(1) <= x.units.Load() {
+// acquire takes one unit or token, or returns the approximate wait for one, in ns.
+func (l *localLimit) acquire() (ok bool, retry int64) {
+	if l.isInFlight {
+		if l.active.Add(1) <= l.units.Load() {
 			return true, 0
 		}
-		x.open.Add(-1)
-		return false, x.retry
+		l.active.Add(-1)
+		return false, l.retryAfter
 	}
-	if x.left.Add(-1) >= 0 {
+	if l.tokens.Add(-1) >= 0 {
 		return true, 0
 	}
-	x.left.Add(1)
-	if n := x.units.Load(); n > 0 {
-		return false, x.per / n
+	l.tokens.Add(1)
+	if n := l.units.Load(); n > 0 {
+		return false, l.period / n
 	}
-	return false, x.retry
+	return false, l.retryAfter
 }
 
-// give takes back what another limit did not let come in.
-func (x *line) give() {
-	if x.flight {
-		x.open.Add(-1)
+// release undoes acquire for a req that another limit denied.
+func (l *localLimit) release() {
+	if l.isInFlight {
+		l.active.Add(-1)
 	} else {
-		x.left.Add(1)
+		l.tokens.Add(1)
 	}
 }
--- a/fleet/lease/owner.go
+++ b/fleet/lease/owner.go
@@ -1,157 +1,157 @@
 package lease
 
-// This file owns what the owner of a limit knows of who holds how much, and what it grants. It must never
-// grant what may be in use elsewhere: a new owner knows nothing, counts what it is told as held, and takes
-// the rest for free only once every lease of an earlier owner has surely ended.
+// This file holds the owner's side: what it knows of the members' leases and what it grants. It must never grant
+// units that may be in use elsewhere: a new owner knows nothing, counts the units reported to it as held, and takes
+// the rest as free only once every lease of an earlier owner has certainly ended.
 
 import "slices"
 
 const (
-	criesMost = 16          // members that are told at once who owns
-	workApart = int64(50e3) // ns for each member, between times that their parts are worked out
-	turns     = 4           // reqs of one unit in a turn at least: one is lost as it begins with none
+	maxAnnouncementsPerTick = 16          // members that are told of the owner at once
+	sharesInterval          = int64(50e3) // ns per member, between computations of the shares
+	minReqsPerTurn          = 4           // per unit: each turn starts without a token, which loses one req
 )
 
-// owner is one ownership's. Its tables have a place for each member and go with it.
-type owner struct {
-	term  uint64
-	ready int64 // by sure: then all earlier leases have ended
-	pool  int   // units that were told of as held: before ready no others may be granted
-	told  int   // members that have said all that their place may hold
-	who   []holding
-	cried int   // members that were told who owns
-	parts []int // by member, as they were worked out
-	at    int64 // by sure: then
+// ownership is the state of this member as the owner of a limit, in one term.
+type ownership struct {
+	term            uint64
+	readyAt         int64 // by Member.elapsed: from then all earlier leases have ended
+	reportedUnits   int   // units reported as held: before readyAt no others may be granted
+	reportedMembers int   // members that have reported all that they may hold
+	members         []memberLease
+	announced       int   // members that were told of the owner
+	shares          []int // by member, as computed at sharesAt
+	sharesAt        int64 // by Member.elapsed
 }
 
-// holding is one member's.
-type holding struct {
-	life, count uint64
-	told        bool
-	want        int
-	heard       int64 // by sure
-	use         int   // units that it may use
-	end         int64 // by sure: until then
-	ghosts      []ghost
+// memberLease is what the owner knows of one member.
+type memberLease struct {
+	incarnation, seq uint64
+	reported         bool
+	want             int
+	heardAt          int64 // by Member.elapsed
+	units            int   // that it may use
+	expires          int64 // of the lease, by Member.elapsed
+	previous         []previousLease
 }
 
-// ghost is what an earlier life of a member may still use; emptied by its end.
-type ghost struct {
-	use int
-	end int64
+// previousLease is what an earlier incarnation of a member may still use until it expires.
+type previousLease struct {
+	units   int
+	expires int64
 }
 
-func newOwner(term uint64, of int, ready int64) *owner {
-	return &owner{term: term, ready: ready, who: make([]holding, of)}
+func newOwnership(term uint64, members int, ready int64) *ownership {
+	return &ownership{term: term, readyAt: ready, members: make([]memberLease, members)}
 }
 
-// linger is how long what runs may go on after its lease.
-func (m *Member) linger(l *limit) int64 {
+// maxOverrun is how long admitted work may run past its lease, in ns.
+func (m *Member) maxOverrun(l *limitState) int64 {
 	if l.Kind == InFlight {
-		return l.MaxRequestDuration + l.MaxRequestDuration*m.t.DriftPPM*3/1e6
+		return l.MaxRequestDuration + l.MaxRequestDuration*m.cfg.DriftPPM*3/1e6
 	}
 	return 0
 }
 
-// out is how many units may be in use.
-func (o *owner) out(sure int64) (n int) {
-	for i := range o.who {
-		h := &o.who[i]
-		if sure >= h.end {
-			h.use = 0
+// unitsOut returns how many units may be in use in the fleet.
+func (o *ownership) unitsOut(sure int64) (n int) {
+	for i := range o.members {
+		h := &o.members[i]
+		if sure >= h.expires {
+			h.units = 0
 		}
-		n += h.use
-		h.ghosts = slices.DeleteFunc(h.ghosts, func(g ghost) bool { return sure >= g.end })
-		for _, g := range h.ghosts {
-			n += g.use
+		n += h.units
+		h.previous = slices.DeleteFunc(h.previous, func(g previousLease) bool { return sure >= g.expires })
+		for _, g := range h.previous {
+			n += g.units
 		}
 	}
 	return n
 }
 
-// cry tells all members, a few at a time, who owns.
-func (m *Member) cry(l *limit) {
-	o := l.own
-	for end := min(m.t.Members, o.cried+criesMost); o.cried < end; o.cried++ {
-		m.post(o.cried, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Index})
+// announce tells all members, a few at a time, that this member is the owner.
+func (m *Member) announce(l *limitState) {
+	o := l.ownership
+	for end := min(m.cfg.Members, o.announced+maxAnnouncementsPerTick); o.announced < end; o.announced++ {
+		m.send(o.announced, l, Item{Kind: OwnerHint, Term: o.term, Epoch: m.cfg.Incarnation, Units: m.cfg.Index})
 	}
 }
 
-// asked grants, renews or takes back.
-func (m *Member) asked(l *limit, from int, life uint64, it Item, now int64) {
-	o := l.own
+// handleLeaseRequest grants, renews or reduces the lease of a member.
+func (m *Member) handleLeaseRequest(l *limitState, from int, incarnation uint64, it Item, now int64) {
+	o := l.ownership
 	switch {
 	case !m.owns(l, now):
-		if v := &l.vote; m.sure < v.end && v.to != m.t.Index {
-			m.post(from, l, Item{Kind: Hint, Term: v.term, Epoch: v.life, Use: v.to})
+		if v := &l.vote; m.elapsed < v.expires && v.candidate != m.cfg.Index {
+			m.send(from, l, Item{Kind: OwnerHint, Term: v.term, Epoch: v.candidateIncarnation, Units: v.candidate})
 		}
 		return
-	case it.Term != o.term || it.Epoch != m.t.Incarnation:
-		m.post(from, l, Item{Kind: Hint, Term: o.term, Epoch: m.t.Incarnation, Use: m.t.Index})
+	case it.Term != o.term || it.Epoch != m.cfg.Incarnation:
+		m.send(from, l, Item{Kind: OwnerHint, Term: o.term, Epoch: m.cfg.Incarnation, Units: m.cfg.Index})
 		return
 	}
-	h := &o.who[from]
-	old := life < h.life && m.sure < h.heard+m.lasts(l.LeaseDuration)+m.linger(l)
-	if old || life == h.life && it.Count <= h.count {
-		m.Count.Late++
+	h := &o.members[from]
+	stale := incarnation < h.incarnation && m.elapsed < h.heardAt+m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)
+	if stale || incarnation == h.incarnation && it.Seq <= h.seq {
+		m.Drops.Stale++
 		return
 	}
-	out := o.out(m.sure)
-	if life != h.life {
-		o.parts = nil
-		if h.use > 0 { // it died, or so it says: what it held counts to its end
-			h.ghosts = append(h.ghosts, ghost{h.use, h.end})
+	out := o.unitsOut(m.elapsed)
+	if incarnation != h.incarnation {
+		o.shares = nil
+		if h.units > 0 { // the member restarted: what it held counts until it expires
+			h.previous = append(h.previous, previousLease{h.units, h.expires})
 		}
-		h.use = 0
-		if m.sure < o.ready {
-			h.use = max(0, min(it.Use, l.Units-o.pool))
-			o.pool += h.use
-			out += h.use
+		h.units = 0
+		if m.elapsed < o.readyAt {
+			h.units = max(0, min(it.Units, l.Units-o.reportedUnits))
+			o.reportedUnits += h.units
+			out += h.units
 		}
-		if h.life = life; it.Settled && !h.told {
-			h.told = true
-			if o.told++; o.told == m.t.Members {
-				o.ready = m.sure
+		if h.incarnation = incarnation; it.Settled && !h.reported {
+			h.reported = true
+			if o.reportedMembers++; o.reportedMembers == m.cfg.Members {
+				o.readyAt = m.elapsed
 			}
 		}
 	}
-	kept := min(h.use, it.Use)
-	out -= h.use - kept
+	kept := min(h.units, it.Units)
+	out -= h.units - kept
 	all := l.Units
-	if m.sure < o.ready {
-		all = min(all, o.pool)
+	if m.elapsed < o.readyAt {
+		all = min(all, o.reportedUnits)
 	}
-	h.count, h.want, h.heard = it.Count, min(it.Want, l.Units), m.sure
-	if o.parts == nil || m.sure-o.at >= int64(m.t.Members)*workApart {
-		o.parts, o.at = m.shares(l), m.sure
+	h.seq, h.want, h.heardAt = it.Seq, min(it.Want, l.Units), m.elapsed
+	if o.shares == nil || m.elapsed-o.sharesAt >= int64(m.cfg.Members)*sharesInterval {
+		o.shares, o.sharesAt = m.computeShares(l), m.elapsed
 	}
-	n := min(o.parts[from], kept+max(0, all-out))
-	h.use, h.end = max(kept, n), m.sure+m.lasts(l.LeaseDuration)+m.linger(l)
-	m.post(from, l, Item{Kind: Grant, Term: o.term, Epoch: m.t.Incarnation, Count: it.Count, Use: n,
-		Settled: m.sure >= o.ready})
+	n := min(o.shares[from], kept+max(0, all-out))
+	h.units, h.expires = max(kept, n), m.elapsed+m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)
+	m.send(from, l, Item{Kind: LeaseGrant, Term: o.term, Epoch: m.cfg.Incarnation, Seq: it.Seq, Units: n,
+		Settled: m.elapsed >= o.readyAt})
 }
 
-// shares are the members' parts: max-min fair by weight in whole units. What is less than one each goes round
-// by turns; what nobody wants goes one unit each to those that want nothing now, so that their next req finds
-// one, and the rest to the others by what they want, as reqs come unevenly.
-func (m *Member) shares(l *limit) []int {
+// computeShares divides the units among the members, max-min fair by weight. A remainder of less than one unit each
+// goes round by turns. Of units that nobody wants, idle members get one each, so that their next req finds one, and
+// the others get the rest in proportion to their demand, to absorb bursts.
+func (m *Member) computeShares(l *limitState) []int {
 	type part struct{ who, want, weight, got int }
-	var wants []part
-	o, left := l.own, l.Units
-	for i := range o.who {
-		h := &o.who[i]
-		if h.life == 0 || m.sure-h.heard > l.LeaseDuration {
+	var claims []part
+	o, left := l.ownership, l.Units
+	for i := range o.members {
+		h := &o.members[i]
+		if h.incarnation == 0 || m.elapsed-h.heardAt > l.LeaseDuration {
 			continue
 		}
-		w := 1
-		if i < len(m.t.Weight) {
-			w = max(1, m.t.Weight[i])
+		weight := 1
+		if i < len(m.cfg.Weight) {
+			weight = max(1, m.cfg.Weight[i])
 		}
-		wants = append(wants, part{i, h.want, w, 0})
+		claims = append(claims, part{i, h.want, weight, 0})
 	}
 	for left > 0 {
 		weights := 0
-		for _, p := range wants {
+		for _, p := range claims {
 			if p.got < p.want {
 				weights += p.weight
 			}
@@ -160,37 +160,37 @@
 			break
 		}
 		each, gave := left/weights, 0
-		for i := range wants {
-			p := &wants[i]
+		for i := range claims {
+			p := &claims[i]
 			if p.got < p.want {
-				x := min(p.want-p.got, each*p.weight)
-				p.got += x
-				gave += x
+				given := min(p.want-p.got, each*p.weight)
+				p.got += given
+				gave += given
 			}
 		}
 		if left -= gave; gave == 0 {
-			break // less than one for each is left
+			break // less than one unit each is left
 		}
 	}
-	turn := int(m.sure / max(l.LeaseDuration, turns*l.Period))
-	for _, to := range [...]func(p *part) bool{func(p *part) bool { return p.got < p.want },
+	turn := int(m.elapsed / max(l.LeaseDuration, minReqsPerTurn*l.Period))
+	for _, entitled := range [...]func(p *part) bool{func(p *part) bool { return p.got < p.want },
 		func(p *part) bool { return p.want == 0 }} {
-		for k := 0; k < len(wants) && left > 0; k++ {
-			if p := &wants[(k+turn)%len(wants)]; to(p) {
+		for k := 0; k < len(claims) && left > 0; k++ {
+			if p := &claims[(k+turn)%len(claims)]; entitled(p) {
 				p.got++
 				left--
 			}
 		}
 	}
 	all := 0
-	for _, p := range wants {
+	for _, p := range claims {
 		all += p.want
 	}
-	for i, spare := 0, left; i < len(wants) && all > 0; i++ { // room for what comes unevenly
-		wants[i].got += spare * wants[i].want / all
+	for i, spare := 0, left; i < len(claims) && all > 0; i++ { // headroom for bursts
+		claims[i].got += spare * claims[i].want / all
 	}
-	parts := make([]int, len(o.who))
-	for _, p := range wants {
+	parts := make([]int, len(o.members))
+	for _, p := range claims {
 		parts[p.who] = p.got
 	}
 	return parts
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -16,44 +16,46 @@
 
 const fleetName = 7
 
-// process is one member in a run: its datagrams as bytes, and what a flawed build or a liar makes of them.
+// process is one member in a run. It encodes and decodes datagrams, and alters them for a faulty variant or for a
+// member that reports false values.
 type process struct {
 	*Member
-	claim int // what it wants, and says that it holds, is multiplied; 0: it is honest
-	flaw  flaw
-	asks  float64 // units of demand
-	due   float64
-	let   int
-	tried int
-	sent  int // datagrams
+	exaggeration  int // factor on its demand and reported units; 0: none
+	flaw          flaw
+	demand        float64 // in units
+	due           float64
+	admitted      int
+	attempts      int
+	datagramsSent int // datagrams
 }
 
-// flaw is a faulty build, made for the judges to catch.
+// flaw is a deliberately faulty variant that the checks must catch.
 type flaw int
 
 const (
-	sound       flaw = iota
-	unfenced         // the owner does not look whether it still is one
-	fromReceipt      // a lease counts from when its grant came
-	fresh            // what an earlier life holds is forgotten
+	flawNone                 flaw = iota
+	flawUnfenced                  // the owner does not check that its ownership is valid
+	flawLeaseFromReceipt          // a lease counts from when its grant was received
+	flawForgetsEarlierLeases      // the owner forgets what an earlier incarnation holds
 )
 
 func (p *process) Heard(from int, body []byte, now int64) {
 	d, err := Decode(fleetName, body)
 	if err == nil && d.From == from {
-		p.hears(from, &d, now)
+		p.receive(from, &d, now)
 	}
 }
 
-func (p *process) hears(from int, d *Datagram, now int64) {
+func (p *process) receive(from int, d *Datagram, now int64) {
 	for i := range d.Items {
 		it := &d.Items[i]
 		l := p.limits[0]
 		switch {
-		case p.flaw == fromReceipt && it.Kind == Grant:
-			l.hold.sent = now
-		case p.flaw == fresh && it.Kind == Ask && l.own != nil && l.own.who[from].life < d.Life:
-			l.own.who[from] = holding{}
+		case p.flaw == flawLeaseFromReceipt && it.Kind == LeaseGrant:
+			l.holder.sentAt = now
+		case p.flaw == flawForgetsEarlierLeases && it.Kind == LeaseRequest && l.ownership != nil &&
+			l.ownership.members[from].incarnation < d.Incarnation:
+			l.ownership.members[from] = memberLease{}
 		}
 	}
 	p.Member.Receive(d, now)
@@ -61,9 +63,9 @@
 
 func (p *process) Tick(now int64) {
 	for _, l := range p.limits {
-		for i := range l.bid.oks {
-			if p.flaw == unfenced && l.own != nil {
-				l.bid.oks[i] = now
+		for i := range l.candidacy.promisedAt {
+			if p.flaw == flawUnfenced && l.ownership != nil {
+				l.candidacy.promisedAt[i] = now
 			}
 		}
 	}
@@ -73,54 +75,54 @@
 func (p *process) Next() (to int, body []byte, ok bool) {
 	to, d, ok := p.Member.NextDatagram()
 	for i := range d.Items {
-		if it := &d.Items[i]; it.Kind == Ask && p.claim > 0 {
-			it.Want, it.Use = it.Want*p.claim, it.Use*p.claim
+		if it := &d.Items[i]; it.Kind == LeaseRequest && p.exaggeration > 0 {
+			it.Want, it.Units = it.Want*p.exaggeration, it.Units*p.exaggeration
 		}
 	}
 	if ok {
-		p.sent++
+		p.datagramsSent++
 		body, _ = Encode(fleetName, &d)
 	}
 	return to, body, ok
 }
 
-// world is a fleet with one limit, and the judges: what may be in use at each moment, and what the stand-ins
-// count.
+// world is a fleet with one limit. It checks the units that may be in use at each moment, and the reqs that simulated
+// servers count.
 type world struct {
 	*timeline.World
-	limit Limit
-	flaw  flaw
-	drift int64
-	procs []*process
-	runs  [][]run // Flight, by place: reqs at servers, emptied as they end
+	limit   Limit
+	flaw    flaw
+	drift   int64
+	procs   []*process
+	running [][]run // InFlight, by member: reqs at servers, until they end
 
-	runFor   int64
-	dice     *rng.Source // nil: reqs come evenly; else by chance
-	level    float64     // of a bucket with the limit's rate and size: below 0 the stand-ins saw too much
-	seen     int64
-	lowered  int64 // until then leases of a higher limit may be out
-	was      int
-	most     int // units in force, and by how many the bound was passed
-	over     int
-	admitted int
+	runFor        int64
+	random        *rng.Source // nil: reqs arrive evenly; otherwise at random
+	level         float64     // of a bucket with the limit's rate and size: below 0 the servers saw too many reqs
+	lastLive      int64
+	loweredUntil  int64 // until then leases of a previous, higher limit may be valid
+	previousUnits int
+	maxInUse      int // units, and by how many the bound was exceeded
+	maxExcess     int
+	admitted      int
 }
 
 type run struct {
 	p    *process
 	end  int64
-	done bool // at the server; its proxy does not know yet
+	done bool // at the server; its proxy may not know yet
 }
 
 func newWorld(w *timeline.World, limit Limit, drift int64, f flaw) *world {
 	n := len(w.Names)
 	return &world{World: w, limit: limit, drift: drift, flaw: f, procs: make([]*process, n),
-		runs: make([][]run, n), level: float64(limit.Units), runFor: 300 * ms}
+		running: make([][]run, n), level: float64(limit.Units), runFor: 300 * ms}
 }
 
 func (w *world) Start(place int, life uint64, now int64) timeline.Node {
 	p := &process{flaw: w.flaw}
 	if old := w.procs[place]; old != nil {
-		p.asks, p.claim, p.let, p.tried = old.asks, old.claim, old.let, old.tried
+		p.demand, p.exaggeration, p.admitted, p.attempts = old.demand, old.exaggeration, old.admitted, old.attempts
 	}
 	of := len(w.Names)
 	p.Member = New(Config{Index: place, Members: of, Voters: min(3, of), Incarnation: life, Seed: 1, DriftPPM: w.drift,
@@ -151,12 +153,12 @@
 		}
 		switch verb {
 		case "ask":
-			p.asks = float64(n)
+			p.demand = float64(n)
 		case "claim":
-			p.claim = n
+			p.exaggeration = n
 		case "limit":
 			if p.Member.limits[0].Units > n {
-				w.was, w.lowered = w.limit.Units, w.Now+p.lasts(w.limit.LeaseDuration)
+				w.previousUnits, w.loweredUntil = w.limit.Units, w.Now+p.worstCaseDuration(w.limit.LeaseDuration)
 			}
 			x := w.limit
 			x.Units = n
@@ -171,19 +173,19 @@
 	return nil
 }
 
-// force is what may be in use in a place now.
-func (w *world) force(place int) int {
+// usable returns how many units may be in use at a member now.
+func (w *world) usable(place int) int {
 	p, now := w.procs[place], w.Clock(place)
 	l := p.limits[0]
-	x := l.hold.line
-	fresh := now - p.tick.Load()
+	x := l.holder.local
+	fresh := now - p.lastTick.Load()
 	n := 0
-	if w.Node(place) != nil && fresh >= 0 && fresh <= stale && now < x.until.Load() {
+	if w.Node(place) != nil && fresh >= 0 && fresh <= maxTickAge && now < x.validUntil.Load() {
 		n = int(x.units.Load())
 	}
 	if l.Kind == InFlight {
 		at := 0
-		for _, r := range w.runs[place] {
+		for _, r := range w.running[place] {
 			if !r.done {
 				at++
 			}
@@ -193,72 +195,71 @@
 	return n
 }
 
-func (w *world) sum() (n int) {
+func (w *world) totalInUse() (n int) {
 	for i := range w.procs {
-		n += w.force(i)
+		n += w.usable(i)
 	}
 	return n
 }
 
-// bound is how much may be in force now.
+// bound returns how many units may be in use in the fleet now.
 func (w *world) bound() int {
 	n := w.limit.Units
-	if w.Now < w.lowered {
-		n = max(n, w.was)
+	if w.Now < w.loweredUntil {
+		n = max(n, w.previousUnits)
 	}
 	return n + w.limit.MaxExcess(len(w.Names))
 }
 
-// Live has clients ask, and judges.
+// Live simulates clients and servers, and checks the invariants.
 func (w *world) Live() error {
 	rate := float64(w.limit.Units) / float64(max(1, w.limit.Period))
-	w.level = min(float64(w.limit.Units), w.level+rate*float64(w.Now-w.seen))
+	w.level = min(float64(w.limit.Units), w.level+rate*float64(w.Now-w.lastLive))
 	for i, p := range w.procs {
-		for j := range w.runs[i] {
-			r := &w.runs[i][j]
+		for j := range w.running[i] {
+			r := &w.running[i][j]
 			if r.done = w.Now >= r.end; r.done && !(w.Stopped(i) && r.p == p) {
 				r.p.Limiter().Done(Scope{})
 				r.p = nil
 			}
 		}
-		w.runs[i] = slices.DeleteFunc(w.runs[i], func(r run) bool { return r.p == nil })
+		w.running[i] = slices.DeleteFunc(w.running[i], func(r run) bool { return r.p == nil })
 		if w.Node(i) == nil || w.Stopped(i) {
 			continue
 		}
 		if w.limit.Kind == InFlight {
-			if n := p.asks - float64(len(w.runs[i])); n > 0 && w.Now/ms%10 == 0 {
+			if n := p.demand - float64(len(w.running[i])); n > 0 && w.Now/ms%10 == 0 {
 				p.due = n
 			}
-		} else if w.dice != nil {
-			if w.dice.Next() < p.asks*float64(w.Now-w.seen)/float64(w.limit.Period) {
+		} else if w.random != nil {
+			if w.random.Next() < p.demand*float64(w.Now-w.lastLive)/float64(w.limit.Period) {
 				p.due = 1
 			}
 		} else {
-			p.due += p.asks * float64(w.Now-w.seen) / float64(w.limit.Period)
+			p.due += p.demand * float64(w.Now-w.lastLive) / float64(w.limit.Period)
 		}
 		for ; p.due >= 1; p.due-- {
-			p.tried++
+			p.attempts++
 			if ok, _ := p.Limiter().Admit(Scope{}, w.Clock(i)); ok {
-				p.let++
+				p.admitted++
 				w.admitted++
 				w.level--
 				if w.limit.Kind == InFlight {
-					w.runs[i] = append(w.runs[i], run{p: p, end: w.Now + w.runFor})
+					w.running[i] = append(w.running[i], run{p: p, end: w.Now + w.runFor})
 				}
 			}
 		}
 	}
-	w.seen = w.Now
-	sum := w.sum()
-	w.most = max(w.most, sum)
+	w.lastLive = w.Now
+	sum := w.totalInUse()
+	w.maxInUse = max(w.maxInUse, sum)
 	if over := sum - w.bound(); over > 0 {
-		w.over = max(w.over, over)
-		return fmt.Errorf("%d in force of %d", sum, w.bound())
+		w.maxExcess = max(w.maxExcess, over)
+		return fmt.Errorf("%d units usable, want at most %d", sum, w.bound())
 	}
-	// The stand-ins' own count; a limit that was just lowered and one that is bounded have more in force by
-	// their word.
-	if w.limit.Kind == Rate && w.limit.Strict && w.Now >= w.lowered && w.lowered == 0 && w.level < -1e-6 {
-		return fmt.Errorf("%.2f reqs too many at the servers", -w.level)
+	// The servers' own count. A limit that was lowered, or that is not strict, may be exceeded by design.
+	if w.limit.Kind == Rate && w.limit.Strict && w.Now >= w.loweredUntil && w.loweredUntil == 0 && w.level < -1e-6 {
+		return fmt.Errorf("servers saw %.2f reqs too many", -w.level)
 	}
 	return nil
 }
@@ -267,30 +268,30 @@
 	if place < 0 {
 		switch what {
 		case "sum":
-			return fmt.Sprintf("sum %d of %d", w.sum(), w.limit.Units), nil
+			return fmt.Sprintf("sum %d of %d", w.totalInUse(), w.limit.Units), nil
 		case "most":
-			return fmt.Sprintf("most %d, bound %d", w.most, w.bound()), nil
+			return fmt.Sprintf("most %d, bound %d", w.maxInUse, w.bound()), nil
 		case "let":
 			n := w.admitted
 			w.admitted = 0
 			return fmt.Sprintf("let %d", n), nil
 		}
-		return "", errors.New("nothing to be seen")
+		return "", errors.New("unknown observation")
 	}
 	p, l := w.procs[place], w.procs[place].limits[0]
 	switch what {
 	case "has":
-		return fmt.Sprintf("has %d", w.force(place)), nil
+		return fmt.Sprintf("has %d", w.usable(place)), nil
 	case "owner":
-		if l.hold.owner < 0 {
+		if l.holder.owner < 0 {
 			return "owner none", nil
 		}
-		return "owner " + w.Names[l.hold.owner], nil
+		return "owner " + w.Names[l.holder.owner], nil
 	case "owns":
 		return fmt.Sprintf("owns %v", p.owns(l, w.Clock(place))), nil
 	case "served":
-		let, tried := p.let, p.tried
-		p.let, p.tried = 0, 0
+		let, tried := p.admitted, p.attempts
+		p.admitted, p.attempts = 0, 0
 		switch {
 		case tried == 0:
 			return "nothing asked", nil
@@ -301,17 +302,17 @@
 		}
 		return "served in part", nil
 	}
-	return "", errors.New("nothing to be seen")
+	return "", errors.New("unknown observation")
 }
 
-// A line in a file names the limit: play units=9 strict; or floor=1; kind=flight; per=250 (ms); lease=2000
+// A command line in a file sets the limit: play units=9 strict; or floor=1; kind=flight; per=250 (ms); lease=2000
 // (ms); drift=100; seed=1.
 func TestTimelines(t *testing.T) {
 	datadriven.Walk(t, "testdata/timelines", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			x, drift, seed := terms(t, d)
+			x, drift, seed := limitOf(t, d)
 			r := timeline.Play(d.Input, seed, func(w *timeline.World) timeline.Cluster {
-				return newWorld(w, x, drift, sound)
+				return newWorld(w, x, drift, flawNone)
 			})
 			if r.Err != nil && !strings.Contains(r.Drawn, "! ") {
 				t.Fatal(r.Err)
@@ -327,7 +328,7 @@
 	})
 }
 
-func terms(t *testing.T, d *datadriven.TestData) (x Limit, drift int64, seed uint64) {
+func limitOf(t *testing.T, d *datadriven.TestData) (x Limit, drift int64, seed uint64) {
 	num := func(key string, or int64) int64 {
 		for _, a := range d.CmdArgs {
 			if a.Key == key && len(a.Vals) == 1 {
