--- a/fleet/quota/calendar_test.go
+++ b/fleet/quota/calendar_test.go
@@ -28,15 +28,15 @@
 		{Month, "UTC", "2027-02-28T23:59:59Z", 28 * 24 * time.Hour},
 		{Month, "Europe/Berlin", "2026-10-31T22:59:59Z", 31*24*time.Hour + time.Hour},
 		{Month, "America/New_York", "2027-01-01T04:59:59Z", 31 * 24 * time.Hour},
-		{Hour, "Europe/Berlin", "2026-10-25T00:30:00Z", time.Hour}, // 02:30, for the first time
-		{Hour, "Europe/Berlin", "2026-10-25T01:30:00Z", time.Hour}, // 02:30 once more
+		{Hour, "Europe/Berlin", "2026-10-25T00:30:00Z", time.Hour}, // 02:30, first occurrence
+		{Hour, "Europe/Berlin", "2026-10-25T01:30:00Z", time.Hour}, // 02:30, second occurrence
 		{Hour, "Asia/Kolkata", "2026-05-01T00:29:59Z", time.Hour},  // from 23:30 to 00:30 of UTC
-		// set back by half an hour: 01:30 to 02:00 once more
+		// set back by half an hour: second occurrence of 01:30 to 02:00
 		{Hour, "Australia/Lord_Howe", "2026-04-04T15:10:00Z", time.Hour / 2},
-		{Day, "America/Sao_Paulo", "2018-11-04T12:00:00Z", 23 * time.Hour}, // has no midnight
-		{Day, "America/Havana", "2026-11-01T12:00:00Z", 25 * time.Hour},    // has two
+		{Day, "America/Sao_Paulo", "2018-11-04T12:00:00Z", 23 * time.Hour}, // no midnight
+		{Day, "America/Havana", "2026-11-01T12:00:00Z", 25 * time.Hour},    // two midnights
 		{Day, "Pacific/Apia", "2011-12-30T09:59:59Z", 24 * time.Hour},      // the next date is skipped
-		// the last before the clock is set back
+		// the last minute before the clock is set back
 		{Minute, "Europe/Berlin", "2026-10-25T00:59:59.999Z", 60 * time.Second},
 	} {
 		at, err := time.Parse(time.RFC3339Nano, x.at)
@@ -46,19 +46,19 @@
 		c := calendar(t, x.kind, x.zone)
 		start, end := c.At(at.UnixNano())
 		if time.Duration(end-start) != x.long {
-			t.Errorf("%s %s: %s, wanted %s", x.zone, x.at, time.Duration(end-start), x.long)
+			t.Errorf("%s %s: got %s, want %s", x.zone, x.at, time.Duration(end-start), x.long)
 		}
 	}
 	if _, err := NewCalendar(Day, "Europe/Nowhere", 0, 0); err == nil {
-		t.Error("took a zone that is not known")
+		t.Error("accepted an unknown time zone")
 	}
 	if _, err := NewCalendar(Sliding, "", 10, 0); err == nil {
-		t.Error("took a sliding window without steps")
+		t.Error("accepted a sliding window without steps")
 	}
 }
 
-// Windows leave no gap, do not overlap and are the same from each of their moments, in zones with all manner
-// of changes.
+// Windows leave no gap, do not overlap, and are the same for each time within them, in zones with all kinds of offset
+// changes.
 func TestWindowsTile(t *testing.T) {
 	zones := []string{"UTC", "Europe/Berlin", "America/New_York", "Australia/Lord_Howe", "Asia/Kolkata",
 		"America/Sao_Paulo", "America/Havana", "Pacific/Apia", "Africa/Cairo", "Asia/Beirut", "Atlantic/Azores",
--- a/fleet/quota/clocks.go
+++ b/fleet/quota/clocks.go
@@ -1,47 +1,47 @@
 package quota
 
-// Clocks finds out whose wall clock is off. It owns how far each place's is from this one's, heard in
-// exchanges; it must never move a window by itself. A place's entry is overwritten by its next exchange and
-// no longer counts after the horizon.
+// Clocks detects members whose wall clock deviates. It holds the offset of each member's wall clock, measured in
+// message exchanges, and must never turn a window by itself. A sample is replaced by the member's next exchange and
+// expires after maxAge.
 type Clocks struct {
-	me             int
-	bound, horizon int64
-	heard          []sample // by place
+	member          int
+	maxSkew, maxAge int64
+	samples         []sample // by member
 }
 
-// sample is a place's wall clock less this process's monotonic one, give or take half of the exchange.
-type sample struct{ off, err, at int64 }
+// sample is a member's wall clock minus this process's monotonic clock; the uncertainty is half the exchange.
+type sample struct{ offset, uncertainty, at int64 }
 
-// NewClocks begins with nothing heard. Times are ns.
-func NewClocks(me, places int, bound, horizon int64) *Clocks {
-	return &Clocks{me: me, bound: bound, horizon: horizon, heard: make([]sample, places)}
+// NewClocks returns Clocks without samples. Durations are in ns.
+func NewClocks(member, members int, maxSkew, maxAge int64) *Clocks {
+	return &Clocks{member: member, maxSkew: maxSkew, maxAge: maxAge, samples: make([]sample, members)}
 }
 
-// Hear takes what a place's wall clock said in an exchange that began and ended at times of this process's
-// monotonic clock.
-func (c *Clocks) Hear(place int, theirs, sent, got int64) {
-	if place != c.me && place >= 0 && place < len(c.heard) && sent <= got {
-		c.heard[place] = sample{theirs - (sent + (got-sent)/2), (got-sent)/2 + 1, got}
+// Record adds a reading of a member's wall clock from an exchange that began at sent and ended at got, by this
+// process's monotonic clock.
+func (c *Clocks) Record(member int, theirs, sent, got int64) {
+	if member != c.member && member >= 0 && member < len(c.samples) && sent <= got {
+		c.samples[member] = sample{theirs - (sent + (got-sent)/2), (got-sent)/2 + 1, got}
 	}
 }
 
-// Judge says whether this process's clock is off by more than the bound from at least half of all, itself and
-// those heard lately, and else whose is off from this one. Of two that differ, both take themselves to be
-// off.
-func (c *Clocks) Judge(now, wall int64) (self bool, off []int) {
-	fresh := 1
-	for p, s := range c.heard {
-		if s.at == 0 || now-s.at > c.horizon {
+// Judge reports whether this process's wall clock deviates by more than maxSkew from at least half of all clocks, its
+// own and those with a valid sample; otherwise it returns the members whose clock deviates from this one. If only two
+// clocks are known and differ, each process takes its own to be wrong.
+func (c *Clocks) Judge(now, wall int64) (self bool, deviating []int) {
+	counted := 1
+	for p, sample := range c.samples {
+		if sample.at == 0 || now-sample.at > c.maxAge {
 			continue
 		}
-		fresh++
-		d := s.off - (wall - now)
-		if max(d, -d)-s.err > c.bound {
-			off = append(off, p)
+		counted++
+		difference := sample.offset - (wall - now)
+		if max(difference, -difference)-sample.uncertainty > c.maxSkew {
+			deviating = append(deviating, p)
 		}
 	}
-	if 2*len(off) >= fresh {
+	if 2*len(deviating) >= counted {
 		return true, nil
 	}
-	return false, off
+	return false, deviating
 }
--- a/fleet/quota/explore_voters_test.go
+++ b/fleet/quota/explore_voters_test.go
@@ -6,48 +6,49 @@
 	"testing"
 )
 
-// The other part of the graph: three voters and two owners, one term after the other, nobody else. The first
-// owner has states written down, the second begins at any moment, both go on; writings reach a voter at any
-// time, late and again; a voter dies once, returns with its file, or with any older copy where the terms
-// allow for one, and is silent for two leases: in the first all promises from before its end run out, in the
-// second those from before the first was over. What is shown: the second term begins with the newest state
-// that a majority held, and no majority takes a state of the first after that.
-type booth struct {
-	owners  [2]*Owner
-	voters  [3]Voter
-	files   [3][]Voter // as written, oldest first; all of them
-	sent    [2][]State
-	crashed bool
-	down    int   // a voter that is away or silent; -1
-	phase   int64 // 1, 2 from its end, 3 a lease later, 4 when it speaks
-	best    int64 // handed out in the first term, as far as a majority has written it down
-	began   int64 // what the second term read as handed out; -1 before
-	bad     string
-	path    string
+// voterSearchState is a state of the second part of the search: three voters and two owners in successive terms,
+// without holders. The first owner saves states, the second starts at any time, and both go on; saves reach a voter at
+// any time, late and repeatedly. One voter crashes once and restarts with its file, or with any older copy if the
+// configuration allows one. It is then silent for two leases: in the first all promises from before its crash expire,
+// in the second those from before the end of the first. The search shows that the second term starts with the newest
+// state that a majority held, and that no majority accepts a state of the first term after that.
+type voterSearchState struct {
+	owners      [2]*Owner
+	voters      [3]Voter
+	files       [3][]Voter // all versions as stored, oldest first
+	sent        [2][]State
+	crashed     bool
+	unavailable int   // voter that is down or silent; -1: none
+	phase       int64 // 1 before the crash, 2 after it, 3 a lease later, 4 once the voter answers again
+	confirmed   int64 // granted in the first term, as far as a majority has saved it
+	startedWith int64 // what the second term read as granted; -1 before
+	violation   string
+	path        string
 }
 
-// saves is how many states each owner has written down.
+// saves is how many states each owner saves.
 const saves = 1
 
-func boothTerms(old int) Terms {
-	return Terms{Every: second, Lease: 1000 * second, Seal: second, Skew: 1000 * second, Places: 3, Old: old}
+func voterConfig(old int) Config {
+	return Config{ReportInterval: second, LeaseDuration: 1000 * second, SealAfter: second,
+		MaxSkew: 1000 * second, Members: 3, MaxRolledBack: old}
 }
 
-func (b *booth) o(k int) *Owner {
+func (b *voterSearchState) o(k int) *Owner {
 	b.owners[k] = b.owners[k].clone()
 	return b.owners[k]
 }
 
-func newBooth(old int) *booth {
-	b := &booth{down: -1, began: -1, phase: 1}
-	q := minutely(1 << 40)
-	q.Ahead = 1
-	b.owners[0], _ = NewOwner(0, 1, q, boothTerms(old), []int{0, 1, 2}, NewClocks(0, 3, second, -1), exploreNow)
+func newVoterSearchState(old int) *voterSearchState {
+	b := &voterSearchState{unavailable: -1, startedWith: -1, phase: 1}
+	q := minuteQuota(1 << 40)
+	q.WriteAhead = 1
+	b.owners[0], _ = NewOwner(0, 1, q, voterConfig(old), []int{0, 1, 2}, NewClocks(0, 3, second, -1), exploreNow)
 	return b
 }
 
-func (b *booth) next(old int, trust bool) (out []*booth) {
-	may := func(change func(x *booth)) {
+func (b *voterSearchState) next(old int, trust bool) (out []*voterSearchState) {
+	add := func(change func(x *voterSearchState)) {
 		x := *b
 		for v := range x.files {
 			x.files[v] = slices.Clone(x.files[v])
@@ -62,40 +63,42 @@
 		if o == nil {
 			continue
 		}
-		if o.standing == Granting && !o.busy && o.s.Seq < saves {
-			may(func(x *booth) { // more is handed out, so more is written down
+		if o.phase == Granting && !o.saving && o.state.Seq < saves {
+			add(func(x *voterSearchState) { // more is granted, so that a new state is saved
 				o := x.o(k)
-				o.out[0] = o.s.Windows[0].Mark[0]
-				o.mark(firstWindow)
-				x.note(k, o.save(exploreNow, firstWindow))
+				o.granted[0] = o.state.Windows[0].MaxGranted[0]
+				o.raiseMaxGranted(firstWindow)
+				x.recordSaves(k, o.save(exploreNow, firstWindow))
 			})
 		}
 		for v := range b.voters {
-			if v == b.down {
+			if v == b.unavailable {
 				continue
 			}
-			if o.standing == Reading && (!o.promised[v].given || o.promised[v].life != b.voters[v].Life) {
-				may(func(x *booth) {
+			if o.phase == Reading && (!o.promises[v].given || o.promises[v].incarnation != b.voters[v].DoubtIncarnation) {
+				add(func(x *voterSearchState) {
 					o := x.o(k)
-					x.promise(o, v, Promise{1, o.term, k, x.phase, o.promised[v].life}, true)
+					x.promise(o, v, PromiseRequest{1, o.term, k, x.phase, o.promises[v].incarnation}, true)
 				})
 			}
-			if d := o.doubts[v]; o.standing == Granting && d.life != 0 && o.sent.Seq >= d.seq && !o.busy {
-				may(func(x *booth) { x.promise(x.o(k), v, Promise{1, o.term, k, x.phase, d.life}, true) })
+			if d := o.doubts[v]; o.phase == Granting && d.incarnation != 0 && o.sent.Seq >= d.seq && !o.saving {
+				add(func(x *voterSearchState) {
+					x.promise(x.o(k), v, PromiseRequest{1, o.term, k, x.phase, d.incarnation}, true)
+				})
 			}
-			// A letter of long ago, whose answer nobody waits for.
-			if b.voters[v].Promised <= o.term {
-				may(func(x *booth) { x.promise(x.owners[k], v, Promise{1, o.term, k, x.phase, 0}, false) })
+			// An old message whose answer nobody waits for.
+			if b.voters[v].HighestTerm <= o.term {
+				add(func(x *voterSearchState) { x.promise(x.owners[k], v, PromiseRequest{1, o.term, k, x.phase, 0}, false) })
 			}
 			for _, s := range b.sent[k] {
-				may(func(x *booth) { x.save(k, v, s) })
+				add(func(x *voterSearchState) { x.save(k, v, s) })
 			}
 		}
 	}
 	if b.owners[1] == nil {
-		may(func(x *booth) {
-			q, clocks := x.owners[0].q, NewClocks(1, 3, second, -1)
-			x.owners[1], _ = NewOwner(1, 2, q, boothTerms(old), []int{0, 1, 2}, clocks, exploreNow)
+		add(func(x *voterSearchState) {
+			q, clocks := x.owners[0].quota, NewClocks(1, 3, second, -1)
+			x.owners[1], _ = NewOwner(1, 2, q, voterConfig(old), []int{0, 1, 2}, clocks, exploreNow)
 		})
 	}
 	for v := range b.voters {
@@ -104,137 +107,138 @@
 				if old == 0 && n < len(b.files[v])-1 {
 					continue
 				}
-				may(func(x *booth) {
+				add(func(x *voterSearchState) {
 					x.crashed, x.phase = true, 2
 					x.path += fmt.Sprint(" crash", v, "file", n)
-					life := uint64(7)
-					x.voters[v] = Return(x.files[v][n], boothTerms(old), life, exploreNow)
-					x.voters[v].Mute = 0 // its silence is down
+					incarnation := uint64(7)
+					x.voters[v] = RestoreVoter(x.files[v][n], voterConfig(old), incarnation, exploreNow)
+					x.voters[v].SilentUntil = 0 // the field unavailable models its silence
 					if trust {
-						x.voters[v].Life = 0
+						x.voters[v].DoubtIncarnation = 0
 					}
-					x.down = v
+					x.unavailable = v
 				})
 			}
 		}
 	}
-	if b.down >= 0 {
-		may(func(x *booth) {
+	if b.unavailable >= 0 {
+		add(func(x *voterSearchState) {
 			x.phase++
 			for k, o := range x.owners {
-				if o == nil || o.standing != Reading || old == 0 {
+				if o == nil || o.phase != Reading || old == 0 {
 					continue
 				}
-				for v, p := range o.promised {
+				for v, p := range o.promises {
 					if p.given && p.sent < x.phase-1 {
-						x.o(k).promised[v] = promise{}
+						x.o(k).promises[v] = promiseState{}
 					}
 				}
 			}
 			if x.phase == 4 {
 				x.path += " up"
-				x.down = -1
+				x.unavailable = -1
 			}
 		})
 	}
 	return out
 }
 
-func (b *booth) note(k int, out []Letter) {
+func (b *voterSearchState) recordSaves(k int, out []Message) {
 	for _, l := range out {
-		if s, is := l.Body.(Save); is {
+		if s, is := l.Body.(SaveRequest); is {
 			b.sent[k] = append(b.sent[k], s.State)
 			return
 		}
 	}
 }
 
-func (b *booth) promise(o *Owner, v int, p Promise, answered bool) {
-	b.path += fmt.Sprint(" promise", p.Term, "v", v, "life", p.Life, answered)
+func (b *voterSearchState) promise(o *Owner, v int, p PromiseRequest, answered bool) {
+	b.path += fmt.Sprint(" promise", p.Term, "v", v, "life", p.Incarnation, answered)
 	voter := b.voters[v]
-	out := voter.Promise(p, v, exploreNow)
+	out := voter.HandlePromise(p, v, exploreNow)
 	b.write(v, voter)
 	if !answered {
 		return
 	}
-	reading := o.standing == Reading
-	b.note(o.me, o.Promised(out[0].Body.(Promised), exploreNow, firstWindow))
-	if reading && o.standing == Granting && o.term == 2 {
-		b.began = o.out[0]
-		b.judge()
+	reading := o.phase == Reading
+	b.recordSaves(o.member, o.HandlePromiseReply(out[0].Body.(PromiseReply), exploreNow, firstWindow))
+	if reading && o.phase == Granting && o.term == 2 {
+		b.startedWith = o.granted[0]
+		b.check()
 	}
 }
 
-// judge holds what a majority wrote down of the first term, at any time, against what the second began with.
-func (b *booth) judge() {
-	if b.began >= 0 && b.best > b.began {
-		b.bad = fmt.Sprintf("%d was written down, the second term began with %d:%s", b.best, b.began, b.path)
+// check compares what a majority saved in the first term, at any time, with what the second term started with.
+func (b *voterSearchState) check() {
+	if b.startedWith >= 0 && b.confirmed > b.startedWith {
+		b.violation = fmt.Sprintf("%d was saved, the second term started with %d:%s", b.confirmed, b.startedWith, b.path)
 	}
 }
 
-func (b *booth) save(k, v int, s State) {
+func (b *voterSearchState) save(k, v int, s State) {
 	b.path += fmt.Sprint(" save", s.Term, "/", s.Seq, "v", v)
 	voter := b.voters[v]
-	out := voter.Save(Save{1, k, s}, v, boothTerms(0), exploreNow, firstWindow)
+	out := voter.HandleSave(SaveRequest{1, k, s}, v, voterConfig(0), exploreNow, firstWindow)
 	b.write(v, voter)
-	a := out[0].Body.(Saved)
+	a := out[0].Body.(SaveReply)
 	o := b.o(k)
-	was := o.busy
-	more := o.Saved(a, exploreNow, firstWindow)
-	b.note(k, more)
-	if was && a.OK && a.Seq == s.Seq && k == 0 && o.marked[0] >= s.Windows[0].Mark[0] {
-		b.best = max(b.best, o.marked[0])
-		b.judge()
+	was := o.saving
+	more := o.HandleSaveReply(a, exploreNow, firstWindow)
+	b.recordSaves(k, more)
+	if was && a.OK && a.Seq == s.Seq && k == 0 && o.maxGranted[0] >= s.Windows[0].MaxGranted[0] {
+		b.confirmed = max(b.confirmed, o.maxGranted[0])
+		b.check()
 	}
 }
 
-func (b *booth) write(v int, voter Voter) {
+func (b *voterSearchState) write(v int, voter Voter) {
 	x := &b.voters[v]
-	if x.Promised != voter.Promised || x.Life != voter.Life || x.Asked != voter.Asked ||
+	if x.HighestTerm != voter.HighestTerm || x.DoubtIncarnation != voter.DoubtIncarnation ||
+		x.PromisedTerm != voter.PromisedTerm ||
 		x.State.Term != voter.State.Term || x.State.Seq != voter.State.Seq {
 		b.files[v] = append(b.files[v], voter)
 	}
 	*x = voter
 }
 
-// key is the same for booths that differ in the voters' names alone.
-func (b *booth) key() string {
+// key is the same for states that differ only in the order of the voters.
+func (b *voterSearchState) key() string {
 	var votes [3]string
 	for v, x := range b.voters {
-		s := fmt.Sprint(x.Promised, x.Life, x.Asked, x.State.Term, x.State.Seq, v == b.down)
+		s := fmt.Sprint(x.HighestTerm, x.DoubtIncarnation, x.PromisedTerm, x.State.Term, x.State.Seq, v == b.unavailable)
 		if !b.crashed {
 			for _, f := range b.files[v] {
-				s += fmt.Sprint("f", f.Promised, f.Asked, f.State.Term, f.State.Seq)
+				s += fmt.Sprint("f", f.HighestTerm, f.PromisedTerm, f.State.Term, f.State.Seq)
 			}
 		}
 		for _, o := range b.owners {
 			if o != nil {
-				p := o.promised[v]
-				late := p.given && o.standing == Reading && p.sent >= 2
-				s += fmt.Sprint("o", o.acks[v], p.given, late, p.sent >= 3, p.doubt, p.life, p.state.Term, p.state.Seq,
+				p := o.promises[v]
+				late := p.given && o.phase == Reading && p.sent >= 2
+				s += fmt.Sprint("o", o.acks[v], p.given, late, p.sent >= 3, p.inDoubt, p.incarnation, p.state.Term, p.state.Seq,
 					o.doubts[v])
 			}
 		}
 		votes[v] = s
 	}
 	slices.Sort(votes[:])
-	s := fmt.Sprint(votes, b.crashed, b.phase, b.best, b.began, b.bad != "")
+	s := fmt.Sprint(votes, b.crashed, b.phase, b.confirmed, b.startedWith, b.violation != "")
 	for k, o := range b.owners {
 		if o != nil {
-			s += fmt.Sprint("O", o.standing, o.s.Seq, o.out[0], o.marked[0], o.busy, o.dirty, o.sent.Seq,
+			s += fmt.Sprint("O", o.phase, o.state.Seq, o.granted[0], o.maxGranted[0], o.saving, o.dirty, o.sent.Seq,
 				len(b.sent[k]))
-			if w := o.last(); w != nil {
-				s += fmt.Sprint("m", w.Mark[0])
+			if w := o.openWindow(); w != nil {
+				s += fmt.Sprint("m", w.MaxGranted[0])
 			}
 		}
 	}
 	return s
 }
 
-func walkBooths(old, copies int, trust bool, most int) (states int, whole bool, bad string) {
-	first := newBooth(old)
+func walkVoterStates(old, copies int, trust bool, most int) (states int, whole bool, bad string) {
+	first := newVoterSearchState(old)
 	seen := map[string]bool{first.key(): true}
-	for todo := []*booth{first}; len(todo) > 0; {
+	for todo := []*voterSearchState{first}; len(todo) > 0; {
 		b := todo[0]
 		todo = todo[1:]
 		for _, x := range b.next(copies, trust) {
@@ -243,8 +247,8 @@
 				continue
 			}
 			seen[k] = true
-			if x.bad != "" {
-				return len(seen), false, x.bad
+			if x.violation != "" {
+				return len(seen), false, x.violation
 			}
 			if len(seen) >= most {
 				return len(seen), false, ""
@@ -257,15 +261,15 @@
 
 func TestGraphOfVoters(t *testing.T) {
 	for old := range 2 {
-		states, whole, bad := walkBooths(old, old, false, 400_000)
+		states, whole, bad := walkVoterStates(old, old, false, 400_000)
 		t.Logf("older copies of %d voters: %d states, whole: %t", old, states, whole)
 		if bad != "" || !whole {
 			t.Error(bad, whole)
 		}
 	}
-	states, _, bad := walkBooths(1, 1, true, 400_000)
+	states, _, bad := walkVoterStates(1, 1, true, 400_000)
 	t.Logf("older copy trusted: %d states, %s", states, bad)
 	if bad == "" {
-		t.Error("an older copy that is trusted was not found")
+		t.Error("the variant that trusts an older copy was not found")
 	}
 }
--- a/fleet/quota/holder.go
+++ b/fleet/quota/holder.go
@@ -6,24 +6,23 @@
 	"ivybank/internal/rng"
 )
 
-// Cell is what a process holds of one window. Reqs and the holder's task count in it at once; none waits for
-// another.
-type Cell struct {
-	window int64
-	left   [classes]atomic.Int64
-	asked  [classes]atomic.Int64 // amounts, of reqs by the class they may take
+// WindowTokens holds a process's tokens of one window. Reqs and the holder update it concurrently, without blocking.
+type WindowTokens struct {
+	window   int64
+	left     [classes]atomic.Int64
+	demanded [classes]atomic.Int64 // amounts demanded, by the highest class that the reqs may take
 }
 
-// take counts n down. Those that may use the reserve do so once the rest is spent.
-func (c *Cell) take(n int64, class int) (from int, ok bool) {
-	c.asked[class].Add(n)
+// take removes n tokens. Reqs that may use the reserve take from it once the other tokens are spent.
+func (t *WindowTokens) take(n int64, class int) (from int, ok bool) {
+	t.demanded[class].Add(n)
 	for from = range class + 1 {
 		for {
-			l := c.left[from].Load()
-			if l < n {
+			left := t.left[from].Load()
+			if left < n {
 				break
 			}
-			if c.left[from].CompareAndSwap(l, l-n) {
+			if t.left[from].CompareAndSwap(left, left-n) {
 				return from, true
 			}
 		}
@@ -31,169 +30,170 @@
 	return 0, false
 }
 
-// back takes up to n tokens out again and says how many.
-func (c *Cell) back(n int64, class int) int64 {
+// remove takes out up to n tokens and returns how many.
+func (t *WindowTokens) remove(n int64, class int) int64 {
 	for {
-		l := c.left[class].Load()
-		k := min(n, l)
-		if k <= 0 {
+		left := t.left[class].Load()
+		removed := min(n, left)
+		if removed <= 0 {
 			return 0
 		}
-		if c.left[class].CompareAndSwap(l, l-k) {
-			return k
+		if t.left[class].CompareAndSwap(left, left-removed) {
+			return removed
 		}
 	}
 }
 
-// view is the picture a req reads; it is never written to once it is there.
-type view struct {
-	cell  *Cell
-	until int64      // on the monotonic clock, when what is held may no more be spent
-	opens int64      // when the next window opens, where this one is spent; else 0
-	soon  int64      // how long until more may come
-	from  int64      // worth from which the reserve is open
-	later *[64]int64 // times after the opening, drawn for each window
+// snapshot is the state that the admission path reads; it is immutable.
+type snapshot struct {
+	tokens      *WindowTokens
+	validUntil  int64      // by the monotonic clock: from then the tokens may not be spent
+	opensAt     int64      // when the next window opens, if this one is spent; otherwise 0
+	retryAfter  int64      // ns until more tokens may arrive
+	reserveFrom int64      // least value of a req that may use the reserve; 0: no reserve
+	spread      *[64]int64 // random delays after the opening, drawn for each window
 }
 
-// Slot is where the req path finds a quota's picture.
+// Slot passes the snapshot of a quota to the admission path.
 type Slot struct {
-	id   uint32
-	unit Unit
-	view atomic.Pointer[view]
-	turn atomic.Uint32
+	id         uint32
+	unit       Unit
+	snapshot   atomic.Pointer[snapshot]
+	nextSpread atomic.Uint32
 }
 
-// Holder is a process's part in one quota. It owns what was given to this process and what went back; it must
-// never hold more than totals it heard less what it gave back, and turns to a window only by the owner's
-// word.
+// Holder is the part of one process in one quota. It must never hold more than the totals granted to it minus what it
+// returned, and it enters a window only when told by the owner.
 type Holder struct {
-	slot     *Slot
-	t        Terms
-	place    int
-	life     uint64
-	owner    int
-	clocks   *Clocks
-	dice     rng.Source
-	term     uint64
-	total    Pair // heard of this term and window
-	returned Pair // of this term and window
-	heard    Pair // of that, what the owner knows
-	cell     *Cell
-	until    int64
-	slice    int64
-	num      uint32
-	asks     [8]ask // the last few
-	next     int64  // when to look again
-	last     int64  // report
-	seen     Pair   // of what was asked
-	rate     Pair   // amounts asked in a period
-	low      Pair   // least that was left since lowAt
-	lowAt    int64
-	later    *[64]int64
-	old      []past // emptied Seal after each window was left
+	slot          *Slot
+	cfg           Config
+	member        int
+	incarnation   uint64
+	owner         int
+	clocks        *Clocks
+	random        rng.Source
+	term          uint64
+	total         Pair // granted in this term and window
+	returned      Pair // in this term and window
+	returnedKnown Pair // of returned, what the owner has acknowledged
+	tokens        *WindowTokens
+	validUntil    int64
+	maxUnspent    int64
+	reportNum     uint32
+	requests      [8]request // the latest reports
+	nextTick      int64      // when Tick is due
+	lastReport    int64      // when the last report was sent
+	prevDemanded  Pair       // tokens.demanded at the latest tick
+	demand        Pair       // amounts demanded in a report interval
+	minLeft       Pair       // least tokens left since minLeftSince
+	minLeftSince  int64
+	spread        *[64]int64
+	closed        []closedWindow // removed SealAfter ns after each window was left
 }
 
-type ask struct {
+type request struct {
 	num uint32
 	at  int64
 }
 
-// past is a window that was left; what comes back there still reaches the owner.
-type past struct {
-	cell            *Cell
-	returned, heard Pair
-	until           int64
+// closedWindow is a window that was left; tokens refunded there are still returned to the owner.
+type closedWindow struct {
+	tokens                  *WindowTokens
+	returned, returnedKnown Pair
+	expires                 int64
 }
 
-// NewHolder begins with nothing held. Life must be above that of each earlier process at this place.
-func NewHolder(q Quota, t Terms, place int, life, seed uint64, clocks *Clocks) *Holder {
-	return &Holder{slot: &Slot{id: q.ID, unit: q.Unit}, t: t, place: place, life: life, owner: -1,
+// NewHolder returns a holder without tokens. The incarnation must be greater than that of each earlier process of this
+// member.
+func NewHolder(q Quota, cfg Config, member int, incarnation, seed uint64, clocks *Clocks) *Holder {
+	return &Holder{slot: &Slot{id: q.ID, unit: q.Unit}, cfg: cfg, member: member, incarnation: incarnation, owner: -1,
 		clocks: clocks,
-		dice:   rng.Source{Seed: seed}, cell: &Cell{}, later: new([64]int64)}
+		random: rng.Source{Seed: seed}, tokens: &WindowTokens{}, spread: new([64]int64)}
 }
 
-// Owner tells whose place the owner's is; -1 where it is not known.
-func (h *Holder) Owner(place int) { h.owner = place }
+// SetOwner sets the member that is the owner; -1 if unknown.
+func (h *Holder) SetOwner(member int) { h.owner = member }
 
-// Slot gives what the req path reads.
+// Slot returns the slot that the admission path reads.
 func (h *Holder) Slot() *Slot { return h.slot }
 
-func (h *Holder) left() Pair { return Pair{h.cell.left[0].Load(), h.cell.left[1].Load()} }
+func (h *Holder) left() Pair { return Pair{h.tokens.left[0].Load(), h.tokens.left[1].Load()} }
 
-// need is what two periods take, of which the reserve's class may use the other.
-func (h *Holder) need() Pair { return Pair{2 * h.rate[0], 2 * h.rate[1]} }
+// need returns the demand of two report intervals; that of class 1 may also be met by class 0.
+func (h *Holder) need() Pair { return Pair{2 * h.demand[0], 2 * h.demand[1]} }
 
-// giveBack takes tokens out of the cell for good.
+// giveBack removes tokens for good, to return them to the owner.
 func (h *Holder) giveBack(p Pair) {
 	for c := range classes {
-		h.returned[c] += h.cell.back(p[c], c)
+		h.returned[c] += h.tokens.remove(p[c], c)
 	}
 }
 
-// Tick reports by demand: each Every while reqs come, twice a lease while tokens are held, and not at all
-// else.
-func (h *Holder) Tick(now int64) (out []Letter) {
-	if now < h.next {
+// Tick reports to the owner as needed: each ReportInterval while reqs arrive or returned tokens are not acknowledged,
+// otherwise twice in the duration of a lease.
+func (h *Holder) Tick(now int64) (out []Message) {
+	if now < h.nextTick {
 		return nil
 	}
-	h.next = now + h.t.Every
+	h.nextTick = now + h.cfg.ReportInterval
 	for c := range classes {
-		asked := h.cell.asked[c].Load()
-		h.rate[c] = max(asked-h.seen[c], h.rate[c]*3/4)
-		h.seen[c] = asked
+		demanded := h.tokens.demanded[c].Load()
+		h.demand[c] = max(demanded-h.prevDemanded[c], h.demand[c]*3/4)
+		h.prevDemanded[c] = demanded
 	}
 	left, need := h.left(), h.need()
 	for c := range classes {
-		h.low[c] = min(h.low[c], left[c])
+		h.minLeft[c] = min(h.minLeft[c], left[c])
 	}
-	if now-h.lowAt >= h.t.Lease {
-		h.giveBack(Pair{h.low[0] - h.rate[0] - h.slice/8, h.low[1] - h.rate[1]})
+	if now-h.minLeftSince >= h.cfg.LeaseDuration {
+		h.giveBack(Pair{h.minLeft[0] - h.demand[0] - h.maxUnspent/8, h.minLeft[1] - h.demand[1]})
 		left = h.left()
-		h.low, h.lowAt = left, now
+		h.minLeft, h.minLeftSince = left, now
 	}
-	out = h.reportOld(now)
-	if h.owner < 0 || h.rate.sum() == 0 && h.returned == h.heard && now-h.last < h.t.Lease/2 && h.last != 0 {
+	out = h.reportClosed(now)
+	if h.owner < 0 || h.demand.sum() == 0 && h.returned == h.returnedKnown &&
+		now-h.lastReport < h.cfg.LeaseDuration/2 && h.lastReport != 0 {
 		return out
 	}
-	want := Pair{max(0, max(need[0], h.slice/8)-left[0]), max(0, need[1]-left[1]-max(0, left[0]-need[0]))}
-	h.num++
-	h.asks[h.num%uint32(len(h.asks))] = ask{h.num, now}
-	h.last = now
-	return append(out, Letter{h.owner, Report{Quota: h.slot.id, Place: h.place, Life: h.life,
-		Window: h.cell.window, Num: h.num,
-		Returned: h.returned, Term: h.term, Heard: h.total, Left: left, Want: want}})
+	want := Pair{max(0, max(need[0], h.maxUnspent/8)-left[0]), max(0, need[1]-left[1]-max(0, left[0]-need[0]))}
+	h.reportNum++
+	h.requests[h.reportNum%uint32(len(h.requests))] = request{h.reportNum, now}
+	h.lastReport = now
+	return append(out, Message{h.owner, Report{Quota: h.slot.id, Member: h.member, Incarnation: h.incarnation,
+		Window: h.tokens.window, Num: h.reportNum,
+		Returned: h.returned, Term: h.term, Received: h.total, Left: left, Want: want}})
 }
 
-// reportOld gives back what came back to windows that were left.
-func (h *Holder) reportOld(now int64) (out []Letter) {
-	kept := h.old[:0]
-	for _, p := range h.old {
-		if now >= p.until {
+// reportClosed returns tokens that were refunded in closed windows.
+func (h *Holder) reportClosed(now int64) (out []Message) {
+	kept := h.closed[:0]
+	for _, p := range h.closed {
+		if now >= p.expires {
 			continue
 		}
 		for c := range classes {
-			p.returned[c] += p.cell.back(1<<62, c)
+			p.returned[c] += p.tokens.remove(1<<62, c)
 		}
-		if p.returned != p.heard && h.owner >= 0 {
-			out = append(out, Letter{h.owner,
-				Report{Quota: h.slot.id, Place: h.place, Life: h.life, Window: p.cell.window, Term: h.term,
+		if p.returned != p.returnedKnown && h.owner >= 0 {
+			out = append(out, Message{h.owner,
+				Report{Quota: h.slot.id, Member: h.member, Incarnation: h.incarnation, Window: p.tokens.window, Term: h.term,
 					Returned: p.returned}})
 		}
 		kept = append(kept, p)
 	}
-	h.old = kept
+	h.closed = kept
 	return out
 }
 
-// Grant takes an owner's answer.
-func (h *Holder) Grant(g Grant, now int64) {
-	if g.Quota != h.slot.id || g.Life != h.life {
+// HandleGrant handles an answer of the owner.
+func (h *Holder) HandleGrant(g Grant, now int64) {
+	if g.Quota != h.slot.id || g.Incarnation != h.incarnation {
 		return
 	}
-	if g.Num == 0 || g.Window < h.cell.window {
-		for i := range h.old {
-			if h.old[i].cell.window == g.Window {
-				h.old[i].heard = h.old[i].heard.max(g.Heard)
+	if g.Num == 0 || g.Window < h.tokens.window {
+		for i := range h.closed {
+			if h.closed[i].tokens.window == g.Window {
+				h.closed[i].returnedKnown = h.closed[i].returnedKnown.max(g.ReturnedKnown)
 			}
 		}
 		return
@@ -201,58 +201,60 @@
 	if g.Term < h.term {
 		return
 	}
-	if g.Window > h.cell.window {
-		h.turn(g.Window, now, g.Spread)
+	if g.Window > h.tokens.window {
+		h.enterWindow(g.Window, now, g.Spread)
 	}
 	if g.Term > h.term {
-		// what was given back before and not written down in time is spent
-		h.term, h.total, h.returned, h.heard = g.Term, Pair{}, Pair{}, Pair{}
-		for i := range h.old {
-			h.old[i].returned, h.old[i].heard = Pair{}, Pair{}
+		// what was returned in an earlier term and not saved in time counts as spent
+		h.term, h.total, h.returned, h.returnedKnown = g.Term, Pair{}, Pair{}, Pair{}
+		for i := range h.closed {
+			h.closed[i].returned, h.closed[i].returnedKnown = Pair{}, Pair{}
 		}
 	}
 	for c := range classes {
-		h.cell.left[c].Add(max(0, g.Total[c]-h.total[c]))
+		h.tokens.left[c].Add(max(0, g.Total[c]-h.total[c]))
 	}
-	h.total, h.heard = h.total.max(g.Total), h.heard.max(g.Heard)
-	h.slice = g.Slice
-	a := h.asks[g.Num%uint32(len(h.asks))]
-	if a.num != g.Num {
-		return // it answers what was asked too long ago to lend time
+	h.total, h.returnedKnown = h.total.max(g.Total), h.returnedKnown.max(g.ReturnedKnown)
+	h.maxUnspent = g.MaxUnspent
+	req := h.requests[g.Num%uint32(len(h.requests))]
+	if req.num != g.Num {
+		return // it answers a report that is too old to extend the lease
 	}
-	h.clocks.Hear(h.owner, g.Wall, a.at, now)
-	long := min(h.t.Lease, g.Rest)
-	h.until = max(h.until, a.at+long-long/1e6*h.t.Drift-h.t.Drift)
+	h.clocks.Record(h.owner, g.Wall, req.at, now)
+	duration := min(h.cfg.LeaseDuration, g.Remaining)
+	h.validUntil = max(h.validUntil, req.at+duration-duration/1e6*h.cfg.DriftPPM-h.cfg.DriftPPM)
 	switch left := h.left(); g.Recall {
-	case All:
+	case RecallAll:
 		h.giveBack(left)
-	case Spare:
+	case RecallSpare:
 		need := h.need()
 		h.giveBack(Pair{left[0] - need[0] - max(0, need[1]-left[1]), left[1] - need[1]})
 	}
-	h.show(g, now)
+	h.publish(g, now)
 }
 
-// turn leaves a window for the next.
-func (h *Holder) turn(window, now, spread int64) {
-	if h.cell.window != 0 {
-		h.old = append(h.old, past{h.cell, h.returned, h.heard, now + h.t.Seal})
+// enterWindow leaves the current window for another.
+func (h *Holder) enterWindow(window, now, spread int64) {
+	if h.tokens.window != 0 {
+		h.closed = append(h.closed, closedWindow{h.tokens, h.returned, h.returnedKnown, now + h.cfg.SealAfter})
 	}
-	h.cell = &Cell{window: window}
-	h.total, h.returned, h.heard, h.seen, h.low, h.until = Pair{}, Pair{}, Pair{}, Pair{}, Pair{}, 0
-	h.lowAt, h.later = now, new([64]int64)
-	for i := range h.later {
+	h.tokens = &WindowTokens{window: window}
+	h.total, h.returned, h.returnedKnown, h.prevDemanded, h.minLeft, h.validUntil =
+		Pair{}, Pair{}, Pair{}, Pair{}, Pair{}, 0
+	h.minLeftSince, h.spread = now, new([64]int64)
+	for i := range h.spread {
 		if spread > 0 {
-			h.later[i] = int64(h.dice.Next() * float64(spread))
+			h.spread[i] = int64(h.random.Next() * float64(spread))
 		}
 	}
 }
 
-// show makes the picture for the req path.
-func (h *Holder) show(g Grant, now int64) {
-	v := &view{cell: h.cell, until: h.until, soon: h.t.Every, from: g.From, later: h.later}
-	if g.Opens > 0 {
-		v.opens = now + g.Opens
+// publish replaces the snapshot for the admission path.
+func (h *Holder) publish(g Grant, now int64) {
+	snap := &snapshot{tokens: h.tokens, validUntil: h.validUntil, retryAfter: h.cfg.ReportInterval,
+		reserveFrom: g.ReserveFrom, spread: h.spread}
+	if g.OpensIn > 0 {
+		snap.opensAt = now + g.OpensIn
 	}
-	h.slot.view.Store(v)
+	h.slot.snapshot.Store(snap)
 }
--- a/fleet/quota/limiter.go
+++ b/fleet/quota/limiter.go
@@ -1,206 +1,205 @@
 package quota
 
-// Book is what the req path holds: which quotas bind which tenant, and which reqs were charged lately. It
-// must never wait, allocate or ask anyone. Its reqs are admitted and ended by one goroutine; holders' tasks
-// run beside it.
-type Book struct {
-	tenants map[string][]*Slot // set once
-	// by key; an entry ends when its req never ran, after keep, or by a newer one in its set
-	sets [][ways]entry
-	keep int64
+// Limiter is the admission path: it knows which quotas apply to which tenant, and which reqs were charged recently. It
+// must never block, allocate or communicate. One goroutine admits and ends its reqs; the holders run concurrently.
+type Limiter struct {
+	slotsByTenant map[string][]*Slot // set before the first req
+	// by key; an entry is removed when its req never ran, after retention, or by a newer one in its set
+	sets      [][entriesPerSet]retryEntry
+	retention int64
 }
 
-// most quotas on one tenant, entries in a set.
+// Bounds of the limiter's tables.
 const (
-	most = 4
-	ways = 4
+	maxQuotasPerTenant = 4
+	entriesPerSet      = 4
 )
 
-// Req is what a charge goes by. Key is a hash of what stays the same in a client's retry, tenant included; 0:
-// no retry is known as one.
+// Req determines a charge. Key is a hash of what stays the same in a retry by the client, the tenant included; with 0 a
+// retry is not recognized.
 type Req struct {
 	Key         uint64
 	Tenant      string
-	Cost, Worth int64 // at the most
+	Cost, Value int64 // upper bounds
 }
 
-// Charge is what was taken for a req, by quota.
+// Charge holds the tokens taken for a req, by quota.
 type Charge struct {
 	n     int
-	parts [most]struct {
-		cell   *Cell
+	parts [maxQuotasPerTenant]struct {
+		tokens *WindowTokens
 		amount int64
 		class  int
 		unit   Unit
 	}
 }
 
-// Verdict is what becomes of a req.
-type Verdict struct {
-	Denied bool
-	Quota  uint32 // which denied it
-	Wait   int64  // ns until it makes sense to come again
+// Decision is the result of Admit.
+type Decision struct {
+	Denied     bool
+	Quota      uint32 // ID of the one that denied it
+	RetryAfter int64  // ns
 }
 
-// Ticket is held while a req is open.
+// Ticket represents a dispatch of an admitted req until Done.
 type Ticket struct {
-	charge Charge // where no entry keeps it
-	entry  *entry
+	charge Charge // if no entry holds it
+	entry  *retryEntry
 }
 
-type entry struct {
-	key    uint64
-	until  int64
-	open   int32 // dispatches of the same req
-	ran    bool  // one of them may have run
-	used   Req   // the most that one of them took
-	charge Charge
+type retryEntry struct {
+	key        uint64
+	expires    int64
+	dispatches int32 // open dispatches of the same req
+	ran        bool  // one of the dispatches may have run
+	used       Req   // maximum over the dispatches
+	charge     Charge
 }
 
-// NewBook takes all quotas of this process, at most four of a tenant; retries are known for keep ns, among
-// about so many reqs.
-func NewBook(keep int64, reqs int) *Book {
+// NewLimiter returns a Limiter that recognizes retries for retention ns, among about that many reqs.
+func NewLimiter(retention int64, reqs int) *Limiter {
 	n := 1
-	for n*ways < reqs {
+	for n*entriesPerSet < reqs {
 		n *= 2
 	}
-	return &Book{tenants: map[string][]*Slot{}, sets: make([][ways]entry, n), keep: keep}
+	return &Limiter{slotsByTenant: map[string][]*Slot{}, sets: make([][entriesPerSet]retryEntry, n), retention: retention}
 }
 
-// Add binds a tenant by a quota, before the first req. It is refused for a fifth.
-func (b *Book) Add(tenant string, s *Slot) bool {
-	if len(b.tenants[tenant]) == most {
+// Add applies a quota to a tenant; call it before the first req. It returns false if the tenant has
+// maxQuotasPerTenant quotas already.
+func (l *Limiter) Add(tenant string, s *Slot) bool {
+	if len(l.slotsByTenant[tenant]) == maxQuotasPerTenant {
 		return false
 	}
-	b.tenants[tenant] = append(b.tenants[tenant], s)
+	l.slotsByTenant[tenant] = append(l.slotsByTenant[tenant], s)
 	return true
 }
 
-// Admit charges a req to all of its tenant's quotas or to none.
-func (b *Book) Admit(now int64, r Req) (t Ticket, v Verdict) {
-	slots := b.tenants[r.Tenant]
+// Admit charges a req to all quotas of its tenant or to none. A known retry is not charged again.
+func (l *Limiter) Admit(now int64, r Req) (t Ticket, v Decision) {
+	slots := l.slotsByTenant[r.Tenant]
 	if len(slots) == 0 {
 		return t, v
 	}
-	e, again := b.find(now, r.Key)
-	if again {
-		e.open++
-		t.entry = e
+	entry, isRetry := l.findEntry(now, r.Key)
+	if isRetry {
+		entry.dispatches++
+		t.entry = entry
 		return t, v
 	}
-	v = take(slots, now, &r, &t.charge)
-	if !v.Denied && e != nil {
-		*e = entry{key: r.Key, until: now + b.keep, open: 1, charge: t.charge}
-		t.entry = e
+	v = chargeAll(slots, now, &r, &t.charge)
+	if !v.Denied && entry != nil {
+		*entry = retryEntry{key: r.Key, expires: now + l.retention, dispatches: 1, charge: t.charge}
+		t.entry = entry
 	}
 	return t, v
 }
 
-// find gives the entry of a key, or one that it may take; nil where there is none.
-func (b *Book) find(now int64, key uint64) (free *entry, found bool) {
+// findEntry returns the entry of a key, or else one that may be reused; nil if there is none.
+func (l *Limiter) findEntry(now int64, key uint64) (free *retryEntry, found bool) {
 	if key == 0 {
 		return nil, false
 	}
-	set := &b.sets[key%uint64(len(b.sets))]
+	set := &l.sets[key%uint64(len(l.sets))]
 	for i := range set {
-		e := &set[i]
-		if e.key == key && (e.open > 0 || now < e.until) {
-			return e, true
+		entry := &set[i]
+		if entry.key == key && (entry.dispatches > 0 || now < entry.expires) {
+			return entry, true
 		}
-		if e.open == 0 && (free == nil || e.until < free.until) {
-			free = e
+		if entry.dispatches == 0 && (free == nil || entry.expires < free.expires) {
+			free = entry
 		}
 	}
 	return free, false
 }
 
-func take(slots []*Slot, now int64, r *Req, c *Charge) (v Verdict) {
+func chargeAll(slots []*Slot, now int64, r *Req, charge *Charge) (v Decision) {
 	for _, s := range slots {
-		p := s.view.Load()
-		if p == nil {
-			c.Back()
-			return Verdict{true, s.id, 0}
+		snap := s.snapshot.Load()
+		if snap == nil {
+			charge.Refund()
+			return Decision{true, s.id, 0}
 		}
 		class := 0
-		if p.from > 0 && r.Worth >= p.from {
+		if snap.reserveFrom > 0 && r.Value >= snap.reserveFrom {
 			class = 1
 		}
-		amount := s.unit.of(r)
-		from, ok := 0, false
-		if now < p.until {
-			from, ok = p.cell.take(amount, class)
+		amount := s.unit.amountOf(r)
+		fromClass, ok := 0, false
+		if now < snap.validUntil {
+			fromClass, ok = snap.tokens.take(amount, class)
 		} else {
-			p.cell.asked[class].Add(amount)
+			snap.tokens.demanded[class].Add(amount)
 		}
 		if !ok {
-			c.Back()
-			v = Verdict{true, s.id, p.soon}
-			if p.opens > now {
-				v.Wait = p.opens - now
+			charge.Refund()
+			v = Decision{true, s.id, snap.retryAfter}
+			if snap.opensAt > now {
+				v.RetryAfter = snap.opensAt - now
 			}
-			v.Wait += p.later[s.turn.Add(1)%uint32(len(*p.later))]
+			v.RetryAfter += snap.spread[s.nextSpread.Add(1)%uint32(len(*snap.spread))]
 			return v
 		}
-		part := &c.parts[c.n]
-		part.cell, part.amount, part.class, part.unit = p.cell, amount, from, s.unit
-		c.n++
+		part := &charge.parts[charge.n]
+		part.tokens, part.amount, part.class, part.unit = snap.tokens, amount, fromClass, s.unit
+		charge.n++
 	}
 	return v
 }
 
-func (u Unit) of(r *Req) int64 {
+func (u Unit) amountOf(r *Req) int64 {
 	switch u {
 	case Cost:
 		return r.Cost
-	case Worth:
-		return r.Worth
+	case Value:
+		return r.Value
 	}
 	return 1
 }
 
-// Done ends a dispatch of a req: whether it may have run, and what it took of that which was reserved. The
-// charge goes back when none of the same req's dispatches may have run.
-func (b *Book) Done(t *Ticket, ran bool, used Req) {
-	e := t.entry
-	if e == nil {
+// Done ends a dispatch of a req: ran tells whether it may have run, and used what it consumed of the amounts charged.
+// The charge is refunded if no dispatch of the req may have run.
+func (l *Limiter) Done(t *Ticket, ran bool, used Req) {
+	entry := t.entry
+	if entry == nil {
 		if ran {
 			t.charge.Settle(used)
 		} else {
-			t.charge.Back()
+			t.charge.Refund()
 		}
 		*t = Ticket{}
 		return
 	}
-	e.open--
+	entry.dispatches--
 	if ran {
-		e.ran = true
-		e.used.Cost, e.used.Worth = max(e.used.Cost, used.Cost), max(e.used.Worth, used.Worth)
+		entry.ran = true
+		entry.used.Cost, entry.used.Value = max(entry.used.Cost, used.Cost), max(entry.used.Value, used.Value)
 	}
-	if e.open == 0 {
-		if e.ran {
-			e.charge.Settle(e.used)
+	if entry.dispatches == 0 {
+		if entry.ran {
+			entry.charge.Settle(entry.used)
 		} else {
-			e.charge.Back()
-			e.key, e.until = 0, 0
+			entry.charge.Refund()
+			entry.key, entry.expires = 0, 0
 		}
 	}
 	*t = Ticket{}
 }
 
-// Settle gives back what was reserved beyond what was taken, once.
+// Settle refunds the amounts charged beyond those used. Further calls do nothing.
 func (c *Charge) Settle(used Req) {
 	for i := range c.parts[:c.n] {
 		p := &c.parts[i]
-		p.cell.left[p.class].Add(max(0, p.amount-max(0, p.unit.of(&used))))
+		p.tokens.left[p.class].Add(max(0, p.amount-max(0, p.unit.amountOf(&used))))
 	}
 	c.n = 0
 }
 
-// Back gives all back, once.
-func (c *Charge) Back() {
+// Refund gives back the whole charge. Further calls do nothing.
+func (c *Charge) Refund() {
 	for i := range c.parts[:c.n] {
 		p := &c.parts[i]
-		p.cell.left[p.class].Add(p.amount)
+		p.tokens.left[p.class].Add(p.amount)
 	}
 	c.n = 0
 }
--- a/fleet/quota/owner.go
+++ b/fleet/quota/owner.go
@@ -2,343 +2,346 @@
 
 import "slices"
 
-// Standing is how far an owner has come.
-type Standing uint8
+// Phase is the phase of an owner.
+type Phase uint8
 
-// Standings.
+// The phases of an owner.
 const (
-	Reading Standing = iota // it asks the voters what was agreed on
+	Reading Phase = iota // it reads the latest state from the voters
 	Granting
-	Lost    // no majority of the voters has answered for a lease: nothing is handed out
-	Deposed // a later term is at work: nothing is handed out any more
+	NoMajority // no majority of the voters has answered for the duration of a lease: nothing is granted
+	Superseded // a later term exists: nothing is granted any more
 )
 
-// Owner hands out one quota's tokens in one term. It grants nothing that a majority of the voters has not
-// written down beforehand as handed out, so a later term counts it as spent.
+// Owner grants the tokens of one quota in one term. It must never grant tokens that a majority of the voters has not
+// saved as granted beforehand, so that a later term counts them as spent.
 type Owner struct {
-	me       int
+	member   int
 	term     uint64
-	t        Terms
-	q        Quota // as configured here
+	cfg      Config
+	quota    Quota // as configured on this member
 	voters   []int
-	promised []promise // by voter
-	standing Standing
+	promises []promiseState // by voter
+	phase    Phase
 
-	s      State   // what stands
-	out    Pair    // handed out of the open window, or by earlier terms
-	marked Pair    // how much of that window a majority holds as handed out
-	window int64   // the open one, once a majority holds it; else 0
-	demand []int64 // by place, until when it counts as asking
-	asking int64   // how many do
+	state           State   // latest, saved or not
+	granted         Pair    // of the open window, in this term or earlier ones
+	maxGranted      Pair    // of that window, as saved by a majority
+	confirmedWindow int64   // start of the open window once a majority has saved it; otherwise 0
+	demandUntil     []int64 // by member: until when it counts as active
+	active          int64   // number of members with demand
 
-	sent    State // on its way to the voters
-	sentAt  int64 // last time
-	begun   int64 // first time
-	acks    []bool
-	busy    bool
-	dirty   bool
-	saved   int64      // when the last state was sent that a majority holds
-	doubts  []doubtful // by voter
-	clocks  *Clocks
-	refused bool // by the voters' clocks
+	sent         State // being saved by the voters
+	sentAt       int64 // when it was last sent
+	sentFirst    int64 // when it was first sent
+	acks         []bool
+	saving       bool
+	dirty        bool
+	confirmedAt  int64   // when the latest state was sent that a majority has saved
+	doubts       []doubt // by voter
+	clocks       *Clocks
+	clockRefused bool // a voter rejected a window by its clock
 }
 
-type promise struct {
-	given bool
-	doubt bool
-	sent  int64
-	life  uint64 // to ask with
-	state State
+type promiseState struct {
+	given       bool
+	inDoubt     bool
+	sent        int64
+	incarnation uint64 // for the next request
+	state       State
 }
 
-// doubtful is a voter that said it is in doubt; it is asked in once a state begun after that is held by a
-// majority without it.
-type doubtful struct {
-	life uint64
-	seq  uint64
+// doubt describes a voter that reported to be in doubt. Its promise is requested once a state that was started after
+// that report is saved by a majority without it.
+type doubt struct {
+	incarnation uint64
+	seq         uint64
 }
 
-// NewOwner begins a term, which must be above each earlier and this process's alone.
-func NewOwner(me int, term uint64, q Quota, t Terms, voters []int, clocks *Clocks,
-	now int64) (*Owner, []Letter) {
-	o := &Owner{me: me, term: term, q: q, t: t, voters: voters, clocks: clocks, saved: now}
-	o.promised = make([]promise, len(voters))
-	o.doubts = make([]doubtful, len(voters))
+// NewOwner starts a term, which must be greater than all earlier ones and used by this process alone.
+func NewOwner(member int, term uint64, q Quota, cfg Config, voters []int, clocks *Clocks,
+	now int64) (*Owner, []Message) {
+	o := &Owner{member: member, term: term, quota: q, cfg: cfg, voters: voters, clocks: clocks, confirmedAt: now}
+	o.promises = make([]promiseState, len(voters))
+	o.doubts = make([]doubt, len(voters))
 	o.acks = make([]bool, len(voters))
-	o.demand = make([]int64, t.Places)
-	return o, o.ask(now)
+	o.demandUntil = make([]int64, cfg.Members)
+	return o, o.requestPromises(now)
 }
 
 func (o *Owner) majority() int { return len(o.voters)/2 + 1 }
 
-func (o *Owner) ask(now int64) (out []Letter) {
+func (o *Owner) requestPromises(now int64) (out []Message) {
 	o.sentAt = now
 	for i, v := range o.voters {
-		if p := &o.promised[i]; !p.given || now-p.sent > o.t.Lease/2 {
-			out = append(out, Letter{v, Promise{o.q.ID, o.term, o.me, now, p.life}})
+		if p := &o.promises[i]; !p.given || now-p.sent > o.cfg.LeaseDuration/2 {
+			out = append(out, Message{v, PromiseRequest{o.quota.ID, o.term, o.member, now, p.incarnation}})
 		}
 	}
 	return out
 }
 
-// Promised takes a voter's answer.
-func (o *Owner) Promised(a Promised, now, wall int64) []Letter {
-	i := slices.Index(o.voters, a.Place)
-	if i < 0 || a.Quota != o.q.ID {
+// HandlePromiseReply handles a voter's answer to a PromiseRequest.
+func (o *Owner) HandlePromiseReply(a PromiseReply, now, wall int64) []Message {
+	i := slices.Index(o.voters, a.Member)
+	if i < 0 || a.Quota != o.quota.ID {
 		return nil
 	}
 	if a.Term > o.term {
-		o.standing = Deposed
+		o.phase = Superseded
 	}
-	if a.Term != o.term && a.Given || o.standing == Deposed {
+	if a.Term != o.term && a.Given || o.phase == Superseded {
 		return nil
 	}
-	p := &o.promised[i]
-	if o.standing != Reading {
-		if a.Given && a.Life != 0 && a.Life == o.doubts[i].life {
-			o.doubts[i] = doubtful{}
+	p := &o.promises[i]
+	if o.phase != Reading {
+		if a.Given && a.Incarnation != 0 && a.Incarnation == o.doubts[i].incarnation {
+			o.doubts[i] = doubt{}
 			o.dirty = true
 		}
 		return nil
 	}
 	if !a.Given {
-		again := p.life != a.Life
-		p.life = a.Life
-		if !again || a.Life == 0 {
+		retry := p.incarnation != a.Incarnation
+		p.incarnation = a.Incarnation
+		if !retry || a.Incarnation == 0 {
 			return nil
 		}
-		return []Letter{{a.Place, Promise{o.q.ID, o.term, o.me, now, a.Life}}}
+		return []Message{{a.Member, PromiseRequest{o.quota.ID, o.term, o.member, now, a.Incarnation}}}
 	}
-	*p = promise{true, a.Life != 0, a.Sent, a.Life, a.State}
-	return o.begin(now, wall)
+	*p = promiseState{true, a.Incarnation != 0, a.Sent, a.Incarnation, a.State}
+	return o.start(now, wall)
 }
 
-// begin goes on from the newest state once so many have promised that one of them must hold it, older copies
-// allowed for.
-func (o *Owner) begin(now, wall int64) []Letter {
-	n, doubts, best := 0, 0, -1
-	for i := range o.promised {
-		p := &o.promised[i]
-		if !p.given || now-p.sent > o.t.Lease {
+// start continues from the newest state once enough voters have promised that one of them must hold it, even if up to
+// MaxRolledBack of them hold an older copy.
+func (o *Owner) start(now, wall int64) []Message {
+	n, doubts, newest := 0, 0, -1
+	for i := range o.promises {
+		p := &o.promises[i]
+		if !p.given || now-p.sent > o.cfg.LeaseDuration {
 			continue
 		}
 		n++
-		if p.doubt {
+		if p.inDoubt {
 			doubts++
 		}
-		if best < 0 || p.state.newer(&o.promised[best].state) {
-			best = i
+		if newest < 0 || p.state.isNewerThan(&o.promises[newest].state) {
+			newest = i
 		}
 	}
-	if n < o.majority() || n < len(o.voters)-o.majority()+1+min(doubts, o.t.Old) {
+	if n < o.majority() || n < len(o.voters)-o.majority()+1+min(doubts, o.cfg.MaxRolledBack) {
 		return nil
 	}
-	o.s = o.promised[best].state.copy()
-	o.promised = make([]promise, len(o.voters))
-	o.s.Term, o.s.Seq = o.term, 0
-	if o.s.Quota.Edition > o.q.Edition {
-		q := o.s.Quota
+	o.state = o.promises[newest].state.copy()
+	o.promises = make([]promiseState, len(o.voters))
+	o.state.Term, o.state.Seq = o.term, 0
+	if o.state.Quota.Version > o.quota.Version {
+		q := o.state.Quota
 		c := q.Calendar
 		if c, err := NewCalendar(c.Kind, c.Name, c.Length, c.Steps); err == nil {
 			q.Calendar = c
-			o.q = q
+			o.quota = q
 		}
 	}
-	o.s.Quota = o.q
-	if w := o.last(); w != nil {
-		w.Amount = o.q.Amount
-		o.out = w.Mark
+	o.state.Quota = o.quota
+	if w := o.openWindow(); w != nil {
+		w.Amount = o.quota.Amount
+		o.granted = w.MaxGranted
 	}
-	o.standing, o.saved = Granting, now
-	o.mark(wall)
-	return o.turn(now, wall)
+	o.phase, o.confirmedAt = Granting, now
+	o.raiseMaxGranted(wall)
+	return o.turnWindow(now, wall)
 }
 
-func (o *Owner) last() *Window {
-	if n := len(o.s.Windows); n > 0 {
-		return &o.s.Windows[n-1]
+func (o *Owner) openWindow() *Window {
+	if n := len(o.state.Windows); n > 0 {
+		return &o.state.Windows[n-1]
 	}
 	return nil
 }
 
-// Configure takes a later edition of the quota, in force at once, its windows' kind after the open window.
-func (o *Owner) Configure(q Quota, now, wall int64) []Letter {
-	if q.Edition <= o.q.Edition || q.ID != o.q.ID {
+// Configure applies a later version of the quota at once; the kind of its windows after the open window.
+func (o *Owner) Configure(q Quota, now, wall int64) []Message {
+	if q.Version <= o.quota.Version || q.ID != o.quota.ID {
 		return nil
 	}
-	o.q, o.s.Quota = q, q
-	if w := o.last(); w != nil {
+	o.quota, o.state.Quota = q, q
+	if w := o.openWindow(); w != nil {
 		w.Amount = q.Amount
 	}
 	o.dirty = true
 	return o.save(now, wall)
 }
 
-// Tick turns and seals windows and sends again what has no answer.
-func (o *Owner) Tick(now, wall int64) []Letter {
+// Tick turns and seals windows and resends what has no answer.
+func (o *Owner) Tick(now, wall int64) []Message {
 	switch {
-	case o.standing == Deposed:
+	case o.phase == Superseded:
 		return nil
-	case o.standing == Reading:
-		if now-o.sentAt >= o.t.Every {
-			return o.ask(now)
+	case o.phase == Reading:
+		if now-o.sentAt >= o.cfg.ReportInterval {
+			return o.requestPromises(now)
 		}
-		return o.begin(now, wall)
-	case now-o.saved > o.t.Lease:
-		o.standing = Lost
+		return o.start(now, wall)
+	case now-o.confirmedAt > o.cfg.LeaseDuration:
+		o.phase = NoMajority
 	default:
-		o.standing = Granting
+		o.phase = Granting
 	}
-	o.asking = 0
-	for _, until := range o.demand {
+	o.active = 0
+	for _, until := range o.demandUntil {
 		if until > now {
-			o.asking++
+			o.active++
 		}
 	}
-	out := o.turn(now, wall)
-	if o.busy && now-o.sentAt >= o.t.Every {
-		out = append(out, o.send(now, wall)...)
+	out := o.turnWindow(now, wall)
+	if o.saving && now-o.sentAt >= o.cfg.ReportInterval {
+		out = append(out, o.sendState(now, wall)...)
 	}
 	return out
 }
 
-// turn closes the open window and opens the one of this moment. While most clocks heard are against this one
-// it is not turned.
-func (o *Owner) turn(now, wall int64) []Letter {
-	if now-o.saved > o.t.Lease/4 {
-		o.dirty = true // a sign of life from the voters
-	}
-	w := o.last()
-	if self, _ := o.clocks.Judge(now, wall); self || w != nil && (wall < w.End || o.window != w.Start) {
-		if w != nil && o.window != w.Start && !o.busy {
-			o.dirty = true // of an earlier term, and not yet held in this one
+// turnWindow closes the open window and opens the current one. It does not while this process's clock deviates from at
+// least half of the known clocks.
+func (o *Owner) turnWindow(now, wall int64) []Message {
+	if now-o.confirmedAt > o.cfg.LeaseDuration/4 {
+		o.dirty = true // saves again, to confirm that a majority still answers
+	}
+	w := o.openWindow()
+	if self, _ := o.clocks.Judge(now, wall); self || w != nil && (wall < w.End || o.confirmedWindow != w.Start) {
+		if w != nil && o.confirmedWindow != w.Start && !o.saving {
+			o.dirty = true // the window is of an earlier term and not saved in this one
 		}
 		return o.save(now, wall)
 	}
-	start, end := o.q.Calendar.At(wall)
+	start, end := o.quota.Calendar.At(wall)
 	if w != nil {
 		start = max(start, w.End)
-		w.Mark = o.out // this term hands out no more of it
+		w.MaxGranted = o.granted // this term grants no more of it
 	}
-	o.s.Windows = append(o.s.Windows, Window{Start: start, End: end, Amount: o.q.Amount})
-	o.seal(wall)
-	o.out, o.marked, o.window = Pair{}, Pair{}, 0
-	clear(o.demand)
+	o.state.Windows = append(o.state.Windows, Window{Start: start, End: end, Amount: o.quota.Amount})
+	o.sealWindows(wall)
+	o.granted, o.maxGranted, o.confirmedWindow = Pair{}, Pair{}, 0
+	clear(o.demandUntil)
 	o.dirty = true
 	return o.save(now, wall)
 }
 
-// seal drops what no report can reach any more and no open window counts with.
-func (o *Owner) seal(wall int64) {
-	keep := o.t.Seal
-	if o.q.Calendar.Kind == Sliding {
-		keep = max(keep, o.q.Calendar.Length+o.q.Calendar.Length/o.q.Calendar.Steps)
+// sealWindows drops windows that no report can refer to any more and that do not count with the open window.
+func (o *Owner) sealWindows(wall int64) {
+	keep := o.cfg.SealAfter
+	if o.quota.Calendar.Kind == Sliding {
+		keep = max(keep, o.quota.Calendar.Length+o.quota.Calendar.Length/o.quota.Calendar.Steps)
 	}
-	for len(o.s.Windows) > 1 && o.s.Windows[0].End+keep <= wall {
-		o.s.Windows[1].Carried = o.carried(1)
-		o.s.Windows = o.s.Windows[1:]
+	for len(o.state.Windows) > 1 && o.state.Windows[0].End+keep <= wall {
+		o.state.Windows[1].Carried = o.carried(1)
+		o.state.Windows = o.state.Windows[1:]
 	}
 }
 
-// carried is what the window before leaves to one. What may have been spent there falls as late reports come,
-// so this only grows.
+// carried returns how much the preceding window carries over to window i. It only grows, as late reports reduce what
+// may have been spent in that window.
 func (o *Owner) carried(i int) int64 {
-	if i == 0 || o.s.Windows[i-1].End != o.s.Windows[i].Start || o.q.Calendar.Kind == Sliding {
-		return o.s.Windows[i].Carried
+	if i == 0 || o.state.Windows[i-1].End != o.state.Windows[i].Start || o.quota.Calendar.Kind == Sliding {
+		return o.state.Windows[i].Carried
 	}
-	w := &o.s.Windows[i-1]
-	return min(o.q.Carry, max(0, w.Amount+o.carried(i-1)-w.charged(w.Mark)))
+	previous := &o.state.Windows[i-1]
+	return min(o.quota.MaxCarry, max(0, previous.Amount+o.carried(i-1)-previous.charged(previous.MaxGranted)))
 }
 
-// free is what may still be handed out of the open window, by class, and how much of it at this moment.
-func (o *Owner) free(wall int64) (all, due Pair) {
-	n := len(o.s.Windows) - 1
-	w := &o.s.Windows[n]
-	allow, used := w.Amount+o.carried(n), w.charged(o.out)
-	if o.q.Calendar.Kind == Sliding {
+// available returns what may still be granted of the open window, by class, and how much of that now.
+func (o *Owner) available(wall int64) (all, due Pair) {
+	n := len(o.state.Windows) - 1
+	w := &o.state.Windows[n]
+	allowed, used := w.Amount+o.carried(n), w.charged(o.granted)
+	if o.quota.Calendar.Kind == Sliding {
 		for i := range n {
-			if x := &o.s.Windows[i]; x.End > w.Start-o.q.Calendar.Length {
-				used += x.charged(x.Mark)
+			if x := &o.state.Windows[i]; x.End > w.Start-o.quota.Calendar.Length {
+				used += x.charged(x.MaxGranted)
 			}
 		}
 	}
-	kept := o.q.Reserve
-	if o.q.Release > 0 && wall >= w.End-o.q.Release {
-		kept = 0
+	reserve := o.quota.Reserve
+	if o.quota.ReserveRelease > 0 && wall >= w.End-o.quota.ReserveRelease {
+		reserve = 0
 	}
-	class0 := o.out[0] - w.Returned[0]
-	paced, into := allow, max(0, wall-w.Start)
-	if o.q.Burst > 0 && wall < w.End {
-		paced = min(paced, o.q.Burst+part(allow, into, w.End-w.Start))
+	grantedClass0 := o.granted[0] - w.Returned[0]
+	paced, elapsed := allowed, max(0, wall-w.Start)
+	if o.quota.Burst > 0 && wall < w.End {
+		paced = min(paced, o.quota.Burst+proportion(allowed, elapsed, w.End-w.Start))
 	}
-	if o.q.Ramp > 0 && into < o.q.Ramp {
-		paced = min(paced, part(allow, into, o.q.Ramp))
+	if o.quota.Ramp > 0 && elapsed < o.quota.Ramp {
+		paced = min(paced, proportion(allowed, elapsed, o.quota.Ramp))
 	}
-	of := func(most int64) Pair { return Pair{max(0, min(most-used, allow-kept-class0)), max(0, most-used)} }
-	return of(allow), of(paced)
+	split := func(limit int64) Pair {
+		return Pair{max(0, min(limit-used, allowed-reserve-grantedClass0)), max(0, limit-used)}
+	}
+	return split(allowed), split(paced)
 }
 
-// part is amount times a share below 1.
-func part(amount, into, whole int64) int64 {
+// proportion returns amount times into/whole, a fraction below 1.
+func proportion(amount, into, whole int64) int64 {
 	return int64(float64(amount) * (float64(into) / float64(whole)))
 }
 
-// mark wants more written down as handed out, ahead of need.
-func (o *Owner) mark(wall int64) {
-	w := o.last()
+// raiseMaxGranted raises the bound of granted tokens that is to be saved, ahead of need.
+func (o *Owner) raiseMaxGranted(wall int64) {
+	w := o.openWindow()
 	if w == nil {
 		return
 	}
-	all, _ := o.free(wall)
+	all, _ := o.available(wall)
 	for c := range classes {
-		if ahead := min(o.q.Ahead, all[c]); (c == 0 || all[0] <= 0) && w.Mark[c]-o.out[c] < (ahead+1)/2 {
-			w.Mark[c] = max(w.Mark[c], o.out[c]+ahead)
+		if ahead := min(o.quota.WriteAhead, all[c]); (c == 0 || all[0] <= 0) &&
+			w.MaxGranted[c]-o.granted[c] < (ahead+1)/2 {
+			w.MaxGranted[c] = max(w.MaxGranted[c], o.granted[c]+ahead)
 			o.dirty = true
 		}
 	}
 }
 
-func (o *Owner) save(now, wall int64) []Letter {
-	if o.busy || !o.dirty || o.standing == Reading || o.standing == Deposed {
+func (o *Owner) save(now, wall int64) []Message {
+	if o.saving || !o.dirty || o.phase == Reading || o.phase == Superseded {
 		return nil
 	}
-	o.mark(wall)
-	o.s.Seq++
-	o.sent, o.busy, o.dirty, o.begun = o.s.copy(), true, false, now
+	o.raiseMaxGranted(wall)
+	o.state.Seq++
+	o.sent, o.saving, o.dirty, o.sentFirst = o.state.copy(), true, false, now
 	clear(o.acks)
-	return o.send(now, wall)
+	return o.sendState(now, wall)
 }
 
-func (o *Owner) send(now, wall int64) (out []Letter) {
+func (o *Owner) sendState(now, wall int64) (out []Message) {
 	o.sentAt = now
 	o.sent.Sent = now
 	for i, v := range o.voters {
 		if !o.acks[i] {
-			out = append(out, Letter{v, Save{o.q.ID, o.me, o.sent}})
+			out = append(out, Message{v, SaveRequest{o.quota.ID, o.member, o.sent}})
 		}
 	}
 	return out
 }
 
-// Saved takes a voter's answer.
-func (o *Owner) Saved(a Saved, now, wall int64) (out []Letter) {
-	i := slices.Index(o.voters, a.Place)
-	if i < 0 || a.Quota != o.q.ID || o.standing == Reading || o.standing == Deposed {
+// HandleSaveReply handles a voter's answer to a SaveRequest.
+func (o *Owner) HandleSaveReply(a SaveReply, now, wall int64) (out []Message) {
+	i := slices.Index(o.voters, a.Member)
+	if i < 0 || a.Quota != o.quota.ID || o.phase == Reading || o.phase == Superseded {
 		return nil
 	}
 	if a.Term > o.term {
-		o.standing = Deposed
+		o.phase = Superseded
 		return nil
 	}
-	o.clocks.Hear(a.Place, a.Wall, a.Sent, now)
+	o.clocks.Record(a.Member, a.Wall, a.Sent, now)
 	if !a.OK {
-		o.refused = o.refused || a.Clock
-		if a.Life != 0 && o.doubts[i].life != a.Life {
-			o.doubts[i] = doubtful{a.Life, o.s.Seq + 1}
+		o.clockRefused = o.clockRefused || a.ClockMismatch
+		if a.Incarnation != 0 && o.doubts[i].incarnation != a.Incarnation {
+			o.doubts[i] = doubt{a.Incarnation, o.state.Seq + 1}
 		}
 		return nil
 	}
-	if a.Term != o.term || !o.busy || a.Seq != o.sent.Seq || o.acks[i] {
+	if a.Term != o.term || !o.saving || a.Seq != o.sent.Seq || o.acks[i] {
 		return nil
 	}
 	o.acks[i] = true
@@ -351,163 +354,164 @@
 	if n < o.majority() {
 		return nil
 	}
-	o.busy, o.refused, o.saved, o.standing = false, false, o.begun, Granting
-	if n := len(o.sent.Windows); n > 0 && o.sent.Windows[n-1].Start == o.last().Start {
-		o.window, o.marked = o.last().Start, o.sent.Windows[n-1].Mark
+	o.saving, o.clockRefused, o.confirmedAt, o.phase = false, false, o.sentFirst, Granting
+	if n := len(o.sent.Windows); n > 0 && o.sent.Windows[n-1].Start == o.openWindow().Start {
+		o.confirmedWindow, o.maxGranted = o.openWindow().Start, o.sent.Windows[n-1].MaxGranted
 	}
 	for i, d := range o.doubts {
-		if d.life != 0 && o.sent.Seq >= d.seq {
-			out = append(out, Letter{o.voters[i], Promise{o.q.ID, o.term, o.me, now, d.life}})
+		if d.incarnation != 0 && o.sent.Seq >= d.seq {
+			out = append(out, Message{o.voters[i], PromiseRequest{o.quota.ID, o.term, o.member, now, d.incarnation}})
 		}
 	}
 	return append(out, o.save(now, wall)...)
 }
 
-// Report takes a process's report and answers it.
-func (o *Owner) Report(r Report, now, wall int64) []Letter {
-	silent := o.standing == Reading || o.standing == Deposed
-	if silent || r.Quota != o.q.ID || r.Place < 0 || r.Place >= o.t.Places {
+// HandleReport handles the report of a process and answers it.
+func (o *Owner) HandleReport(r Report, now, wall int64) []Message {
+	silent := o.phase == Reading || o.phase == Superseded
+	if silent || r.Quota != o.quota.ID || r.Member < 0 || r.Member >= o.cfg.Members {
 		return nil
 	}
-	out := o.closed(r)
-	w := o.last()
+	out := o.reportOfClosed(r)
+	w := o.openWindow()
 	if w == nil || r.Num == 0 && r.Window != w.Start {
 		return out
 	}
-	h := w.holder(r.Place, r.Life)
+	h := w.holderOf(r.Member, r.Incarnation)
 	if h == nil {
 		return out
 	}
 	late := r.Num <= h.Num
 	if r.Window == w.Start && r.Term == o.term {
-		w.gives(h, r.Returned)
+		w.recordReturned(h, r.Returned)
 	}
 	if !late {
-		h.Num, h.Left, h.Heard = r.Num, Pair{}, Pair{}
+		h.Num, h.Left, h.Received = r.Num, Pair{}, Pair{}
 		if r.Window == w.Start {
 			h.Left = r.Left
 			if r.Term == o.term {
-				h.Heard = r.Heard
+				h.Received = r.Received
 			}
 		}
 	}
 	self, _ := o.clocks.Judge(now, wall)
-	if self || r.Num == 0 || o.window != w.Start || o.standing != Granting {
-		// a window that no majority holds, or no longer, or that ends by a clock that is off, is told to
-		// nobody
+	if self || r.Num == 0 || o.confirmedWindow != w.Start || o.phase != Granting {
+		// no grant refers to a window that no majority has saved, or no longer confirms, or that is judged by a
+		// clock that deviates
 		return out
 	}
 	if r.Want.sum() > 0 && !late {
-		o.demand[r.Place] = now + o.t.Lease
+		o.demandUntil[r.Member] = now + o.cfg.LeaseDuration
 		if wall < w.End {
 			o.grant(w, h, r.Want, wall)
 		}
 	}
-	g := Grant{Quota: o.q.ID, Life: r.Life, Term: o.term, Window: w.Start, Num: r.Num,
-		Total: h.Total, Heard: h.Returned, Rest: w.End - wall, From: o.q.From, Slice: o.q.Slice,
-		Spread: o.q.Spread, Wall: wall}
-	all, _ := o.free(wall)
+	g := Grant{Quota: o.quota.ID, Incarnation: r.Incarnation, Term: o.term, Window: w.Start, Num: r.Num,
+		Total: h.Total, ReturnedKnown: h.Returned, Remaining: w.End - wall, ReserveFrom: o.quota.ReserveFrom,
+		MaxUnspent: o.quota.MaxUnspent,
+		Spread:     o.quota.Spread, Wall: wall}
+	all, _ := o.available(wall)
 	if all[1] <= 0 {
-		g.Opens = g.Rest
+		g.OpensIn = g.Remaining
 	}
 	switch {
-	case w.charged(o.out) > w.Amount+o.carried(len(o.s.Windows)-1):
-		g.Recall = All
+	case w.charged(o.granted) > w.Amount+o.carried(len(o.state.Windows)-1):
+		g.Recall = RecallAll
 	case all[0] <= 0:
-		g.Recall = Spare
+		g.Recall = RecallSpare
 	}
-	out = append(out, Letter{r.Place, g})
-	o.mark(wall)
+	out = append(out, Message{r.Member, g})
+	o.raiseMaxGranted(wall)
 	return append(out, o.save(now, wall)...)
 }
 
-// closed takes what a report says of a window that was closed, until that is sealed.
-func (o *Owner) closed(r Report) (out []Letter) {
-	for i := range o.s.Windows[:max(0, len(o.s.Windows)-1)] {
-		w := &o.s.Windows[i]
+// reportOfClosed records what a report returns to a closed window that is not sealed yet.
+func (o *Owner) reportOfClosed(r Report) (out []Message) {
+	for i := range o.state.Windows[:max(0, len(o.state.Windows)-1)] {
+		w := &o.state.Windows[i]
 		if w.Start != r.Window {
 			continue
 		}
-		if h := w.holder(r.Place, r.Life); h != nil && r.Term == o.term {
-			w.gives(h, r.Returned)
-			out = append(out, Letter{r.Place,
-				Grant{Quota: o.q.ID, Life: r.Life, Term: o.term, Window: w.Start, Heard: h.Returned}})
+		if h := w.holderOf(r.Member, r.Incarnation); h != nil && r.Term == o.term {
+			w.recordReturned(h, r.Returned)
+			out = append(out, Message{r.Member,
+				Grant{Quota: o.quota.ID, Incarnation: r.Incarnation, Term: o.term, Window: w.Start, ReturnedKnown: h.Returned}})
 		}
 	}
 	return out
 }
 
-// holder gives a process's entry. One that restarted takes its place's: what the earlier life had and did not
-// give back is spent.
-func (w *Window) holder(place int, life uint64) *Held {
-	i, had := slices.BinarySearchFunc(w.held, place, func(h Held, p int) int { return h.Place - p })
-	if !had {
-		w.held = slices.Insert(w.held, i, Held{Place: place, Life: life})
+// holderOf returns the entry of a process, or nil if a later incarnation is known. A restarted process replaces the
+// entry of its member: what the earlier incarnation held and did not return counts as spent.
+func (w *Window) holderOf(member int, incarnation uint64) *HeldTokens {
+	i, found := slices.BinarySearchFunc(w.held, member, func(h HeldTokens, p int) int { return h.Member - p })
+	if !found {
+		w.held = slices.Insert(w.held, i, HeldTokens{Member: member, Incarnation: incarnation})
 	}
 	h := &w.held[i]
-	if life > h.Life {
-		*h = Held{Place: place, Life: life, Deaths: h.Deaths + 1}
+	if incarnation > h.Incarnation {
+		*h = HeldTokens{Member: member, Incarnation: incarnation, Restarts: h.Restarts + 1}
 	}
-	if life < h.Life {
+	if incarnation < h.Incarnation {
 		return nil
 	}
 	return h
 }
 
-// grant hands out: no more than is wanted, than the process may hold unspent, than its even share of what is
-// due, than is written down. A place that died in this window holds half as much for each time, so that dying
-// wins nothing.
-func (o *Owner) grant(w *Window, h *Held, want Pair, wall int64) {
-	slice := max(1, o.q.Slice>>min(h.Deaths, 62))
+// grant grants tokens: no more than the process wants, may hold unspent, its even share of what is available now, and
+// what is saved. A member that restarted in this window may hold half as much for each restart, so that restarts gain
+// nothing.
+func (o *Owner) grant(w *Window, h *HeldTokens, want Pair, wall int64) {
+	maxUnspent := max(1, o.quota.MaxUnspent>>min(h.Restarts, 62))
 	for c := range classes {
-		_, due := o.free(wall)
+		_, due := o.available(wall)
 		if c == 1 && due[0] > 0 {
-			break // the reserve is for when the rest is spent
+			break // the reserve is used once the rest is spent
 		}
 		n := want[c]
 		if c == 0 {
-			n += want[1] // the valuable take of the rest while there is some
+			n += want[1] // reqs that may use the reserve take from the rest first
 		}
-		even := max(1, due[c]/max(1, o.asking))
-		n = min(n, slice-h.unspent(0)-h.unspent(1), even, due[c], o.marked[c]-o.out[c])
+		evenShare := max(1, due[c]/max(1, o.active))
+		n = min(n, maxUnspent-h.unspent(0)-h.unspent(1), evenShare, due[c], o.maxGranted[c]-o.granted[c])
 		if n > 0 {
-			o.out[c] += n
+			o.granted[c] += n
 			h.Total[c] += n
 		}
 	}
 }
 
-// Status is what an operator is shown.
+// Status describes an owner, for operators.
 type Status struct {
-	Standing Standing
-	Voters   int // that promised, while Reading
-	// voters in doubt that this term may not ask in before a majority of the others holds its state
-	Doubts  int
-	Needed  int  // the least that must
-	Clock   bool // voters do not agree to a window, or most clocks heard are against this one
-	Window  int64
-	Allowed int64
-	Charged int64
+	Phase  Phase
+	Voters int // that promised, while Reading
+	// voters in doubt, which this term readmits only once a majority of the others has saved its state
+	InDoubt       int
+	Needed        int  // voters that must promise, at least
+	ClockMismatch bool // a voter rejected a window, or this process's clock deviates
+	Window        int64
+	Allowed       int64
+	Charged       int64
 }
 
-// Status gives the owner's standing.
+// Status returns the status of the owner.
 func (o *Owner) Status(now, wall int64) Status {
-	s := Status{Standing: o.standing, Needed: o.majority(), Clock: o.refused}
-	for _, p := range o.promised {
-		if p.given && now-p.sent <= o.t.Lease {
+	s := Status{Phase: o.phase, Needed: o.majority(), ClockMismatch: o.clockRefused}
+	for _, p := range o.promises {
+		if p.given && now-p.sent <= o.cfg.LeaseDuration {
 			s.Voters++
 		}
 	}
 	for _, d := range o.doubts {
-		if d.life != 0 {
-			s.Doubts++
+		if d.incarnation != 0 {
+			s.InDoubt++
 		}
 	}
 	if self, _ := o.clocks.Judge(now, wall); self {
-		s.Clock = true
+		s.ClockMismatch = true
 	}
-	if w := o.last(); w != nil && o.standing != Reading {
-		s.Window, s.Allowed, s.Charged = w.Start, w.Amount+o.carried(len(o.s.Windows)-1), w.charged(o.out)
+	if w := o.openWindow(); w != nil && o.phase != Reading {
+		s.Window, s.Allowed, s.Charged = w.Start, w.Amount+o.carried(len(o.state.Windows)-1), w.charged(o.granted)
 	}
 	return s
 }
--- a/fleet/quota/timeline_test.go
+++ b/fleet/quota/timeline_test.go
@@ -10,26 +10,26 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// Runs drawn as text: one column a node, one row a moment in seconds; the drawing below ---- is the run as it
-// was, each cell with what was seen. With -rewrite the files are written anew.
+// Runs as text: one column per member, one row per time in seconds. The table below ---- is the result, each cell with
+// what was observed. With -rewrite the files are rewritten.
 //
-//	own               begins a term here
-//	kill, back [n]    ends the process; starts it again with its file as it was n writings ago
-//	pause, wake       stops it as SIGSTOP does, and lets it go on
-//	cut bc, cut> bc   nothing goes between it and b and c; only from it to them
-//	heal              all goes everywhere
-//	clock +90s        sets its wall clock off true time
-//	amount 5          a later edition of the quota comes to the owner here
-//	anew              operators begin anew at this voter
-//	want 5 [w7] [k3]  clients want 5 reqs let in until the next row, of worth 7, retries of key 3
-//	greedy 1000       it claims so many times its demand
-//	end, never        all that is open here ends; having run, or surely never having
-//	?                 what it holds, and as an owner its standing and what is charged of what is allowed
+//	own               starts a term with this member as the owner
+//	kill, back [n]    kills the process; restarts it with its file as it was n writes ago
+//	pause, wake       stops it as SIGSTOP does; resumes it
+//	cut bc, cut> bc   drops messages between it and b and c in both directions; only from it to them
+//	heal              ends all cuts
+//	clock +90s        sets the deviation of its wall clock from true time
+//	amount 5          gives the owner here a later version of the quota
+//	anew              resets this voter as operators do, see ResetVoter
+//	want 5 [w7] [k3]  clients send reqs until the next row until 5 are admitted, of value 7, retries of key 3
+//	greedy 1000       adds this much to its demand at each step
+//	end, never        ends all dispatches here: they ran, or are known never to have run
+//	?                 shows what it holds, and for an owner its phase and what is charged of what is allowed
 func TestTimelines(t *testing.T) {
 	datadriven.Walk(t, "testdata/timelines", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			if d.Cmd != "play" {
-				d.Fatalf(t, "command %s", d.Cmd)
+				d.Fatalf(t, "unknown command %s", d.Cmd)
 			}
 			return newTimeline(t, d).play(d.Input)
 		})
@@ -37,11 +37,11 @@
 }
 
 type timeline struct {
-	t       *testing.T
-	w       *world
-	wants   []want
-	greedy  []int64
-	edition uint64
+	t           *testing.T
+	w           *world
+	wants       []want
+	extraDemand []int64
+	edition     uint64
 }
 
 type want struct {
@@ -52,7 +52,7 @@
 }
 
 func newTimeline(t *testing.T, d *datadriven.TestData) *timeline {
-	q, tt, places := minutely(12), terms(), 3
+	q, tt, places := minuteQuota(12), testConfig(), 3
 	began := int64(1_800_000_050)
 	zone, kind, double, late := "UTC", Minute, 0.0, int64(5)
 	for _, a := range d.CmdArgs {
@@ -61,15 +61,15 @@
 		case "amount":
 			q.Amount = n
 		case "slice":
-			q.Slice = n
+			q.MaxUnspent = n
 		case "ahead":
-			q.Ahead = n
+			q.WriteAhead = n
 		case "carry":
-			q.Carry = n
+			q.MaxCarry = n
 		case "reserve":
-			q.Reserve, q.From = n, 7
+			q.Reserve, q.ReserveFrom = n, 7
 		case "release":
-			q.Release = n * second
+			q.ReserveRelease = n * second
 		case "ramp":
 			q.Ramp = n * second
 		case "burst":
@@ -77,9 +77,9 @@
 		case "places":
 			places = int(n)
 		case "old":
-			tt.Old = int(n)
+			tt.MaxRolledBack = int(n)
 		case "seal":
-			tt.Seal = n * second
+			tt.SealAfter = n * second
 		case "double":
 			double = float64(n) / 100
 		case "late":
@@ -95,7 +95,7 @@
 			}
 			began = at.Unix()
 		default:
-			d.Fatalf(t, "no setting %s", a.Key)
+			d.Fatalf(t, "unknown setting %s", a.Key)
 		}
 	}
 	c, err := NewCalendar(kind, zone, 20*second, 4)
@@ -104,8 +104,8 @@
 	}
 	q.Calendar = c
 	w := newWorld(q, tt, places, 1)
-	w.began, w.double, w.delay = began*second, double, late*ms
-	return &timeline{t: t, w: w, wants: make([]want, places), greedy: make([]int64, places), edition: 1}
+	w.startUnix, w.double, w.delay = began*second, double, late*ms
+	return &timeline{t: t, w: w, wants: make([]want, places), extraDemand: make([]int64, places), edition: 1}
 }
 
 func (l *timeline) play(input string) string {
@@ -126,8 +126,8 @@
 		if err != nil {
 			l.t.Fatalf("row %q: %v", row, err)
 		}
-		l.until(int64(at * float64(second)))
-		l.seen(rows, pending)
+		l.runUntil(int64(at * float64(second)))
+		l.recordResults(rows, pending)
 		for p, cell := range row[1:] {
 			var out []string
 			for do := range strings.SplitSeq(cell, ";") {
@@ -141,25 +141,25 @@
 			}
 		}
 	}
-	l.until(l.w.now + 2*second)
-	l.seen(rows, pending)
-	return drawing(rows) + l.total()
+	l.runUntil(l.w.now + 2*second)
+	l.recordResults(rows, pending)
+	return drawTable(rows) + l.total()
 }
 
-// until lets time go by; what is wanted is asked for at each step.
-func (l *timeline) until(at int64) {
+// runUntil advances the time; at each step clients send the reqs still wanted.
+func (l *timeline) runUntil(at int64) {
 	for l.w.now+l.w.tick <= at {
 		l.w.step(0)
 		for p := range l.wants {
 			x, was := &l.wants[p], l.w.procs[p].served
-			if h := l.w.procs[p].holder; l.greedy[p] > 0 {
-				h.cell.asked[0].Add(l.greedy[p])
+			if h := l.w.procs[p].holder; l.extraDemand[p] > 0 {
+				h.tokens.demanded[0].Add(l.extraDemand[p])
 			}
 			for x.n > x.got && l.w.procs[p].up && !l.w.procs[p].paused {
-				l.w.ask(p, 1, x.r, 1000*second, x.key)
+				l.w.sendReqs(p, 1, x.r, 1000*second, x.key)
 				if l.w.procs[p].served == was {
 					x.denied++
-					x.wait = l.w.procs[p].last.Wait
+					x.wait = l.w.procs[p].lastDecision.RetryAfter
 					break
 				}
 				was++
@@ -169,8 +169,8 @@
 	}
 }
 
-// seen writes what became of what was wanted beside it.
-func (l *timeline) seen(rows [][]string, pending []int) {
+// recordResults adds to each "want" cell how many reqs were admitted.
+func (l *timeline) recordResults(rows [][]string, pending []int) {
 	for p := range l.wants {
 		x := &l.wants[p]
 		if x.n > 0 {
@@ -216,32 +216,32 @@
 		if err != nil {
 			l.t.Fatal(err)
 		}
-		node.off = int64(d)
+		node.clockOffset = int64(d)
 	case "amount":
 		l.edition++
-		q := w.q
-		q.Amount, q.Edition = number, l.edition
+		q := w.quota
+		q.Amount, q.Version = number, l.edition
 		w.send(p, node.owner.Configure(q, w.now, w.wall(node)))
 	case "anew":
-		node.voter = Anew(w.q, 100, w.wall(node))
+		node.voter = ResetVoter(w.quota, 100, w.wall(node))
 		w.term = 100
 		w.write(node)
 	case "greedy":
-		l.greedy[p] = number
+		l.extraDemand[p] = number
 	case "want":
 		x := &l.wants[p]
-		*x = want{n: int(number), r: Req{Cost: 1, Worth: 1}}
+		*x = want{n: int(number), r: Req{Cost: 1, Value: 1}}
 		for _, word := range words[2:] {
 			n, _ := strconv.ParseInt(word[1:], 10, 64)
 			if word[0] == 'w' {
-				x.r.Worth = n
+				x.r.Value = n
 			} else {
 				x.key = uint64(n)
 			}
 		}
 	case "end", "never":
-		for i := range node.open {
-			node.open[i].at = w.now
+		for i := range node.dispatches {
+			node.dispatches[i].at = w.now
 		}
 		never := 0.0
 		if words[0] == "never" {
@@ -249,14 +249,14 @@
 		}
 		w.end(node, never)
 	case "?":
-		return l.look(p)
+		return l.describe(p)
 	default:
-		l.t.Fatalf("no cell %q", words)
+		l.t.Fatalf("unknown cell %q", words)
 	}
 	return strings.Join(words, " ")
 }
 
-func (l *timeline) look(p int) string {
+func (l *timeline) describe(p int) string {
 	node, w := l.w.procs[p], l.w
 	if !node.up {
 		return "? down"
@@ -266,17 +266,17 @@
 	if left[1] > 0 {
 		s += fmt.Sprintf("+%d", left[1])
 	}
-	if node.holder.until <= w.now {
+	if node.holder.validUntil <= w.now {
 		s += " ended"
 	}
 	if o := node.owner; o != nil {
 		st := o.Status(w.now, w.wall(node))
 		names := [...]string{"reading", "granting", "lost", "deposed"}
-		s += fmt.Sprintf(", %s %d/%d", names[st.Standing], st.Charged, st.Allowed)
-		if st.Doubts > 0 {
-			s += fmt.Sprintf(", %d voters in doubt", st.Doubts)
+		s += fmt.Sprintf(", %s %d/%d", names[st.Phase], st.Charged, st.Allowed)
+		if st.InDoubt > 0 {
+			s += fmt.Sprintf(", %d voters in doubt", st.InDoubt)
 		}
-		if st.Clock {
+		if st.ClockMismatch {
 			s += ", clocks differ"
 		}
 	}
@@ -293,21 +293,21 @@
 
 func (l *timeline) total() string {
 	var b strings.Builder
-	for at := l.w.began - 3600*24*31*second; at <= l.w.began+l.w.now; {
-		start, end := l.w.q.Calendar.At(at)
-		if n, ran := l.w.effects[start]; ran {
+	for at := l.w.startUnix - 3600*24*31*second; at <= l.w.startUnix+l.w.now; {
+		start, end := l.w.quota.Calendar.At(at)
+		if n, ran := l.w.ran[start]; ran {
 			from, to := time.Unix(0, start).UTC(), time.Unix(0, end).UTC()
 			fmt.Fprintf(&b, "ran %d in %s to %s\n", n, from.Format(time.RFC3339), to.Format(time.RFC3339))
 		}
 		at = end
 	}
-	if bad := l.w.over(); bad != "" {
+	if bad := l.w.violation(); bad != "" {
 		fmt.Fprintf(&b, "over: %s\n", bad)
 	}
 	return b.String()
 }
 
-func drawing(rows [][]string) string {
+func drawTable(rows [][]string) string {
 	wide := map[int]int{}
 	for _, row := range rows {
 		for i, cell := range row {
--- a/fleet/quota/world_test.go
+++ b/fleet/quota/world_test.go
@@ -7,148 +7,153 @@
 	"ivybank/internal/rng"
 )
 
-// world is a fleet in virtual time: the cores as they are, a net that loses, doubles and delays, clients, and
-// a count of what ran that nothing of the cores takes part in. Tests alone write to it.
+// Units of time, in ns.
 const (
 	ms     = int64(1e6)
 	second = int64(1e9)
 )
 
-// flaw is what is broken, for a test to catch it.
-type flaw struct{ refundTwice, addReports, ownClock, freshAtRestart, noFence, noMark, receipt, freeTurn bool }
+// flaw selects deliberate faults that a test must catch.
+type flaw struct {
+	refundTwice, addReports, ownClock, freshAtRestart, noFence, grantBeforeSave, leaseFromReceipt, ignoreVoterClocks bool
+}
 
+// world is a fleet in virtual time: the holders, owners and voters under test, a network that loses, duplicates and
+// delays messages, clients, and a count of what ran that is independent of the code under test.
 type world struct {
-	q           Quota
-	t           Terms
-	f           flaw
-	tick        int64
-	now         int64 // true time, ns since the beginning
-	began       int64 // Unix ns
-	procs       []*proc
-	cut         [][]bool // from, to
-	way, spare  []flying
-	dice        rng.Source
-	loss        float64
-	double      float64
-	delay       int64 // at the most
-	term        uint64
-	at          int // the owner's place
-	life        uint64
-	effects     map[int64]int64 // by window, what ran or may have; grown for the length of a test
-	early, late int64           // furthest that a req counted in a window was from its true time
-	added       map[string]Pair
+	quota                 Quota
+	cfg                   Config
+	flaw                  flaw
+	tick                  int64
+	now                   int64 // true time, ns since the start
+	startUnix             int64 // true time of the start, Unix ns
+	procs                 []*proc
+	cut                   [][]bool // from, to
+	inFlight, spareBuffer []delivery
+	random                rng.Source
+	loss                  float64
+	double                float64
+	delay                 int64 // maximum, ns
+	term                  uint64
+	ownerIndex            int // member that owns the quota
+	lastIncarnation       uint64
+	ran                   map[int64]int64 // by window, the amount that ran or may have run
+	early, late           int64           // maximum ns by which a req was before or after the window it counts in
+	added                 map[string]Pair
 }
 
-type flying struct {
+type delivery struct {
 	at, sent int64
 	from, to int
 	body     any
 }
 
 type proc struct {
-	place          int
+	member         int
 	up, paused     bool
-	life           uint64
-	off            int64 // of its wall clock
+	incarnation    uint64
+	clockOffset    int64 // of its wall clock
 	voter          Voter
-	file           []Voter // as it was written, oldest first; the last few
-	rolled         bool
+	file           []Voter // as stored, oldest first; only the latest versions
+	rolledBack     bool
 	holder         *Holder
 	owner          *Owner
 	clocks         *Clocks
-	book           *Book
-	open           []opened
-	keys           map[uint64]*one // by key, the last that was charged
+	limiter        *Limiter
+	dispatches     []dispatch
+	byKey          map[uint64]*clientReq // the latest charged req of each key
 	denied, served int
-	last           Verdict
+	lastDecision   Decision
 }
 
-type opened struct {
+type dispatch struct {
 	at     int64
 	t      Ticket
 	charge Charge
-	one    *one
+	req    *clientReq
 }
 
-// one is a client's req, of all its dispatches.
-type one struct {
+// clientReq is a client's req with all its dispatches.
+type clientReq struct {
 	window, amount int64
-	open           int
+	dispatches     int
 	ran            bool
 }
 
-func terms() Terms {
-	return Terms{Every: 100 * ms, Lease: 2 * second, Seal: 30 * second, Skew: second, Drift: 200, Old: 1,
-		Places: 3}
+func testConfig() Config {
+	return Config{ReportInterval: 100 * ms, LeaseDuration: 2 * second, SealAfter: 30 * second,
+		MaxSkew: second, DriftPPM: 200, MaxRolledBack: 1,
+		Members: 3}
 }
 
-func minutely(amount int64) Quota {
+func minuteQuota(amount int64) Quota {
 	c, err := NewCalendar(Minute, "UTC", 0, 0)
 	if err != nil {
 		panic(err)
 	}
-	return Quota{ID: 1, Edition: 1, Tenant: "t", Calendar: c, Amount: amount, Slice: max(1, amount/10),
-		Ahead: max(1, amount/10), Spread: second}
+	return Quota{ID: 1, Version: 1, Tenant: "t", Calendar: c, Amount: amount, MaxUnspent: max(1, amount/10),
+		WriteAhead: max(1, amount/10), Spread: second}
 }
 
-// newWorld begins ten seconds before a minute's end.
-func newWorld(q Quota, t Terms, places int, seed uint64) *world {
-	w := &world{tick: 50 * ms, q: q, t: t, began: 1_800_000_050 * second, dice: rng.Source{Seed: seed},
-		delay: 5 * ms, effects: map[int64]int64{},
+// newWorld returns a fleet at 10 s before the end of a minute.
+func newWorld(q Quota, t Config, members int, seed uint64) *world {
+	w := &world{tick: 50 * ms, quota: q, cfg: t, startUnix: 1_800_000_050 * second, random: rng.Source{Seed: seed},
+		delay: 5 * ms, ran: map[int64]int64{},
 		added: map[string]Pair{}}
-	w.t.Places = places
-	for i := range places {
-		w.procs = append(w.procs, &proc{place: i})
-		w.cut = append(w.cut, make([]bool, places))
+	w.cfg.Members = members
+	for i := range members {
+		w.procs = append(w.procs, &proc{member: i})
+		w.cut = append(w.cut, make([]bool, members))
 		w.start(i)
 	}
 	return w
 }
 
-func (w *world) wall(p *proc) int64 { return w.began + w.now + p.off }
+func (w *world) wall(p *proc) int64 { return w.startUnix + w.now + p.clockOffset }
 
 func (w *world) start(i int) {
 	p := w.procs[i]
-	w.life++
-	p.up, p.paused, p.life, p.owner, p.open, p.keys = true, false, w.life, nil, nil, map[uint64]*one{}
-	p.clocks = NewClocks(i, w.t.Places, w.t.Skew, 20*second)
-	if w.f.freeTurn {
-		p.clocks.bound = 1 << 62
+	w.lastIncarnation++
+	p.up, p.paused, p.incarnation, p.owner, p.dispatches, p.byKey =
+		true, false, w.lastIncarnation, nil, nil, map[uint64]*clientReq{}
+	p.clocks = NewClocks(i, w.cfg.Members, w.cfg.MaxSkew, 20*second)
+	if w.flaw.ignoreVoterClocks {
+		p.clocks.maxSkew = 1 << 62
 	}
-	p.book = NewBook(10*second, 64)
+	p.limiter = NewLimiter(10*second, 64)
 	old := p.holder
-	p.holder = NewHolder(w.q, w.t, i, p.life, w.life, p.clocks)
-	if w.f.freshAtRestart && old != nil {
-		// it takes up what it was given as if nothing of it had been spent
-		p.holder.life, p.life = old.life, old.life
-		p.holder.cell = &Cell{window: old.cell.window}
+	p.holder = NewHolder(w.quota, w.cfg, i, p.incarnation, w.lastIncarnation, p.clocks)
+	if w.flaw.freshAtRestart && old != nil {
+		// it continues with the granted totals as if no token had been spent
+		p.holder.incarnation, p.incarnation = old.incarnation, old.incarnation
+		p.holder.tokens = &WindowTokens{window: old.tokens.window}
 		p.holder.term, p.holder.total = old.term, old.total
-		p.holder.num = old.num
+		p.holder.reportNum = old.reportNum
 		for c := range classes {
-			p.holder.cell.left[c].Store(old.total[c])
+			p.holder.tokens.left[c].Store(old.total[c])
 		}
 	}
-	p.book.Add("t", p.holder.Slot())
+	p.limiter.Add("t", p.holder.Slot())
 	if old != nil {
-		p.holder.Owner(old.owner)
+		p.holder.SetOwner(old.owner)
 	}
 }
 
 func (w *world) kill(i int) {
 	p := w.procs[i]
-	p.up, p.owner, p.open = false, nil, nil
+	p.up, p.owner, p.dispatches = false, nil, nil
 }
 
-// back starts a process again, with its file as it was `older` writings ago.
+// back restarts a process with its file as it was `older` writes ago.
 func (w *world) back(i, older int) {
 	p := w.procs[i]
 	if p.up {
 		return
 	}
-	if older > 0 && w.t.Old > 0 {
+	if older > 0 && w.cfg.MaxRolledBack > 0 {
 		for _, x := range w.procs {
-			if x != p && x.rolled {
-				older = 0 // no more than one at once, by the terms
+			if x != p && x.rolledBack {
+				older = 0 // the configuration allows only one rolled back voter at a time
 			}
 		}
 	} else {
@@ -156,32 +161,32 @@
 	}
 	if n := len(p.file); n > 0 {
 		k := max(0, n-1-older)
-		p.rolled = p.rolled || k < n-1
+		p.rolledBack = p.rolledBack || k < n-1
 		p.file = p.file[:k+1]
-		p.voter = Return(p.file[k], w.t, w.life+1, w.now)
+		p.voter = RestoreVoter(p.file[k], w.cfg, w.lastIncarnation+1, w.now)
 	}
 	w.start(i)
 }
 
-// own has a process begin a term.
+// own starts a new term with a process as the owner.
 func (w *world) own(i int) {
 	p := w.procs[i]
 	if !p.up || p.paused {
 		return
 	}
 	w.term++
-	o, out := NewOwner(i, w.term, w.q, w.t, w.voters(), p.clocks, w.now)
+	o, out := NewOwner(i, w.term, w.quota, w.cfg, w.voters(), p.clocks, w.now)
 	p.owner = o
 	w.send(i, out)
-	w.at = i
-	w.tell()
+	w.ownerIndex = i
+	w.announceOwner()
 }
 
-// tell has those that are reached know whose place the owner's is.
-func (w *world) tell() {
+// tell tells the members that the owner can reach who the owner is.
+func (w *world) announceOwner() {
 	for _, x := range w.procs {
-		if !w.cut[w.at][x.place] {
-			x.holder.Owner(w.at)
+		if !w.cut[w.ownerIndex][x.member] {
+			x.holder.SetOwner(w.ownerIndex)
 		}
 	}
 }
@@ -190,7 +195,7 @@
 	for i := range w.cut {
 		clear(w.cut[i])
 	}
-	w.tell()
+	w.announceOwner()
 }
 
 func (w *world) voters() (all []int) {
@@ -200,161 +205,162 @@
 	return all
 }
 
-func (w *world) send(from int, out []Letter) {
+func (w *world) send(from int, out []Message) {
 	for _, l := range out {
 		if w.cut[from][l.To] {
 			continue
 		}
 		for {
 			if l.To == from {
-				w.way = append(w.way, flying{w.now, w.now, from, l.To, l.Body})
+				w.inFlight = append(w.inFlight, delivery{w.now, w.now, from, l.To, l.Body})
 				break
 			}
-			if w.dice.Next() >= w.loss {
-				w.way = append(w.way, flying{w.now + int64(w.dice.Next()*float64(w.delay)), w.now, from, l.To, l.Body})
+			if w.random.Next() >= w.loss {
+				w.inFlight = append(w.inFlight, delivery{w.now + int64(w.random.Next()*float64(w.delay)),
+					w.now, from, l.To, l.Body})
 			}
-			if w.dice.Next() >= w.double {
+			if w.random.Next() >= w.double {
 				break
 			}
-			if w.dice.Next() < 0.2 { // a copy that comes a whole window later
-				w.way = append(w.way, flying{w.now + 60*second, w.now, from, l.To, l.Body})
+			if w.random.Next() < 0.2 { // a duplicate that arrives a whole window later
+				w.inFlight = append(w.inFlight, delivery{w.now + 60*second, w.now, from, l.To, l.Body})
 			}
 		}
 	}
 }
 
 func (w *world) deliver() {
-	way := w.way
-	w.way = w.spare[:0]
+	way := w.inFlight
+	w.inFlight = w.spareBuffer[:0]
 	for _, f := range way {
 		p := w.procs[f.to]
 		if p.paused && p.up || f.at > w.now {
-			w.way = append(w.way, f)
+			w.inFlight = append(w.inFlight, f)
 		} else if p.up {
 			w.take(p, f)
 		}
 	}
-	w.spare = way
+	w.spareBuffer = way
 }
 
-func (w *world) take(p *proc, f flying) {
+func (w *world) take(p *proc, f delivery) {
 	wall := w.wall(p)
 	switch m := f.body.(type) {
 	case Report:
 		if p.owner == nil {
 			return
 		}
-		if w.f.addReports {
-			k := fmt.Sprint(f.to, m.Place, m.Life, m.Window, m.Term)
+		if w.flaw.addReports {
+			k := fmt.Sprint(f.to, m.Member, m.Incarnation, m.Window, m.Term)
 			m.Returned = Pair{m.Returned[0] + w.added[k][0], m.Returned[1] + w.added[k][1]}
 			w.added[k] = m.Returned
 		}
-		w.send(p.place, p.owner.Report(m, w.now, wall))
+		w.send(p.member, p.owner.HandleReport(m, w.now, wall))
 	case Grant:
-		if w.f.receipt {
-			p.holder.asks[m.Num%8] = ask{m.Num, w.now}
+		if w.flaw.leaseFromReceipt {
+			p.holder.requests[m.Num%8] = request{m.Num, w.now}
 		}
-		p.holder.Grant(m, w.now)
-	case Promise:
-		if w.f.noFence {
-			p.voter.Promised = min(p.voter.Promised, m.Term)
-			p.voter.Life = 0
+		p.holder.HandleGrant(m, w.now)
+	case PromiseRequest:
+		if w.flaw.noFence {
+			p.voter.HighestTerm = min(p.voter.HighestTerm, m.Term)
+			p.voter.DoubtIncarnation = 0
 		}
-		out := p.voter.Promise(m, p.place, w.now)
+		out := p.voter.HandlePromise(m, p.member, w.now)
 		w.write(p)
-		w.send(p.place, out)
-	case Save:
-		if w.f.noFence {
-			p.voter.Promised, p.voter.Life = 0, 0
+		w.send(p.member, out)
+	case SaveRequest:
+		if w.flaw.noFence {
+			p.voter.HighestTerm, p.voter.DoubtIncarnation = 0, 0
 		}
-		if w.f.freeTurn {
+		if w.flaw.ignoreVoterClocks {
 			wall = 1 << 62
 		}
-		out := p.voter.Save(m, p.place, w.t, w.now, wall)
-		if p.voter.Life == 0 {
-			p.rolled = false
+		out := p.voter.HandleSave(m, p.member, w.cfg, w.now, wall)
+		if p.voter.DoubtIncarnation == 0 {
+			p.rolledBack = false
 		}
 		w.write(p)
-		w.send(p.place, out)
-	case Promised:
+		w.send(p.member, out)
+	case PromiseReply:
 		if p.owner != nil {
-			if w.f.noMark {
+			if w.flaw.grantBeforeSave {
 				for i := range m.State.Windows {
-					m.State.Windows[i].Mark = Pair{}
+					m.State.Windows[i].MaxGranted = Pair{}
 				}
 			}
-			w.send(p.place, p.owner.Promised(m, w.now, wall))
+			w.send(p.member, p.owner.HandlePromiseReply(m, w.now, wall))
 		}
-	case Saved:
+	case SaveReply:
 		if p.owner != nil {
-			w.send(p.place, p.owner.Saved(m, w.now, wall))
+			w.send(p.member, p.owner.HandleSaveReply(m, w.now, wall))
 		}
 	}
 }
 
 func (w *world) write(p *proc) {
-	p.file = append(p.file, p.voter) // its state is never written to, only replaced
+	p.file = append(p.file, p.voter) // the state is immutable, so that a shallow copy suffices
 	if len(p.file) > 40 {
 		p.file = slices.Clone(p.file[1:])
 	}
 }
 
-// ask is n reqs at a process; those that are let in run, or may have, unless they are known not to.
-func (w *world) ask(i, n int, r Req, long int64, key uint64) {
+// ask sends n reqs to a process. Admitted ones count as run until they are known never to have run.
+func (w *world) sendReqs(i, n int, r Req, duration int64, key uint64) {
 	p := w.procs[i]
 	if !p.up || p.paused {
 		return
 	}
 	for range n {
 		r.Key, r.Tenant = key, "t"
-		t, v := p.book.Admit(w.now, r)
-		p.last = v
+		t, v := p.limiter.Admit(w.now, r)
+		p.lastDecision = v
 		if v.Denied {
 			p.denied++
 			continue
 		}
 		p.served++
-		x := opened{at: w.now + long, t: t, charge: t.charge}
+		x := dispatch{at: w.now + duration, t: t, charge: t.charge}
 		if t.charge.n == 0 {
-			x.one = p.keys[key]
+			x.req = p.byKey[key]
 		} else {
-			x.one = &one{window: t.charge.parts[0].cell.window, amount: w.q.Unit.of(&r)}
-			w.effects[x.one.window] += x.one.amount
-			w.strip(x.one.window)
-			p.keys[key] = x.one
+			x.req = &clientReq{window: t.charge.parts[0].tokens.window, amount: w.quota.Unit.amountOf(&r)}
+			w.ran[x.req.window] += x.req.amount
+			w.recordClockError(x.req.window)
+			p.byKey[key] = x.req
 		}
-		x.one.open++
-		p.open = append(p.open, x)
+		x.req.dispatches++
+		p.dispatches = append(p.dispatches, x)
 	}
 }
 
-// strip notes how far a req is from the true time of the window it counts in.
-func (w *world) strip(window int64) {
-	_, end := w.q.Calendar.At(window)
-	at := w.began + w.now
+// recordClockError records how far the true time is from the window that a req counts in.
+func (w *world) recordClockError(window int64) {
+	_, end := w.quota.Calendar.At(window)
+	at := w.startUnix + w.now
 	w.early, w.late = max(w.early, window-at), max(w.late, at-end)
 }
 
-// end ends what is due; a part of it never ran.
+// end ends the dispatches that are due; a random share of them, never, did not run.
 func (w *world) end(p *proc, never float64) {
-	kept := p.open[:0]
-	for _, x := range p.open {
+	kept := p.dispatches[:0]
+	for _, x := range p.dispatches {
 		if x.at > w.now {
 			kept = append(kept, x)
 			continue
 		}
-		ran := w.dice.Next() >= never
-		x.one.open--
-		x.one.ran = x.one.ran || ran
-		if !x.one.ran && x.one.open == 0 {
-			w.effects[x.one.window] -= x.one.amount
-			if w.f.refundTwice {
-				x.charge.Back()
+		ran := w.random.Next() >= never
+		x.req.dispatches--
+		x.req.ran = x.req.ran || ran
+		if !x.req.ran && x.req.dispatches == 0 {
+			w.ran[x.req.window] -= x.req.amount
+			if w.flaw.refundTwice {
+				x.charge.Refund()
 			}
 		}
-		p.book.Done(&x.t, ran, Req{Cost: x.one.amount, Worth: x.one.amount})
+		p.limiter.Done(&x.t, ran, Req{Cost: x.req.amount, Value: x.req.amount})
 	}
-	p.open = kept
+	p.dispatches = kept
 }
 
 func (w *world) step(never float64) {
@@ -365,39 +371,39 @@
 			continue
 		}
 		w.end(p, never)
-		if w.f.ownClock {
-			if start, _ := w.q.Calendar.At(w.wall(p)); p.holder.cell.window != 0 && start > p.holder.cell.window {
+		if w.flaw.ownClock {
+			if start, _ := w.quota.Calendar.At(w.wall(p)); p.holder.tokens.window != 0 && start > p.holder.tokens.window {
 				total, term := p.holder.total, p.holder.term
-				p.holder.turn(start, w.now, 0)
+				p.holder.enterWindow(start, w.now, 0)
 				p.holder.term, p.holder.total = term, total
-				p.holder.cell.left[0].Store(total[0])
-				p.holder.until = w.now + w.t.Lease
-				p.holder.show(Grant{}, w.now)
+				p.holder.tokens.left[0].Store(total[0])
+				p.holder.validUntil = w.now + w.cfg.LeaseDuration
+				p.holder.publish(Grant{}, w.now)
 			}
 		}
-		w.send(p.place, p.holder.Tick(w.now))
+		w.send(p.member, p.holder.Tick(w.now))
 		if p.owner != nil {
-			w.send(p.place, p.owner.Tick(w.now, w.wall(p)))
+			w.send(p.member, p.owner.Tick(w.now, w.wall(p)))
 		}
 	}
 }
 
-// over says where the count of what ran passes the quota; "" where it does not.
-func (w *world) over() string {
-	carried, span, before := int64(0), w.q.Calendar.span(), []int64(nil)
-	c := &w.q.Calendar
-	for x, end := c.At(w.began - 2*second); x <= w.began+w.now+3*second; x, end = c.At(end) {
-		sum, allowed := w.effects[x], w.q.Amount+carried
+// violation returns a window in which more ran than the quota allows, or "".
+func (w *world) violation() string {
+	carried, span, before := int64(0), w.quota.Calendar.stepsBefore(), []int64(nil)
+	c := &w.quota.Calendar
+	for x, end := c.At(w.startUnix - 2*second); x <= w.startUnix+w.now+3*second; x, end = c.At(end) {
+		sum, allowed := w.ran[x], w.quota.Amount+carried
 		if span > 0 {
 			for _, n := range before[max(0, len(before)-span):] {
 				sum += n
 			}
 		}
 		if sum > allowed {
-			return fmt.Sprintf("%d in the window of %d, of %d", sum, x, allowed)
+			return fmt.Sprintf("%d ran in the window starting at %d, want at most %d", sum, x, allowed)
 		}
-		carried = min(w.q.Carry, allowed-w.effects[x])
-		before = append(before, w.effects[x])
+		carried = min(w.quota.MaxCarry, allowed-w.ran[x])
+		before = append(before, w.ran[x])
 	}
 	return ""
 }
