--- a/fleet/quorum/logfile.go
+++ b/fleet/quorum/logfile.go
@@ -1,7 +1,7 @@
 package quorum
 
-// This file owns what a member writes down: batches one behind another, each with its length and a checksum. It must never call a batch
-// written that the disk has not, nor take one that is not whole.
+// This file holds the log file of a member: a sequence of records, one per batch, each with its length and a checksum.
+// It must never report a batch as written that is not on disk, nor accept an incomplete one.
 
 import (
 	"encoding/binary"
@@ -16,27 +16,28 @@
 )
 
 const (
-	title  = "IVYPLAN1" // the last byte is the form's version
-	prefix = 4 + 8      // length and checksum
-	mostOf = 1 << 20    // bytes of one batch
+	magic             = "IVYPLAN1" // the last byte is the version of the format
+	recordHeaderBytes = 4 + 8      // length and checksum
+	maxRecordBytes    = 1 << 20    // of the body
 )
 
-// ErrOther is told of a file that is none of these.
-var ErrOther = errors.New("not a file of plans, or of another version")
+// ErrUnknownFormat is the error for a file that is no log file of this version.
+var ErrUnknownFormat = errors.New("not a plan log, or of another version")
 
-// line is a batch as it is written.
-type line struct {
-	_       struct{} `cbor:",toarray"`
-	ID      uint64
-	Hard    []byte
-	Entries [][]byte
+// record is the encoded form of a batch.
+type record struct {
+	_         struct{} `cbor:",toarray"`
+	ID        uint64
+	HardState []byte
+	Entries   [][]byte
 }
 
-// File is an open one.
+// File is an open log file.
 type File struct{ f *os.File }
 
-// OpenFile reads what was kept and goes on behind it. The end of a write that was cut short was never acted on and is taken off; where more
-// than an end cannot be read what is before it is older than what was promised: nothing is taken, and the member comes in anew.
+// OpenFile reads the stored state and positions the file for appending. An incomplete record at the end was never
+// acted on and is truncated. If more than that is unreadable, the records before it are older than what the member has
+// promised: the file is emptied, and the member rejoins under a new ID.
 func OpenFile(path string) (*File, PersistentState, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, PersistentState{}, err
@@ -50,64 +51,65 @@
 		_ = f.Close()
 		return nil, PersistentState{}, err
 	}
-	k, good, torn := read(b)
-	if good == 0 || !torn {
-		k, good = PersistentState{}, 0
+	state, valid, truncated := parseRecords(b)
+	if valid == 0 || !truncated {
+		state, valid = PersistentState{}, 0
 	}
-	if err = f.Truncate(int64(good)); err == nil {
-		_, err = f.Seek(int64(good), io.SeekStart)
+	if err = f.Truncate(int64(valid)); err == nil {
+		_, err = f.Seek(int64(valid), io.SeekStart)
 	}
-	if err == nil && good == 0 {
-		_, err = f.WriteString(title)
+	if err == nil && valid == 0 {
+		_, err = f.WriteString(magic)
 	}
 	if err != nil {
 		_ = f.Close()
 		return nil, PersistentState{}, err
 	}
-	return &File{f}, k, nil
+	return &File{f}, state, nil
 }
 
-// read gives what is whole, how many bytes that is, and whether what is behind it is no more than the end of a write that was cut short.
-func read(b []byte) (k PersistentState, good int, torn bool) {
-	if len(b) < len(title) || string(b[:len(title)]) != title {
-		return k, 0, len(b) < len(title)
+// parseRecords returns the state of all complete records, their length in bytes, and whether what follows is no more
+// than one truncated write.
+func parseRecords(b []byte) (state PersistentState, valid int, truncated bool) {
+	if len(b) < len(magic) || string(b[:len(magic)]) != magic {
+		return state, 0, len(b) < len(magic)
 	}
-	good = len(title)
+	valid = len(magic)
 	for {
-		rest := b[good:]
-		if len(rest) < prefix {
-			return k, good, true
+		rest := b[valid:]
+		if len(rest) < recordHeaderBytes {
+			return state, valid, true
 		}
 		n := int(binary.BigEndian.Uint32(rest))
-		if n > mostOf || len(rest) < prefix+n {
-			return k, good, n <= mostOf
+		if n > maxRecordBytes || len(rest) < recordHeaderBytes+n {
+			return state, valid, n <= maxRecordBytes
 		}
-		body := rest[prefix : prefix+n]
-		var l line
-		if xxhash.Sum64(body) != binary.BigEndian.Uint64(rest[4:]) || cbor.Unmarshal(body, &l) != nil {
-			return k, good, len(rest) == prefix+n
+		body := rest[recordHeaderBytes : recordHeaderBytes+n]
+		var rec record
+		if xxhash.Sum64(body) != binary.BigEndian.Uint64(rest[4:]) || cbor.Unmarshal(body, &rec) != nil {
+			return state, valid, len(rest) == recordHeaderBytes+n
 		}
-		batch := Batch{ID: l.ID}
-		if batch.HardState.Unmarshal(l.Hard) != nil {
-			return k, good, false
+		batch := Batch{ID: rec.ID}
+		if batch.HardState.Unmarshal(rec.HardState) != nil {
+			return state, valid, false
 		}
-		for _, e := range l.Entries {
-			var x raftpb.Entry
-			if x.Unmarshal(e) != nil {
-				return k, good, false
+		for _, e := range rec.Entries {
+			var entry raftpb.Entry
+			if entry.Unmarshal(e) != nil {
+				return state, valid, false
 			}
-			batch.Entries = append(batch.Entries, x)
+			batch.Entries = append(batch.Entries, entry)
 		}
-		k.Apply(&batch)
-		good += prefix + n
+		state.Apply(&batch)
+		valid += recordHeaderBytes + n
 	}
 }
 
-// Write writes a batch down and waits for the disk. A batch with nothing to keep is none.
-func (x *File) Write(b *Batch) error {
-	l := line{ID: b.ID}
+// Write appends a batch and syncs the file. A batch without anything to store is not written.
+func (f *File) Write(b *Batch) error {
+	rec := record{ID: b.ID}
 	var err error
-	if l.Hard, err = b.HardState.Marshal(); err != nil {
+	if rec.HardState, err = b.HardState.Marshal(); err != nil {
 		return err
 	}
 	for _, e := range b.Entries {
@@ -115,22 +117,22 @@
 		if err != nil {
 			return err
 		}
-		l.Entries = append(l.Entries, body)
+		rec.Entries = append(rec.Entries, body)
 	}
-	if l.ID == 0 && len(l.Hard) == 0 && len(l.Entries) == 0 {
+	if rec.ID == 0 && len(rec.HardState) == 0 && len(rec.Entries) == 0 {
 		return nil
 	}
-	body, err := cbor.Marshal(&l)
+	body, err := cbor.Marshal(&rec)
 	if err != nil {
 		return err
 	}
 	out := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
-	if _, err := x.f.Write(append(out, body...)); err != nil {
+	if _, err := f.f.Write(append(out, body...)); err != nil {
 		return err
 	}
-	return x.f.Sync()
+	return f.f.Sync()
 }
 
-// Close closes it.
-func (x *File) Close() { _ = x.f.Close() }
+// Close closes the file and ignores errors.
+func (f *File) Close() { _ = f.f.Close() }
--- a/fleet/quorum/logfile_test.go
+++ b/fleet/quorum/logfile_test.go
@@ -9,12 +9,14 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-func batches() (all []Batch) {
-	return []Batch{{ID: 7}, {HardState: raftpb.HardState{Term: 2, Vote: 7, Commit: 1}, Entries: []raftpb.Entry{{Index: 2, Term: 2, Data: []byte("a")}, {Index: 3, Term: 2}}},
-		{HardState: raftpb.HardState{Term: 3, Vote: 7, Commit: 2}, Entries: []raftpb.Entry{{Index: 3, Term: 3, Data: []byte("b")}}}}
+func testBatches() (all []Batch) {
+	return []Batch{{ID: 7}, {HardState: raftpb.HardState{Term: 2, Vote: 7, Commit: 1},
+		Entries: []raftpb.Entry{{Index: 2, Term: 2, Data: []byte("a")}, {Index: 3, Term: 2}}},
+		{HardState: raftpb.HardState{Term: 3, Vote: 7, Commit: 2},
+			Entries: []raftpb.Entry{{Index: 3, Term: 3, Data: []byte("b")}}}}
 }
 
-// However a write was cut short, what was written before is whole; a file damaged further up counts as lost.
+// Wherever a write was truncated, the records before it are read; a file damaged before its last record counts as lost.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plans", "log")
 	var want []PersistentState
@@ -23,7 +25,7 @@
 	if err != nil || k.ID != 0 {
 		t.Fatal(k, err)
 	}
-	for _, b := range batches() {
+	for _, b := range testBatches() {
 		if err := f.Write(&b); err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +63,7 @@
 		t.Fatal(err)
 	}
 	if f, got, err := OpenFile(path); err != nil || got.ID != 0 {
-		t.Errorf("got %+v, %v of a damaged one, want nothing", got, err)
+		t.Errorf("got %+v, %v of a damaged file, want empty state", got, err)
 	} else {
 		f.Close()
 	}
--- a/fleet/quorum/quorum.go
+++ b/fleet/quorum/quorum.go
@@ -1,9 +1,10 @@
-// Package quorum has a few members agree on one history of commands, by Raft (Ongaro, Ousterhout, 2014) as go.etcd.io/raft/v3 carries it.
-// It is free of I/O and of clocks: it is handed ticks and messages, and hands out what to write down, to send and to apply.
+// Package quorum replicates one log of commands among a few members by Raft (Ongaro, Ousterhout, 2014), as implemented
+// by go.etcd.io/raft/v3. It does no I/O and reads no clock: it takes ticks and messages, and returns what to store, to
+// send and to apply.
 //
-// This file owns who votes, when one stands for election, and how a member comes in that has nothing written down: as a newcomer under a
-// number of its own, as what it may have promised under the old one is forgotten. It must never vote where it may have voted before and has
-// forgotten, nor hand on what was not written down.
+// This file decides who votes, when a member campaigns, and how a member without stored state joins: as a new member
+// with an ID of its own, as the promises that it may have made under its old ID are lost. A member must never vote
+// where it may have voted before and has lost the record, nor send or apply what is not stored.
 package quorum
 
 import (
@@ -22,147 +23,153 @@
 )
 
 const (
-	electAfter = 10 // ticks without a leader's word after which one stands for election, and by chance up to as many more
-	beatEvery  = 3  // ticks between a leader's
-	mostBytes  = 2 << 10
-	mostAhead  = 8 // messages to a member that are not answered
+	electionTicks       = 10 // ticks without a leader until a member campaigns; up to as many are added at random
+	heartbeatTicks      = 3  // ticks between the heartbeats of a leader
+	maxBytesPerMessage  = 2 << 10
+	maxInflightMessages = 8 // unanswered messages to one member
 )
 
-// ErrNoLeader is told where nothing can be proposed here.
-var ErrNoLeader = errors.New("this member does not lead")
+// ErrNoLeader is returned by Propose if this member is not the leader.
+var ErrNoLeader = errors.New("this member is not the leader")
 
-// Config is what a member is told.
+// Config configures a member.
 type Config struct {
 	Index, Members int
-	Voters         int    // the first so many places vote from the start; the others follow
-	Incarnation    uint64 // another at each start of this member
+	Voters         int    // the first so many members vote from the start; the others are learners
+	Incarnation    uint64 // differs at each start of this member
 	Seed           uint64
 }
 
-// PersistentState is what a member has written down.
+// PersistentState is what a member has stored.
 type PersistentState struct {
-	ID        uint64 // number under which it takes part; 0: nothing is written down
+	ID        uint64 // Raft ID of the member; 0: nothing is stored
 	HardState raftpb.HardState
 	Entries   []raftpb.Entry
 }
 
-// Entry is a command that was agreed on.
+// Entry is a committed command.
 type Entry struct {
 	Index, Term uint64
 	Data        []byte
 }
 
-// Batch is what is to be done now: write down, then send and apply, then call Written.
+// Batch is what is to be done now: store ID, HardState and Entries, then send Messages and apply Committed, then call
+// Advance.
 type Batch struct {
-	ID        uint64 // 0: as it is. With another all that was agreed on is handed over again, from the start
+	ID        uint64 // 0: unchanged. With a new ID all committed entries are returned again, from the start
 	HardState raftpb.HardState
 	Entries   []raftpb.Entry
 	Messages  []Message
 	Committed []Entry
 }
 
-// Message is a message for a member.
+// Message is a message to a member.
 type Message struct {
 	To   int
 	Body []byte
 }
 
-// kinds of message
+// Kinds of message, the first byte of a body, and parameters of joining.
 const (
-	byRaft  = 'R'
-	byHello = 'H' // one that begins tells what it has seen of the others
-	byJoin  = 'J' // one that has nothing written down wants to come in
-
-	seenSize  = 64 // places that may vote
-	placeBits = 16 // of a member's number; the life of its first start is above them
-	joinEvery = 3  // ticks between tries to come in
-	joinsMost = 8  // newcomers at once
+	kindRaft  = 'R'
+	kindHello = 'H' // a starting voter tells which voters it has heard of
+	kindJoin  = 'J' // a member without stored state asks to join
+
+	maxVoters      = 64 // bits of Node.emptyVoters
+	indexBits      = 16 // low bits of a Raft ID: the index plus 1; above them the incarnation that took it, or 0
+	joinRetryTicks = 3  // ticks between requests to join
+	maxJoinsAtOnce = 8  // new members in one configuration change
 )
 
-// Node is one member's.
+// Node is the Raft state machine of one member.
 type Node struct {
-	t       Config
-	id      uint64        // 0: it has none yet
-	raw     *raft.RawNode // nil until it has
-	store   *raft.MemoryStorage
-	conf    raftpb.ConfState
-	dice    rng.Source
-	lost    bool   // others had begun without it, or have its place under another number
-	seen    uint64 // voters that were heard to have nothing written down as well, as bits
-	all     uint64 // of them, who has seen all
-	vowed   bool   // the number is to be written down
-	wait    int    // ticks until it stands for election
-	ticks   int
-	joins   map[int]uint64 // newcomers by place; emptied as they are in
-	out     []Message      // beside Raft's
-	pending raft.Ready
-	ready   bool // pending is one
-	busy    bool
+	cfg          Config
+	id           uint64        // 0: none yet
+	raw          *raft.RawNode // nil until the member has an ID
+	store        *raft.MemoryStorage
+	conf         raftpb.ConfState
+	random       rng.Source
+	lostState    bool   // the others had started without it, or it lost stored state
+	emptyVoters  uint64 // bit set of the voters known to have no stored state
+	sawAll       uint64 // bit set of the voters known to have heard from all voters
+	newID        bool   // the ID is to be stored
+	electionWait int    // ticks until it campaigns
+	ticks        int
+	joins        map[int]uint64 // IDs of joining members by index, until they are members
+	outbox       []Message      // messages other than Raft's
+	ready        raft.Ready
+	hasReady     bool // ready is valid
+	writing      bool // a batch is being stored, until Advance
 }
 
-// New begins with what was written down.
-func New(t Config, k PersistentState) (*Node, error) {
-	n := &Node{t: t, dice: rng.Source{Seed: t.Seed ^ uint64(t.Index+1)<<40}, joins: map[int]uint64{}}
-	n.rest()
+// New returns a Node that continues from the stored state.
+func New(cfg Config, state PersistentState) (*Node, error) {
+	n := &Node{cfg: cfg, random: rng.Source{Seed: cfg.Seed ^ uint64(cfg.Index+1)<<40}, joins: map[int]uint64{}}
+	n.resetElectionWait()
 	switch {
-	case k.ID != 0:
-		return n, n.open(k)
-	case t.Index >= t.Voters:
-		return n, n.newcomer()
+	case state.ID != 0:
+		return n, n.start(state)
+	case cfg.Index >= cfg.Voters:
+		return n, n.startAsNewMember()
 	}
 	return n, nil
 }
 
-// open begins to take part under a number.
-func (n *Node) open(k PersistentState) error {
+// start starts Raft with the ID of the stored state.
+func (n *Node) start(state PersistentState) error {
 	n.store, n.conf = raft.NewMemoryStorage(), raftpb.ConfState{}
-	for i := range n.t.Voters {
+	for i := range n.cfg.Voters {
 		n.conf.Voters = append(n.conf.Voters, uint64(i+1))
 	}
-	if err := n.store.ApplySnapshot(raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1, ConfState: n.conf}}); err != nil {
+	if err := n.store.ApplySnapshot(raftpb.Snapshot{Metadata: raftpb.SnapshotMetadata{
+		Index: 1, Term: 1, ConfState: n.conf}}); err != nil {
 		return err
 	}
-	if !raft.IsEmptyHardState(k.HardState) {
-		if err := n.store.SetHardState(k.HardState); err != nil {
+	if !raft.IsEmptyHardState(state.HardState) {
+		if err := n.store.SetHardState(state.HardState); err != nil {
 			return err
 		}
 	}
-	if err := n.store.Append(k.Entries); err != nil {
+	if err := n.store.Append(state.Entries); err != nil {
 		return err
 	}
-	raw, err := raft.NewRawNode(&raft.Config{ID: k.ID, ElectionTick: electAfter, HeartbeatTick: beatEvery, Storage: n.store, Applied: 1,
-		MaxSizePerMsg: mostBytes, MaxInflightMsgs: mostAhead, MaxUncommittedEntriesSize: math.MaxInt32, CheckQuorum: true, PreVote: true,
+	raw, err := raft.NewRawNode(&raft.Config{ID: state.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
+		Storage: n.store, Applied: 1,
+		MaxSizePerMsg: maxBytesPerMessage, MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: math.MaxInt32,
+		CheckQuorum: true, PreVote: true,
 		DisableProposalForwarding: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
 	if err == nil {
-		n.id, n.raw = k.ID, raw
+		n.id, n.raw = state.ID, raw
 	}
 	return err
 }
 
-// newcomer takes a number that nobody has had.
-func (n *Node) newcomer() error {
-	n.vowed = true
-	return n.open(PersistentState{ID: uint64(n.t.Index+1) | n.t.Incarnation<<placeBits})
+// startAsNewMember starts Raft with an ID that was never used.
+func (n *Node) startAsNewMember() error {
+	n.newID = true
+	return n.start(PersistentState{ID: uint64(n.cfg.Index+1) | n.cfg.Incarnation<<indexBits})
 }
 
-// place is that of a number.
-func place(id uint64) int { return int(id&(1<<placeBits-1)) - 1 }
+// indexOf returns the index of the member with an ID.
+func indexOf(id uint64) int { return int(id&(1<<indexBits-1)) - 1 }
 
-// rest draws how long to wait for a leader.
-func (n *Node) rest() { n.wait = electAfter + int(n.dice.Next()*electAfter) }
+// resetElectionWait draws how many ticks to wait for a leader.
+func (n *Node) resetElectionWait() {
+	n.electionWait = electionTicks + int(n.random.Next()*electionTicks)
+}
 
-// votes says whether this member's number is among those that vote.
-func (n *Node) votes() bool {
+// isVoting reports whether this member's ID is that of a voter.
+func (n *Node) isVoting() bool {
 	return n.raw != nil && (slices.Contains(n.conf.Voters, n.id) || slices.Contains(n.conf.VotersOutgoing, n.id))
 }
 
-// in says whether its number takes part at all.
-func (n *Node) in() bool { return n.votes() || slices.Contains(n.conf.Learners, n.id) }
+// isMember reports whether this member's ID is that of a voter or learner.
+func (n *Node) isMember() bool { return n.isVoting() || slices.Contains(n.conf.Learners, n.id) }
 
-// LostState says whether this member has lost what it had written down, and came in as another.
-func (n *Node) LostState() bool { return n.lost }
+// LostState reports whether this member had lost its stored state and rejoined under a new ID.
+func (n *Node) LostState() bool { return n.lostState }
 
-// IsLeader says whether this member leads, and in which term.
+// IsLeader reports whether this member is the leader, and its term.
 func (n *Node) IsLeader() (bool, uint64) {
 	if n.raw == nil {
 		return false, 0
@@ -171,187 +178,187 @@
 	return s.RaftState == raft.StateLeader, s.Term
 }
 
-// Leader is the place of the one that leads as far as is known here; -1: nobody.
+// Leader returns the index of the leader as far as known here; -1 if there is none.
 func (n *Node) Leader() int {
 	if n.raw == nil {
 		return -1
 	}
-	return place(n.raw.BasicStatus().Lead)
+	return indexOf(n.raw.BasicStatus().Lead)
 }
 
-// Tick lets time pass. Chance comes from this member's own seed alone.
+// Tick advances the time by one tick. Random delays depend on this member's seed alone.
 func (n *Node) Tick() {
 	n.ticks++
 	if n.raw == nil {
-		n.hello()
+		n.sendHello()
 		return
 	}
 	if leads, _ := n.IsLeader(); leads {
 		n.raw.Tick()
-		n.admit()
+		n.addNewMembers()
 		return
 	}
 	n.raw.TickQuiesced()
-	if !n.in() && n.ticks%joinEvery == 0 {
-		b := binary.BigEndian.AppendUint64([]byte{byJoin}, n.id)
-		for i := range n.t.Members {
-			if i != n.t.Index && n.isVoter(i) {
-				n.out = append(n.out, Message{i, b})
+	if !n.isMember() && n.ticks%joinRetryTicks == 0 {
+		b := binary.BigEndian.AppendUint64([]byte{kindJoin}, n.id)
+		for i := range n.cfg.Members {
+			if i != n.cfg.Index && n.isVoterIndex(i) {
+				n.outbox = append(n.outbox, Message{i, b})
 			}
 		}
 	}
-	if n.wait--; n.wait <= 0 {
-		n.rest()
-		if n.votes() {
+	if n.electionWait--; n.electionWait <= 0 {
+		n.resetElectionWait()
+		if n.isVoting() {
 			_ = n.raw.Campaign()
 		}
 	}
 }
 
-// isVoter says whether a place's member votes, as far as is known here.
-func (n *Node) isVoter(i int) bool {
-	return slices.ContainsFunc(n.conf.Voters, func(id uint64) bool { return place(id) == i })
+// isVoterIndex reports whether the member with an index votes, as far as known here.
+func (n *Node) isVoterIndex(i int) bool {
+	return slices.ContainsFunc(n.conf.Voters, func(id uint64) bool { return indexOf(id) == i })
 }
 
-// admit has newcomers come in, in the place of what was there under another number, and vote where the first of their place did, once they
-// hold what the others do.
-func (n *Node) admit() {
+// addNewMembers proposes joining members as learners, in place of the old ID of their index. Where the index is that
+// of a voter, it proposes them as voters once their log is complete.
+func (n *Node) addNewMembers() {
 	s := n.raw.Status()
 	var changes []raftpb.ConfChangeSingle
-	for _, who := range slices.Sorted(maps.Keys(n.joins)) {
-		id := n.joins[who]
-		if _, had := s.Progress[id]; had {
-			delete(n.joins, who)
+	for _, index := range slices.Sorted(maps.Keys(n.joins)) {
+		id := n.joins[index]
+		if _, joined := s.Progress[id]; joined {
+			delete(n.joins, index)
 			continue
 		}
-		if len(changes) >= joinsMost {
+		if len(changes) >= maxJoinsAtOnce {
 			break
 		}
 		for _, old := range slices.Sorted(maps.Keys(s.Progress)) {
-			if place(old) == who && old != n.id {
+			if indexOf(old) == index && old != n.id {
 				changes = append(changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode, NodeID: old})
 			}
 		}
 		changes = append(changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddLearnerNode, NodeID: id})
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Progress)) {
-		if p := s.Progress[id]; p.IsLearner && place(id) < n.t.Voters && p.Match >= s.Commit && len(changes) == 0 {
+		if p := s.Progress[id]; p.IsLearner && indexOf(id) < n.cfg.Voters && p.Match >= s.Commit && len(changes) == 0 {
 			changes = append(changes, raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode, NodeID: id})
 		}
 	}
 	if len(changes) > 0 && len(s.Config.Voters[1]) == 0 {
-		_ = n.raw.ProposeConfChange(raftpb.ConfChangeV2{Changes: changes}) // refused while another is on its way
+		_ = n.raw.ProposeConfChange(raftpb.ConfChangeV2{Changes: changes}) // refused while another change is in progress
 	}
 }
 
-// hello tells the other voters what this one has seen.
-func (n *Node) hello() {
-	n.see(n.t.Index, n.seen)
-	for i := range n.t.Voters {
-		if i != n.t.Index {
-			n.out = append(n.out, Message{i, n.greeting()})
+// sendHello tells the other voters which voters this one has heard of.
+func (n *Node) sendHello() {
+	n.recordHello(n.cfg.Index, n.emptyVoters)
+	for i := range n.cfg.Voters {
+		if i != n.cfg.Index {
+			n.outbox = append(n.outbox, Message{i, n.helloMessage()})
 		}
 	}
 }
 
-func (n *Node) greeting() []byte {
-	b := []byte{byHello, 0}
+func (n *Node) helloMessage() []byte {
+	b := []byte{kindHello, 0}
 	if n.raw != nil {
 		b[1] = 1
 	}
-	return binary.BigEndian.AppendUint64(b, n.seen)
+	return binary.BigEndian.AppendUint64(b, n.emptyVoters)
 }
 
-func (n *Node) everybody() uint64 { return 1<<n.t.Voters - 1 }
+func (n *Node) allVoters() uint64 { return 1<<n.cfg.Voters - 1 }
 
-// see notes that a voter has nothing written down, and whom it has seen.
-func (n *Node) see(who int, seen uint64) {
-	n.seen |= 1 << who
-	if seen == n.everybody() {
-		n.all |= 1 << who
+// recordHello records that a voter has no stored state, and which voters it has heard of.
+func (n *Node) recordHello(index int, emptyVoters uint64) {
+	n.emptyVoters |= 1 << index
+	if emptyVoters == n.allVoters() {
+		n.sawAll |= 1 << index
 	}
-	if n.seen == n.everybody() {
-		n.all |= 1 << n.t.Index
+	if n.emptyVoters == n.allVoters() {
+		n.sawAll |= 1 << n.cfg.Index
 	}
-	if n.all == n.everybody() {
-		n.begin()
+	if n.sawAll == n.allVoters() {
+		n.startCluster()
 	}
 }
 
-// begin ends the first gathering: all voters were there at once with nothing written down, so that none has ever voted.
-func (n *Node) begin() {
-	if n.raw == nil && n.open(PersistentState{ID: uint64(n.t.Index + 1)}) == nil {
-		n.vowed = true
-		n.rest()
+// startCluster ends the bootstrap: all voters were present at once without stored state, so that none has ever voted.
+func (n *Node) startCluster() {
+	if n.raw == nil && n.start(PersistentState{ID: uint64(n.cfg.Index + 1)}) == nil {
+		n.newID = true
+		n.resetElectionWait()
 	}
 }
 
-// Step takes a message of another; one that is not of the form is dropped.
+// Step handles a message of another member; a malformed one is dropped.
 func (n *Node) Step(from int, b []byte) {
-	if len(b) < 2 || from < 0 || from >= n.t.Members || from == n.t.Index {
+	if len(b) < 2 || from < 0 || from >= n.cfg.Members || from == n.cfg.Index {
 		return
 	}
 	switch b[0] {
-	case byHello:
-		n.greeted(from, b[1:])
-	case byJoin:
+	case kindHello:
+		n.handleHello(from, b[1:])
+	case kindJoin:
 		if leads, _ := n.IsLeader(); leads && len(b) == 9 {
-			if id := binary.BigEndian.Uint64(b[1:]); place(id) == from {
+			if id := binary.BigEndian.Uint64(b[1:]); indexOf(id) == from {
 				n.joins[from] = id
 			}
 		}
-	case byRaft:
-		n.step(from, b[1:])
+	case kindRaft:
+		n.handleRaft(from, b[1:])
 	}
 }
 
-func (n *Node) step(from int, b []byte) {
+func (n *Node) handleRaft(from int, b []byte) {
 	var m raftpb.Message
-	if n.raw == nil || m.Unmarshal(b) != nil || place(m.From) != from || m.To != n.id || raft.IsLocalMsg(m.Type) {
+	if n.raw == nil || m.Unmarshal(b) != nil || indexOf(m.From) != from || m.To != n.id || raft.IsLocalMsg(m.Type) {
 		return
 	}
 	switch m.Type {
 	case raftpb.MsgProp, raftpb.MsgTransferLeader, raftpb.MsgReadIndex:
-		return // never of another
+		return // not accepted from other members
 	case raftpb.MsgHeartbeat:
-		if last, err := n.store.LastIndex(); err != nil || m.Commit > last && !n.busy {
-			n.outdated()
+		if last, err := n.store.LastIndex(); err != nil || m.Commit > last && !n.writing {
+			n.rejoinAsNewMember()
 			return
 		}
-		n.rest()
+		n.resetElectionWait()
 	case raftpb.MsgApp, raftpb.MsgSnap:
-		n.rest()
+		n.resetElectionWait()
 	}
 	_ = n.raw.Step(m)
 }
 
-// outdated: a leader knows that more was written down here than is: the folder was put back from an older copy. What was promised since is
-// forgotten, so that this member comes in as another.
-func (n *Node) outdated() {
-	n.lost = true
-	_ = n.newcomer()
+// rejoinAsNewMember handles a leader that knows of more entries stored here than there are: the folder was restored
+// from an older copy. The promises made since are lost, so the member rejoins under a new ID.
+func (n *Node) rejoinAsNewMember() {
+	n.lostState = true
+	_ = n.startAsNewMember()
 }
 
-func (n *Node) greeted(from int, b []byte) {
-	if from >= n.t.Voters || len(b) != 9 {
+func (n *Node) handleHello(from int, b []byte) {
+	if from >= n.cfg.Voters || len(b) != 9 {
 		return
 	}
-	seen := binary.BigEndian.Uint64(b[1:])
-	switch begun := b[0] == 1; {
-	case n.raw != nil && !begun:
-		n.out = append(n.out, Message{from, n.greeting()})
+	emptyVoters := binary.BigEndian.Uint64(b[1:])
+	switch started := b[0] == 1; {
+	case n.raw != nil && !started:
+		n.outbox = append(n.outbox, Message{from, n.helloMessage()})
 	case n.raw != nil:
-	case begun && n.seen == n.everybody():
-		n.begin() // it was there as well
-	case begun:
-		n.lost = true
-		_ = n.newcomer()
+	case started && n.emptyVoters == n.allVoters():
+		n.startCluster() // this member took part in the bootstrap
+	case started:
+		n.lostState = true
+		_ = n.startAsNewMember()
 	default:
-		n.see(from, seen)
+		n.recordHello(from, emptyVoters)
 	}
 }
 
-// Propose puts a command to be agreed on, where this member leads.
+// Propose proposes a command. It returns ErrNoLeader if this member is not the leader.
 func (n *Node) Propose(data []byte) error {
 	if leads, _ := n.IsLeader(); !leads {
 		return ErrNoLeader
@@ -359,46 +366,47 @@
 	return n.raw.Propose(data)
 }
 
-// TransferLeadership gives the lead to another voter, as before this member ends.
+// TransferLeadership transfers the leadership to another voter, for example before this member stops.
 func (n *Node) TransferLeadership(to int) {
 	if n.raw == nil {
 		return
 	}
 	for _, id := range n.conf.Voters {
-		if place(id) == to {
+		if indexOf(id) == to {
 			n.raw.TransferLeader(id)
 		}
 	}
 }
 
-// Ready gives what is to be done; false where there is nothing, or where what was given is not written yet.
-func (n *Node) Ready() (b Batch, ok bool) {
-	has := n.raw != nil && n.raw.HasReady()
-	if n.busy || !has && !n.vowed && len(n.out) == 0 {
-		return b, false
-	}
-	if n.vowed {
-		b.ID, n.vowed = n.id, false
-	}
-	b.Messages, n.out = n.out, nil
-	if n.ready = has; has {
-		n.pending = n.raw.Ready()
-		b.HardState, b.Entries = n.pending.HardState, n.pending.Entries
-		for _, m := range n.pending.Messages {
+// Ready returns what is to be done; ok is false if there is nothing, or if the previous batch was not finished by
+// Advance.
+func (n *Node) Ready() (batch Batch, ok bool) {
+	rawReady := n.raw != nil && n.raw.HasReady()
+	if n.writing || !rawReady && !n.newID && len(n.outbox) == 0 {
+		return batch, false
+	}
+	if n.newID {
+		batch.ID, n.newID = n.id, false
+	}
+	batch.Messages, n.outbox = n.outbox, nil
+	if n.hasReady = rawReady; rawReady {
+		n.ready = n.raw.Ready()
+		batch.HardState, batch.Entries = n.ready.HardState, n.ready.Entries
+		for _, m := range n.ready.Messages {
 			if body, err := m.Marshal(); err == nil {
-				b.Messages = append(b.Messages, Message{place(m.To), append([]byte{byRaft}, body...)})
+				batch.Messages = append(batch.Messages, Message{indexOf(m.To), append([]byte{kindRaft}, body...)})
 			}
 		}
-		for _, e := range n.pending.CommittedEntries {
-			n.agreed(&b, e)
+		for _, e := range n.ready.CommittedEntries {
+			n.applyCommitted(&batch, e)
 		}
 	}
-	n.busy = true
-	return b, true
+	n.writing = true
+	return batch, true
 }
 
-// agreed takes an entry that was agreed on: a command is for who asked, who takes part is for here.
-func (n *Node) agreed(b *Batch, e raftpb.Entry) {
+// applyCommitted handles a committed entry: a command goes into the batch, a configuration change is applied here.
+func (n *Node) applyCommitted(b *Batch, e raftpb.Entry) {
 	var v1 raftpb.ConfChange
 	var v2 raftpb.ConfChangeV2
 	switch {
@@ -411,48 +419,48 @@
 	}
 }
 
-// Advance tells that what the latest batch had to be written down is, and that the rest of it was done.
+// Advance tells the node that the latest batch is stored, sent and applied.
 func (n *Node) Advance() {
-	n.busy = false
-	if !n.ready {
+	n.writing = false
+	if !n.hasReady {
 		return
 	}
-	n.ready = false
-	if !raft.IsEmptyHardState(n.pending.HardState) {
-		_ = n.store.SetHardState(n.pending.HardState)
+	n.hasReady = false
+	if !raft.IsEmptyHardState(n.ready.HardState) {
+		_ = n.store.SetHardState(n.ready.HardState)
 	}
-	_ = n.store.Append(n.pending.Entries)
-	n.raw.Advance(n.pending)
+	_ = n.store.Append(n.ready.Entries)
+	n.raw.Advance(n.ready)
 }
 
-// Apply adds a batch to what was kept, as one that reads it again finds it. With another number all before is void.
-func (k *PersistentState) Apply(b *Batch) {
+// Apply adds a batch to the stored state, as it would be read back. A new ID voids all that was stored before.
+func (s *PersistentState) Apply(b *Batch) {
 	if b.ID != 0 {
-		*k = PersistentState{ID: b.ID}
+		*s = PersistentState{ID: b.ID}
 	}
 	if !raft.IsEmptyHardState(b.HardState) {
-		k.HardState = b.HardState
+		s.HardState = b.HardState
 	}
-	for _, e := range b.Entries { // a later entry of a place takes that of an earlier term, and all behind it
-		i := slices.IndexFunc(k.Entries, func(x raftpb.Entry) bool { return x.Index >= e.Index })
+	for _, e := range b.Entries { // an entry replaces that with the same index and all after it
+		i := slices.IndexFunc(s.Entries, func(old raftpb.Entry) bool { return old.Index >= e.Index })
 		if i >= 0 {
-			k.Entries = k.Entries[:i]
+			s.Entries = s.Entries[:i]
 		}
-		k.Entries = append(k.Entries, e)
+		s.Entries = append(s.Entries, e)
 	}
 }
 
-// Joining says whether this member is not in yet: it waits for others, at rest too.
-func (n *Node) Joining() bool { return n.raw == nil || !n.in() }
+// Joining reports whether this member is not a member yet: it then needs ticks even while idle.
+func (n *Node) Joining() bool { return n.raw == nil || !n.isMember() }
 
-// IsIdleMessage says whether a message keeps nobody awake: greetings, and what a leader and its followers tell each other while nothing is to be
-// agreed on.
+// IsIdleMessage reports whether a message does not count as activity: hellos, and what a leader and its followers
+// exchange while there is nothing to replicate.
 func IsIdleMessage(b []byte) bool {
-	if len(b) == 0 || b[0] == byHello {
+	if len(b) == 0 || b[0] == kindHello {
 		return true
 	}
 	var m raftpb.Message
-	if b[0] != byRaft || m.Unmarshal(b[1:]) != nil {
+	if b[0] != kindRaft || m.Unmarshal(b[1:]) != nil {
 		return false
 	}
 	switch m.Type {
--- a/fleet/quorum/quorum_test.go
+++ b/fleet/quorum/quorum_test.go
@@ -7,57 +7,60 @@
 	"pgregory.net/rapid"
 )
 
-// cluster is some members, what is between them, and what each has applied.
+// cluster holds members, the messages between them, and what each has applied.
 type cluster struct {
-	of, voters int
-	nodes      []*Node // nil: dead
-	kept       []PersistentState
-	wires      []wire
-	applied    [][]string
-	cut        map[[2]int]bool // nothing passes from one to another
-	agreed     []string        // the longest history that anybody has applied
-	broken     string
-	lives      uint64
+	members, voters int
+	nodes           []*Node // nil: crashed
+	saved           []PersistentState
+	inFlight        []message
+	applied         [][]string
+	cutLinks        map[[2]int]bool // from, to: messages are dropped
+	committed       []string        // the longest log that any member has applied
+	violation       string
+	lastIncarnation uint64
 }
 
-type wire struct {
+type message struct {
 	from, to int
 	body     []byte
 }
 
-func newCluster(of, voters int) *cluster {
-	c := &cluster{of: of, voters: voters, nodes: make([]*Node, of), kept: make([]PersistentState, of), applied: make([][]string, of), cut: map[[2]int]bool{}}
-	for i := range of {
+func newCluster(members, voters int) *cluster {
+	c := &cluster{members: members, voters: voters, nodes: make([]*Node, members),
+		saved: make([]PersistentState, members), applied: make([][]string, members),
+		cutLinks: map[[2]int]bool{}}
+	for i := range members {
 		c.start(i)
 	}
 	return c
 }
 
 func (c *cluster) start(i int) {
-	c.lives++
-	n, err := New(Config{Index: i, Members: c.of, Voters: c.voters, Incarnation: c.lives, Seed: 5}, c.kept[i])
+	c.lastIncarnation++
+	n, err := New(Config{Index: i, Members: c.members, Voters: c.voters, Incarnation: c.lastIncarnation,
+		Seed: 5}, c.saved[i])
 	if err != nil {
 		panic(err)
 	}
-	c.nodes[i], c.applied[i] = n, nil // what was agreed on is applied again from the start
+	c.nodes[i], c.applied[i] = n, nil // committed entries are applied again from the start
 }
 
-// lose empties a member's folder.
-func (c *cluster) lose(i int) { c.kept[i] = PersistentState{} }
+// loseState deletes the stored state of a member.
+func (c *cluster) loseState(i int) { c.saved[i] = PersistentState{} }
 
-func (c *cluster) work(i int) {
+func (c *cluster) process(i int) {
 	n := c.nodes[i]
 	for n != nil {
 		b, ok := n.Ready()
 		if !ok {
 			return
 		}
-		if b.ID != 0 { // it is another now: what was agreed on comes again from the start
+		if b.ID != 0 { // a new ID: committed entries are returned again from the start
 			c.applied[i] = nil
 		}
-		c.kept[i].Apply(&b)
+		c.saved[i].Apply(&b)
 		for _, s := range b.Messages {
-			c.wires = append(c.wires, wire{i, s.To, s.Body})
+			c.inFlight = append(c.inFlight, message{i, s.To, s.Body})
 		}
 		for _, e := range b.Committed {
 			c.apply(i, fmt.Sprintf("%d %d %s", e.Index, e.Term, e.Data))
@@ -66,15 +69,15 @@
 	}
 }
 
-// apply holds what a member applies against what any other has.
-func (c *cluster) apply(i int, what string) {
+// apply records what a member applies and compares it with what others have applied.
+func (c *cluster) apply(i int, command string) {
 	at := len(c.applied[i])
-	c.applied[i] = append(c.applied[i], what)
+	c.applied[i] = append(c.applied[i], command)
 	switch {
-	case at < len(c.agreed) && c.agreed[at] != what:
-		c.broken = fmt.Sprintf("member %d applies %q where another had %q", i, what, c.agreed[at])
-	case at == len(c.agreed):
-		c.agreed = append(c.agreed, what)
+	case at < len(c.committed) && c.committed[at] != command:
+		c.violation = fmt.Sprintf("member %d applies %q where another had %q", i, command, c.committed[at])
+	case at == len(c.committed):
+		c.committed = append(c.committed, command)
 	}
 }
 
@@ -82,26 +85,26 @@
 	for i, n := range c.nodes {
 		if n != nil {
 			n.Tick()
-			c.work(i)
+			c.process(i)
 		}
 	}
 }
 
-// deliver hands over the message at a place, or drops it.
-func (c *cluster) deliver(at int, drop bool) {
-	w := c.wires[at]
-	c.wires = append(c.wires[:at], c.wires[at+1:]...)
-	if n := c.nodes[w.to]; n != nil && !drop && !c.cut[[2]int{w.from, w.to}] {
-		n.Step(w.from, w.body)
-		c.work(w.to)
+// deliver delivers or drops the message at an index of inFlight.
+func (c *cluster) deliver(index int, drop bool) {
+	msg := c.inFlight[index]
+	c.inFlight = append(c.inFlight[:index], c.inFlight[index+1:]...)
+	if n := c.nodes[msg.to]; n != nil && !drop && !c.cutLinks[[2]int{msg.from, msg.to}] {
+		n.Step(msg.from, msg.body)
+		c.process(msg.to)
 	}
 }
 
-// calm runs so many ticks with all that is sent arriving.
-func (c *cluster) calm(ticks int) {
+// runTicks runs ticks and delivers all messages.
+func (c *cluster) runTicks(ticks int) {
 	for range ticks {
 		c.tick()
-		for n := 0; len(c.wires) > 0 && n < 10000; n++ {
+		for n := 0; len(c.inFlight) > 0 && n < 10000; n++ {
 			c.deliver(0, false)
 		}
 	}
@@ -118,124 +121,124 @@
 	return -1
 }
 
-func (c *cluster) propose(what string) bool {
+func (c *cluster) propose(command string) bool {
 	i := c.leader()
-	if i < 0 || c.nodes[i].Propose([]byte(what)) != nil {
+	if i < 0 || c.nodes[i].Propose([]byte(command)) != nil {
 		return false
 	}
-	c.work(i)
+	c.process(i)
 	return true
 }
 
 func TestAgreement(t *testing.T) {
 	c := newCluster(5, 3)
-	c.calm(60)
+	c.runTicks(60)
 	if c.leader() < 0 || !c.propose("a") {
-		t.Fatal("nobody leads")
+		t.Fatal("no leader, or proposal refused")
 	}
-	c.calm(10)
+	c.runTicks(10)
 	for i := range 5 {
 		if len(c.applied[i]) != 1 {
 			t.Errorf("member %d has applied %v", i, c.applied[i])
 		}
 	}
-	// Its leader dies: another takes over, and nothing is lost.
-	dead := c.leader()
-	c.nodes[dead] = nil
-	c.calm(60)
-	if now := c.leader(); now < 0 || now == dead || !c.propose("b") {
-		t.Fatalf("%d leads after the death of %d", now, dead)
+	// The leader crashes: another member takes over, and no command is lost.
+	crashed := c.leader()
+	c.nodes[crashed] = nil
+	c.runTicks(60)
+	if now := c.leader(); now < 0 || now == crashed || !c.propose("b") {
+		t.Fatalf("%d leads after %d crashed", now, crashed)
 	}
-	c.calm(10)
-	c.start(dead)
-	c.calm(30)
-	if len(c.applied[dead]) != 2 || c.broken != "" {
-		t.Errorf("the one that came back has applied %v; %s", c.applied[dead], c.broken)
+	c.runTicks(10)
+	c.start(crashed)
+	c.runTicks(30)
+	if len(c.applied[crashed]) != 2 || c.violation != "" {
+		t.Errorf("the restarted member has applied %v; %s", c.applied[crashed], c.violation)
 	}
 }
 
-// Nobody votes before all voters were there at once with nothing written down.
+// A new cluster elects no leader before all voters were present at once without stored state.
 func TestFirstGathering(t *testing.T) {
 	c := newCluster(4, 3)
 	c.nodes[2] = nil
-	c.calm(100)
+	c.runTicks(100)
 	if c.leader() >= 0 {
-		t.Fatal("one leads though not all voters were there")
+		t.Fatal("there is a leader though not all voters were present")
 	}
 	c.start(2)
-	c.calm(100)
+	c.runTicks(100)
 	if c.leader() < 0 {
-		t.Error("nobody leads")
+		t.Error("no leader")
 	}
 }
 
-// A voter that has lost its folder comes in as another and votes again once it holds what the others do; where most have, nothing new is
-// agreed on.
+// A voter that lost its stored state rejoins under a new ID and votes again once its log is complete; if a majority
+// lost theirs, nothing new is committed.
 func TestLostFolder(t *testing.T) {
 	c := newCluster(4, 3)
-	c.calm(60)
+	c.runTicks(60)
 	c.propose("a")
-	c.calm(10)
+	c.runTicks(10)
 	lost := (c.leader() + 1) % 3
 	c.nodes[lost] = nil
-	c.lose(lost)
+	c.loseState(lost)
 	c.start(lost)
-	c.calm(60)
+	c.runTicks(60)
 	if !c.nodes[lost].LostState() || len(c.applied[lost]) != 1 || !c.propose("b") {
 		t.Fatalf("lost %v, applied %v", c.nodes[lost].LostState(), c.applied[lost])
 	}
-	if c.calm(30); !c.nodes[lost].votes() {
-		t.Error("it does not vote again")
+	if c.runTicks(30); !c.nodes[lost].isVoting() {
+		t.Error("the rejoined member does not vote again")
 	}
 	leader := c.leader()
 	c.nodes[leader] = nil
-	c.calm(100)
+	c.runTicks(100)
 	if c.leader() < 0 {
-		t.Error("nobody leads with two of three that vote")
+		t.Error("no leader with two of three voters")
 	}
 	c.start(leader)
-	c.calm(60)
-	for i := range 2 { // two of three forget at once
+	c.runTicks(60)
+	for i := range 2 { // two of three lose their state at once
 		c.nodes[i] = nil
-		c.lose(i)
+		c.loseState(i)
 	}
-	before := len(c.agreed)
+	before := len(c.committed)
 	c.start(0)
 	c.start(1)
-	c.calm(300)
-	if c.leader() >= 0 || len(c.agreed) != before {
-		t.Errorf("%d leads, %d agreed on of %d", c.leader(), len(c.agreed), before)
+	c.runTicks(300)
+	if c.leader() >= 0 || len(c.committed) != before {
+		t.Errorf("%d leads, %d committed, want no leader and %d", c.leader(), len(c.committed), before)
 	}
 }
 
-// A voter whose folder was put back from an older copy is found out by the leader's word, and comes in as another.
+// A voter whose folder was restored from an older copy is detected by a leader's heartbeat, and rejoins under a new ID.
 func TestOldFolder(t *testing.T) {
 	c := newCluster(3, 3)
-	c.calm(60)
+	c.runTicks(60)
 	c.propose("a")
-	c.calm(10)
-	who := (c.leader() + 1) % 3
-	old := c.kept[who]
+	c.runTicks(10)
+	voter := (c.leader() + 1) % 3
+	old := c.saved[voter]
 	old.Entries = append(old.Entries[:0:0], old.Entries...)
 	for i := range 5 {
 		c.propose(fmt.Sprint("b", i))
-		c.calm(5)
+		c.runTicks(5)
 	}
-	c.nodes[who], c.kept[who] = nil, old
-	c.start(who)
-	c.calm(100)
-	if !c.nodes[who].LostState() || len(c.applied[who]) != 6 || c.broken != "" {
-		t.Errorf("lost %v, applied %v; %s", c.nodes[who].LostState(), c.applied[who], c.broken)
+	c.nodes[voter], c.saved[voter] = nil, old
+	c.start(voter)
+	c.runTicks(100)
+	if !c.nodes[voter].LostState() || len(c.applied[voter]) != 6 || c.violation != "" {
+		t.Errorf("lost %v, applied %v; %s", c.nodes[voter].LostState(), c.applied[voter], c.violation)
 	}
 }
 
-// Whatever is lost, late, overtaken or cut, and whoever dies with its folder kept or lost, all members apply one history; and when it is
-// calm again those with their folders go on, as long as most voters have theirs.
+// With messages lost, late, reordered or cut off, and members crashing with or without their stored state, all members
+// apply the same log; and once the faults end, the cluster goes on as long as a majority of the voters has its state.
 func TestOneHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.IntRange(3, 6).Draw(t, "members"), 3)
-		c.calm(60)
-		forgot := -1
+		c.runTicks(60)
+		lostMember := -1
 		proposed := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"tick": func(t *rapid.T) {
@@ -244,8 +247,8 @@
 				}
 			},
 			"deliver": func(t *rapid.T) {
-				for n := rapid.IntRange(1, 20).Draw(t, "messages"); n > 0 && len(c.wires) > 0; n-- {
-					c.deliver(rapid.IntRange(0, len(c.wires)-1).Draw(t, "which"), rapid.IntRange(0, 9).Draw(t, "drop") == 0)
+				for n := rapid.IntRange(1, 20).Draw(t, "messages"); n > 0 && len(c.inFlight) > 0; n-- {
+					c.deliver(rapid.IntRange(0, len(c.inFlight)-1).Draw(t, "which"), rapid.IntRange(0, 9).Draw(t, "drop") == 0)
 				}
 			},
 			"propose": func(t *rapid.T) {
@@ -254,46 +257,46 @@
 				}
 			},
 			"crash": func(t *rapid.T) {
-				i := rapid.IntRange(0, c.of-1).Draw(t, "who")
+				i := rapid.IntRange(0, c.members-1).Draw(t, "who")
 				c.nodes[i] = nil
-				if i < c.voters && (forgot < 0 || forgot == i) && rapid.IntRange(0, 3).Draw(t, "forgets") == 0 {
-					forgot = i
-					c.lose(i)
+				if i < c.voters && (lostMember < 0 || lostMember == i) && rapid.IntRange(0, 3).Draw(t, "forgets") == 0 {
+					lostMember = i
+					c.loseState(i)
 				}
 			},
 			"start": func(t *rapid.T) {
-				if i := rapid.IntRange(0, c.of-1).Draw(t, "who"); c.nodes[i] == nil {
+				if i := rapid.IntRange(0, c.members-1).Draw(t, "who"); c.nodes[i] == nil {
 					c.start(i)
 				}
 			},
 			"cut": func(t *rapid.T) {
-				at := [2]int{rapid.IntRange(0, c.of-1).Draw(t, "from"), rapid.IntRange(0, c.of-1).Draw(t, "to")}
-				c.cut[at] = !c.cut[at]
+				at := [2]int{rapid.IntRange(0, c.members-1).Draw(t, "from"), rapid.IntRange(0, c.members-1).Draw(t, "to")}
+				c.cutLinks[at] = !c.cutLinks[at]
 			},
 			"": func(t *rapid.T) {
-				if c.broken != "" {
-					t.Fatal(c.broken)
+				if c.violation != "" {
+					t.Fatal(c.violation)
 				}
 			},
 		})
-		c.cut = map[[2]int]bool{}
+		c.cutLinks = map[[2]int]bool{}
 		for i, n := range c.nodes {
 			if n == nil {
 				c.start(i)
 			}
 		}
-		c.calm(120)
+		c.runTicks(120)
 		if c.leader() < 0 || !c.propose("last") {
-			t.Fatal("nobody leads when it is calm again")
+			t.Fatal("no leader after the faults ended")
 		}
-		c.calm(20)
-		for i := range c.of {
-			if len(c.applied[i]) != len(c.agreed) {
-				t.Fatalf("member %d has applied %d of %d", i, len(c.applied[i]), len(c.agreed))
+		c.runTicks(20)
+		for i := range c.members {
+			if len(c.applied[i]) != len(c.committed) {
+				t.Fatalf("member %d has applied %d of %d", i, len(c.applied[i]), len(c.committed))
 			}
 		}
-		if c.broken != "" {
-			t.Fatal(c.broken)
+		if c.violation != "" {
+			t.Fatal(c.violation)
 		}
 	})
 }
