--- a/fleet/lease/election.go
+++ b/fleet/lease/election.go
@@ -100,9 +100,9 @@
 	if !l.candidacy.active {
 		return never
 	}
-	at := slices.Sorted(slices.Values(l.candidacy.promisedAt))
-	if x := at[len(at)-(m.cfg.Voters/2+1)]; x != never {
-		return x + l.ownershipDuration()
+	sorted := slices.Sorted(slices.Values(l.candidacy.promisedAt))
+	if sentAt := sorted[len(sorted)-(m.cfg.Voters/2+1)]; sentAt != never {
+		return sentAt + l.ownershipDuration()
 	}
 	return never
 }
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -116,7 +116,7 @@
 			inFlight = append(inFlight, message{i, to, d})
 		}
 	}
-	hear := func(l message) {
+	receive := func(l message) {
 		l.d.Items = slices.Clone(l.d.Items)
 		g.procs[l.to].receive(l.from, &l.d, g.now)
 		if !(g.stopped && g.faulty == l.to && g.midway == 2) {
@@ -125,7 +125,7 @@
 	}
 	for _, l := range g.queued {
 		if !g.stopped && g.procs[l.to] != nil {
-			hear(l)
+			receive(l)
 		}
 	}
 	if !g.stopped {
@@ -152,7 +152,7 @@
 				g.queued = append(g.queued, l)
 			}
 		default:
-			hear(l)
+			receive(l)
 		}
 	}
 	g.midway = 0
@@ -180,15 +180,15 @@
 
 // next returns all successor states.
 func (g *graphState) next(f flaw) (all []*graphState) {
-	add := func(change func(n *graphState)) {
+	addSuccessor := func(change func(n *graphState)) {
 		n := g.clone()
 		change(n)
 		n.step()
 		all = append(all, n)
 	}
-	add(func(*graphState) {})
+	addSuccessor(func(*graphState) {})
 	if g.faulty >= 0 {
-		add(func(n *graphState) {
+		addSuccessor(func(n *graphState) {
 			if !n.stopped {
 				n.start(n.faulty, f)
 			}
@@ -197,7 +197,7 @@
 	}
 	for i := range graphMembers {
 		if g.faultsLeft > 0 && g.faulty < 0 {
-			add(func(n *graphState) {
+			addSuccessor(func(n *graphState) {
 				if l := n.procs[i].limits[0]; n.now < l.holder.expires {
 					n.orphaned, n.orphanedUntil = l.holder.units, n.now+graphLimit.MaxRequestDuration
 				}
@@ -205,16 +205,16 @@
 				n.faulty, n.procs[i] = i, nil
 			})
 			for midway := range 3 {
-				add(func(n *graphState) { n.faultsLeft--; n.faulty, n.stopped, n.midway = i, true, midway })
+				addSuccessor(func(n *graphState) { n.faultsLeft--; n.faulty, n.stopped, n.midway = i, true, midway })
 			}
 		}
 	}
 	if g.cut > 0 {
-		add(func(n *graphState) { n.cut = 0 })
+		addSuccessor(func(n *graphState) { n.cut = 0 })
 	}
 	for c := range cutKinds {
 		if g.cutsLeft > 0 {
-			add(func(n *graphState) { n.cutsLeft--; n.cut = c + 1 })
+			addSuccessor(func(n *graphState) { n.cutsLeft--; n.cut = c + 1 })
 		}
 	}
 	return all
@@ -236,7 +236,7 @@
 // key hashes a state without what differs by age alone.
 func (g *graphState) key(seed maphash.Seed) uint64 {
 	least := ^uint64(0)
-	low := func(t uint64) {
+	lowerTo := func(t uint64) {
 		if t > 0 {
 			least = min(least, t>>6)
 		}
@@ -244,18 +244,18 @@
 	for _, p := range g.procs {
 		if p != nil {
 			l := p.limits[0]
-			low(l.vote.highestTerm)
-			low(l.vote.term)
-			low(max(l.vote.highestTerm, l.candidacy.highestTerm))
-			low(l.holder.term)
+			lowerTo(l.vote.highestTerm)
+			lowerTo(l.vote.term)
+			lowerTo(max(l.vote.highestTerm, l.candidacy.highestTerm))
+			lowerTo(l.holder.term)
 			if l.candidacy.active {
-				low(l.candidacy.term)
+				lowerTo(l.candidacy.term)
 			}
 		}
 	}
 	for _, w := range g.undelivered() {
 		for _, it := range w.d.Items {
-			low(it.Term)
+			lowerTo(it.Term)
 		}
 	}
 	term := func(t uint64) uint64 {
@@ -280,7 +280,7 @@
 	if g.now < g.orphanedUntil {
 		put(int64(g.orphaned), g.orphanedUntil-g.now)
 	}
-	past := func(at, now, most int64) int64 { return max(at-now, -most) }
+	relative := func(at, now, most int64) int64 { return max(at-now, -most) }
 	// Of the sequence numbers of lease requests only the order matters: later ones are greater than all.
 	var counts [graphMembers][]uint64
 	for i, p := range g.procs {
@@ -317,48 +317,49 @@
 		l, s := p.limits[0], p.elapsed
 		v, d, h := &l.vote, &l.candidacy, &l.holder
 		full := p.worstCaseDuration(l.LeaseDuration) + p.maxOverrun(l)
-		put(past(p.lastClock, g.now, full), past(v.silentUntil, s, 0), int64(term(v.highestTerm)), past(v.expires, s, 0),
-			min(s, full+1))
+		put(relative(p.lastClock, g.now, full), relative(v.silentUntil, s, 0), int64(term(v.highestTerm)),
+			relative(v.expires, s, 0), min(s, full+1))
 		if s < v.expires {
 			put(int64(v.candidate), int64(v.candidateIncarnation), int64(term(v.term)))
 		}
-		put(bit(d.active), int64(term(max(v.highestTerm, d.highestTerm))), past(d.nextAt, s, 0))
+		put(bit(d.active), int64(term(max(v.highestTerm, d.highestTerm))), relative(d.nextAt, s, 0))
 		if d.active {
 			put(int64(term(d.term)), min(int64(d.round), 1))
 			if d.round == 0 {
 				put(int64(d.prevotes))
 			}
 			if l.ownership == nil {
-				put(past(d.startedAt, s, candidacyTimeout+1))
+				put(relative(d.startedAt, s, candidacyTimeout+1))
 			}
 			for _, at := range d.promisedAt {
-				put(past(at, g.now, full))
+				put(relative(at, g.now, full))
 			}
-			put(past(d.sentAt, g.now, full))
+			put(relative(d.sentAt, g.now, full))
 		}
 		if o := l.ownership; o != nil {
-			put(int64(term(o.term)), past(o.readyAt, s, 0), int64(o.announced))
+			put(int64(term(o.term)), relative(o.readyAt, s, 0), int64(o.announced))
 			if s < o.readyAt {
 				put(int64(o.reportedUnits), int64(o.reportedMembers))
 			}
 			for j := range o.members {
 				x := &o.members[j]
-				put(int64(x.incarnation), rank(j, x.seq), bit(x.reported), past(x.heardAt, s, full+1), past(x.expires, s, 0))
+				put(int64(x.incarnation), rank(j, x.seq), bit(x.reported), relative(x.heardAt, s, full+1),
+					relative(x.expires, s, 0))
 				if s < x.expires {
 					put(int64(x.units))
 				}
 				for _, gh := range x.previous {
 					if s < gh.expires {
-						put(int64(gh.units), past(gh.expires, s, 0))
+						put(int64(gh.units), relative(gh.expires, s, 0))
 					}
 				}
 			}
 		}
 		put(int64(h.owner), int64(term(h.term)), int64(h.epoch), bit(h.pending), int64(min(h.unanswered, maxUnanswered)),
-			past(h.sentAtElapsed, s, l.LeaseDuration), bit(h.renewNow), past(h.expires, g.now, 0), bit(h.timeSkipped),
+			relative(h.sentAtElapsed, s, l.LeaseDuration), bit(h.renewNow), relative(h.expires, g.now, 0), bit(h.timeSkipped),
 			rank(i, h.requestSeq))
 		if h.pending {
-			put(past(h.sentAt, g.now, full))
+			put(relative(h.sentAt, g.now, full))
 		}
 		if g.now < h.expires {
 			put(int64(h.units))
@@ -367,7 +368,7 @@
 			put(int64(h.requestSeq % graphMembers))
 		}
 	}
-	tried := func(who int, it Item) int64 { // a round of a candidacy: 0 pre-vote, 2 the latest, 1 an older one
+	roundKey := func(who int, it Item) int64 { // a round of a candidacy: 0 pre-vote, 2 the latest, 1 an older one
 		if p := g.procs[who]; it.Seq > 0 && p != nil && p.limits[0].candidacy.round == it.Seq {
 			return 2
 		}
@@ -383,9 +384,9 @@
 			case LeaseGrant:
 				count = rank(w.to, it.Seq)
 			case VoteRequest:
-				count = tried(w.from, it)
+				count = roundKey(w.from, it)
 			case Vote:
-				count = tried(w.to, it)
+				count = roundKey(w.to, it)
 			}
 			put(int64(it.Kind), int64(term(it.Term)), int64(it.Epoch), count, int64(it.Want), int64(it.Units),
 				bit(it.Settled))
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -57,17 +57,17 @@
 	if h.pending {
 		h.unanswered++
 	}
-	use := m.publishUnits(l, now)
+	inUse := m.publishUnits(l, now)
 	h.requestSeq++
 	h.sentAt, h.sentAtElapsed, h.pending, h.requested, h.renewNow = now, m.elapsed, true, h.want, false
-	it := Item{Kind: LeaseRequest, Term: h.term, Epoch: h.epoch, Seq: h.requestSeq, Want: h.want, Units: use,
+	request := Item{Kind: LeaseRequest, Term: h.term, Epoch: h.epoch, Seq: h.requestSeq, Want: h.want, Units: inUse,
 		Settled: m.elapsed > m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)}
 	if h.owner >= 0 {
-		m.send(h.owner, l, it)
+		m.send(h.owner, l, request)
 	}
 	if other := int(h.requestSeq % uint64(m.cfg.Voters)); h.owner < 0 ||
 		h.unanswered >= maxUnanswered && other != h.owner {
-		m.send(other, l, it)
+		m.send(other, l, request)
 	}
 }
 
@@ -103,19 +103,19 @@
 
 // updateDemand derives the demand from the counters of the admission path, and accrues tokens.
 func (m *Member) updateDemand(l *limitState, now int64) {
-	h, x := &l.holder, l.holder.local
+	h, local := &l.holder, l.holder.local
 	dt := now - h.countedAt
 	if h.countedAt == 0 || h.timeSkipped {
 		dt, h.timeSkipped = 0, false
 		h.accrual, h.accruedAt = 0, now
 		if l.Kind == Rate {
-			x.tokens.Store(0)
+			local.tokens.Store(0)
 		}
 	}
 	h.countedAt = now
-	tries, denied := x.attempts.Swap(0), x.denied.Swap(0)
+	tries, denied := local.attempts.Swap(0), local.denied.Swap(0)
 	if l.Kind == InFlight {
-		open := int(x.active.Load())
+		open := int(local.active.Load())
 		switch {
 		case denied > 0:
 			h.want = min(l.Units, max(h.want, 2*h.units+1))
@@ -126,10 +126,10 @@
 		}
 		return
 	}
-	over := max(l.Period, sec/4)
+	window := max(l.Period, sec/4)
 	if dt > 0 {
-		f := min(1, float64(dt)/float64(over))
-		h.demand += (float64(tries)*float64(l.Period)/float64(dt) - h.demand) * f
+		weight := min(1, float64(dt)/float64(window))
+		h.demand += (float64(tries)*float64(l.Period)/float64(dt) - h.demand) * weight
 	}
 	if h.want = min(l.Units, int(h.demand+0.5)); tries > 0 {
 		h.want = max(1, h.want)
@@ -139,13 +139,13 @@
 
 // accrueTokens turns the time since its last call into tokens, by the usable units.
 func (m *Member) accrueTokens(l *limitState, now int64) {
-	h, x := &l.holder, l.holder.local
+	h, local := &l.holder, l.holder.local
 	per := l.Period + (l.Period*m.cfg.DriftPPM+1e6-1)/1e6 // even with the fastest clock no token comes too early
 	h.accrual += (now - h.accruedAt) * int64(m.usableUnits(l, now))
 	h.accruedAt = now
 	if n := h.accrual / per; n > 0 {
 		h.accrual -= n * per
-		x.tokens.Add(n)
+		local.tokens.Add(n)
 	}
 }
 
@@ -163,7 +163,7 @@
 // publishUnits passes the usable units to the admission path and returns how many units may be in use by a lease
 // from now on.
 func (m *Member) publishUnits(l *limitState, now int64) int {
-	h, x := &l.holder, l.holder.local
+	h, local := &l.holder, l.holder.local
 	n := m.usableUnits(l, now)
 	until := int64(1<<63 - 1)
 	if now < h.expires {
@@ -174,13 +174,13 @@
 			until = 0
 		}
 	}
-	x.validUntil.Store(until)
-	x.units.Store(int64(n))
-	for left := x.tokens.Load(); left > int64(n); left = x.tokens.Load() {
-		x.tokens.CompareAndSwap(left, int64(n))
+	local.validUntil.Store(until)
+	local.units.Store(int64(n))
+	for left := local.tokens.Load(); left > int64(n); left = local.tokens.Load() {
+		local.tokens.CompareAndSwap(left, int64(n))
 	}
 	if l.Kind == InFlight {
-		return max(h.units, int(x.active.Load())) // after units is stored: later admissions see the new value
+		return max(h.units, int(local.active.Load())) // after units is stored: later admissions see the new value
 	}
 	return h.units
 }
--- a/fleet/lease/lease.go
+++ b/fleet/lease/lease.go
@@ -125,20 +125,20 @@
 }
 
 // SetLimits replaces the limits. A limit with the same ID keeps its state; any other starts anew.
-func (m *Member) SetLimits(all []Limit, now int64) {
-	old := m.limits
+func (m *Member) SetLimits(limits []Limit, now int64) {
+	previous := m.limits
 	m.limits = nil
-	for _, x := range all {
-		id := x.ID()
-		l := &limitState{Limit: x, id: id}
-		if i := slices.IndexFunc(old, func(o *limitState) bool { return o.id == id }); i >= 0 {
-			l = old[i]
-			l.Limit = x
+	for _, limit := range limits {
+		id := limit.ID()
+		l := &limitState{Limit: limit, id: id}
+		if i := slices.IndexFunc(previous, func(o *limitState) bool { return o.id == id }); i >= 0 {
+			l = previous[i]
+			l.Limit = limit
 		} else {
 			l.vote.silentUntil = m.elapsed + m.worstCaseDuration(l.ownershipDuration())
-			l.rank = voterRanks(x.Name, m.cfg.Voters)
+			l.rank = voterRanks(limit.Name, m.cfg.Voters)
 			l.candidacy.nextAt = l.vote.silentUntil + m.candidacyDelay(l)
-			l.holder = holder{owner: -1, expires: never, local: newLocalLimit(&x)}
+			l.holder = holder{owner: -1, expires: never, local: newLocalLimit(&limit)}
 		}
 		m.limits = append(m.limits, l)
 	}
@@ -151,16 +151,16 @@
 
 // voterRanks orders the voters by a hash of their index and the name of the limit.
 func voterRanks(name string, voters int) []int64 {
-	all := make([]int64, voters)
-	for i := range all {
-		mine := rng.Hash(strconv.Itoa(i), name)
+	ranks := make([]int64, voters)
+	for i := range ranks {
+		hash := rng.Hash(strconv.Itoa(i), name)
 		for j := range voters {
-			if x := rng.Hash(strconv.Itoa(j), name); x < mine || x == mine && j < i {
-				all[i]++
+			if x := rng.Hash(strconv.Itoa(j), name); x < hash || x == hash && j < i {
+				ranks[i]++
 			}
 		}
 	}
-	return all
+	return ranks
 }
 
 // candidacyDelay is how long this member leaves voters of lower rank the first try, in ns.
--- a/fleet/lease/lease_test.go
+++ b/fleet/lease/lease_test.go
@@ -18,16 +18,16 @@
 
 // event is a fault or a change of demand in a run.
 type event struct {
-	after int // ms after the previous event
-	place int
-	verb  string
-	arg   string
+	after  int // ms after the previous event
+	member int
+	verb   string
+	arg    string
 }
 
 // drawEvents generates faults for a fleet of that many members.
 func drawEvents(members int) *rapid.Generator[[]event] {
 	names := "abcdefghijkl"[:members]
-	group := rapid.Custom(func(t *rapid.T) string {
+	groups := rapid.Custom(func(t *rapid.T) string {
 		var sides [2]string
 		for _, c := range names {
 			i := rapid.IntRange(0, 1).Draw(t, "side")
@@ -38,22 +38,22 @@
 		}
 		return sides[0] + "|" + sides[1]
 	})
-	one := rapid.Custom(func(t *rapid.T) event {
+	eventGen := rapid.Custom(func(t *rapid.T) event {
 		a := event{after: rapid.IntRange(0, 2500).Draw(t, "after")}
-		a.place = rapid.IntRange(0, members-1).Draw(t, "place")
+		a.member = rapid.IntRange(0, members-1).Draw(t, "place")
 		verbs := []string{"kill", "back", "back", "stop", "stop", "wake", "wake", "clock", "cut", "cut",
 			"heal", "heal", "loss", "double", "late", "ask", "one-way", "flap", "steady"}
 		switch a.verb = rapid.SampledFrom(verbs).Draw(t, "verb"); a.verb {
 		case "cut":
-			a.place, a.arg = -1, group.Draw(t, "groups")
+			a.member, a.arg = -1, groups.Draw(t, "groups")
 		case "one-way":
-			x := strconv.QuoteRune(rune(names[a.place]))[1:2]
-			y := string(names[(a.place+rapid.IntRange(1, members-1).Draw(t, "to"))%members])
-			a.place, a.verb = -1, x+"-x->"+y
+			x := strconv.QuoteRune(rune(names[a.member]))[1:2]
+			y := string(names[(a.member+rapid.IntRange(1, members-1).Draw(t, "to"))%members])
+			a.member, a.verb = -1, x+"-x->"+y
 		case "heal":
-			a.place = -1
+			a.member = -1
 		case "loss", "double", "late":
-			a.place, a.arg = -1, fmt.Sprintf("%.1f", rapid.Float64Range(0, 0.6).Draw(t, "part"))
+			a.member, a.arg = -1, fmt.Sprintf("%.1f", rapid.Float64Range(0, 0.6).Draw(t, "part"))
 		case "clock":
 			a.arg = fmt.Sprintf("%ds", rapid.SampledFrom([]int{-120, -90, -1, 1, 2, 90}).Draw(t, "jump"))
 		case "stop":
@@ -67,7 +67,7 @@
 		}
 		return a
 	})
-	return rapid.SliceOfN(one, 5, 25)
+	return rapid.SliceOfN(eventGen, 5, 25)
 }
 
 // playEvents applies events to a fleet and returns the first violation of an invariant.
@@ -97,8 +97,8 @@
 			args = []string{a.arg}
 		}
 		if a.verb == "ask" {
-			_ = w.Do(a.place, a.verb, args)
-		} else if err := tw.Befall(a.place, a.verb, args...); err != nil {
+			_ = w.Do(a.member, a.verb, args)
+		} else if err := tw.Befall(a.member, a.verb, args...); err != nil {
 			return err
 		}
 	}
@@ -190,7 +190,7 @@
 	for i, p := range w.procs {
 		before[i] = p.datagramsSent
 	}
-	let := w.admitted
+	admittedBefore := w.admitted
 	if err := w.Run(w.Now + 10*sec); err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 		rates = append(rates, (p.datagramsSent-before[i])/10)
 	}
 	slices.Sort(rates)
-	used := float64(w.admitted-let) / (float64(x.Units) * 40)
+	used := float64(w.admitted-admittedBefore) / (float64(x.Units) * 40)
 	t.Logf("datagrams a second: median %d, the two most %v; used %.3f", rates[members/2], rates[members-2:],
 		used)
 	if rates[members-4] >= 10 || rates[members-1] > 500 || used < 0.95 {
--- a/fleet/lease/owner.go
+++ b/fleet/lease/owner.go
@@ -56,13 +56,13 @@
 // unitsOut returns how many units may be in use in the fleet.
 func (o *ownership) unitsOut(sure int64) (n int) {
 	for i := range o.members {
-		h := &o.members[i]
-		if sure >= h.expires {
-			h.units = 0
+		lease := &o.members[i]
+		if sure >= lease.expires {
+			lease.units = 0
 		}
-		n += h.units
-		h.previous = slices.DeleteFunc(h.previous, func(g previousLease) bool { return sure >= g.expires })
-		for _, g := range h.previous {
+		n += lease.units
+		lease.previous = slices.DeleteFunc(lease.previous, func(g previousLease) bool { return sure >= g.expires })
+		for _, g := range lease.previous {
 			n += g.units
 		}
 	}
@@ -90,44 +90,45 @@
 		m.send(from, l, Item{Kind: OwnerHint, Term: o.term, Epoch: m.cfg.Incarnation, Units: m.cfg.Index})
 		return
 	}
-	h := &o.members[from]
-	stale := incarnation < h.incarnation && m.elapsed < h.heardAt+m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)
-	if stale || incarnation == h.incarnation && it.Seq <= h.seq {
+	lease := &o.members[from]
+	stale := incarnation < lease.incarnation &&
+		m.elapsed < lease.heardAt+m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)
+	if stale || incarnation == lease.incarnation && it.Seq <= lease.seq {
 		m.Drops.Stale++
 		return
 	}
-	out := o.unitsOut(m.elapsed)
-	if incarnation != h.incarnation {
+	unitsOut := o.unitsOut(m.elapsed)
+	if incarnation != lease.incarnation {
 		o.shares = nil
-		if h.units > 0 { // the member restarted: what it held counts until it expires
-			h.previous = append(h.previous, previousLease{h.units, h.expires})
+		if lease.units > 0 { // the member restarted: what it held counts until it expires
+			lease.previous = append(lease.previous, previousLease{lease.units, lease.expires})
 		}
-		h.units = 0
+		lease.units = 0
 		if m.elapsed < o.readyAt {
-			h.units = max(0, min(it.Units, l.Units-o.reportedUnits))
-			o.reportedUnits += h.units
-			out += h.units
+			lease.units = max(0, min(it.Units, l.Units-o.reportedUnits))
+			o.reportedUnits += lease.units
+			unitsOut += lease.units
 		}
-		if h.incarnation = incarnation; it.Settled && !h.reported {
-			h.reported = true
+		if lease.incarnation = incarnation; it.Settled && !lease.reported {
+			lease.reported = true
 			if o.reportedMembers++; o.reportedMembers == m.cfg.Members {
 				o.readyAt = m.elapsed
 			}
 		}
 	}
-	kept := min(h.units, it.Units)
-	out -= h.units - kept
-	all := l.Units
+	kept := min(lease.units, it.Units)
+	unitsOut -= lease.units - kept
+	available := l.Units
 	if m.elapsed < o.readyAt {
-		all = min(all, o.reportedUnits)
+		available = min(available, o.reportedUnits)
 	}
-	h.seq, h.want, h.heardAt = it.Seq, min(it.Want, l.Units), m.elapsed
+	lease.seq, lease.want, lease.heardAt = it.Seq, min(it.Want, l.Units), m.elapsed
 	if o.shares == nil || m.elapsed-o.sharesAt >= int64(m.cfg.Members)*sharesInterval {
 		o.shares, o.sharesAt = m.computeShares(l), m.elapsed
 	}
-	n := min(o.shares[from], kept+max(0, all-out))
-	h.units, h.expires = max(kept, n), m.elapsed+m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)
-	m.send(from, l, Item{Kind: LeaseGrant, Term: o.term, Epoch: m.cfg.Incarnation, Seq: it.Seq, Units: n,
+	granted := min(o.shares[from], kept+max(0, available-unitsOut))
+	lease.units, lease.expires = max(kept, granted), m.elapsed+m.worstCaseDuration(l.LeaseDuration)+m.maxOverrun(l)
+	m.send(from, l, Item{Kind: LeaseGrant, Term: o.term, Epoch: m.cfg.Incarnation, Seq: it.Seq, Units: granted,
 		Settled: m.elapsed >= o.readyAt})
 }
 
@@ -182,12 +183,12 @@
 			}
 		}
 	}
-	all := 0
+	totalWant := 0
 	for _, p := range claims {
-		all += p.want
+		totalWant += p.want
 	}
-	for i, spare := 0, left; i < len(claims) && all > 0; i++ { // headroom for bursts
-		claims[i].got += spare * claims[i].want / all
+	for i, spare := 0, left; i < len(claims) && totalWant > 0; i++ { // headroom for bursts
+		claims[i].got += spare * claims[i].want / totalWant
 	}
 	parts := make([]int, len(o.members))
 	for _, p := range claims {
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -23,7 +23,7 @@
 	exaggeration  int // factor on its demand and reported units; 0: none
 	flaw          flaw
 	demand        float64 // in units
-	due           float64
+	dueReqs       float64
 	admitted      int
 	attempts      int
 	datagramsSent int // datagrams
@@ -108,9 +108,9 @@
 }
 
 type run struct {
-	p    *process
-	end  int64
-	done bool // at the server; its proxy may not know yet
+	proxy  *process
+	endsAt int64
+	done   bool // at the server; its proxy may not know yet
 }
 
 func newWorld(w *timeline.World, limit Limit, drift int64, f flaw) *world {
@@ -119,21 +119,22 @@
 		running: make([][]run, n), level: float64(limit.Units), runFor: 300 * ms}
 }
 
-func (w *world) Start(place int, life uint64, now int64) timeline.Node {
+func (w *world) Start(member int, incarnation uint64, now int64) timeline.Node {
 	p := &process{flaw: w.flaw}
-	if old := w.procs[place]; old != nil {
+	if old := w.procs[member]; old != nil {
 		p.demand, p.exaggeration, p.admitted, p.attempts = old.demand, old.exaggeration, old.admitted, old.attempts
 	}
-	of := len(w.Names)
-	p.Member = New(Config{Index: place, Members: of, Voters: min(3, of), Incarnation: life, Seed: 1, DriftPPM: w.drift,
-		Limits: []Limit{w.limit}}, now)
-	w.procs[place] = p
+	members := len(w.Names)
+	p.Member = New(Config{Index: member, Members: members, Voters: min(3, members), Incarnation: incarnation, Seed: 1,
+		DriftPPM: w.drift,
+		Limits:   []Limit{w.limit}}, now)
+	w.procs[member] = p
 	return p
 }
 
-func (w *world) Do(place int, verb string, args []string) error {
-	if verb == "leave" && place >= 0 {
-		w.procs[place].Leave(w.Clock(place))
+func (w *world) Do(member int, verb string, args []string) error {
+	if verb == "leave" && member >= 0 {
+		w.procs[member].Leave(w.Clock(member))
 		return nil
 	}
 	if len(args) != 1 {
@@ -148,7 +149,7 @@
 		return nil
 	}
 	for i, p := range w.procs {
-		if place >= 0 && i != place {
+		if member >= 0 && i != member {
 			continue
 		}
 		switch verb {
@@ -174,23 +175,23 @@
 }
 
 // usable returns how many units may be in use at a member now.
-func (w *world) usable(place int) int {
-	p, now := w.procs[place], w.Clock(place)
+func (w *world) usable(member int) int {
+	p, now := w.procs[member], w.Clock(member)
 	l := p.limits[0]
 	x := l.holder.local
-	fresh := now - p.lastTick.Load()
+	tickAge := now - p.lastTick.Load()
 	n := 0
-	if w.Node(place) != nil && fresh >= 0 && fresh <= maxTickAge && now < x.validUntil.Load() {
+	if w.Node(member) != nil && tickAge >= 0 && tickAge <= maxTickAge && now < x.validUntil.Load() {
 		n = int(x.units.Load())
 	}
 	if l.Kind == InFlight {
-		at := 0
-		for _, r := range w.running[place] {
+		running := 0
+		for _, r := range w.running[member] {
 			if !r.done {
-				at++
+				running++
 			}
 		}
-		n = max(n, at)
+		n = max(n, running)
 	}
 	return n
 }
@@ -218,34 +219,34 @@
 	for i, p := range w.procs {
 		for j := range w.running[i] {
 			r := &w.running[i][j]
-			if r.done = w.Now >= r.end; r.done && !(w.Stopped(i) && r.p == p) {
-				r.p.Limiter().Done(Scope{})
-				r.p = nil
+			if r.done = w.Now >= r.endsAt; r.done && !(w.Stopped(i) && r.proxy == p) {
+				r.proxy.Limiter().Done(Scope{})
+				r.proxy = nil
 			}
 		}
-		w.running[i] = slices.DeleteFunc(w.running[i], func(r run) bool { return r.p == nil })
+		w.running[i] = slices.DeleteFunc(w.running[i], func(r run) bool { return r.proxy == nil })
 		if w.Node(i) == nil || w.Stopped(i) {
 			continue
 		}
 		if w.limit.Kind == InFlight {
 			if n := p.demand - float64(len(w.running[i])); n > 0 && w.Now/ms%10 == 0 {
-				p.due = n
+				p.dueReqs = n
 			}
 		} else if w.random != nil {
 			if w.random.Next() < p.demand*float64(w.Now-w.lastLive)/float64(w.limit.Period) {
-				p.due = 1
+				p.dueReqs = 1
 			}
 		} else {
-			p.due += p.demand * float64(w.Now-w.lastLive) / float64(w.limit.Period)
+			p.dueReqs += p.demand * float64(w.Now-w.lastLive) / float64(w.limit.Period)
 		}
-		for ; p.due >= 1; p.due-- {
+		for ; p.dueReqs >= 1; p.dueReqs-- {
 			p.attempts++
 			if ok, _ := p.Limiter().Admit(Scope{}, w.Clock(i)); ok {
 				p.admitted++
 				w.admitted++
 				w.level--
 				if w.limit.Kind == InFlight {
-					w.running[i] = append(w.running[i], run{p: p, end: w.Now + w.runFor})
+					w.running[i] = append(w.running[i], run{proxy: p, endsAt: w.Now + w.runFor})
 				}
 			}
 		}
@@ -264,8 +265,8 @@
 	return nil
 }
 
-func (w *world) See(place int, what string) (string, error) {
-	if place < 0 {
+func (w *world) See(member int, what string) (string, error) {
+	if member < 0 {
 		switch what {
 		case "sum":
 			return fmt.Sprintf("sum %d of %d", w.totalInUse(), w.limit.Units), nil
@@ -278,26 +279,26 @@
 		}
 		return "", errors.New("unknown observation")
 	}
-	p, l := w.procs[place], w.procs[place].limits[0]
+	p, l := w.procs[member], w.procs[member].limits[0]
 	switch what {
 	case "has":
-		return fmt.Sprintf("has %d", w.usable(place)), nil
+		return fmt.Sprintf("has %d", w.usable(member)), nil
 	case "owner":
 		if l.holder.owner < 0 {
 			return "owner none", nil
 		}
 		return "owner " + w.Names[l.holder.owner], nil
 	case "owns":
-		return fmt.Sprintf("owns %v", p.owns(l, w.Clock(place))), nil
+		return fmt.Sprintf("owns %v", p.owns(l, w.Clock(member))), nil
 	case "served":
-		let, tried := p.admitted, p.attempts
+		admitted, attempts := p.admitted, p.attempts
 		p.admitted, p.attempts = 0, 0
 		switch {
-		case tried == 0:
+		case attempts == 0:
 			return "nothing asked", nil
-		case let == 0:
+		case admitted == 0:
 			return "denied", nil
-		case let == tried:
+		case admitted == attempts:
 			return "served", nil
 		}
 		return "served in part", nil
