--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -113,14 +113,14 @@
 func TestFleetOfTwo(t *testing.T) {
 	r := rehearse(t, 2, "4s", "")
 	together(t, r, 2, 0, 1)
-	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 6e9})
+	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 6e9})
 	defer undo()
 	eventually(t, "the killed one is held to be dead", func() bool { return sees(r, 0, 1, "dead") })
 	together(t, r, 2, 0, 1)
 	eventually(t, "it lives another life", func() bool {
 		v, ok := r.View(0)
 		w, also := r.View(1)
-		return ok && also && v.Members[1].Life == w.Life
+		return ok && also && v.Members[1].Incarnation == w.Incarnation
 	})
 }
 
@@ -204,13 +204,13 @@
 	}
 	for i := range 3 {
 		v, ok := r.View(i)
-		if !ok || v.Offered > 500 || v.Counts.Shed > 0 || len(v.Wary) > 0 {
-			t.Errorf("proxy %d: offered %.0f, %d shed, wary of %v", i, v.Offered, v.Counts.Shed, v.Wary)
+		if !ok || v.Offered > 500 || v.Counts.Shed > 0 || len(v.ReducedShares) > 0 {
+			t.Errorf("proxy %d: offered %.0f, %d shed, wary of %v", i, v.Offered, v.Counts.Shed, v.ReducedShares)
 		}
 	}
 	eventually(t, "what is impossible is counted", func() bool {
 		v, ok := r.View(2) // the neighbour of the one that lies about all
-		return ok && v.Odd > 0
+		return ok && v.Implausible > 0
 	})
 }
 
@@ -276,14 +276,14 @@
 	owner := -1
 	eventually(t, "the server has a first prober", func() bool {
 		v, ok := r.View(0)
-		for _, o := range v.Owners {
+		for _, o := range v.ProbeOwners {
 			if o.Server == "s-002" {
 				owner = o.Member
 			}
 		}
 		return ok && owner >= 0
 	})
-	time.AfterFunc(6*time.Second, func() { r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, For: 60e9}) })
+	time.AfterFunc(6*time.Second, func() { r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 60e9}) })
 	f, err := r.Play()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/ivybank/return_test.go
+++ b/cmd/ivybank/return_test.go
@@ -102,8 +102,8 @@
 	eventually(t, "there is a snapshot", func() bool { v, ok := r.Returned(1); return ok && v.Written > 0 })
 	for n := range 8 {
 		before, _ := r.View(1)
-		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 1e6})
-		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Life > before.Life })
+		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 1e6})
+		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Incarnation > before.Incarnation })
 		v, ok := r.Returned(1)
 		if !ok || v.Refused > 0 || len(v.Kept) == 0 {
 			t.Fatalf("start %d: %d snapshots refused, %v believed", n, v.Refused, v.Kept)
@@ -157,8 +157,8 @@
 		}
 		taught += v.Answers
 		view, _ := r.View(i)
-		if len(view.Wary) > 0 {
-			t.Errorf("proxy %d is wary of %v", i, view.Wary)
+		if len(view.ReducedShares) > 0 {
+			t.Errorf("proxy %d is wary of %v", i, view.ReducedShares)
 		}
 	}
 	if taught == 0 {
@@ -271,7 +271,7 @@
 				t.Fatalf("got %d (%s) for the first of a key", status, outcome)
 			}
 			time.Sleep(1500 * time.Millisecond) // others have heard, and a snapshot was written; longer does no harm
-			if r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, For: 500e6}); c.fault != "" {
+			if r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 500e6}); c.fault != "" {
 				r.Strike(emu.Fault{Kind: c.fault, Proxies: []int{1}})
 			} else if err := os.RemoveAll(filepath.Join(r.Folder(1), "keys")); err != nil {
 				t.Fatal(err)
--- a/fleet/assign/assign.go
+++ b/fleet/assign/assign.go
@@ -1,6 +1,6 @@
-// Package assign divides standing duties among members without a leader: each member works out the same order of members for each
-// duty. It owns that order and when one whose turn it is not takes over. Free of I/O. Two who do the same are borne; it must never
-// leave a duty to one who has not done it for too long.
+// Package assign assigns recurring tasks to members without a leader: each member computes the same ranking of
+// members for each task, by rendezvous hashing. The package is free of I/O. Two members may do the same task, but
+// a task is never left for too long to a member that does not do it.
 package assign
 
 import (
@@ -11,63 +11,65 @@
 	"ivybank/internal/rng"
 )
 
-// Ranks is how many members stand ready for a duty.
-const Ranks = 3
+// MaxCandidates is how many members are candidates for a task.
+const MaxCandidates = 3
 
-// Terms is when a duty is due. Times are nanoseconds.
+// Config says when tasks are due. Times are in nanoseconds.
 type Config struct {
-	Interval      int64 // between two times that it is done
-	TakeOverAfter int64 // without word of it for so long the next in rank does it, for twice as long the one after
+	Interval int64 // between two runs of a task
+	// If a task was not reported done for this long the second candidate takes over, and after twice this time the
+	// third.
+	TakeOverAfter int64
 }
 
-// duty is one, by the id of what it is about.
-type duty struct {
-	id     string
-	ranks  []int // members, first the one whose it is
-	heard  int64 // when it was last done, as far as is known
-	mine   int64 // when it was last done here
-	begun  int64 // since when it is known here
-	period int64 // drawn length of the present pause
+// task is one task, by the id of what it concerns.
+type task struct {
+	id         string
+	candidates []int // members by rank
+	doneAt     int64 // latest run by any member, as far as known
+	ownDoneAt  int64 // latest run by this member
+	knownSince int64 // time from which this member knows the task
+	jitter     int64 // random delay of the next takeover
 }
 
-// Roster is one member's.
+// Roster is one member's table of tasks.
 type Roster struct {
-	t      Config
-	me     int
-	duties []duty // by id; set by Set
-	dice   rng.Source
+	cfg   Config
+	index int
+	tasks []task // sorted by id; set by Set
+	rng   rng.Source
 }
 
-// New begins without duties.
-func New(t Config, me int, seed uint64) *Roster {
-	return &Roster{t: t, me: me, dice: rng.Source{Seed: seed}}
+// New returns a roster without tasks.
+func New(cfg Config, index int, seed uint64) *Roster {
+	return &Roster{cfg: cfg, index: index, rng: rng.Source{Seed: seed}}
 }
 
-// Set takes what there is to do, ids in order, and the members among whom it is divided.
-func (r *Roster) Set(ids []string, living []int, now int64) {
-	next := make([]duty, 0, len(ids))
+// Set sets the tasks by their ids, in sorted order, and the members to which they are assigned.
+func (r *Roster) Set(ids []string, members []int, now int64) {
+	next := make([]task, 0, len(ids))
 	for _, id := range ids {
-		d := duty{id: id, begun: now, heard: now - r.t.Interval, mine: now - r.t.Interval}
-		if i, had := slices.BinarySearchFunc(r.duties, id, byID); had {
-			d = r.duties[i]
+		d := task{id: id, knownSince: now, doneAt: now - r.cfg.Interval, ownDoneAt: now - r.cfg.Interval}
+		if i, had := slices.BinarySearchFunc(r.tasks, id, byID); had {
+			d = r.tasks[i]
 		}
-		d.ranks = rank(id, living)
+		d.candidates = rankMembers(id, members)
 		next = append(next, d)
 	}
-	r.duties = next
+	r.tasks = next
 }
 
-func byID(d duty, id string) int { return cmp.Compare(d.id, id) }
+func byID(d task, id string) int { return cmp.Compare(d.id, id) }
 
-// rank orders the members of a duty by the hash of both, the highest first.
-func rank(id string, living []int) []int {
+// rankMembers returns the candidates of a task, ordered by the hash of both ids with the highest first.
+func rankMembers(id string, members []int) []int {
 	type scored struct {
 		member int
 		score  float64
 	}
-	var best [Ranks]scored
+	var best [MaxCandidates]scored
 	n := 0
-	for _, m := range living {
+	for _, m := range members {
 		x := scored{m, rng.Hash(id, strconv.Itoa(m))}
 		for i := range best {
 			if i >= n || x.score > best[i].score {
@@ -86,44 +88,45 @@
 	return out
 }
 
-// Done tells that a duty was done at a time, here or elsewhere.
+// Done records that a task was done at a time by any member.
 func (r *Roster) Done(id string, at int64) {
-	if i, had := slices.BinarySearchFunc(r.duties, id, byID); had {
-		r.duties[i].heard = max(r.duties[i].heard, at)
+	if i, had := slices.BinarySearchFunc(r.tasks, id, byID); had {
+		r.tasks[i].doneAt = max(r.tasks[i].doneAt, at)
 	}
 }
 
-// Stood tells that this process did not run for so long: what it did not hear meanwhile may have been said.
-func (r *Roster) Stood(away int64) {
-	for i := range r.duties {
-		r.duties[i].heard += away
+// Resume accounts for a stall of the process: reports may have been missed during it.
+func (r *Roster) Resume(stalled int64) {
+	for i := range r.tasks {
+		r.tasks[i].doneAt += stalled
 	}
 }
 
-// Due gives the ids of what is to be done here now, and notes that it is. The first in rank does it at its pace; the next when
-// nothing was heard of it for the time after, each with some chance, so that those who see the same do not start as one.
+// Due returns the ids of the tasks that this member has to do now, and records them as done. The first candidate
+// does a task at the interval. The others do it if it was not reported done for the take-over time plus a random
+// delay, so that members with the same view do not start at the same time.
 func (r *Roster) Due(now int64) (ids []string) {
-	for i := range r.duties {
-		d := &r.duties[i]
-		place := slices.Index(d.ranks, r.me)
-		if place < 0 || now-d.mine < r.t.Interval {
+	for i := range r.tasks {
+		d := &r.tasks[i]
+		rank := slices.Index(d.candidates, r.index)
+		if rank < 0 || now-d.ownDoneAt < r.cfg.Interval {
 			continue
 		}
-		if place > 0 && now-max(d.heard, d.begun) < int64(place)*r.t.TakeOverAfter+d.period {
+		if rank > 0 && now-max(d.doneAt, d.knownSince) < int64(rank)*r.cfg.TakeOverAfter+d.jitter {
 			continue
 		}
-		d.mine, d.heard = now, max(d.heard, now)
-		d.period = int64(r.dice.Next() * float64(r.t.Interval) / 2)
+		d.ownDoneAt, d.doneAt = now, max(d.doneAt, now)
+		d.jitter = int64(r.rng.Next() * float64(r.cfg.Interval) / 2)
 		ids = append(ids, d.id)
 	}
 	return ids
 }
 
-// Owner says who is first in rank of a duty, whether that is this member, and when it was last done; -1 where it is not known.
+// Owner returns the first candidate of a task and the time of the latest run; -1 if the task is not known.
 func (r *Roster) Owner(id string) (member int, at int64) {
-	i, had := slices.BinarySearchFunc(r.duties, id, byID)
-	if !had || len(r.duties[i].ranks) == 0 {
+	i, had := slices.BinarySearchFunc(r.tasks, id, byID)
+	if !had || len(r.tasks[i].candidates) == 0 {
 		return -1, 0
 	}
-	return r.duties[i].ranks[0], r.duties[i].heard
+	return r.tasks[i].candidates[0], r.tasks[i].doneAt
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet is what a client proxy makes of its peers: who is a member, what the fleet bears, who sheds, how many further
-// dispatches there may be, who probes which server, and of which servers care is due. It is driven by events and a clock handed
-// in, and hands out small typed actions; the proxy, the emulator and tests run the same code. All of it is advice: with no peer
-// heard it says what one proxy alone would.
+// Package fleet coordinates a client proxy with its peers: membership, the fleet's load, joint load shedding, the
+// retry budget, the assignment of health probes, and reports of failing servers. It is driven by events and a
+// clock passed in, and returns typed actions, so that the proxy, the emulator and tests run the same code. All
+// results are advice: a proxy that hears no peer gets the advice that fits a single proxy.
 //
-// This file owns the order in which its parts are asked. It must never touch a socket, and never permit what the decision module
+// This file holds Fleet, which combines the parts. It never uses a socket and never permits what the balancer
 // would not.
 package fleet
 
@@ -28,56 +28,60 @@
 const (
 	ms, sec = int64(1e6), int64(1e9)
 
-	adviseEvery = 100 * ms // between advice to the module
-	cutEvery    = 250 * ms // between looks at the picture
-	rateSpan    = 600 * ms // over which what is told of rates is remembered
-	pushPart    = 0.5      // of the datagrams that a member may send; the rest is for pings and answers
-	leastPush   = 50 * ms
-	pushFor     = 12       // sums are held for so many rounds of telling all levels
-	leastHold   = 3 * sec  // and so long at the least
-	stoodLong   = 500 * ms // a process that did not run for so long judges all it holds anew,
-	deafFor     = 100 * ms // and takes nothing that waited for it
-	retryFor    = 20 * sec // a client that was sent away is known to come again for so long
-	debt        = 1.0      // seconds of its datagrams that questions and answers may go ahead of the rate
-	burst       = 4.0      // datagrams beyond the rate at once
-	waitLeast   = 0.35     // of the longest wait that a client honours: those sent away come back spread from here to it
+	adviseInterval  = 100 * ms // between updates of the balancer's advice
+	shedInterval    = 250 * ms // between updates of shedding from the fleet's load
+	rateWindow      = 600 * ms // decay time of the rates that are reported
+	pushFraction    = 0.5      // of the datagram limit; the rest is for pings and answers
+	minPushInterval = 50 * ms
+	// A load sum is kept for this many rounds of pushes to all levels, and for at least minMaxAge.
+	maxAgeRounds = 12
+	minMaxAge    = 3 * sec
+	// A process that did not run for this long discards the state that may be outdated.
+	stallThreshold    = 500 * ms
+	ignoreAfterStall  = 100 * ms // datagrams that arrive within this time after a stall are dropped
+	clientRetryWindow = 20 * sec // how long a rejected client's retry is recognised
+	// Pings and answers may exceed the datagram rate by as many seconds' worth.
+	maxDebtSeconds = 1.0
+	minBurst       = 4.0 // datagrams that may be sent at once beyond the rate
+	// Rejected clients are told to wait between this part of MaxRetryAfter and all of it, to spread their retries.
+	minRetryAfterPart = 0.35
 )
 
-// Terms is what a member is told. Times are nanoseconds.
+// Config is the configuration of a member. Times are in nanoseconds.
 type Config struct {
 	Index, Members     int
-	Incarnation        uint64 // swim.LifeOf this process's start
+	Incarnation        uint64 // swim.IncarnationAt of this process's start
 	Seed               uint64
-	DatagramsPerSecond float64 // that it may send in a second
+	DatagramsPerSecond float64 // limit on what the member sends
 	AckTimeout         int64
 	MinSilence         int64
 	RuleSets           []balance.RuleSet
 	Tenants            []balance.Tenant
-	OverShareFactor    float64 // part of the worth that is left past a tenant's share
-	MaxRetryAfter      int64   // the longest wait that a client honours, 0 where none is advised
+	OverShareFactor    float64 // factor on the value of requests beyond a tenant's share
+	MaxRetryAfter      int64   // longest wait that clients honour; 0 if none is advised
 	Overload           *Overload
 	Probes             *assign.Config
-	Learn              *LearnConfig // nil: a returner asks nobody, and nobody is taught
+	Learn              *LearnConfig // nil: a restarted member queries nobody, and nobody is answered
 }
 
-// Overload is what operators set on shedding as one.
+// Overload configures joint shedding.
 type Overload struct {
-	RetryRatio    float64 // dispatches beyond a req's first, as a part of first ones
-	MaxMemberRate float64 // reqs a second past which no member's word is believed
+	RetryRatio    float64 // retries as a fraction of first dispatches
+	MaxMemberRate float64 // requests per second above which a member's load report is not believed
 }
 
-// Kind is what an action asks of the host.
+// ActionKind says what an action asks the host to do.
 type ActionKind int
 
-// The kinds.
+// The kinds of actions.
 const (
-	Send             ActionKind = iota // a datagram to a member
-	Probe                              // ask a server whether it is well, and tell Probed
-	Advise                             // the module's advice has changed
-	Log                                // a line for the log
-	ApplyPeerReports                   // Told is what was learnt of others so far
-	AnswerQuery                        // one that comes back asks: Answer it with what the module holds
-	Deliver                            // a letter came of member To
+	Send             ActionKind = iota // send Datagram to member To
+	Probe                              // probe Server and call ProbeEnded
+	Advise                             // the advice to the balancer has changed
+	Log                                // write Text and Fields to the log
+	ApplyPeerReports                   // Reports holds what peers have reported about servers so far
+	AnswerQuery                        // member To has queried this one: call SendBeliefs with the balancer's state
+	Deliver                            // Message was received from member To
 )
 
 // Action is one thing for the host to do. Only the fields of its kind are set.
@@ -91,516 +95,523 @@
 	Fields   map[string]any
 	Reports  []warmstart.PeerReport
 	Message  []byte
-	due      bool // a sum at its time, which has a part of the datagrams for itself
+	due      bool // a scheduled datagram, which is not subject to the limit on pings and answers
 }
 
-// sent is one client's req that was sent away, by what stays the same over its retries.
-type sent struct {
-	luck   float64
-	at     int64
-	lacked bool // it counts among those not served
+// recentClient is a client that was rejected or not served in time, by the hash that its retries share.
+type recentClient struct {
+	hash     float64
+	at       int64
+	unserved bool // the request is counted in Fleet.unserved
 }
 
-// Fleet is one member's.
+// Fleet is one member's state.
 type Fleet struct {
-	t     Config
-	swim  *swim.Membership
-	fold  *aggregate.Aggregate
-	cut   *shed.Cut
-	spare *shed.Spare
-	round *assign.Roster // nil: no probes
-	wary  wary
-	learn learn
-	post  post
-	todo  []Action // emptied by Next
-	dice  rng.Source
-
-	offered                                                                     [aggregate.Classes]decay.Counter
-	first, further, wanted, probes, refused, late, failed, lacked, served, took decay.Counter
-	away                                                                        [4096]sent // a new one takes an old one's place
-	servers                                                                     []string   // by id; set by Servers
-	version                                                                     int        // of the members that duties were divided among
-	dutyAt, adviseAt, cutAt, pushAt, ticked, deafUntil                          int64
-	level                                                                       int    // whose turn it is to be told
-	tokens                                                                      bucket // datagrams that may go now
-	advice                                                                      balance.Advice
-	was                                                                         struct {
-		on, stopped bool
-		move        int
+	cfg         Config
+	swim        *swim.Membership
+	load        *aggregate.Aggregate
+	shedder     *shed.Shedder
+	retryBudget *shed.RetryBudget
+	probeRoster *assign.Roster // nil: no probes
+	reports     serverReports
+	learner     learner
+	messages    messageQueue
+	actions     []Action // emptied by Next
+	rng         rng.Source
+
+	offered                                                                                        [aggregate.Classes]decay.Counter
+	first, retries, retriesWanted, probes, refused, timedOut, failed, unserved, served, serverTime decay.Counter
+	recentClients                                                                                  [4096]recentClient // indexed by client hash; a new entry replaces an older one
+	servers                                                                                        []string           // sorted ids; set by SetServers
+	membershipVersion                                                                              int                // version of the membership at the last assignment of probes
+	assignAt, adviseAt, shedAt, pushAt, lastTick, ignoreUntil                                      int64
+	pushLevel                                                                                      int         // level of the latest push
+	tokens                                                                                         tokenBucket // for datagrams
+	advice                                                                                         balance.Advice
+	logged                                                                                         struct {
+		active, stopped bool
+		changes         int
 	}
 	Count Counts
 }
 
-// Counts is what a member has sent, heard and done since its start.
+// Counts holds what a member has sent, received and done since its start. Its fields are encoded under these
+// names.
 type Counts struct {
-	Sent, Heard, Held, Stale int // datagrams; Held: kept back by the limit; Stale: waited while this process did not run
-	Shed, Retries            int // reqs denied by the cut; clients that came again
+	Sent, Heard, Held, Stale int // datagrams; Held: not sent because of the limit; Stale: received after a stall and dropped
+	Shed, Retries            int // requests rejected by shedding; retries of clients
 	Probes                   int
 }
 
-// bucket is what may still go out, filled as time passes; below 0 it is a debt.
-type bucket struct {
-	n  float64
-	at int64
+// tokenBucket limits a rate. Its level may be negative where the sender was allowed to borrow.
+type tokenBucket struct {
+	tokens   float64
+	filledAt int64
 }
 
-func (b *bucket) fill(perSecond, most float64, now int64) {
-	b.n = min(most, b.n+perSecond*float64(now-b.at)/float64(sec))
-	b.at = now
+func (b *tokenBucket) fill(perSecond, limit float64, now int64) {
+	b.tokens = min(limit, b.tokens+perSecond*float64(now-b.filledAt)/float64(sec))
+	b.filledAt = now
 }
 
-// New begins alone.
-func New(t Config, now int64) *Fleet {
-	f := &Fleet{t: t, dice: rng.Source{Seed: t.Seed}, ticked: now, pushAt: now, tokens: bucket{burst, now}}
-	period := int64(6 / t.DatagramsPerSecond * float64(sec)) // a ping and its answer are a third of what may be sent
-	f.swim = swim.New(swim.Config{Index: t.Index, Members: t.Members, Period: period, AckTimeout: t.AckTimeout, MinSilence: t.MinSilence, Seed: t.Seed ^ 1}, t.Incarnation, now)
-	most, part := math.Inf(1), math.Inf(1)
-	if t.Overload != nil {
-		most, part = t.Overload.MaxMemberRate, t.Overload.RetryRatio
+// New returns a member that has heard from no peer yet.
+func New(cfg Config, now int64) *Fleet {
+	f := &Fleet{cfg: cfg, rng: rng.Source{Seed: cfg.Seed}, lastTick: now, pushAt: now, tokens: tokenBucket{minBurst, now}}
+	period := int64(6 / cfg.DatagramsPerSecond * float64(sec)) // a ping and its answer use about a third of the datagram limit
+	f.swim = swim.New(swim.Config{Index: cfg.Index, Members: cfg.Members, Period: period, AckTimeout: cfg.AckTimeout, MinSilence: cfg.MinSilence, Seed: cfg.Seed ^ 1}, cfg.Incarnation, now)
+	maxRate, retryRatio := math.Inf(1), math.Inf(1)
+	if cfg.Overload != nil {
+		maxRate, retryRatio = cfg.Overload.MaxMemberRate, cfg.Overload.RetryRatio
 	}
-	hold := max(leastHold, pushFor*f.pushEvery()*int64(aggregate.Levels(t.Members)))
-	f.fold = aggregate.New(aggregate.Config{Index: t.Index, Members: t.Members, MaxMemberRate: most, MaxAge: hold})
-	f.cut = shed.New(t.shed())
-	f.spare = shed.NewSpare(part, now)
-	f.learn = begin(t, now)
-	if t.Probes != nil {
-		f.round = assign.New(*t.Probes, t.Index, t.Seed^2)
+	maxAge := max(minMaxAge, maxAgeRounds*f.pushInterval()*int64(aggregate.Levels(cfg.Members)))
+	f.load = aggregate.New(aggregate.Config{Index: cfg.Index, Members: cfg.Members, MaxMemberRate: maxRate, MaxAge: maxAge})
+	f.shedder = shed.New(cfg.shedConfig())
+	f.retryBudget = shed.NewRetryBudget(retryRatio, now)
+	f.learner = newLearner(cfg, now)
+	if cfg.Probes != nil {
+		f.probeRoster = assign.New(*cfg.Probes, cfg.Index, cfg.Seed^2)
 	}
 	return f
 }
 
-func (f *Fleet) pushEvery() int64 {
-	return max(leastPush, int64(float64(sec)/(pushPart*f.t.DatagramsPerSecond)))
+func (f *Fleet) pushInterval() int64 {
+	return max(minPushInterval, int64(float64(sec)/(pushFraction*f.cfg.DatagramsPerSecond)))
 }
 
-// Servers takes the ids of all listed servers, in order.
+// SetServers sets the ids of all listed servers, in sorted order.
 func (f *Fleet) SetServers(ids []string, now int64) {
 	if slices.Equal(ids, f.servers) {
 		return
 	}
 	f.servers = slices.Clone(ids)
-	f.wary.list(f.servers)
-	f.divide(now)
+	f.reports.setServers(f.servers)
+	f.assignProbes(now)
 }
 
-// divide divides the probes anew.
-func (f *Fleet) divide(now int64) {
-	if f.version = f.swim.Version(); f.round != nil {
-		f.round.Set(f.servers, f.swim.AliveMembers(), now)
+// assignProbes assigns the probes anew after a change of the members or servers.
+func (f *Fleet) assignProbes(now int64) {
+	if f.membershipVersion = f.swim.Version(); f.probeRoster != nil {
+		f.probeRoster.Set(f.servers, f.swim.AliveMembers(), now)
 	}
 }
 
-// Arrive counts a req of a rule set and tenant, by their places, and says whether the fleet sheds it and for how long its client is
-// to stay away. Luck, between 0 and 1, belongs to what stays the same over its client's retries; marked where it says that it is one.
-func (f *Fleet) Admit(set, tenant int, luck float64, marked bool, now int64) (shed bool, wait int64) {
-	if f.t.Overload == nil {
+// Admit counts a request of a rule set and tenant, given by index. It returns whether the fleet sheds the request
+// and how many nanoseconds its client should wait. clientHash, between 0 and 1, is the same for all retries of a
+// client's request; markedRetry says that the request is marked as a retry.
+func (f *Fleet) Admit(ruleSet, tenant int, clientHash float64, markedRetry bool, now int64) (shed bool, wait int64) {
+	if f.cfg.Overload == nil {
 		return false, 0
 	}
-	class := f.cut.Class(set, tenant)
-	past := &f.away[int(luck*float64(len(f.away)))]
-	known := past.luck == luck && now-past.at < retryFor
-	if known || marked {
-		f.Count.Retries++ // load, but no further demand
+	class := f.shedder.Class(ruleSet, tenant)
+	previous := &f.recentClients[int(clientHash*float64(len(f.recentClients)))]
+	known := previous.hash == clientHash && now-previous.at < clientRetryWindow
+	if known || markedRetry {
+		f.Count.Retries++ // retries add load but no demand
 	} else if class >= 0 {
-		f.offered[class].Add(now, rateSpan)
+		f.offered[class].Add(now, rateWindow)
 	}
-	if known && past.lacked {
-		f.lacked.AddAmount(-math.Exp(-float64(now-past.at)/float64(rateSpan)), now, rateSpan) // not lost yet
-		past.lacked = false
+	if known && previous.unserved {
+		f.unserved.AddAmount(-math.Exp(-float64(now-previous.at)/float64(rateWindow)), now, rateWindow) // the client is still trying, so the request is not lost yet
+		previous.unserved = false
 	}
-	if f.cut.Lets(class, luck) {
+	if f.shedder.Admits(class, clientHash) {
 		return false, 0
 	}
 	f.Count.Shed++
-	*past = sent{luck: luck, at: now}
-	return true, int64(float64(f.t.MaxRetryAfter) * (waitLeast + (1-waitLeast)*f.dice.Next()))
+	*previous = recentClient{hash: clientHash, at: now}
+	return true, int64(float64(f.cfg.MaxRetryAfter) * (minRetryAfterPart + (1-minRetryAfterPart)*f.rng.Next()))
 }
 
-// Lost tells that a req that was let in was not served in time. Should its client come again, that is no further demand, and nothing
-// is lost yet.
-func (f *Fleet) Missed(luck float64, now int64) {
-	f.lacked.Add(now, rateSpan)
-	f.away[int(luck*float64(len(f.away)))] = sent{luck, now, true}
+// Missed records that an admitted request was not served in time. If its client retries, the retry adds no demand
+// and the request is no longer counted as unserved.
+func (f *Fleet) Missed(clientHash float64, now int64) {
+	f.unserved.Add(now, rateWindow)
+	f.recentClients[int(clientHash*float64(len(f.recentClients)))] = recentClient{clientHash, now, true}
 }
 
-// Sent tells of a dispatch; further where it is not its req's first.
-func (f *Fleet) Dispatched(server string, further bool, now int64) {
-	if further {
-		f.further.Add(now, rateSpan)
-		f.spare.Further()
+// Dispatched records a dispatch; retry is set if it is not the first of its request.
+func (f *Fleet) Dispatched(server string, retry bool, now int64) {
+	if retry {
+		f.retries.Add(now, rateWindow)
+		f.retryBudget.SpendRetry()
 	} else {
-		f.first.Add(now, rateSpan)
-		f.spare.First()
+		f.first.Add(now, rateWindow)
+		f.retryBudget.EarnFirst()
 	}
-	f.wary.sent(server, now)
+	f.reports.dispatched(server, now)
 }
 
-// Finished tells how a dispatch ended, whether its req has ended as well, and how long it took. Cancelled ones say nothing.
-func (f *Fleet) DispatchEnded(server string, o balance.Outcome, ended bool, took, now int64) {
-	switch o {
+// DispatchEnded records the outcome of a dispatch, whether its request has ended too, and how long the dispatch
+// took in nanoseconds. Outcomes that say nothing about the server are ignored.
+func (f *Fleet) DispatchEnded(server string, outcome balance.Outcome, ended bool, took, now int64) {
+	switch outcome {
 	case balance.Cancelled, balance.NotSent, balance.Unknown:
 		return
 	case balance.Served:
-		f.wary.served(server, now)
-		f.took.AddAmount(float64(took)/float64(sec), now, rateSpan) // without what the req waited here: servers alone say what they bear
+		f.reports.served(server, now)
+		f.serverTime.AddAmount(float64(took)/float64(sec), now, rateWindow) // without the time that the request waited in the proxy, which says nothing about what servers can bear
 		return
 	case balance.Refused:
-		f.refused.Add(now, rateSpan)
+		f.refused.Add(now, rateWindow)
 	case balance.TimedOut:
-		f.late.Add(now, rateSpan)
+		f.timedOut.Add(now, rateWindow)
 	}
-	f.failed.Add(now, rateSpan)
-	f.wary.lost(server, now)
+	f.failed.Add(now, rateWindow)
+	f.reports.lost(server, now)
 	if !ended {
-		f.wanted.Add(now, rateSpan)
+		f.retriesWanted.Add(now, rateWindow)
 	}
 }
 
-// Done tells that a req was served within its response target.
-func (f *Fleet) ServedInTime(now int64) { f.served.Add(now, rateSpan) }
+// ServedInTime records that a request was served within its response target.
+func (f *Fleet) ServedInTime(now int64) { f.served.Add(now, rateWindow) }
 
-// Probed tells what came of a probe.
-func (f *Fleet) ProbeEnded(server string, well bool, now int64) {
-	f.wary.probed(f.t.Index, server, well, now)
+// ProbeEnded records the result of a probe.
+func (f *Fleet) ProbeEnded(server string, healthy bool, now int64) {
+	f.reports.probed(f.cfg.Index, server, healthy, now)
 }
 
-// Same says whether a member goes by these rule sets and tenants, and this longest advice.
-func (f *Fleet) SameConfig(sets []balance.RuleSet, tenants []balance.Tenant, advice int64) bool {
-	return reflect.DeepEqual(f.t.RuleSets, sets) && slices.Equal(f.t.Tenants, tenants) &&
-		f.t.MaxRetryAfter == advice
+// SameConfig reports whether the member runs with these rule sets and tenants and this longest wait.
+func (f *Fleet) SameConfig(ruleSets []balance.RuleSet, tenants []balance.Tenant, maxRetryAfter int64) bool {
+	return reflect.DeepEqual(f.cfg.RuleSets, ruleSets) && slices.Equal(f.cfg.Tenants, tenants) &&
+		f.cfg.MaxRetryAfter == maxRetryAfter
 }
 
-// Heard takes a datagram that came from the address of the member that it names.
+// Receive handles a datagram. The caller has checked that it came from the address of the member that it names.
 func (f *Fleet) Receive(d *peer.Datagram, now int64) {
-	if now-f.ticked > stoodLong || now < f.deafUntil {
-		// It may have waited for as long as this process stood still: its ages say nothing.
+	if now-f.lastTick > stallThreshold || now < f.ignoreUntil {
+		// The datagram may have waited for as long as this process was stalled, so the ages in it mean nothing.
 		f.Count.Stale++
 		return
 	}
-	if !f.swim.Fresh(d) {
-		f.send()
+	if !f.swim.Accept(d) {
+		f.queueDatagrams()
 		return
 	}
 	f.Count.Heard++
-	f.swim.Heard(d, now)
-	f.fold.Heard(d.Sums, now)
-	f.lesson(d, now)
-	f.piece(d)
+	f.swim.Receive(d, now)
+	f.load.Receive(d.Sums, now)
+	f.receiveLearning(d, now)
+	f.receivePart(d)
 	for _, h := range d.Hints {
-		if h.Origin < f.t.Members && h.Origin != f.t.Index && f.swim.Alive(h.Origin) {
-			if id, at, probe := f.wary.heard(h, now); probe && f.round != nil {
-				f.round.Done(id, at)
+		if h.Origin < f.cfg.Members && h.Origin != f.cfg.Index && f.swim.Alive(h.Origin) {
+			if id, at, probe := f.reports.receiveHint(h, now); probe && f.probeRoster != nil {
+				f.probeRoster.Done(id, at)
 			}
 		}
 	}
-	f.send()
+	f.queueDatagrams()
 }
 
-// Leave tells the others of the end of this process.
+// Leave tells the other members that this process ends.
 func (f *Fleet) Leave() {
 	f.swim.Leave()
-	f.send()
+	f.queueDatagrams()
 }
 
-// Tick does what is due and says when to come again. What the process did not live through is settled first.
+// Tick does what is due and returns when to call it again. It handles a stall of the process first.
 func (f *Fleet) Tick(now int64) (next int64) {
-	passed := now - f.ticked
-	if passed > stoodLong {
-		f.stood(passed, now)
+	elapsed := now - f.lastTick
+	if elapsed > stallThreshold {
+		f.handleStall(elapsed, now)
 	}
-	f.ticked = now
-	f.tokens.fill((1-pushPart)*f.t.DatagramsPerSecond, max(burst, f.t.DatagramsPerSecond/4), now)
+	f.lastTick = now
+	f.tokens.fill((1-pushFraction)*f.cfg.DatagramsPerSecond, max(minBurst, f.cfg.DatagramsPerSecond/4), now)
 	next = f.swim.Tick(now)
-	if f.swim.Version() != f.version {
-		f.fold.Gone(f.swim.Alive, func(p int) uint64 { return f.swim.Member(p).Incarnation })
-		if now >= f.dutyAt { // it is work for all servers: not for each change of many
-			f.dutyAt = now + sec
-			f.divide(now)
+	if f.swim.Version() != f.membershipVersion {
+		f.load.DropGone(f.swim.Alive, func(p int) uint64 { return f.swim.Member(p).Incarnation })
+		if now >= f.assignAt { // it takes time in proportion to the servers, so it does not run for each of many changes
+			f.assignAt = now + sec
+			f.assignProbes(now)
 		}
 	}
-	if f.t.Overload != nil && now >= f.cutAt {
-		f.cutAt = now + cutEvery
-		f.look(now)
+	if f.cfg.Overload != nil && now >= f.shedAt {
+		f.shedAt = now + shedInterval
+		f.updateShedding(now)
 	}
-	for ; now >= f.pushAt; f.pushAt += f.pushEvery() {
+	for ; now >= f.pushAt; f.pushAt += f.pushInterval() {
 		f.push(now)
 	}
-	if f.round != nil {
-		for _, id := range f.round.Due(now) {
+	if f.probeRoster != nil {
+		for _, id := range f.probeRoster.Due(now) {
 			f.Count.Probes++
-			f.probes.Add(now, rateSpan)
-			f.todo = append(f.todo, Action{Kind: Probe, Server: id})
+			f.probes.Add(now, rateWindow)
+			f.actions = append(f.actions, Action{Kind: Probe, Server: id})
 		}
 	}
-	f.ask(now)
+	f.queryPeer(now)
 	if now >= f.adviseAt {
-		f.adviseAt = now + adviseEvery
-		f.advise(now)
-	}
-	f.note()
-	f.send()
-	return next // what else is due may wait for it: each waking costs the proxy more than the work done in it
-}
-
-// stood settles what this process holds against the present, having not run for a time.
-func (f *Fleet) stood(stood, now int64) {
-	f.fold.Forget()
-	f.wary.forget()
-	f.deafUntil = now + deafFor
-	f.pushAt, f.cutAt = now, now+deafFor
-	for _, c := range f.rates() {
+		f.adviseAt = now + adviseInterval
+		f.updateAdvice(now)
+	}
+	f.logChanges()
+	f.queueDatagrams()
+	// Other due work waits for the next tick of membership: a wakeup costs the proxy more than the work done in
+	// it.
+	return next
+}
+
+// handleStall discards state that became outdated while this process did not run.
+func (f *Fleet) handleStall(stalled, now int64) {
+	f.load.Reset()
+	f.reports.reset()
+	f.ignoreUntil = now + ignoreAfterStall
+	f.pushAt, f.shedAt = now, now+ignoreAfterStall
+	for _, c := range f.counters() {
 		c.Value = 0
 	}
-	if f.round != nil {
-		f.round.Stood(stood)
+	if f.probeRoster != nil {
+		f.probeRoster.Resume(stalled)
 	}
-	f.tell("this process did not run for a time", map[string]any{"ms": stood / ms})
-	if f.cut.On {
-		moves := f.cut.Moves + 1
-		f.cut = shed.New(f.t.shed()) // an old cut binds nobody
-		f.cut.Moves = moves
+	f.log("the process did not run for a while; outdated state discarded", map[string]any{"ms": stalled / ms})
+	if f.shedder.Active {
+		moves := f.shedder.Changes + 1
+		f.shedder = shed.New(f.cfg.shedConfig()) // shedding decided before the stall no longer applies
+		f.shedder.Changes = moves
 	}
 }
 
-// shed is what the cut goes by.
-func (t *Config) shed() shed.Terms {
-	s := shed.Terms{Over: t.OverShareFactor}
-	for _, r := range t.RuleSets {
+// shedConfig returns the configuration of the shedder.
+func (c *Config) shedConfig() shed.Config {
+	s := shed.Config{OverShareFactor: c.OverShareFactor}
+	for _, r := range c.RuleSets {
 		s.Values = append(s.Values, r.BillingValue)
 	}
-	for _, x := range t.Tenants {
+	for _, x := range c.Tenants {
 		s.Shares = append(s.Shares, x.Share)
 	}
 	return s
 }
 
-func (f *Fleet) rates() []*decay.Counter {
-	all := []*decay.Counter{&f.first, &f.further, &f.wanted, &f.probes, &f.refused, &f.late, &f.failed, &f.lacked, &f.served, &f.took}
+func (f *Fleet) counters() []*decay.Counter {
+	all := []*decay.Counter{&f.first, &f.retries, &f.retriesWanted, &f.probes, &f.refused, &f.timedOut, &f.failed, &f.unserved, &f.served, &f.serverTime}
 	for i := range f.offered {
 		all = append(all, &f.offered[i])
 	}
 	return all
 }
 
-// measure brings this member's own load up to date.
-func (f *Fleet) measure(now int64) {
-	rate := func(c *decay.Counter) float64 { return c.Now(now, rateSpan) * float64(sec) / float64(rateSpan) }
-	o := &f.fold.Own
-	*o = aggregate.Load{First: rate(&f.first), Retries: rate(&f.further), RetriesWanted: rate(&f.wanted), Probes: rate(&f.probes),
-		Refused: rate(&f.refused), TimedOut: rate(&f.late), Failed: rate(&f.failed), Unserved: max(0, rate(&f.lacked)), Served: rate(&f.served), ServerTime: rate(&f.took)}
+// updateOwnLoad updates this member's own load.
+func (f *Fleet) updateOwnLoad(now int64) {
+	rate := func(c *decay.Counter) float64 { return c.Now(now, rateWindow) * float64(sec) / float64(rateWindow) }
+	o := &f.load.Own
+	*o = aggregate.Load{First: rate(&f.first), Retries: rate(&f.retries), RetriesWanted: rate(&f.retriesWanted), Probes: rate(&f.probes),
+		Refused: rate(&f.refused), TimedOut: rate(&f.timedOut), Failed: rate(&f.failed), Unserved: max(0, rate(&f.unserved)), Served: rate(&f.served), ServerTime: rate(&f.serverTime)}
 	for i := range f.offered {
 		o.Offered[i] = rate(&f.offered[i])
 	}
-	if f.cut.On {
-		o.Limit, o.LimitCount = f.cut.Limit/float64(f.t.Members), 1 // a part for each place, so that sums of it stay in what a figure holds
+	if f.shedder.Active {
+		o.Limit, o.LimitCount = f.shedder.Limit/float64(f.cfg.Members), 1 // each member reports its part, so that sums stay within the range of an encoded figure
 	}
 }
 
-// look has the cut and the budget follow the picture.
-func (f *Fleet) look(now int64) {
-	f.measure(now)
-	all, of := f.fold.Picture(now)
-	all.Limit *= float64(f.t.Members)
-	f.cut.Step(&all, of, now)
-	f.spare.Step(&all, &f.fold.Own, now)
+// updateShedding updates the shedder and the retry budget from the fleet's load.
+func (f *Fleet) updateShedding(now int64) {
+	f.updateOwnLoad(now)
+	all, counted := f.load.FleetLoad(now)
+	all.Limit *= float64(f.cfg.Members)
+	f.shedder.Step(&all, counted, now)
+	f.retryBudget.Step(&all, &f.load.Own, now)
 }
 
-// push tells one member of the block beside this one's at the next level; all levels have their turn.
+// push sends load sums to one member of the sibling block at the next level, so that all levels take turns.
 func (f *Fleet) push(now int64) {
-	if f.fold.Levels() == 0 {
+	if f.load.Levels() == 0 {
 		return
 	}
-	f.measure(now)
-	for range f.fold.Levels() {
-		f.level = (f.level + 1) % f.fold.Levels()
-		from, to := f.fold.Beside(f.level)
-		if who := f.oneThat(from, to, f.swim.Alive); who >= 0 {
+	f.updateOwnLoad(now)
+	for range f.load.Levels() {
+		f.pushLevel = (f.pushLevel + 1) % f.load.Levels()
+		from, to := f.load.Sibling(f.pushLevel)
+		if who := f.randomMember(from, to, f.swim.Alive); who >= 0 {
 			d, room := f.swim.Datagram(peer.Push)
-			f.mark(&d, &room)
-			f.fill(&d, &room, f.level, now)
-			f.todo = append(f.todo, Action{Kind: Send, To: who, Datagram: d, due: true})
+			f.addNewestKey(&d, &room)
+			f.addPayload(&d, &room, f.pushLevel, now)
+			f.actions = append(f.actions, Action{Kind: Send, To: who, Datagram: d, due: true})
 			return
 		}
 	}
 }
 
-// oneThat draws one of the places from one to before another that suit; -1 where none does.
-func (f *Fleet) oneThat(from, to int, suits func(i int) bool) int {
+// randomMember returns a random member in [from, to) that suits, or -1 if none does.
+func (f *Fleet) randomMember(from, to int, suits func(i int) bool) int {
 	if n := to - from; n > 0 {
-		start := int(f.dice.Next() * float64(n))
+		start := int(f.rng.Next() * float64(n))
 		for i := range n {
-			if who := from + (start+i)%n; suits(who) {
-				return who
+			if member := from + (start+i)%n; suits(member) {
+				return member
 			}
 		}
 	}
 	return -1
 }
 
-// fill adds sums and hints where there is room.
-func (f *Fleet) fill(d *peer.Datagram, room *peer.Room, level int, now int64) {
-	f.swim.Tell(d, room, 1) // of many pieces of news most wait for pings and their answers, lest they crowd out the sums
-	d.Sums = append(d.Sums, f.fold.Tell(level, f.swim.Incarnation(), room, now)...)
-	f.swim.Tell(d, room, 1)
-	d.Hints = append(d.Hints, f.wary.tell(f.t.Index, int(math.Ceil(3*math.Log2(float64(f.swim.AliveCount())+1))), room, now)...)
+// addPayload adds load sums, membership updates and hints as far as there is room.
+func (f *Fleet) addPayload(d *peer.Datagram, room *peer.Room, level int, now int64) {
+	f.swim.AddUpdates(d, room, 1) // only one update before the sums: many updates would crowd them out, and pings and answers carry the rest
+	d.Sums = append(d.Sums, f.load.SumsFor(level, f.swim.Incarnation(), room, now)...)
+	f.swim.AddUpdates(d, room, 1)
+	d.Hints = append(d.Hints, f.reports.hintsToSend(f.cfg.Index, int(math.Ceil(3*math.Log2(float64(f.swim.AliveCount())+1))), room, now)...)
 }
 
-// send hands out what the members' part wants sent, within the limit. Answers and questions carry what there is room for.
-func (f *Fleet) send() {
-	for _, s := range f.swim.Out() {
-		f.todo = append(f.todo, Action{Kind: Send, To: s.To, Datagram: s.Datagram})
+// queueDatagrams queues the datagrams of the membership protocol. Next applies the limit.
+func (f *Fleet) queueDatagrams() {
+	for _, s := range f.swim.TakeDatagrams() {
+		f.actions = append(f.actions, Action{Kind: Send, To: s.To, Datagram: s.Datagram})
 	}
 }
 
-// advise has the module know what has changed.
-func (f *Fleet) advise(now int64) {
-	a := balance.Advice{RetriesLimited: f.t.Overload != nil, ShareFactors: f.wary.care(f.t.Index, f.swim.Alive, now)}
+// updateAdvice emits the advice to the balancer if it has changed.
+func (f *Fleet) updateAdvice(now int64) {
+	a := balance.Advice{RetriesLimited: f.cfg.Overload != nil, ShareFactors: f.reports.shareFactors(f.cfg.Index, f.swim.Alive, now)}
 	if a.RetriesLimited {
-		a.RetriesLeft = f.spare.Left()
+		a.RetriesLeft = f.retryBudget.Available()
 	}
 	if a.RetriesLimited == f.advice.RetriesLimited && a.RetriesLeft == f.advice.RetriesLeft && len(a.ShareFactors) == 0 && len(f.advice.ShareFactors) == 0 {
 		return
 	}
 	f.advice = a
-	f.todo = append(f.todo, Action{Kind: Advise, Advice: a})
+	f.actions = append(f.actions, Action{Kind: Advise, Advice: a})
 }
 
-// tell has a line logged.
-func (f *Fleet) tell(text string, fields map[string]any) {
-	f.todo = append(f.todo, Action{Kind: Log, Text: text, Fields: fields})
+// log emits a line for the log.
+func (f *Fleet) log(text string, fields map[string]any) {
+	f.actions = append(f.actions, Action{Kind: Log, Text: text, Fields: fields})
 }
 
-// note logs what has changed: members, the cut, the budget.
-func (f *Fleet) note() {
-	for _, c := range f.swim.Changes() {
+// logChanges logs changes of the members, the shedder and the retry budget.
+func (f *Fleet) logChanges() {
+	for _, c := range f.swim.TakeChanges() {
 		if c.To != peer.Suspect && c.From != swim.StateName(peer.Suspect) || c.To == peer.Dead {
-			f.tell("member", map[string]any{"member": c.Who, "from": c.From, "to": swim.StateName(c.To), "by": c.By, "members": f.swim.AliveCount()})
+			f.log("member changed its state", map[string]any{"member": c.Member, "from": c.From, "to": swim.StateName(c.To), "by": c.By, "members": f.swim.AliveCount()})
 		}
 	}
-	if f.cut.On != f.was.on || f.cut.Moves != f.was.move {
-		f.was.on, f.was.move = f.cut.On, f.cut.Moves
-		f.tell("cut", map[string]any{"in_force": f.cut.On, "limit": math.Round(f.cut.Limit), "let_in": math.Round(f.cut.Part*100) / 100, "moves": f.cut.Moves})
+	if f.shedder.Active != f.logged.active || f.shedder.Changes != f.logged.changes {
+		f.logged.active, f.logged.changes = f.shedder.Active, f.shedder.Changes
+		f.log("load shedding changed", map[string]any{"in_force": f.shedder.Active, "limit": math.Round(f.shedder.Limit), "let_in": math.Round(f.shedder.AdmittedPart*100) / 100, "moves": f.shedder.Changes})
 	}
-	if f.spare.Stopped != f.was.stopped {
-		f.was.stopped = f.spare.Stopped
-		f.tell("further dispatches", map[string]any{"stopped": f.spare.Stopped})
+	if f.retryBudget.Stopped != f.logged.stopped {
+		f.logged.stopped = f.retryBudget.Stopped
+		f.log("retry budget changed", map[string]any{"stopped": f.retryBudget.Stopped})
 	}
 }
 
-// Next gives the next action; false when there is none. A datagram past the limit is kept back for good: what it says has an age.
+// Next returns the next action, or false if there is none. A datagram beyond the limit is dropped instead of
+// delayed, because its content ages.
 func (f *Fleet) Next() (a Action, ok bool) {
-	for len(f.todo) > 0 {
-		a, f.todo = f.todo[0], f.todo[1:]
+	for len(f.actions) > 0 {
+		a, f.actions = f.actions[0], f.actions[1:]
 		if a.Kind != Send {
 			return a, true
 		}
-		// A question or an answer that is kept back is a suspicion, of another or of oneself: these may run into debt, which the rest pays.
-		must := a.Datagram.Kind != peer.Push
-		if !a.due && (f.tokens.n < -debt*f.t.DatagramsPerSecond || !must && f.tokens.n < 1) {
+		// A ping or an answer that is not sent causes a suspicion of this or another member. These datagrams may
+		// therefore exceed the rate, at the expense of later pushes.
+		mayBorrow := a.Datagram.Kind != peer.Push
+		if !a.due && (f.tokens.tokens < -maxDebtSeconds*f.cfg.DatagramsPerSecond || !mayBorrow && f.tokens.tokens < 1) {
 			f.Count.Held++
 			continue
 		}
 		if f.Count.Sent++; !a.due {
-			f.tokens.n--
+			f.tokens.tokens--
 		}
 		return a, true
 	}
 	return Action{}, false
 }
 
-// Status is what operators see of a member.
+// Status is a member's state as shown to operators.
 type Status struct {
-	Me      int         `json:"me"`
-	Life    uint64      `json:"life"`
-	Health  int         `json:"slow_steps"`
-	Alive   int         `json:"alive"`
-	Members []Seen      `json:"members"`
-	Counted int         `json:"counted"`
-	AgeMs   int64       `json:"picture_age_ms"`
-	Offered float64     `json:"offered"`
-	Served  float64     `json:"served"`
-	Lacked  float64     `json:"lacked"`
-	First   float64     `json:"first"`
-	Further float64     `json:"further"`
-	Probing float64     `json:"probing"`
-	Cut     CutStatus   `json:"cut"`
-	Spare   SpareStatus `json:"further_budget"`
-	Owners  []Owner     `json:"probes,omitempty"`
-	Wary    []string    `json:"wary,omitempty"`
-	Counts  Counts      `json:"counts"`
-	Odd     int         `json:"impossible"`
-	Twice   int         `json:"twice"`
-	Past    int         `json:"past"`
-	Nobody  int         `json:"nobody"`
-	AwayMs  int64       `json:"not_run_ms"`
-}
-
-// Seen is one member in a view.
-type Seen struct {
-	Member  int    `json:"member"`
-	State   string `json:"state"`
-	Life    uint64 `json:"life"`
-	SinceMs int64  `json:"since_ms"` // ago
-	HeardMs int64  `json:"heard_ms"` // ago
-}
-
-// CutStatus is the cut in force.
-type CutStatus struct {
-	On    bool    `json:"in_force"`
-	Limit float64 `json:"limit"`
-	Part  float64 `json:"let_in"`
-	Moves int     `json:"moves"`
-	Calm  float64 `json:"calm_s"` // mean time of an answer without a cut
-	Took  float64 `json:"took_s"` // and of late
-}
-
-// SpareStatus is the budget of this member.
-type SpareStatus struct {
-	Left    int  `json:"left"`
-	Stopped bool `json:"stopped"`
-}
-
-// Owner is who probes a server, and how long ago it was done.
-type Owner struct {
+	Index           int               `json:"me"`
+	Incarnation     uint64            `json:"life"`
+	HealthScore     int               `json:"slow_steps"`
+	Alive           int               `json:"alive"`
+	Members         []MemberStatus    `json:"members"`
+	Counted         int               `json:"counted"`
+	LoadAgeMs       int64             `json:"picture_age_ms"`
+	Offered         float64           `json:"offered"`
+	Served          float64           `json:"served"`
+	Unserved        float64           `json:"lacked"`
+	FirstDispatches float64           `json:"first"`
+	Retries         float64           `json:"further"`
+	Probing         float64           `json:"probing"`
+	Shedding        SheddingStatus    `json:"cut"`
+	RetryBudget     RetryBudgetStatus `json:"further_budget"`
+	ProbeOwners     []ProbeOwner      `json:"probes,omitempty"`
+	ReducedShares   []string          `json:"wary,omitempty"`
+	Counts          Counts            `json:"counts"`
+	Implausible     int               `json:"impossible"`
+	Duplicates      int               `json:"twice"`
+	Outdated        int               `json:"past"`
+	UnknownSender   int               `json:"nobody"`
+	StalledMs       int64             `json:"not_run_ms"`
+}
+
+// MemberStatus is one member as seen by another.
+type MemberStatus struct {
+	Member      int    `json:"member"`
+	State       string `json:"state"`
+	Incarnation uint64 `json:"life"`
+	SinceMs     int64  `json:"since_ms"` // ago
+	HeardMs     int64  `json:"heard_ms"` // ago
+}
+
+// SheddingStatus is the state of shedding.
+type SheddingStatus struct {
+	Active          bool    `json:"in_force"`
+	Limit           float64 `json:"limit"`
+	AdmittedPart    float64 `json:"let_in"`
+	Changes         int     `json:"moves"`
+	BaselineLatency float64 `json:"calm_s"` // mean answer time while nothing is shed
+	Latency         float64 `json:"took_s"` // recent mean answer time
+}
+
+// RetryBudgetStatus is the state of this member's retry budget.
+type RetryBudgetStatus struct {
+	Available int  `json:"left"`
+	Stopped   bool `json:"stopped"`
+}
+
+// ProbeOwner is the member that probes a server, and the time since the last probe.
+type ProbeOwner struct {
 	Server string `json:"server"`
 	Member int    `json:"member"`
 	AgeMs  int64  `json:"age_ms"`
 }
 
-// Status gives a member's view.
+// Status returns the member's state.
 func (f *Fleet) Status(now int64) Status {
-	all, of := f.fold.Picture(now)
-	s := Status{Me: f.t.Index, Life: f.swim.Incarnation(), Health: f.swim.Health(), Alive: f.swim.AliveCount(), Counted: of, AgeMs: f.fold.Age(now) / ms,
-		Offered: all.TotalOffered(), Served: all.Served, Lacked: all.Unserved, First: all.First, Further: all.Retries, Probing: all.Probes,
-		Cut:   CutStatus{f.cut.On, f.cut.Limit, f.cut.Part, f.cut.Moves, f.cut.Calm, f.cut.Took},
-		Spare: SpareStatus{f.spare.Left(), f.spare.Stopped}, Counts: f.Count, Odd: f.fold.Impossible,
-		Twice: f.swim.Dropped.Twice, Past: f.swim.Dropped.Past, Nobody: f.swim.Dropped.Nobody, AwayMs: f.swim.Away / ms}
-	for i := range f.t.Members {
+	all, counted := f.load.FleetLoad(now)
+	s := Status{Index: f.cfg.Index, Incarnation: f.swim.Incarnation(), HealthScore: f.swim.Health(), Alive: f.swim.AliveCount(), Counted: counted, LoadAgeMs: f.load.Age(now) / ms,
+		Offered: all.TotalOffered(), Served: all.Served, Unserved: all.Unserved, FirstDispatches: all.First, Retries: all.Retries, Probing: all.Probes,
+		Shedding:    SheddingStatus{f.shedder.Active, f.shedder.Limit, f.shedder.AdmittedPart, f.shedder.Changes, f.shedder.BaselineLatency, f.shedder.Latency},
+		RetryBudget: RetryBudgetStatus{f.retryBudget.Available(), f.retryBudget.Stopped}, Counts: f.Count, Implausible: f.load.Implausible,
+		Duplicates: f.swim.Dropped.Duplicates, Outdated: f.swim.Dropped.Outdated, UnknownSender: f.swim.Dropped.UnknownSender, StalledMs: f.swim.Stalled / ms}
+	for i := range f.cfg.Members {
 		m := f.swim.Member(i)
 		if !m.Known {
-			s.Members = append(s.Members, Seen{Member: i, State: "presumed"})
+			s.Members = append(s.Members, MemberStatus{Member: i, State: "presumed"})
 			continue
 		}
-		s.Members = append(s.Members, Seen{i, swim.StateName(m.State), m.Incarnation, (now - m.Since) / ms, (now - m.LastHeard) / ms})
+		s.Members = append(s.Members, MemberStatus{i, swim.StateName(m.State), m.Incarnation, (now - m.Since) / ms, (now - m.LastHeard) / ms})
 	}
-	if f.round != nil {
+	if f.probeRoster != nil {
 		for _, id := range f.servers {
-			who, at := f.round.Owner(id)
-			s.Owners = append(s.Owners, Owner{id, who, (now - at) / ms})
+			owner, at := f.probeRoster.Owner(id)
+			s.ProbeOwners = append(s.ProbeOwners, ProbeOwner{id, owner, (now - at) / ms})
 		}
 	}
 	for id, part := range f.advice.ShareFactors {
-		s.Wary = append(s.Wary, fmt.Sprintf("%s %.2f", id, part))
+		s.ReducedShares = append(s.ReducedShares, fmt.Sprintf("%s %.2f", id, part))
 	}
-	slices.SortFunc(s.Wary, strings.Compare)
+	slices.SortFunc(s.ReducedShares, strings.Compare)
 	return s
 }
 
-// Members is the view of who takes part, for those who rehearse.
+// Membership returns the member's view of the membership, for rehearsals and the host.
 func (f *Fleet) Membership() *swim.Membership { return f.swim }
 
-// Picture is what is counted, for those who rehearse.
-func (f *Fleet) FleetLoad(now int64) (aggregate.Load, int) { return f.fold.Picture(now) }
+// FleetLoad returns the load of all counted members and their number.
+func (f *Fleet) FleetLoad(now int64) (aggregate.Load, int) { return f.load.FleetLoad(now) }
 
-// Sheds says whether a cut is in force that denies anything.
-func (f *Fleet) Shedding() bool { return f.cut.On && f.cut.Part < 1 }
+// Shedding reports whether shedding rejects any requests.
+func (f *Fleet) Shedding() bool { return f.shedder.Active && f.shedder.AdmittedPart < 1 }
--- a/fleet/lease/timeline_test.go
+++ b/fleet/lease/timeline_test.go
@@ -39,7 +39,7 @@
 	flawForgetsEarlierLeases      // the owner forgets what an earlier incarnation holds
 )
 
-func (p *process) Heard(from int, body []byte, now int64) {
+func (p *process) Receive(from int, body []byte, now int64) {
 	d, err := Decode(fleetName, body)
 	if err == nil && d.From == from {
 		p.receive(from, &d, now)
@@ -89,7 +89,7 @@
 // world is a fleet with one limit. It checks the units that may be in use at each moment, and the reqs that simulated
 // servers count.
 type world struct {
-	*timeline.World
+	*timeline.Simulation
 	limit   Limit
 	flaw    flaw
 	drift   int64
@@ -99,7 +99,7 @@
 	runFor        int64
 	random        *rng.Source // nil: reqs arrive evenly; otherwise at random
 	level         float64     // of a bucket with the limit's rate and size: below 0 the servers saw too many reqs
-	lastLive      int64
+	lastStep      int64
 	loweredUntil  int64 // until then leases of a previous, higher limit may be valid
 	previousUnits int
 	maxInUse      int // units, and by how many the bound was exceeded
@@ -113,9 +113,9 @@
 	done   bool // at the server; its proxy may not know yet
 }
 
-func newWorld(w *timeline.World, limit Limit, drift int64, f flaw) *world {
+func newWorld(w *timeline.Simulation, limit Limit, drift int64, f flaw) *world {
 	n := len(w.Names)
-	return &world{World: w, limit: limit, drift: drift, flaw: f, procs: make([]*process, n),
+	return &world{Simulation: w, limit: limit, drift: drift, flaw: f, procs: make([]*process, n),
 		running: make([][]run, n), level: float64(limit.Units), runFor: 300 * ms}
 }
 
@@ -132,9 +132,9 @@
 	return p
 }
 
-func (w *world) Do(member int, verb string, args []string) error {
+func (w *world) Apply(member int, verb string, args []string) error {
 	if verb == "leave" && member >= 0 {
-		w.procs[member].Leave(w.Clock(member))
+		w.procs[member].Leave(w.LocalTime(member))
 		return nil
 	}
 	if len(args) != 1 {
@@ -163,7 +163,7 @@
 			}
 			x := w.limit
 			x.Units = n
-			p.Member.SetLimits([]Limit{x}, w.Clock(i))
+			p.Member.SetLimits([]Limit{x}, w.LocalTime(i))
 		default:
 			return errors.New("no such verb")
 		}
@@ -176,7 +176,7 @@
 
 // usable returns how many units may be in use at a member now.
 func (w *world) usable(member int) int {
-	p, now := w.procs[member], w.Clock(member)
+	p, now := w.procs[member], w.LocalTime(member)
 	l := p.limits[0]
 	x := l.holder.local
 	tickAge := now - p.lastTick.Load()
@@ -212,10 +212,10 @@
 	return n + w.limit.MaxExcess(len(w.Names))
 }
 
-// Live simulates clients and servers, and checks the invariants.
-func (w *world) Live() error {
+// Step simulates clients and servers, and checks the invariants.
+func (w *world) Step() error {
 	rate := float64(w.limit.Units) / float64(max(1, w.limit.Period))
-	w.level = min(float64(w.limit.Units), w.level+rate*float64(w.Now-w.lastLive))
+	w.level = min(float64(w.limit.Units), w.level+rate*float64(w.Now-w.lastStep))
 	for i, p := range w.procs {
 		for j := range w.running[i] {
 			r := &w.running[i][j]
@@ -233,15 +233,15 @@
 				p.dueReqs = n
 			}
 		} else if w.random != nil {
-			if w.random.Next() < p.demand*float64(w.Now-w.lastLive)/float64(w.limit.Period) {
+			if w.random.Next() < p.demand*float64(w.Now-w.lastStep)/float64(w.limit.Period) {
 				p.dueReqs = 1
 			}
 		} else {
-			p.dueReqs += p.demand * float64(w.Now-w.lastLive) / float64(w.limit.Period)
+			p.dueReqs += p.demand * float64(w.Now-w.lastStep) / float64(w.limit.Period)
 		}
 		for ; p.dueReqs >= 1; p.dueReqs-- {
 			p.attempts++
-			if ok, _ := p.Limiter().Admit(Scope{}, w.Clock(i)); ok {
+			if ok, _ := p.Limiter().Admit(Scope{}, w.LocalTime(i)); ok {
 				p.admitted++
 				w.admitted++
 				w.level--
@@ -251,7 +251,7 @@
 			}
 		}
 	}
-	w.lastLive = w.Now
+	w.lastStep = w.Now
 	sum := w.totalInUse()
 	w.maxInUse = max(w.maxInUse, sum)
 	if over := sum - w.bound(); over > 0 {
@@ -265,7 +265,7 @@
 	return nil
 }
 
-func (w *world) See(member int, what string) (string, error) {
+func (w *world) Observe(member int, what string) (string, error) {
 	if member < 0 {
 		switch what {
 		case "sum":
@@ -289,7 +289,7 @@
 		}
 		return "owner " + w.Names[l.holder.owner], nil
 	case "owns":
-		return fmt.Sprintf("owns %v", p.owns(l, w.Clock(member))), nil
+		return fmt.Sprintf("owns %v", p.owns(l, w.LocalTime(member))), nil
 	case "served":
 		admitted, attempts := p.admitted, p.attempts
 		p.admitted, p.attempts = 0, 0
@@ -312,19 +312,19 @@
 	datadriven.Walk(t, "testdata/timelines", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			x, drift, seed := limitOf(t, d)
-			r := timeline.Play(d.Input, seed, func(w *timeline.World) timeline.Cluster {
+			r := timeline.Play(d.Input, seed, func(w *timeline.Simulation) timeline.Cluster {
 				return newWorld(w, x, drift, flawNone)
 			})
-			if r.Err != nil && !strings.Contains(r.Drawn, "! ") {
+			if r.Err != nil && !strings.Contains(r.Table, "! ") {
 				t.Fatal(r.Err)
 			}
 			if r.Err != nil {
-				t.Errorf("%s: %v\n%s", d.Pos, r.Err, r.Drawn)
+				t.Errorf("%s: %v\n%s", d.Pos, r.Err, r.Table)
 			}
-			if r.Drawn != d.Expected && !d.Rewrite {
-				t.Errorf("%s\n%s", d.Pos, timeline.Beside(r.Drawn, d.Expected))
+			if r.Table != d.Expected && !d.Rewrite {
+				t.Errorf("%s\n%s", d.Pos, timeline.SideBySide(r.Table, d.Expected))
 			}
-			return r.Drawn
+			return r.Table
 		})
 	})
 }
--- a/fleet/snapshot/snapshot.go
+++ b/fleet/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot keeps one memory of a proxy in a folder: versioned, with a checksum, written whole beside the old one and renamed. It
-// owns those files and their form. It must never leave a half-written one in the old one's place, nor give one that is not whole.
+// Package snapshot stores one snapshot of a proxy in a file with a version and a checksum. A new one is written
+// next to the old one and then renamed. An incomplete file never replaces a complete one, and is never returned.
 package snapshot
 
 import (
@@ -18,30 +18,30 @@
 )
 
 const (
-	name    = "memory.snap"
-	magic   = "IVYSNAP"
-	version = 1 // of the form; a field more does not change it
-	head    = len(magic) + 1 + 8
-	tail    = 8
-	// Most bytes of a file: about 10,000 servers.
+	fileName    = "memory.snap"
+	magic       = "IVYSNAP"
+	version     = 1 // of the format; an additional field does not change it
+	headerSize  = len(magic) + 1 + 8
+	trailerSize = 8
+	// MaxBytes is the maximum size of a file: about 10,000 servers.
 	MaxBytes = 4 << 20
 )
 
-// What can be wrong with a file. All of them mean: start without it.
+// Reasons for which a file is not usable. With each of them the proxy starts without a snapshot.
 var (
 	ErrNotSnapshot = errors.New("not a snapshot")
-	ErrVersion     = errors.New("of another version")
-	ErrLength      = errors.New("cut short or too long")
-	ErrChecksum    = errors.New("its checksum does not hold")
-	ErrFormat      = errors.New("its content is not of the form")
+	ErrVersion     = errors.New("unsupported format version")
+	ErrLength      = errors.New("length is not the stated one or too large")
+	ErrChecksum    = errors.New("checksum mismatch")
+	ErrFormat      = errors.New("content is malformed or out of range")
 )
 
 var encoder, decoder = strictcbor.Modes(cbor.DecOptions{})
 
-// Path is the file in a folder.
-func Path(folder string) string { return filepath.Join(folder, name) }
+// Path returns the path of the file in a folder.
+func Path(folder string) string { return filepath.Join(folder, fileName) }
 
-// Encode gives the bytes of a file.
+// Encode returns the content of a file, or ErrLength if it is too long.
 func Encode(m *warmstart.Snapshot) ([]byte, error) {
 	body, err := encoder.Marshal(m)
 	if err != nil {
@@ -50,31 +50,31 @@
 	b := append([]byte(magic), version)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(body)))
 	b = append(b, body...)
-	if len(b)+tail > MaxBytes {
+	if len(b)+trailerSize > MaxBytes {
 		return nil, ErrLength
 	}
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)), nil
 }
 
-// Decode reads a file's bytes, or says what is wrong with them.
+// Decode decodes the content of a file, or returns the reason for which it is not usable.
 func Decode(b []byte) (m warmstart.Snapshot, err error) {
 	switch {
 	case len(b) < len(magic) || string(b[:len(magic)]) != magic:
 		return m, ErrNotSnapshot
 	case len(b) > len(magic) && b[len(magic)] != version:
 		return m, ErrVersion
-	case len(b) < head+tail || len(b) > MaxBytes || binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-head-tail):
+	case len(b) < headerSize+trailerSize || len(b) > MaxBytes || binary.BigEndian.Uint64(b[len(magic)+1:]) != uint64(len(b)-headerSize-trailerSize):
 		return m, ErrLength
-	case binary.BigEndian.Uint64(b[len(b)-tail:]) != xxhash.Sum64(b[:len(b)-tail]):
+	case binary.BigEndian.Uint64(b[len(b)-trailerSize:]) != xxhash.Sum64(b[:len(b)-trailerSize]):
 		return m, ErrChecksum
 	}
-	if decoder.Unmarshal(b[head:len(b)-tail], &m) != nil || !m.Valid() {
+	if decoder.Unmarshal(b[headerSize:len(b)-trailerSize], &m) != nil || !m.Valid() {
 		return warmstart.Snapshot{}, ErrFormat
 	}
 	return m, nil
 }
 
-// Read reads the file of a folder; fs.ErrNotExist where there is none.
+// Read reads the file in a folder. The error is fs.ErrNotExist if there is none.
 func Read(folder string) (warmstart.Snapshot, error) {
 	info, err := os.Stat(Path(folder))
 	if err != nil {
@@ -94,7 +94,7 @@
 	return m, err
 }
 
-// Write puts a memory in the place of the one before, which stays where that fails.
+// Write replaces the file in a folder. The old file stays if that fails.
 func Write(folder string, m *warmstart.Snapshot) error {
 	b, err := Encode(m)
 	if err != nil {
@@ -103,22 +103,23 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	fresh := Path(folder) + ".new"
-	f, err := os.OpenFile(fresh, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	tempPath := Path(folder) + ".new"
+	f, err := os.OpenFile(tempPath, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	// It is not waited for the disk: a process that is killed meanwhile could not end, nor the next begin, before that is done. What a
-	// machine's end tears the checksum shows, and by then it would be too old.
+	// No fsync: a process that is killed meanwhile could not end, and its successor not start, before it
+	// completes. The checksum detects what a crash of the machine damages, and by then the snapshot would be too
+	// old anyway.
 	_, err = f.Write(b)
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(fresh, Path(folder))
+		err = os.Rename(tempPath, Path(folder))
 	}
 	if err != nil {
-		_ = os.Remove(fresh)
+		_ = os.Remove(tempPath)
 	}
 	return err
 }
--- a/rehearse/trace/trace.go
+++ b/rehearse/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace reads public cluster traces in CSV, row by row, into one row type. It owns the column layouts that it
-// knows and what counts as a bad row. It must never hold a file, put rows into another order, or pass over a row without
-// saying so.
+// Package trace reads public cluster traces in CSV, row by row, into one row type. It defines the known column layouts
+// and what counts as a bad row. It never keeps a whole file in memory, reorders rows, or drops a bad row without an
+// error.
 package trace
 
 import (
@@ -14,80 +14,81 @@
 	"strings"
 )
 
-// Row is one row that stands for work that arrived.
+// Row is one row of a trace, which describes the arrival of work.
 type Row struct {
 	Line   int
-	At     int64 // nanoseconds from the trace's own start
-	Work   int64 // nanoseconds of one core
+	At     int64 // nanoseconds since the start of the trace
+	Work   int64 // core time in nanoseconds
 	Kind   string
 	Key    string
 	Tenant string
 }
 
-// Problem is what is wrong with one row, which is left out for it.
-type Problem struct {
-	Line int
-	What string
+// RowError is the error of one bad row, which is skipped.
+type RowError struct {
+	Line   int
+	Reason string
 }
 
-func (p *Problem) Error() string { return fmt.Sprintf("line %d: %s", p.Line, p.What) }
+func (p *RowError) Error() string { return fmt.Sprintf("line %d: %s", p.Line, p.Reason) }
 
-// Layout says which columns mean what. Names count where the file has a header, else places from 0.
+// Layout assigns meanings to the columns of a file. Columns are found by name if the file has a header, else by position,
+// counted from 0.
 type Layout struct {
-	Header  bool
-	Columns []string          // all of them, in order; with a header only those that must be there
-	At      string            // arrival; End less Work where there is none
-	End     string            // end, where the file tells that instead
-	Work    string            // duration; End less At where there is none
-	Kind    string            // what the rule set goes by
-	Key     string            // what reqs are about
-	Tenant  string            // who asks
-	Only    map[string]string // rows with other values in these columns are no arrivals, and are no problem
-	Unit    float64           // nanoseconds in a unit of time
-	Scale   float64           // what a unit of Work is in units of time; 0: one
+	Header          bool
+	Columns         []string          // all columns in order; with a header only the required ones
+	At              string            // arrival; if empty, it is End minus Work
+	End             string            // end, for files that have it instead of one of the others
+	Work            string            // duration; if empty, it is End minus At
+	Kind            string            // what a rule set is chosen by
+	Key             string            // the key that requests concern
+	Tenant          string            // who sends the request
+	Filter          map[string]string // rows with other values in these columns are skipped without an error
+	UnitNanoseconds float64           // length of the file's unit of time, in nanoseconds
+	WorkScale       float64           // factor from the unit of Work to the unit of time; 0: the same
 }
 
-// Layouts are those known by name, after the published descriptions of each trace.
+// Layouts are the known layouts by name, from the published description of each trace.
 var Layouts = map[string]Layout{
-	// Google cluster data 2011, task_events: microseconds, no header; event type 0 is a submission. Its request for cores
-	// stands in for the work, which the table does not tell.
+	// Google cluster data 2011, task_events: microseconds, no header; event type 0 is a submission. The requested cores are
+	// used as the work, which the table doesn't contain.
 	"google-2011-task-events": {
 		Columns: []string{"time", "missing_info", "job_id", "task_index", "machine_id", "event_type", "user",
 			"scheduling_class", "priority", "cpu_request", "memory_request", "disk_space_request", "different_machines"},
 		At: "time", Work: "cpu_request", Kind: "scheduling_class", Key: "job_id", Tenant: "user",
-		Only: map[string]string{"event_type": "0"}, Unit: 1e3, Scale: 1e6,
+		Filter: map[string]string{"event_type": "0"}, UnitNanoseconds: 1e3, WorkScale: 1e6,
 	},
 	// Alibaba cluster trace 2018, batch_task: seconds, no header.
 	"alibaba-2018-batch-task": {
 		Columns: []string{"task_name", "instance_num", "job_name", "task_type", "status", "start_time", "end_time",
 			"plan_cpu", "plan_mem"},
 		At: "start_time", End: "end_time", Kind: "task_type", Key: "job_name", Tenant: "task_type",
-		Only: map[string]string{"status": "Terminated"}, Unit: 1e9,
+		Filter: map[string]string{"status": "Terminated"}, UnitNanoseconds: 1e9,
 	},
-	// Azure Functions invocation trace 2021: seconds, with a header; it tells when an invocation ended.
+	// Azure Functions invocation trace 2021: seconds, with a header; it contains the end of each invocation.
 	"azure-2021-invocations": {
 		Header: true, Columns: []string{"app", "func", "end_timestamp", "duration"},
-		End: "end_timestamp", Work: "duration", Kind: "func", Key: "func", Tenant: "app", Unit: 1e9,
+		End: "end_timestamp", Work: "duration", Kind: "func", Key: "func", Tenant: "app", UnitNanoseconds: 1e9,
 	},
 }
 
-// Reader reads rows.
+// Reader reads the rows of a trace.
 type Reader struct {
-	csv    *csv.Reader
-	layout Layout
-	at     map[string]int // place of each column
-	width  int
-	last   int64
-	tail   *tail
+	csv         *csv.Reader
+	layout      Layout
+	columnIndex map[string]int // position of each column by name
+	width       int
+	lastArrival int64
+	input       *lastByteReader
 }
 
-// tail remembers the last byte that was read: a file that does not end a line was cut.
-type tail struct {
+// lastByteReader keeps the last byte that was read: a file whose last line has no end was truncated.
+type lastByteReader struct {
 	io.Reader
 	last byte
 }
 
-func (t *tail) Read(b []byte) (int, error) {
+func (t *lastByteReader) Read(b []byte) (int, error) {
 	n, err := t.Reader.Read(b)
 	if n > 0 {
 		t.last = b[n-1]
@@ -95,13 +96,13 @@
 	return n, err
 }
 
-// NewReader reads a header, if the layout has one. Names renames columns: what the layout calls them to what the file does.
+// NewReader reads the header, if the layout has one. Names maps column names of the layout to those of the file.
 func NewReader(r io.Reader, l Layout, names map[string]string) (*Reader, error) {
-	t := &tail{Reader: r}
-	x := &Reader{csv: csv.NewReader(t), layout: l, at: map[string]int{}, last: math.MinInt64, tail: t}
+	input := &lastByteReader{Reader: r}
+	x := &Reader{csv: csv.NewReader(input), layout: l, columnIndex: map[string]int{}, lastArrival: math.MinInt64, input: input}
 	x.csv.FieldsPerRecord, x.csv.ReuseRecord = -1, true
-	if l.Unit <= 0 {
-		return nil, errors.New("no unit of time")
+	if l.UnitNanoseconds <= 0 {
+		return nil, errors.New("layout has no unit of time")
 	}
 	columns := slices.Clone(l.Columns)
 	for i, c := range columns {
@@ -111,7 +112,7 @@
 	}
 	if !l.Header {
 		for i, c := range l.Columns {
-			x.at[c] = i
+			x.columnIndex[c] = i
 		}
 		x.width = len(l.Columns)
 		return x, nil
@@ -126,12 +127,12 @@
 		if n < 0 {
 			return nil, fmt.Errorf("line 1: no column %q", c)
 		}
-		x.at[l.Columns[i]] = n
+		x.columnIndex[l.Columns[i]] = n
 	}
 	return x, nil
 }
 
-// Next gives the next arrival. A *Problem leaves one row out and reading may go on; io.EOF is the end.
+// Next gives the next arrival. After a *RowError, which skips one row, reading can go on; io.EOF is the end.
 func (r *Reader) Next() (Row, error) {
 	for {
 		record, err := r.csv.Read()
@@ -140,7 +141,7 @@
 		}
 		var bad *csv.ParseError
 		if errors.As(err, &bad) {
-			return Row{}, &Problem{bad.StartLine, bad.Err.Error()}
+			return Row{}, &RowError{bad.StartLine, bad.Err.Error()}
 		}
 		if err != nil {
 			return Row{}, err
@@ -155,24 +156,24 @@
 }
 
 func (r *Reader) row(line int, record []string) (row Row, skip bool, err error) {
-	wrong := func(format string, a ...any) (Row, bool, error) {
-		return Row{}, false, &Problem{line, fmt.Sprintf(format, a...)}
+	bad := func(format string, a ...any) (Row, bool, error) {
+		return Row{}, false, &RowError{line, fmt.Sprintf(format, a...)}
 	}
 	if len(record) != r.width {
-		what := "missing columns, or a line that was cut"
+		reason := "missing columns, or a truncated line"
 		if len(record) > r.width {
-			what = "too many columns"
+			reason = "too many columns"
 		}
-		return wrong("%s: %d of %d", what, len(record), r.width)
+		return bad("%s: %d of %d", reason, len(record), r.width)
 	}
 	l := r.layout
 	value := func(column string) string {
 		if column == "" {
 			return ""
 		}
-		return strings.TrimSpace(record[r.at[column]])
+		return strings.TrimSpace(record[r.columnIndex[column]])
 	}
-	for column, only := range l.Only {
+	for column, only := range l.Filter {
 		if value(column) != only {
 			return Row{}, true, nil
 		}
@@ -181,7 +182,7 @@
 		text := value(column)
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-			return 0, &Problem{line, fmt.Sprintf("%s=%q is no number", column, text)}
+			return 0, &RowError{line, fmt.Sprintf("%s=%q is no number", column, text)}
 		}
 		return n, nil
 	}
@@ -197,8 +198,8 @@
 			return Row{}, false, err
 		}
 	}
-	if l.Scale > 0 {
-		work *= l.Scale
+	if l.WorkScale > 0 {
+		work *= l.WorkScale
 	}
 	switch {
 	case l.At == "":
@@ -206,16 +207,16 @@
 	case l.Work == "":
 		work = end - at
 	}
-	if at < 0 || work < 0 || at*l.Unit > math.MaxInt64/4 || work*l.Unit > math.MaxInt64/4 {
-		return wrong("times out of range: arrival %g, work %g", at, work)
+	if at < 0 || work < 0 || at*l.UnitNanoseconds > math.MaxInt64/4 || work*l.UnitNanoseconds > math.MaxInt64/4 {
+		return bad("times out of range: arrival %g, work %g", at, work)
 	}
-	row = Row{line, int64(math.Round(at * l.Unit)), int64(math.Round(work * l.Unit)), value(l.Kind), value(l.Key), value(l.Tenant)}
-	if row.At < r.last {
-		return wrong("out of time order: %.6f s after %.6f s", float64(row.At)/1e9, float64(r.last)/1e9)
+	row = Row{line, int64(math.Round(at * l.UnitNanoseconds)), int64(math.Round(work * l.UnitNanoseconds)), value(l.Kind), value(l.Key), value(l.Tenant)}
+	if row.At < r.lastArrival {
+		return bad("out of time order: %.6f s after %.6f s", float64(row.At)/1e9, float64(r.lastArrival)/1e9)
 	}
-	r.last = row.At
+	r.lastArrival = row.At
 	return row, false, nil
 }
 
-// Cut says, after the end, whether the last line was not ended.
-func (r *Reader) Cut() bool { return r.tail.last != 0 && r.tail.last != '\n' }
+// Truncated says, after the end of the file, whether its last line has no end.
+func (r *Reader) Truncated() bool { return r.input.last != 0 && r.input.last != '\n' }
