--- a/fleet/charter/algebra.go
+++ b/fleet/charter/algebra.go
@@ -1,7 +1,7 @@
 package charter
 
-// This file owns the algebra by which what several rules say becomes one value (docs/charter.md). It must
-// never know where a rule came from.
+// This file holds the algebra that combines the values of several rules into one (docs/charter.md). It does not know
+// where a rule comes from.
 
 import (
 	"cmp"
@@ -9,89 +9,95 @@
 	"slices"
 )
 
-// The slots of bounds: limits, quotas, then these.
+// The slots of Value.Bound: first the limits, then the quotas, then ValueSlot and FurtherSlot.
 const (
-	quotas   = 6
-	Billing  = 18 // the value of a req
-	Further  = 19 // further dispatches, as a part of first ones
-	bounds   = 20
-	tops     = ^uint64(0)
-	mostTier = 8
+	limitSlots  = 6
+	ValueSlot   = 18 // the value of a request
+	FurtherSlot = 19 // further dispatches, as a fraction of first ones
+	slotCount   = 20
+	noRank      = ^uint64(0)
+	maxTiers    = 8
 )
 
-// Limit is the slot of a limit; unit is 0 reqs, 1 cost, 2 worth, per is 0 second, 1 in flight.
-func Limit(unit, per int) int { return unit*len(limitPer) + per }
+// LimitSlot returns the slot of a limit. unit is 0 for requests, 1 for cost, 2 for worth; per is 0 for a second, 1
+// for in flight.
+func LimitSlot(unit, per int) int { return unit*len(limitPer) + per }
 
-// Quota is the slot of a quota; per is 0 minute, 1 hour, 2 day, 3 month.
-func Quota(unit, per int) int { return quotas + unit*len(quotaPer) + per }
+// QuotaSlot returns the slot of a quota. unit is as for LimitSlot; per is 0 for a minute, 1 an hour, 2 a day, 3 a
+// month.
+func QuotaSlot(unit, per int) int { return limitSlots + unit*len(quotaPer) + per }
 
-// Set is a set of places: bits for zones, cells and kinds.
-type Set [4]uint64
+// PlaceSet is a set of places of servers, as a bit set: zones, cells and kinds.
+type PlaceSet [4]uint64
 
-const mostPlaces = 64 * len(Set{})
+const maxPlaces = 64 * len(PlaceSet{})
 
-// Has says whether all places of another set are in it.
-func (s Set) Has(t Set) bool {
+// Contains reports whether s contains all places of t.
+func (s PlaceSet) Contains(t PlaceSet) bool {
 	return t[0]&^s[0]|t[1]&^s[1]|t[2]&^s[2]|t[3]&^s[3] == 0
 }
 
-// Meets says whether both have a place in common.
-func (s Set) Meets(t Set) bool { return !s.and(t).empty() }
+// Intersects reports whether s and t have a place in common.
+func (s PlaceSet) Intersects(t PlaceSet) bool { return !s.intersect(t).isEmpty() }
 
-func (s Set) and(t Set) Set   { return Set{s[0] & t[0], s[1] & t[1], s[2] & t[2], s[3] & t[3]} }
-func (s Set) or(t Set) Set    { return Set{s[0] | t[0], s[1] | t[1], s[2] | t[2], s[3] | t[3]} }
-func (s Set) not() Set        { return Set{^s[0], ^s[1], ^s[2], ^s[3]} }
-func (s Set) empty() bool     { return s == Set{} }
-func (s Set) at(i int32) bool { return s[i/64]>>(i%64)&1 == 1 }
-func (s *Set) add(i int32)    { s[i/64] |= 1 << (i % 64) }
+func (s PlaceSet) intersect(t PlaceSet) PlaceSet {
+	return PlaceSet{s[0] & t[0], s[1] & t[1], s[2] & t[2], s[3] & t[3]}
+}
+func (s PlaceSet) union(t PlaceSet) PlaceSet {
+	return PlaceSet{s[0] | t[0], s[1] | t[1], s[2] | t[2], s[3] | t[3]}
+}
+func (s PlaceSet) complement() PlaceSet { return PlaceSet{^s[0], ^s[1], ^s[2], ^s[3]} }
+func (s PlaceSet) isEmpty() bool        { return s == PlaceSet{} }
+func (s PlaceSet) hasBit(i int32) bool  { return s[i/64]>>(i%64)&1 == 1 }
+func (s *PlaceSet) add(i int32)         { s[i/64] |= 1 << (i % 64) }
 
-// Part is what one rule guarantees, in reqs, cost or worth a second.
-type Part struct {
+// Guarantee is what one rule guarantees, in requests, cost or worth per second.
+type Guarantee struct {
 	Rule   string
 	Unit   int
 	Amount float64
 }
 
-// Value is what rules together say of one req. None says nothing.
+// Value is the combined value of the rules that apply to one request. None is the value of no rules.
 type Value struct {
-	Bound   [bounds]float64 // the tighter of both
-	Sure    []Part          // each rule once, sorted; they add up
-	Rank    uint64          // order of denial, the root's in the highest byte: the lower goes first
-	Allowed Set             // places that all allow
-	Frozen  Set             // places where any forbids work
+	Bound      [slotCount]float64 // by slot; the lower of two counts
+	Guaranteed []Guarantee        // each rule once, sorted; their amounts add up
+	Rank       uint64             // order of denial, with the root's in the highest byte; the lower is denied first
+	Allowed    PlaceSet           // places that all rules allow
+	Frozen     PlaceSet           // places where any rule forbids work
 }
 
-// None is what no rule says.
+// None returns the value of no rules.
 func None() Value {
-	v := Value{Rank: tops, Allowed: Set{}.not()}
+	v := Value{Rank: noRank, Allowed: PlaceSet{}.complement()}
 	for i := range v.Bound {
 		v.Bound[i] = math.Inf(1)
 	}
 	return v
 }
 
-// Merge is what both say together. Bounds meet, guarantees add (a rule told twice counts once, at its lower
-// amount), ranks meet within each tier of the tree, places intersect, freezes unite. Commutative, associative
-// and idempotent; None changes nothing.
+// Merge combines two values. Of bounds the lower counts; guarantees add up, where a rule that occurs twice counts
+// once, at its lower amount; of ranks the lower counts within each tier of the tree; allowed places are intersected
+// and frozen places united. Merge is commutative, associative and idempotent; None is its neutral element.
 func (v Value) Merge(w Value) Value {
 	for i, x := range w.Bound {
 		v.Bound[i] = min(v.Bound[i], x)
 	}
-	v.Rank, v.Allowed, v.Frozen = lower(v.Rank, w.Rank), v.Allowed.and(w.Allowed), v.Frozen.or(w.Frozen)
-	all := slices.Concat(v.Sure, w.Sure)
-	slices.SortFunc(all, func(x, y Part) int {
+	v.Rank, v.Allowed, v.Frozen = minRank(v.Rank, w.Rank), v.Allowed.intersect(w.Allowed), v.Frozen.union(w.Frozen)
+	all := slices.Concat(v.Guaranteed, w.Guaranteed)
+	slices.SortFunc(all, func(x, y Guarantee) int {
 		return cmp.Or(cmp.Compare(x.Rule, y.Rule), cmp.Compare(x.Unit, y.Unit), cmp.Compare(x.Amount, y.Amount))
 	})
-	v.Sure = slices.CompactFunc(all, func(x, y Part) bool { return x.Rule == y.Rule && x.Unit == y.Unit })
+	v.Guaranteed = slices.CompactFunc(all, func(x, y Guarantee) bool { return x.Rule == y.Rule && x.Unit == y.Unit })
 	return v
 }
 
-// lower takes the lower of each byte.
-func lower(v, w uint64) uint64 {
-	if v == tops || v == w {
+// minRank returns the lower of each byte.
+func minRank(v, w uint64) uint64 {
+	if v == noRank || v == w {
 		return w
 	}
-	if w == tops {
+	if w == noRank {
 		return v
 	}
 	for i := 0; i < 64; i += 8 {
@@ -102,48 +108,48 @@
 	return v
 }
 
-// Effective is a value as the req path reads it.
+// Effective is a value in the form that the request path reads.
 type Effective struct {
-	Bound   [bounds]float64 // +Inf: none
-	Sure    [3]float64      // guaranteed a second, in reqs, cost and worth
-	Rank    uint64          // the lower is denied first
-	Allowed Set
+	Bound      [slotCount]float64 // by slot; +Inf: no bound
+	Guaranteed [3]float64         // per second, in requests, cost and worth
+	Rank       uint64             // the lower is denied first
+	Allowed    PlaceSet
 }
 
-// Flat adds up what is guaranteed.
-func (v Value) Flat() Effective {
+// Flatten adds up the guarantees.
+func (v Value) Flatten() Effective {
 	e := Effective{Bound: v.Bound, Rank: v.Rank, Allowed: v.Allowed}
-	for _, p := range v.Sure {
-		e.Sure[p.Unit] += p.Amount
+	for _, p := range v.Guaranteed {
+		e.Guaranteed[p.Unit] += p.Amount
 	}
 	return e
 }
 
-// Meet is what holds where two editions both bind: the tighter of each, guarantees too, so that nobody is
-// promised what either lacks.
+// Meet restricts e to what also holds by o, for two editions that are both binding: the lower of each value, also of
+// guarantees, so that nobody is promised what one of the editions does not give.
 func (e *Effective) Meet(o *Effective) {
 	for i, x := range o.Bound {
 		if x < e.Bound[i] {
 			e.Bound[i] = x
 		}
 	}
-	for i, x := range o.Sure {
-		if x < e.Sure[i] {
-			e.Sure[i] = x
+	for i, x := range o.Guaranteed {
+		if x < e.Guaranteed[i] {
+			e.Guaranteed[i] = x
 		}
 	}
-	e.Rank, e.Allowed = lower(e.Rank, o.Rank), e.Allowed.and(o.Allowed)
+	e.Rank, e.Allowed = minRank(e.Rank, o.Rank), e.Allowed.intersect(o.Allowed)
 }
 
-// join adds what other rules of the same edition say of the same req.
-func (e *Effective) join(o *Effective) {
+// combine adds the values of other rules of the same edition for the same request.
+func (e *Effective) combine(o *Effective) {
 	for i, x := range o.Bound {
 		if x < e.Bound[i] {
 			e.Bound[i] = x
 		}
 	}
-	for i, x := range o.Sure {
-		e.Sure[i] += x
+	for i, x := range o.Guaranteed {
+		e.Guaranteed[i] += x
 	}
-	e.Rank, e.Allowed = lower(e.Rank, o.Rank), e.Allowed.and(o.Allowed)
+	e.Rank, e.Allowed = minRank(e.Rank, o.Rank), e.Allowed.intersect(o.Allowed)
 }
--- a/fleet/charter/algebra_test.go
+++ b/fleet/charter/algebra_test.go
@@ -10,32 +10,35 @@
 	"pgregory.net/rapid"
 )
 
+// drawValue draws a value.
 func drawValue(t *rapid.T, label string) Value {
 	v := None()
 	for range rapid.IntRange(0, 6).Draw(t, label) {
 		switch rapid.IntRange(0, 4).Draw(t, "what") {
 		case 0:
-			v.Bound[rapid.IntRange(0, bounds-1).Draw(t, "slot")] = float64(rapid.IntRange(0, 5).Draw(t, "bound"))
+			v.Bound[rapid.IntRange(0, slotCount-1).Draw(t, "slot")] = float64(rapid.IntRange(0, 5).Draw(t, "bound"))
 		case 1:
 			rule := rapid.SampledFrom([]string{"a/1", "a/2", "b/1"}).Draw(t, "rule")
-			v = v.Merge(Value{None().Bound, []Part{{rule, rapid.IntRange(0, 2).Draw(t, "unit"),
+			v = v.Merge(Value{None().Bound, []Guarantee{{rule, rapid.IntRange(0, 2).Draw(t, "unit"),
 				float64(rapid.IntRange(0, 5).Draw(t, "sure"))}},
-				tops, Set{}.not(), Set{}})
+				noRank, PlaceSet{}.complement(), PlaceSet{}})
 		case 2:
 			v.Rank = rapid.Uint64().Draw(t, "rank")
 		case 3:
-			v.Allowed = Set{rapid.Uint64().Draw(t, "allowed"), 5, 7, 0}
+			v.Allowed = PlaceSet{rapid.Uint64().Draw(t, "allowed"), 5, 7, 0}
 		case 4:
-			v.Frozen = Set{rapid.Uint64().Draw(t, "frozen")}
+			v.Frozen = PlaceSet{rapid.Uint64().Draw(t, "frozen")}
 		}
 	}
 	return v
 }
 
-// laws checks that a merge is commutative, associative and idempotent, and that None changes nothing.
+// algebraLaws returns which law a merge breaks: it has to be commutative, associative and idempotent, with None as
+// neutral element.
 func algebraLaws(merge func(Value, Value) Value, a, b, c Value) string {
 	same := func(x, y Value) bool {
-		return x.Bound == y.Bound && slices.Equal(x.Sure, y.Sure) && x.Rank == y.Rank && x.Allowed == y.Allowed &&
+		return x.Bound == y.Bound && slices.Equal(x.Guaranteed, y.Guaranteed) && x.Rank == y.Rank &&
+			x.Allowed == y.Allowed &&
 			x.Frozen == y.Frozen
 	}
 	switch {
@@ -53,69 +56,69 @@
 
 func TestAlgebra(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if wrong := algebraLaws(Value.Merge, drawValue(t, "a"), drawValue(t, "b"), drawValue(t, "c")); wrong != "" {
-			t.Error(wrong)
+		if problem := algebraLaws(Value.Merge, drawValue(t, "a"), drawValue(t, "b"), drawValue(t, "c")); problem != "" {
+			t.Error(problem)
 		}
 	})
 }
 
-// The meet of editions is commutative, associative and idempotent, and below both: no proxy under it passes
-// either.
+// The meet of two editions is commutative, associative and idempotent, and no value in it exceeds that of either
+// edition.
 func TestMeet(t *testing.T) {
 	meet := func(x, y Effective) Effective { x.Meet(&y); return x }
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawValue(t, "a").Flat(), drawValue(t, "b").Flat(), drawValue(t, "c").Flat()
+		a, b, c := drawValue(t, "a").Flatten(), drawValue(t, "b").Flatten(), drawValue(t, "c").Flatten()
 		m := meet(a, b)
 		if m != meet(b, a) || meet(m, c) != meet(a, meet(b, c)) || meet(a, a) != a {
-			t.Error("no meet")
+			t.Error("the meet is not commutative, associative and idempotent")
 		}
 		for i := range m.Bound {
 			if m.Bound[i] > a.Bound[i] || m.Bound[i] > b.Bound[i] {
-				t.Error("a bound above one of both")
+				t.Error("a bound above that of one of the two")
 			}
 		}
-		for i := range m.Sure {
-			if m.Sure[i] > a.Sure[i] || m.Sure[i] > b.Sure[i] {
-				t.Error("a guarantee above one of both")
+		for i := range m.Guaranteed {
+			if m.Guaranteed[i] > a.Guaranteed[i] || m.Guaranteed[i] > b.Guaranteed[i] {
+				t.Error("a guarantee above that of one of the two")
 			}
 		}
-		if !a.Allowed.Has(m.Allowed) || !b.Allowed.Has(m.Allowed) {
-			t.Error("a place that one of both forbids")
+		if !a.Allowed.Contains(m.Allowed) || !b.Allowed.Contains(m.Allowed) {
+			t.Error("a place that one of the two forbids")
 		}
 	})
 }
 
-// largest is a faulty merge: of guarantees the largest counts.
-func largest(v, w Value) Value {
+// largestGuarantee is a faulty merge that takes the largest guarantee instead of adding them.
+func largestGuarantee(v, w Value) Value {
 	m := v.Merge(w)
-	best := map[int]Part{}
-	for _, p := range m.Sure {
+	best := map[int]Guarantee{}
+	for _, p := range m.Guaranteed {
 		if b, ok := best[p.Unit]; !ok || p.Amount > b.Amount {
 			best[p.Unit] = p
 		}
 	}
-	m.Sure = nil
+	m.Guaranteed = nil
 	for unit := range units {
 		if p, ok := best[unit]; ok {
-			m.Sure = append(m.Sure, p)
+			m.Guaranteed = append(m.Guaranteed, p)
 		}
 	}
 	return m
 }
 
-// picture compares what a picture says of each req with what the rules that the judge finds in force say
-// together, merged in any order and some of them twice.
-func pictured(t *rapid.T, merge func(Value, Value) Value) string {
-	files := world(t)
-	c, j := Merge(files, begin, nil), newJudge(files)
-	laws, wrong := j.laws(), ""
-	at := begin + int64(rapid.IntRange(0, 60).Draw(t, "at"))*step
-	p := c.Picture(at)
-	reqs(func(tenant, set string) {
+// checkSnapshot compares the values of a snapshot for each request with the values of the rules that are in force
+// according to the reference, merged in any order and some of them twice.
+func checkSnapshot(t *rapid.T, merge func(Value, Value) Value) string {
+	files := randomFiles(t)
+	c, ref := Merge(files, startTime, nil), newReference(files)
+	rules, problem := ref.rules(), ""
+	at := startTime + int64(rapid.IntRange(0, 60).Draw(t, "at"))*gridStep
+	p := c.Snapshot(at)
+	eachRequest(func(tenant, set string) {
 		want := None()
 		var hit []Value
-		for _, x := range laws {
-			if x.open[at] && j.covers(x, tenant, set) && !(x.places() && x.Kind == "limit") {
+		for _, x := range rules {
+			if x.open[at] && ref.covers(x, tenant, set) && !(x.namesPlaces() && x.Kind == "limit") {
 				i := slices.IndexFunc(c.rules, func(r *rule) bool { return r.At == x.At })
 				hit = append(hit, c.rules[i].value())
 			}
@@ -129,102 +132,103 @@
 			}
 		}
 		var got Effective
-		p.Of(tenant, set, &got)
-		if got != want.Flat() {
-			wrong = fmt.Sprintf("tenant %q, rule set %q: %v, want %v", tenant, set, got, want.Flat())
+		p.Lookup(tenant, set, &got)
+		if got != want.Flatten() {
+			problem = fmt.Sprintf("tenant %q, rule set %q: %v, want %v", tenant, set, got, want.Flatten())
 		}
 	})
-	return wrong
+	return problem
 }
 
-func TestPicture(t *testing.T) {
+func TestSnapshotAgainstRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if wrong := pictured(t, Value.Merge); wrong != "" {
-			t.Error(wrong)
+		if problem := checkSnapshot(t, Value.Merge); problem != "" {
+			t.Error(problem)
 		}
 	})
 }
 
-// What takes the largest guarantee instead of adding is found.
-func TestBrokenGuarantees(t *testing.T) {
-	tried := rapid.Custom(func(t *rapid.T) string { return pictured(t, largest) })
+// A merge that takes the largest guarantee instead of adding them is found.
+func TestFaultyMergeFound(t *testing.T) {
+	generator := rapid.Custom(func(t *rapid.T) string { return checkSnapshot(t, largestGuarantee) })
 	for seed := range 500 {
-		if tried.Example(seed) != "" {
-			t.Logf("found by universe %d", seed)
+		if generator.Example(seed) != "" {
+			t.Logf("found with seed %d", seed)
 			return
 		}
 	}
-	t.Error("not found in 500 universes")
+	t.Error("not found with 500 seeds")
 }
 
-// A picture holds until its end, and its values at each moment are the rules' own.
-func TestPictureUntil(t *testing.T) {
+// The values of a snapshot do not change before its end.
+func TestSnapshotUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Merge(world(t), begin, nil)
-		at := begin + int64(rapid.IntRange(0, 60).Draw(t, "at"))*step
-		p := c.Picture(at)
+		c := Merge(randomFiles(t), startTime, nil)
+		at := startTime + int64(rapid.IntRange(0, 60).Draw(t, "at"))*gridStep
+		p := c.Snapshot(at)
 		if p.Until <= at {
 			t.Fatalf("at %d until %d", at, p.Until)
 		}
-		last := c.Picture(min(p.Until-1, at+40*weekly))
-		reqs(func(tenant, set string) {
+		last := c.Snapshot(min(p.Until-1, at+40*weekLength))
+		eachRequest(func(tenant, set string) {
 			var x, y Effective
-			p.Of(tenant, set, &x)
-			if last.Of(tenant, set, &y); x != y {
-				t.Errorf("tenant %q, rule set %q changed before the picture's end", tenant, set)
+			p.Lookup(tenant, set, &x)
+			if last.Lookup(tenant, set, &y); x != y {
+				t.Errorf("tenant %q, rule set %q: changed before the end of the snapshot", tenant, set)
 			}
 		})
 	})
 }
 
-// The order in which teams hand in changes nothing.
-func TestOrder(t *testing.T) {
+// The order of the files does not matter.
+func TestFileOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		files := world(t)
-		a, b := Merge(files, begin, nil), Merge(rapid.Permutation(files).Draw(t, "order"), begin, nil)
-		if !reflect.DeepEqual(a.Conflicts, b.Conflicts) || !reflect.DeepEqual(a.Effects(begin), b.Effects(begin)) {
+		files := randomFiles(t)
+		a, b := Merge(files, startTime, nil), Merge(rapid.Permutation(files).Draw(t, "order"), startTime, nil)
+		if !reflect.DeepEqual(a.Conflicts, b.Conflicts) ||
+			!reflect.DeepEqual(a.Effects(startTime), b.Effects(startTime)) {
 			t.Errorf("%v and %v", a.Conflicts, b.Conflicts)
 		}
 	})
 }
 
-// Where two editions bind, each req and place has what both give.
-func TestJoint(t *testing.T) {
+// If two editions are binding, each request and place has the values that both allow.
+func TestJointSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := Merge(world(t), begin, nil), Merge(world(t), begin, nil)
-		pa, pb, both := a.Picture(begin), b.Picture(begin), Draw(begin, a, b)
+		a, b := Merge(randomFiles(t), startTime, nil), Merge(randomFiles(t), startTime, nil)
+		pa, pb, both := a.Snapshot(startTime), b.Snapshot(startTime), NewSnapshot(startTime, a, b)
 		if both.Until != min(pa.Until, pb.Until) {
 			t.Errorf("until %d, of %d and %d", both.Until, pa.Until, pb.Until)
 		}
-		reqs(func(tenant, set string) {
+		eachRequest(func(tenant, set string) {
 			var x, y, z Effective
-			pa.Of(tenant, set, &x)
-			pb.Of(tenant, set, &y)
-			both.Of(tenant, set, &z)
+			pa.Lookup(tenant, set, &x)
+			pb.Lookup(tenant, set, &y)
+			both.Lookup(tenant, set, &z)
 			for i := range z.Bound {
 				if z.Bound[i] != math.Min(x.Bound[i], y.Bound[i]) {
 					t.Errorf("bound %d: %v of %v and %v", i, z.Bound[i], x.Bound[i], y.Bound[i])
 				}
 			}
-			for i := range z.Sure {
-				if z.Sure[i] != math.Min(x.Sure[i], y.Sure[i]) {
-					t.Errorf("guarantee: %v of %v and %v", z.Sure, x.Sure, y.Sure)
+			for i := range z.Guaranteed {
+				if z.Guaranteed[i] != math.Min(x.Guaranteed[i], y.Guaranteed[i]) {
+					t.Errorf("guarantee: %v of %v and %v", z.Guaranteed, x.Guaranteed, y.Guaranteed)
 				}
 			}
 			for _, zone := range append(universe[Zone], "other") {
 				for _, cell := range append(universe[Cell], "9") {
-					at := func(p *Picture) Set { return p.Mask(zone, cell, "k1") }
-					if z.Allowed.Has(at(both)) != (x.Allowed.Has(at(pa)) && y.Allowed.Has(at(pb))) {
+					at := func(p *Snapshot) PlaceSet { return p.Mask(zone, cell, "k1") }
+					if z.Allowed.Contains(at(both)) != (x.Allowed.Contains(at(pa)) && y.Allowed.Contains(at(pb))) {
 						t.Errorf("zone %s, cell %s", zone, cell)
 					}
-					one := func(p *Picture) bool { return !p.Frozen.and(at(p)).empty() }
+					one := func(p *Snapshot) bool { return !p.Frozen.intersect(at(p)).isEmpty() }
 					if one(both) != (one(pa) || one(pb)) {
 						t.Errorf("freeze at zone %s, cell %s", zone, cell)
 					}
 				}
 			}
 		})
-		for _, d := range []Dim{Zone, Cell, Kind} {
+		for _, d := range []Dimension{Zone, Cell, Kind} {
 			for _, name := range append(universe[d], "other") {
 				if both.Limit(d, name, 0) != math.Min(pa.Limit(d, name, 0), pb.Limit(d, name, 0)) {
 					t.Errorf("limit of %s %s", d, name)
--- a/fleet/charter/bench_test.go
+++ b/fleet/charter/bench_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	teams   = 500
-	perTeam = 40
+	teams        = 500
+	rulesPerTeam = 40
 )
 
-// large writes the files of 500 teams with 40 rules each: 20,000. Each team has three tenants and a rule set,
-// lives below one of 20 divisions, and uses a rule set of its neighbour by grant.
-func large() (texts map[string]string) {
+// largeCharter returns the files of 500 teams with 40 rules each, 20,000 in all, by name. Each team has three tenants
+// and a rule set, is a child of one of 20 divisions, and uses a rule set of its neighbour by grant.
+func largeCharter() (texts map[string]string) {
 	texts = map[string]string{}
 	var head strings.Builder
 	head.WriteString("format = \"ivybank/fleet/charter/1\"\nnamespace = \"fleet\"\nteam = " +
@@ -47,18 +47,19 @@
 		texts[fmt.Sprint("division", i)] = b.String()
 	}
 	for i := range teams {
-		texts[fmt.Sprint("team", i)] = team(i, 0)
+		texts[fmt.Sprint("team", i)] = teamFile(i, 0)
 	}
 	return texts
 }
 
-func team(i, more int) string {
+// teamFile returns the file of a team; more is added to the numbers of some rules.
+func teamFile(i, more int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "format = \"ivybank/fleet/charter/1\"\nnamespace = \"team%d\"\nteam = \"t\"\nparent = "+
 		"\"division%d\"\n", i, i%20)
 	fmt.Fprintf(&b, "[claims]\ntenants = [\"t%d-0\", \"t%d-1\", \"t%d-2\"]\nrulesets = [\"s%d\"]\n", i, i, i, i)
 	fmt.Fprintf(&b, "[[grant]]\nid = \"g\"\nto = \"team%d\"\nrulesets = [\"s%d\"]\n", (i+1)%teams, i)
-	for k := range perTeam {
+	for k := range rulesPerTeam {
 		fmt.Fprintf(&b, "[[rule]]\nid = \"r%d\"\ntenants = [\"t%d-%d\"]\n", k, i, k%3)
 		if k%2 == 0 {
 			fmt.Fprintf(&b, "window = \"w%d\"\n", k%10)
@@ -84,8 +85,8 @@
 	return b.String()
 }
 
-func parsed(tb testing.TB) (files []*File, texts map[string]string) {
-	texts = large()
+func readLargeCharter(tb testing.TB) (files []*File, texts map[string]string) {
+	texts = largeCharter()
 	for name, text := range texts {
 		f, err := Read(name+".toml", []byte(text))
 		if err != nil {
@@ -96,9 +97,8 @@
 	return files, texts
 }
 
-// spent is the processor time that this process has taken, ms: on a machine that others use the clock on the
-// wall says little.
-func spent() float64 {
+// cpuTimeMs returns the CPU time that this process has used, in ms. Wall clock time says little on a shared machine.
+func cpuTimeMs() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -106,12 +106,12 @@
 	return float64(u.Utime.Nano()+u.Stime.Nano()) / 1e6
 }
 
-// The whole charter, from the files' bytes. MB is all that the process has taken from the system: files,
-// charter, picture and garbage.
-func BenchmarkWhole(b *testing.B) {
-	texts := large()
+// BenchmarkReadAndMerge makes the charter from the files' bytes. MB is the memory that the process has obtained from
+// the system: files, charter, snapshot and garbage.
+func BenchmarkReadAndMerge(b *testing.B) {
+	texts := largeCharter()
 	b.ReportAllocs()
-	began := spent()
+	start := cpuTimeMs()
 	for b.Loop() {
 		var files []*File
 		for name, text := range texts {
@@ -122,30 +122,30 @@
 			files = append(files, f)
 		}
 		c := Merge(files, now, nil)
-		if c.Picture(now); len(c.Refused()) != 0 {
+		if c.Snapshot(now); len(c.Refused()) != 0 {
 			b.Fatal(c.Refused()[:1])
 		}
 	}
-	b.ReportMetric((spent()-began)/float64(b.N), "cpu-ms/op")
+	b.ReportMetric((cpuTimeMs()-start)/float64(b.N), "cpu-ms/op")
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	b.ReportMetric(float64(m.Sys)/1e6, "MB")
 }
 
-// The merge alone, of files that are read.
+// BenchmarkMerge merges files that are already parsed.
 func BenchmarkMerge(b *testing.B) {
-	files, _ := parsed(b)
+	files, _ := readLargeCharter(b)
 	b.ReportAllocs()
-	began := spent()
+	start := cpuTimeMs()
 	for b.Loop() {
 		Merge(files, now, nil)
 	}
-	b.ReportMetric((spent()-began)/float64(b.N), "cpu-ms/op")
+	b.ReportMetric((cpuTimeMs()-start)/float64(b.N), "cpu-ms/op")
 }
 
-// One namespace changed, from its bytes to the edition in force.
-func BenchmarkChanged(b *testing.B) {
-	files, _ := parsed(b)
+// BenchmarkChange changes one namespace, from the bytes of its file to the edition in force.
+func BenchmarkChange(b *testing.B) {
+	files, _ := readLargeCharter(b)
 	s := &State{}
 	at := map[string]*File{}
 	for _, f := range files {
@@ -154,41 +154,42 @@
 	s.Editions, s.Binding = []*Edition{{1, 1, at, Merge(files, now, nil)}}, 1
 	n := 0
 	b.ReportAllocs()
-	began := spent()
+	start := cpuTimeMs()
 	for b.Loop() {
 		n++
 		was := *s
-		if err := was.Apply(2, 1, propose(1, change("team7.toml", team(7, n%3+1))), nil); err != nil {
+		if err := was.Apply(2, 1, newProposal(1, fileChange("team7.toml", teamFile(7, n%3+1))), nil); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric((spent()-began)/float64(b.N), "cpu-ms/op")
+	b.ReportMetric((cpuTimeMs()-start)/float64(b.N), "cpu-ms/op")
 }
 
-func BenchmarkDecision(b *testing.B) {
-	files, _ := parsed(b)
+// BenchmarkLookup looks up the values for a request, with one and with two binding editions.
+func BenchmarkLookup(b *testing.B) {
+	files, _ := readLargeCharter(b)
 	c := Merge(files, now, nil)
-	for name, p := range map[string]*Picture{"alone": c.Picture(now), "joint": Draw(now, c, c)} {
+	for name, p := range map[string]*Snapshot{"alone": c.Snapshot(now), "joint": NewSnapshot(now, c, c)} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			var e Effective
 			for b.Loop() {
-				p.Of("t7-0", "s7", &e)
+				p.Lookup("t7-0", "s7", &e)
 			}
-			if e.Bound[Limit(0, 0)] >= 1e8 {
+			if e.Bound[LimitSlot(0, 0)] >= 1e8 {
 				b.Fatal("no limit found")
 			}
 		})
 	}
 }
 
-// What the req path reads costs no allocation.
+// Lookups on the request path do not allocate.
 func TestNoAllocation(t *testing.T) {
-	c := Merge([]*File{read(t, "r.toml", root), read(t, "a.toml", tenantLimit(3)), read(t, "b.toml", child("b",
-		""))}, now, nil)
-	p := Draw(now, c, c)
+	c := Merge([]*File{read(t, "r.toml", root), read(t, "a.toml", fileWithTenantLimit(3)),
+		read(t, "b.toml", childFile("b", ""))}, now, nil)
+	p := NewSnapshot(now, c, c)
 	var e Effective
-	if n := testing.AllocsPerRun(100, func() { p.Of("t1", "s1", &e) }); n != 0 || e.Bound[Limit(0, 0)] != 3 {
+	if n := testing.AllocsPerRun(100, func() { p.Lookup("t1", "s1", &e) }); n != 0 || e.Bound[LimitSlot(0, 0)] != 3 {
 		t.Errorf("%v allocations, %v", n, e.Bound[0])
 	}
 }
--- a/fleet/charter/charter_test.go
+++ b/fleet/charter/charter_test.go
@@ -47,12 +47,12 @@
 number = 100
 `
 
-func child(name, more string) string {
+func childFile(name, more string) string {
 	return fmt.Sprintf("format = \"ivybank/fleet/charter/1\"\nnamespace = %q\nteam = %q\nparent = \"r\"\n%s",
 		name, name, more)
 }
 
-func kindOf(id, kind, more string) string {
+func ruleText(id, kind, more string) string {
 	return fmt.Sprintf("[[rule]]\nid = %q\nkind = %q\n%s\n", id, kind, more)
 }
 
@@ -60,10 +60,10 @@
 
 var now = time.Date(2026, 3, 2, 12, 0, 0, 0, time.UTC).UnixNano() // a Monday
 
-// Each class, told with both places and a witness.
+// Each class of conflicts is reported with both positions and a witness.
 func TestConflicts(t *testing.T) {
 	sure := func(id string, n int, more string) string {
-		return kindOf(id, "guarantee", fmt.Sprintf("unit = \"reqs\"\nnumber = %d\n%s", n, more))
+		return ruleText(id, "guarantee", fmt.Sprintf("unit = \"reqs\"\nnumber = %d\n%s", n, more))
 	}
 	for name, c := range map[string]struct {
 		a, b string
@@ -78,54 +78,54 @@
 			[]string{"refused: guaranteed above the limit: r.toml:23, a.toml:8: limit r/all, guarantees of " +
 				"a.toml:8, b.toml:8; " +
 				"at 2026-03-02T22:00:00Z a req of tenant t1 110 against 100"}},
-		"required and forbidden": {ownsT1 + kindOf("q", "require", "zones = [\"z1\"]\nrulesets = [\"s1\"]"),
-			"[claims]\nrulesets = [\"s2\"]\n" + kindOf("f", "never", "zones = [\"z1\"]\nuntil = 2026-07-01T00:00:00Z"),
+		"required and forbidden": {ownsT1 + ruleText("q", "require", "zones = [\"z1\"]\nrulesets = [\"s1\"]"),
+			"[claims]\nrulesets = [\"s2\"]\n" + ruleText("f", "never", "zones = [\"z1\"]\nuntil = 2026-07-01T00:00:00Z"),
 			nil},
-		"required and forbidden for one req": {ownsT1 + kindOf("q", "require", "zones = [\"z1\"]"),
-			"[claims]\nrulesets = [\"s2\"]\n" + kindOf("f", "never", "zones = [\"z1\"]\nuntil = 2026-07-01T00:00:00Z"),
+		"required and forbidden for one req": {ownsT1 + ruleText("q", "require", "zones = [\"z1\"]"),
+			"[claims]\nrulesets = [\"s2\"]\n" + ruleText("f", "never", "zones = [\"z1\"]\nuntil = 2026-07-01T00:00:00Z"),
 			[]string{"refused: required and forbidden: a.toml:8, b.toml:8: a/q requires what b/f forbids; " +
 				"at 2026-03-02T12:00:00Z a req of tenant t1 of rule set s2 by the name z1"}},
-		"nowhere to run": {ownsT1 + kindOf("o", "only", "zones = [\"z1\"]"),
-			"[claims]\nrulesets = [\"s2\"]\n" + kindOf("f", "never",
+		"nowhere to run": {ownsT1 + ruleText("o", "only", "zones = [\"z1\"]"),
+			"[claims]\nrulesets = [\"s2\"]\n" + ruleText("f", "never",
 				"zones = [\"z1\"]\nwindow = \"weekend\"\nuntil = 2026-07-01T00:00:00Z"),
 			[]string{"refused: nowhere to run: a.toml:8, b.toml:8: nothing is left by a/o, b/f; " +
 				"at 2026-03-07T00:00:00Z a req of tenant t1 of rule set s2"}},
-		"can never apply": {ownsT1 + kindOf("v", "value", "number = 1\nuntil = 2026-03-01T00:00:00Z"), "",
+		"can never apply": {ownsT1 + ruleText("v", "value", "number = 1\nuntil = 2026-03-01T00:00:00Z"), "",
 			[]string{"warned: can never apply: a.toml:8, a.toml:8: rule a/v is in force at no moment from now on; " +
 				"at 2026-03-02T12:00:00Z"}},
-		"a window that misses its span": {ownsT1 + kindOf("v", "value",
+		"a window that misses its span": {ownsT1 + ruleText("v", "value",
 			"number = 1\nwindow = \"weekend\"\nuntil = 2026-03-06T00:00:00Z"), "",
 			[]string{"warned: can never apply: a.toml:8, a.toml:8: rule a/v is in force at no moment from now on; " +
 				"at 2026-03-02T12:00:00Z"}},
-		"windows with other values": {ownsT1 + kindOf("n", "value", "number = 1\nwindow = \"night\"") + kindOf("w",
+		"windows with other values": {ownsT1 + ruleText("n", "value", "number = 1\nwindow = \"night\"") + ruleText("w",
 			"value", "number = 2\nwindow = \"weekend\""), "",
 			[]string{"warned: overlap with other values: a.toml:8, a.toml:13: a/n and a/w: the lower counts; " +
 				"at 2026-03-07T00:00:00Z a req of tenant t1 2 against 1"}},
-		"past the end of a delegation": {"", ownsT2 + kindOf("v", "value", "number = 1"),
+		"past the end of a delegation": {"", ownsT2 + ruleText("v", "value", "number = 1"),
 			[]string{"warned: used past its end: b.toml:8, r.toml:20: rule b/v goes on past 2026-07-01T00:00:00Z; " +
 				"at 2026-07-01T00:00:00Z"}},
 		"a grant revoked": {"[claims]\nrulesets = [\"s1\"]\n[[grant]]\nid = \"g\"\nto = \"b\"\nrulesets = " +
 			"[\"s1\"]\nrevoked = 2026-03-01T00:00:00Z\n",
-			ownsT2 + kindOf("v", "value", "number = 1\nrulesets = [\"s1\"]"),
+			ownsT2 + ruleText("v", "value", "number = 1\nrulesets = [\"s1\"]"),
 			[]string{"refused: used past its end: b.toml:8, a.toml:8: rule b/v goes on past 2026-03-01T00:00:00Z; " +
 				"at 2026-03-02T12:00:00Z"}},
-		"no grant": {"[claims]\nrulesets = [\"s1\"]\n", ownsT2 + kindOf("v", "value",
+		"no grant": {"[claims]\nrulesets = [\"s1\"]\n", ownsT2 + ruleText("v", "value",
 			"number = 1\nrulesets = [\"s1\"]"),
 			[]string{"refused: not owned: b.toml:8, a.toml:6: rule v names rule set s1, which b neither owns nor " +
 				"was granted; " +
 				"at 2026-03-02T12:00:00Z by the name s1"}},
-		"no such name": {ownsT1 + kindOf("v", "value", "number = 1\nrulesets = [\"s9\"]"), "",
+		"no such name": {ownsT1 + ruleText("v", "value", "number = 1\nrulesets = [\"s9\"]"), "",
 			[]string{"refused: no such name: a.toml:8, a.toml:8: rule set s9 of rule v; at 2026-03-02T12:00:00Z by " +
 				"the name s9"}},
-		"a freeze against a plan": {kindOf("z", "freeze", "zones = [\"z2\"]"), "",
+		"a freeze against a plan": {ruleText("z", "freeze", "zones = [\"z2\"]"), "",
 			[]string{"refused: freeze against a running plan: a.toml:6, plan kernel:0: rule a/z forbids work at " +
 				"zone z2, plan kernel runs there; " +
 				"at 2026-03-02T12:00:00Z by the name z2"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			files := []*File{read(t, "r.toml", root), read(t, "a.toml", child("a", c.a)), read(t, "b.toml", child("b",
-				c.b))}
-			got := Merge(files, now, []Running{{Plan: "kernel", Names: Names{Zones: []string{"z2"}}}}).Conflicts
+			files := []*File{read(t, "r.toml", root), read(t, "a.toml", childFile("a", c.a)),
+				read(t, "b.toml", childFile("b", c.b))}
+			got := Merge(files, now, []RunningPlan{{Plan: "kernel", Names: Names{Zones: []string{"z2"}}}}).Conflicts
 			all := make([]string, len(got))
 			for i, x := range got {
 				all[i] = x.String()
@@ -137,8 +137,8 @@
 	}
 }
 
-func TestCircle(t *testing.T) {
-	a, b := child("a", "[[delegate]]\nto = \"b\"\n"), child("b", "[[delegate]]\nto = \"a\"\n")
+func TestDelegationCycle(t *testing.T) {
+	a, b := childFile("a", "[[delegate]]\nto = \"b\"\n"), childFile("b", "[[delegate]]\nto = \"a\"\n")
 	a, b = strings.Replace(a, "\"r\"", "\"b\"", 1), strings.Replace(b, "\"r\"", "\"a\"", 1)
 	c := Merge([]*File{read(t, "b.toml", b), read(t, "r.toml", root), read(t, "a.toml", a)}, now, nil)
 	want := "refused: circle of delegation: a.toml:2, b.toml:2: a under b under a; at 2026-03-02T12:00:00Z"
@@ -147,26 +147,26 @@
 	}
 }
 
-// A picture names 256 places at the most, one of each kind for all that nobody claims.
-func TestTooMany(t *testing.T) {
+// A snapshot holds at most 256 places, of which one in each dimension stands for all names that nobody claims.
+func TestTooManyPlaces(t *testing.T) {
 	var names []string
-	for i := range mostPlaces {
+	for i := range maxPlaces {
 		names = append(names, fmt.Sprintf("%q", fmt.Sprint("k", i)))
 	}
 	with := func(n int) *Charter {
 		return Merge([]*File{read(t, "r.toml", root+"[[rule]]\nid = \"k\"\nkind = \"never\"\nzones = [\"z2\"]\n"),
-			read(t, "a.toml", child("a", "[claims]\nkinds = ["+strings.Join(names[:n], ",")+"]\n")), read(t, "b.toml",
-				child("b", ""))}, now, nil)
+			read(t, "a.toml", childFile("a", "[claims]\nkinds = ["+strings.Join(names[:n], ",")+"]\n")), read(t, "b.toml",
+				childFile("b", ""))}, now, nil)
 	}
-	if c := with(mostPlaces - 5); len(c.Refused()) != 0 {
+	if c := with(maxPlaces - 5); len(c.Refused()) != 0 {
 		t.Errorf("got %v", c.Conflicts)
 	}
-	if c := with(mostPlaces - 4); len(c.Refused()) != 1 || c.Conflicts[0].Class != TooMany {
+	if c := with(maxPlaces - 4); len(c.Refused()) != 1 || c.Conflicts[0].Class != TooManyPlaces {
 		t.Errorf("got %v, want too many places", c.Conflicts)
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestReadErrors(t *testing.T) {
 	for change, want := range map[string]string{
 		"namespace = \"r\" -> namespace = \"\"": "r.toml:2: namespace: expected a name",
 		"team = \"platform\" -> team = \"\"":    "r.toml:3: team: expected who owns it",
@@ -202,7 +202,7 @@
 		t.Run(change, func(t *testing.T) {
 			from, to, _ := strings.Cut(change, " -> ")
 			if !strings.Contains(root, from) {
-				t.Fatalf("%q is not there", from)
+				t.Fatalf("%q not found in the file", from)
 			}
 			if _, err := Read("r.toml", []byte(strings.Replace(root, from, to, 1))); err == nil ||
 				!strings.Contains(err.Error(), want) {
@@ -212,7 +212,7 @@
 	}
 }
 
-// The example that comes along is sound, and what it comes to is told with where it comes from.
+// The example charter has no refused conflicts, and its report names the rules that the values come from.
 func TestExample(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/charter/*.toml")
 	if err != nil || len(paths) < 2 {
@@ -227,8 +227,8 @@
 		files = append(files, read(t, filepath.Base(path), string(text)))
 	}
 	c := Merge(files, now, nil)
-	var told strings.Builder
-	c.WriteReport(&told, now)
+	var report strings.Builder
+	c.WriteReport(&report, now)
 	if len(c.Refused()) != 0 {
 		t.Errorf("got %v", c.Conflicts)
 	}
@@ -238,8 +238,8 @@
 		"tenant acme rule set filing: quota reqs day = none\n    lost   filing.toml:35 filing/late: outside its " +
 			"window night\n",
 	} {
-		if !strings.Contains(told.String(), want) {
-			t.Errorf("no %q in\n%s", want, told.String())
+		if !strings.Contains(report.String(), want) {
+			t.Errorf("no %q in\n%s", want, report.String())
 		}
 	}
 }
--- a/fleet/charter/conflict.go
+++ b/fleet/charter/conflict.go
@@ -1,7 +1,7 @@
 package charter
 
-// This file owns what contradicts in a charter: classes, places, witnesses. Each conflict that there is has
-// one, and none has one that is not. It must never settle a conflict by itself.
+// This file finds the conflicts of a charter, with their classes, positions and witnesses. Every conflict is found, and
+// none is reported that does not exist. It never resolves a conflict by itself.
 
 import (
 	"cmp"
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// Class is a kind of conflict.
+// Class is a class of conflicts.
 type Class uint8
 
-// The classes.
+// The classes of conflicts.
 const (
-	ClaimedTwice Class = iota
-	NotOwned           // named without right or grant, or a child without delegation
-	NoName             // a name that is claimed by nobody, or no longer
-	Circle             // of parents
-	PastGrant          // used past the end of a grant or a delegation: refused once it has ended, warned before
-	Never              // a rule that can apply at no moment from now on: warned
-	Over               // guarantees above a limit
-	Torn               // required and forbidden
-	Nowhere            // a rule set left with nowhere to run
-	Overlap            // windows that overlap with other values: warned, the lower counts
-	FrozenPlan         // a freeze against a running plan
-	StaleBase          // the base is not the newest, and both changed the same
-	TooMany            // more zones, cells and kinds than a picture holds
+	ClaimedTwice      Class = iota
+	NotOwned                // a name used without right or grant, or a child without delegation
+	UnknownName             // a name that nobody claims, or no longer
+	DelegationCycle         // a cycle of parents
+	UsedPastEnd             // a name used past the end of a grant or delegation; a warning until then
+	NeverApplies            // a rule that can never apply from now on; a warning
+	OverLimit               // guarantees that add up to more than a limit
+	RequiredForbidden       // a place that one rule requires and another forbids
+	NowhereToRun            // a rule set that may run nowhere
+	Overlap                 // overlapping windows with different values; a warning, as the lower counts
+	FrozenPlan              // a freeze at places where a plan is running
+	StaleBase               // a proposal whose base is not the newest edition, where both changed the same item
+	TooManyPlaces           // more zones, cells and kinds than a snapshot can hold
 )
 
 func (c Class) String() string {
@@ -39,14 +39,14 @@
 		"base no longer the newest", "too many places"}[c]
 }
 
-// Witness is what anyone can check a conflict by.
+// Witness is an example by which a conflict can be verified.
 type Witness struct {
 	At      int64 // Unix ns
 	Tenant  string
-	RuleSet string  // of a req; empty: any
-	Name    string  // of a place or whatever else is named twice, not at all or without right
-	Amount  float64 // guaranteed, or the value of the second
-	Against float64 // the limit, or the value of the first
+	RuleSet string  // of a request; empty: any
+	Name    string  // of a place, or of whatever is claimed twice, unknown or used without right
+	Amount  float64 // the amount guaranteed, or the value of the second rule
+	Against float64 // the limit, or the value of the first rule
 }
 
 func (w Witness) String() string {
@@ -63,10 +63,10 @@
 	return s
 }
 
-// Conflict is one contradiction.
+// Conflict is a contradiction between two positions of the files.
 type Conflict struct {
 	Class   Class
-	Refused bool // else it is a warning
+	Refused bool // the charter is refused; false: a warning
 	A, B    Position
 	Witness Witness
 	What    string
@@ -80,32 +80,32 @@
 	return fmt.Sprintf("%s: %s: %s, %s: %s; %s", word, c.Class, c.A, c.B, c.What, c.Witness)
 }
 
-// Refused are the conflicts for which a charter is not taken.
+// Refused returns the conflicts for which a charter is refused.
 func (c *Charter) Refused() []Conflict {
 	return slices.DeleteFunc(slices.Clone(c.Conflicts), func(x Conflict) bool { return !x.Refused })
 }
 
-func (c *Charter) find(class Class, refused bool, a, b Position, w Witness, format string, more ...any) {
+func (c *Charter) addConflict(class Class, refused bool, a, b Position, w Witness, format string, more ...any) {
 	c.Conflicts = append(c.Conflicts, Conflict{class, refused, a, b, w, fmt.Sprintf(format, more...)})
 }
 
-// index finds rules by the reqs that they are about.
-type index struct {
+// ruleIndex finds rules by the requests that they apply to.
+type ruleIndex struct {
 	any      []*rule
-	byTenant map[int32][]*rule // those that name tenants
-	bySet    map[int32][]*rule // those that name rule sets alone
+	byTenant map[int32][]*rule // rules that name tenants
+	bySet    map[int32][]*rule // rules that name rule sets only
 }
 
-func newIndex(rules []*rule) *index {
-	x := &index{byTenant: map[int32][]*rule{}, bySet: map[int32][]*rule{}}
+func newRuleIndex(rules []*rule) *ruleIndex {
+	x := &ruleIndex{byTenant: map[int32][]*rule{}, bySet: map[int32][]*rule{}}
 	for _, r := range rules {
 		switch {
 		case r.tenants != nil:
 			for _, t := range r.tenants {
 				x.byTenant[t] = append(x.byTenant[t], r)
 			}
-		case r.sets != nil:
-			for _, s := range r.sets {
+		case r.ruleSets != nil:
+			for _, s := range r.ruleSets {
 				x.bySet[s] = append(x.bySet[s], r)
 			}
 		default:
@@ -115,15 +115,15 @@
 	return x
 }
 
-// meeting calls once with each rule that is about a req of a box.
-func (x *index) meeting(b box, f func(*rule)) {
-	seen := map[*rule]bool{} // only those that stand under several names
+// eachIntersecting calls f once with each rule that applies to a request of the scope.
+func (x *ruleIndex) eachIntersecting(b reqScope, f func(*rule)) {
+	seen := map[*rule]bool{} // only rules that are indexed under several names
 	take := func(all []*rule) {
 		for _, r := range all {
-			if !r.meets(b) {
+			if !r.intersects(b) {
 				continue
 			}
-			if len(r.tenants) > 1 || r.tenants == nil && len(r.sets) > 1 {
+			if len(r.tenants) > 1 || r.tenants == nil && len(r.ruleSets) > 1 {
 				if seen[r] {
 					continue
 				}
@@ -135,7 +135,7 @@
 	pick := func(m map[int32][]*rule, ids []int32) {
 		if ids == nil || len(ids) > len(m) {
 			for id, all := range m {
-				if has(ids, id) {
+				if listHas(ids, id) {
 					take(all)
 				}
 			}
@@ -147,77 +147,81 @@
 	}
 	take(x.any)
 	pick(x.byTenant, b.tenants)
-	pick(x.bySet, b.sets)
+	pick(x.bySet, b.ruleSets)
 }
 
-// check looks for all contradictions of rules.
-func (c *Charter) check(plans []Running) {
-	c.by = [kinds][]*rule{}
+// checkRules finds all conflicts of rules.
+func (c *Charter) checkRules(plans []RunningPlan) {
+	c.byKind = [ruleKindCount][]*rule{}
 	for _, r := range c.rules {
-		if r.sound {
-			c.by[r.kind] = append(c.by[r.kind], r)
-			c.ends(r)
+		if r.valid {
+			c.byKind[r.kind] = append(c.byKind[r.kind], r)
+			c.checkTimes(r)
 		}
 	}
-	for _, r := range c.by[freezes] {
-		c.freeze(r, plans)
+	for _, r := range c.byKind[freezeKind] {
+		c.checkFreeze(r, plans)
 	}
-	c.over()
-	c.placement()
-	c.overlap()
+	c.checkGuarantees()
+	c.checkPlacement()
+	c.checkOverlaps()
 }
 
-func (c *Charter) placement() {
-	placed := slices.Concat(c.by[only], c.by[never])
-	x := newIndex(placed)
-	c.torn(x)
-	c.nowhere(placed, x)
+// checkPlacement finds conflicts between placement rules.
+func (c *Charter) checkPlacement() {
+	placed := slices.Concat(c.byKind[onlyKind], c.byKind[neverKind])
+	x := newRuleIndex(placed)
+	c.checkRequired(x)
+	c.checkNowhereToRun(placed, x)
 }
 
-func (c *Charter) freshOf(rules []*rule) []*rule {
-	return slices.DeleteFunc(slices.Clone(rules), func(r *rule) bool { return !c.isFresh(r) })
+// toRecheck returns the rules that have to be checked for conflicts.
+func (c *Charter) toRecheck(rules []*rule) []*rule {
+	return slices.DeleteFunc(slices.Clone(rules), func(r *rule) bool { return !c.needsCheck(r) })
 }
 
-// ends looks at one rule's time.
-func (c *Charter) ends(r *rule) {
-	if r.own == (span{to: forever}) && r.span == r.own {
+// checkTimes finds out whether a rule can never apply, or goes on after the rights that it is based on have ended.
+func (c *Charter) checkTimes(r *rule) {
+	if r.ownSpan == (span{to: forever}) && r.span == r.ownSpan {
 		return
 	}
-	if _, ok := first(c.now, r.own); !ok {
-		c.find(Never, false, r.At, r.At, Witness{At: c.now}, "rule %s is in force at no moment from now on",
+	if _, ok := firstOpen(c.now, r.ownSpan); !ok {
+		c.addConflict(NeverApplies, false, r.At, r.At, Witness{At: c.now}, "rule %s is in force at no moment from now on",
 			r.name())
 	}
-	late := r.own
+	late := r.ownSpan
 	late.from = max(late.from, r.span.to)
-	if r.span.to == r.own.to {
-		return // it ends by itself
+	if r.span.to == r.ownSpan.to {
+		return // the rule ends no later than its rights
 	}
-	if at, ok := first(c.now, late); ok {
-		c.find(PastGrant, r.span.to <= c.now, r.At, r.ender, Witness{At: at}, "rule %s goes on past %s", r.name(),
+	if at, ok := firstOpen(c.now, late); ok {
+		c.addConflict(UsedPastEnd, r.span.to <= c.now, r.At, r.endPosition, Witness{At: at},
+			"rule %s goes on past %s", r.name(),
 			time.Unix(0, r.span.to).UTC().Format(time.RFC3339))
 	}
 }
 
-func (c *Charter) freeze(r *rule, plans []Running) {
+// checkFreeze finds running plans at the places of a freeze.
+func (c *Charter) checkFreeze(r *rule, plans []RunningPlan) {
 	for _, p := range plans {
 		end := p.Until
 		if end == 0 {
 			end = forever
 		}
-		at, ok := first(c.now, r.span, span{to: end})
+		at, ok := firstOpen(c.now, r.span, span{to: end})
 		if !ok {
 			continue
 		}
-		lists := p.lists()
-		for d := Zone; d < Hours; d++ {
+		lists := p.byDimension()
+		for d := Zone; d < WindowName; d++ {
 			for _, name := range lists[d] {
-				s := Set{}
-				if id, known := c.names[d][name]; known {
-					s.add(c.bit(d, id))
+				s := PlaceSet{}
+				if id, known := c.ids[d][name]; known {
+					s.add(c.placeBit(d, id))
 				}
-				if ok && (r.set.Has(s) && !s.empty() || r.set == Set{}.not()) {
+				if ok && (r.placeSet.Contains(s) && !s.isEmpty() || r.placeSet == PlaceSet{}.complement()) {
 					ok = false
-					c.find(FrozenPlan, true, r.At, Position{"plan " + p.Plan, 0}, Witness{At: at, Name: name},
+					c.addConflict(FrozenPlan, true, r.At, Position{"plan " + p.Plan, 0}, Witness{At: at, Name: name},
 						"rule %s forbids work at %s %s, plan %s runs there", r.name(), d, name, p.Plan)
 				}
 			}
@@ -225,43 +229,44 @@
 	}
 }
 
-// over looks for limits below what is guaranteed within them.
-func (c *Charter) over() {
-	sure, fresh := newIndex(c.by[guarantees]), c.freshOf(c.by[guarantees])
+// checkGuarantees finds limits below the sum of the guarantees within them.
+func (c *Charter) checkGuarantees() {
+	guaranteeIndex, changed := newRuleIndex(c.byKind[guaranteeKind]), c.toRecheck(c.byKind[guaranteeKind])
 	var within []*rule
 	var spans []span
-	for _, l := range c.by[limits] {
-		touched := func(g *rule) bool { return g.unit == l.unit && g.within(l.box) }
-		if l.bound != Limit(l.unit, 0) || l.places() || !c.isFresh(l) && !slices.ContainsFunc(fresh, touched) {
+	for _, l := range c.byKind[limitKind] {
+		touched := func(g *rule) bool { return g.unit == l.unit && g.within(l.reqScope) }
+		if l.slot != LimitSlot(l.unit, 0) || l.namesPlaces() ||
+			!c.needsCheck(l) && !slices.ContainsFunc(changed, touched) {
 			continue
 		}
 		within, spans = within[:0], append(spans[:0], l.span)
 		total := 0.0
-		sure.meeting(l.box, func(g *rule) {
-			if g.unit == l.unit && g.within(l.box) {
+		guaranteeIndex.eachIntersecting(l.reqScope, func(g *rule) {
+			if g.unit == l.unit && g.within(l.reqScope) {
 				within, spans, total = append(within, g), append(spans, g.span), total+g.Number
 			}
 		})
 		if total <= l.Number {
 			continue
 		}
-		slices.SortFunc(within, byPlace)
-		c.overAt(l, within, spans)
+		slices.SortFunc(within, byPosition)
+		c.checkGuaranteesAt(l, within, spans)
 	}
 }
 
-func byPlace(x, y *rule) int {
+func byPosition(x, y *rule) int {
 	return cmp.Or(cmp.Compare(x.At.File, y.At.File), cmp.Compare(x.At.Line, y.At.Line))
 }
 
-// overAt looks for the first moment at which guarantees are above a limit. Those with the same span are added
-// up before.
-func (c *Charter) overAt(l *rule, within []*rule, spans []span) {
+// checkGuaranteesAt finds the first time at which guarantees exceed a limit. Guarantees with the same span are added up
+// beforehand.
+func (c *Charter) checkGuaranteesAt(l *rule, within []*rule, spans []span) {
 	sums := map[span]float64{}
 	for _, g := range within {
 		sums[g.span] += g.Number
 	}
-	for _, at := range moments(c.now, spans) {
+	for _, at := range candidateTimes(c.now, spans) {
 		if !l.span.open(at) {
 			continue
 		}
@@ -286,57 +291,59 @@
 		if more := len(where) - 8; more > 0 {
 			where = append(where[:8], fmt.Sprintf("and %d more", more))
 		}
-		t, s := c.req(open[0].box)
-		c.find(Over, true, l.At, open[0].At, Witness{at, t, s, "", total, l.Number}, "limit %s, guarantees of %s",
+		t, s := c.sampleReq(open[0].reqScope)
+		c.addConflict(OverLimit, true, l.At, open[0].At, Witness{at, t, s, "", total, l.Number},
+			"limit %s, guarantees of %s",
 			l.name(), strings.Join(where, ", "))
 		return
 	}
 }
 
-// req is a req of a box.
-func (c *Charter) req(b box) (tenant, set string) {
+// sampleReq returns a request of a scope; empty names: any.
+func (c *Charter) sampleReq(b reqScope) (tenant, set string) {
 	if len(b.tenants) > 0 {
-		tenant = c.words[Tenant][b.tenants[0]]
+		tenant = c.names[Tenant][b.tenants[0]]
 	}
-	if len(b.sets) > 0 {
-		set = c.words[RuleSet][b.sets[0]]
+	if len(b.ruleSets) > 0 {
+		set = c.names[RuleSet][b.ruleSets[0]]
 	}
 	return tenant, set
 }
 
-// common are the reqs of two boxes that meet.
-func common(a, b box) box {
+// intersection returns the intersection of two scopes that intersect.
+func intersection(a, b reqScope) reqScope {
 	both := func(x, y []int32) []int32 {
 		if x == nil {
 			return y
 		}
-		return slices.DeleteFunc(slices.Clone(x), func(i int32) bool { return !has(y, i) })
+		return slices.DeleteFunc(slices.Clone(x), func(i int32) bool { return !listHas(y, i) })
 	}
-	return box{both(a.tenants, b.tenants), both(a.sets, b.sets)}
+	return reqScope{both(a.tenants, b.tenants), both(a.ruleSets, b.ruleSets)}
 }
 
-// torn looks for places that one rule requires and another forbids.
-func (c *Charter) torn(placed *index) {
-	for _, q := range c.by[require] {
-		placed.meeting(q.box, func(f *rule) {
-			if f.set.Has(q.set) || !c.isFresh(f) && !c.isFresh(q) {
+// checkRequired finds places that one rule requires and another forbids.
+func (c *Charter) checkRequired(placed *ruleIndex) {
+	for _, q := range c.byKind[requireKind] {
+		placed.eachIntersecting(q.reqScope, func(f *rule) {
+			if f.placeSet.Contains(q.placeSet) || !c.needsCheck(f) && !c.needsCheck(q) {
 				return
 			}
-			if at, ok := first(c.now, q.span, f.span); ok {
-				t, s := c.req(common(q.box, f.box))
-				c.find(Torn, true, q.At, f.At, Witness{At: at, Tenant: t, RuleSet: s,
-					Name: c.placeOf(q.set.and(f.set.not()))}, "%s requires what %s forbids", q.name(), f.name())
+			if at, ok := firstOpen(c.now, q.span, f.span); ok {
+				t, s := c.sampleReq(intersection(q.reqScope, f.reqScope))
+				c.addConflict(RequiredForbidden, true, q.At, f.At, Witness{At: at, Tenant: t, RuleSet: s,
+					Name: c.firstPlaceName(q.placeSet.intersect(f.placeSet.complement()))},
+					"%s requires what %s forbids", q.name(), f.name())
 			}
 		})
 	}
 }
 
-// placeOf names the first place of a set.
-func (c *Charter) placeOf(s Set) string {
-	for d := Zone; d < Hours; d++ {
-		for i, name := range c.words[d] {
-			one := Set{}
-			if one.add(c.bit(d, int32(i))); s.Has(one) {
+// firstPlaceName returns the name of the first claimed place of a set.
+func (c *Charter) firstPlaceName(s PlaceSet) string {
+	for d := Zone; d < WindowName; d++ {
+		for i, name := range c.names[d] {
+			one := PlaceSet{}
+			if one.add(c.placeBit(d, int32(i))); s.Contains(one) {
 				return name
 			}
 		}
@@ -344,27 +351,27 @@
 	return ""
 }
 
-// bare says whether nothing is left of some kind of place.
-func (c *Charter) bare(s Set) bool {
-	for d := Zone; d < Hours; d++ {
-		if !c.mask[d].empty() && s.and(c.mask[d]).empty() {
+// lacksPlaces reports whether a set contains no claimed place of some dimension.
+func (c *Charter) lacksPlaces(s PlaceSet) bool {
+	for d := Zone; d < WindowName; d++ {
+		if !c.allPlaces[d].isEmpty() && s.intersect(c.allPlaces[d]).isEmpty() {
 			return true
 		}
 	}
 	return false
 }
 
-// nowhere looks for rule sets that some tenant's reqs may run nowhere of, at some moment. Whoever is no
-// tenant is looked at as well: -1.
-func (c *Charter) nowhere(placed []*rule, all *index) {
-	fresh := c.freshOf(placed)
-	if len(fresh) == 0 {
+// checkNowhereToRun finds rule sets whose requests may run nowhere, for some tenant at some time. Requests without a
+// known tenant are checked as well, as tenant -1.
+func (c *Charter) checkNowhereToRun(placed []*rule, all *ruleIndex) {
+	changed := c.toRecheck(placed)
+	if len(changed) == 0 {
 		return
 	}
-	meet := func(rules []*rule) Set {
-		s := Set{}.not()
+	meet := func(rules []*rule) PlaceSet {
+		s := PlaceSet{}.complement()
 		for _, r := range rules {
-			s = s.and(r.set)
+			s = s.intersect(r.placeSet)
 		}
 		return s
 	}
@@ -374,93 +381,94 @@
 		tenants = append(tenants, t)
 	}
 	slices.Sort(tenants)
-	byTenant := make([]Set, len(tenants))
+	byTenant := make([]PlaceSet, len(tenants))
 	for i, t := range tenants {
 		byTenant[i] = meet(all.byTenant[t])
 	}
-	var bare []int // of those tenants that have nothing left even without any rule set's own
+	var bare []int // indices of tenants that lack places even without rules of a rule set
 	every := make([]int, len(tenants))
 	for i := range tenants {
-		if every[i] = i; c.bare(anywhere.and(byTenant[i])) {
+		if every[i] = i; c.lacksPlaces(anywhere.intersect(byTenant[i])) {
 			bare = append(bare, i)
 		}
 	}
-	for id := range c.words[RuleSet] {
+	for id := range c.names[RuleSet] {
 		set, look := int32(id), bare
 		here := anywhere
 		if all.bySet[set] != nil {
-			look, here = every, here.and(meet(all.bySet[set]))
+			look, here = every, here.intersect(meet(all.bySet[set]))
 		}
 		for _, i := range look {
 			t := tenants[i]
-			if !c.bare(here.and(byTenant[i])) || // not even if all were in force at once
-				!slices.ContainsFunc(fresh, func(r *rule) bool { return r.of(t, set) }) {
+			if !c.lacksPlaces(here.intersect(byTenant[i])) || // places are left even if all rules were in force at once
+				!slices.ContainsFunc(changed, func(r *rule) bool { return r.includes(t, set) }) {
 				continue
 			}
 			var hit []*rule
 			for _, r := range slices.Concat(all.any, all.byTenant[t], all.bySet[set]) {
-				if r.of(t, set) {
+				if r.includes(t, set) {
 					hit = append(hit, r)
 				}
 			}
-			if at, ok := c.bareAt(hit); ok {
+			if at, ok := c.firstTimeLackingPlaces(hit); ok {
 				hit = slices.DeleteFunc(hit, func(r *rule) bool { return !r.span.open(at) })
-				slices.SortFunc(hit, byPlace)
+				slices.SortFunc(hit, byPosition)
 				name, where := "", []string{}
 				if t >= 0 {
-					name = c.words[Tenant][t]
+					name = c.names[Tenant][t]
 				}
 				for _, r := range hit {
 					where = append(where, r.name())
 				}
-				c.find(Nowhere, true, hit[0].At, hit[len(hit)-1].At, Witness{At: at, Tenant: name,
-					RuleSet: c.words[RuleSet][id]}, "nothing is left by %s", strings.Join(where, ", "))
+				c.addConflict(NowhereToRun, true, hit[0].At, hit[len(hit)-1].At, Witness{At: at, Tenant: name,
+					RuleSet: c.names[RuleSet][id]}, "nothing is left by %s", strings.Join(where, ", "))
 				break
 			}
 		}
 	}
 }
 
-func (c *Charter) bareAt(rules []*rule) (int64, bool) {
+// firstTimeLackingPlaces returns the first time at which the rules together leave no place of some dimension.
+func (c *Charter) firstTimeLackingPlaces(rules []*rule) (int64, bool) {
 	var spans []span
 	for _, r := range rules {
 		spans = append(spans, r.span)
 	}
-	for _, at := range moments(c.now, spans) {
-		s := Set{}.not()
+	for _, at := range candidateTimes(c.now, spans) {
+		s := PlaceSet{}.complement()
 		for _, r := range rules {
 			if r.span.open(at) {
-				s = s.and(r.set)
+				s = s.intersect(r.placeSet)
 			}
 		}
-		if c.bare(s) {
+		if c.lacksPlaces(s) {
 			return at, true
 		}
 	}
 	return 0, false
 }
 
-// overlap looks for windows of one bound that are open at once and say different things: of one namespace, or
-// of any two where it is what a req is worth.
-func (c *Charter) overlap() {
+// checkOverlaps finds rules of the same bound with different values whose windows are open at the same time: rules of
+// one namespace, or of any two namespaces for rules on the value of a request.
+func (c *Charter) checkOverlaps() {
 	var values []*rule
-	timed := func(r *rule) bool { return r.sound && r.span.window != nil && (r.bound >= 0 || r.Kind == "deny") }
+	timed := func(r *rule) bool { return r.valid && r.span.window != nil && (r.slot >= 0 || r.Kind == "deny") }
 	pair := func(a, b *rule) {
-		if a.Kind != b.Kind || a.bound != b.bound || a.Number == b.Number || byPlace(a, b) >= 0 ||
-			a.span.window == b.span.window || !samePlaces(a, b) || !a.meets(b.box) {
+		if a.Kind != b.Kind || a.slot != b.slot || a.Number == b.Number || byPosition(a, b) >= 0 ||
+			a.span.window == b.span.window || !sharePlaces(a, b) || !a.intersects(b.reqScope) {
 			return
 		}
-		if at, ok := first(c.now, a.span, b.span); ok {
-			t, s := c.req(common(a.box, b.box))
-			c.find(Overlap, false, a.At, b.At, Witness{at, t, s, "", b.Number, a.Number},
+		if at, ok := firstOpen(c.now, a.span, b.span); ok {
+			t, s := c.sampleReq(intersection(a.reqScope, b.reqScope))
+			c.addConflict(Overlap, false, a.At, b.At, Witness{at, t, s, "", b.Number, a.Number},
 				"%s and %s: the lower counts", a.name(), b.name())
 		}
 	}
-	for i := 0; i < len(c.rules); { // those of a namespace stand together
+	for i := 0; i < len(c.rules); { // the rules of a namespace are adjacent
 		n, until, some := c.rules[i].node, i, false
 		for ; until < len(c.rules) && c.rules[until].node == n; until++ {
 			r := c.rules[until]
-			if some = some || c.isFresh(r); r.Kind == "value" && timed(r) {
+			if some = some || c.needsCheck(r); r.Kind == "value" && timed(r) {
 				values = append(values, r)
 			}
 		}
@@ -476,22 +484,22 @@
 		}
 		i = until
 	}
-	x := newIndex(values)
-	for _, a := range c.freshOf(values) {
-		x.meeting(a.box, func(b *rule) {
-			if byPlace(a, b) < 0 {
+	x := newRuleIndex(values)
+	for _, a := range c.toRecheck(values) {
+		x.eachIntersecting(a.reqScope, func(b *rule) {
+			if byPosition(a, b) < 0 {
 				pair(a, b)
-			} else if !c.isFresh(b) {
+			} else if !c.needsCheck(b) {
 				pair(b, a)
 			}
 		})
 	}
 }
 
-// samePlaces says whether two limits share a place, or neither is of places.
-func samePlaces(a, b *rule) bool {
-	if !a.places() || !b.places() {
-		return a.places() == b.places()
+// sharePlaces reports whether two limits share a place, or neither names places.
+func sharePlaces(a, b *rule) bool {
+	if !a.namesPlaces() || !b.namesPlaces() {
+		return a.namesPlaces() == b.namesPlaces()
 	}
-	return !a.set.and(b.set).empty()
+	return !a.placeSet.intersect(b.placeSet).isEmpty()
 }
--- a/fleet/charter/explore_test.go
+++ b/fleet/charter/explore_test.go
@@ -6,31 +6,31 @@
 	"testing"
 )
 
-// graph walks all that three members can come to, one of them a leader that is always there: two proposals
-// at any moment, links of the other two that fall and come back at any moment, each step any of them applying
-// any part of what it has not. Ages are counted up to what anything asks of them, so that the graph ends. It
-// gives the number of states, and the first that no fleet may come to.
-func graph(t *testing.T, faulty string) (states int, wrong string) {
-	first := &fleet{faulty: faulty, limits: []float64{50}}
-	start := started(t, tenantLimit(50))
+// exploreGraph explores all states that three members can reach, of which one is a leader that is always up. Two
+// proposals come at any time, the connections of the other two are lost and restored at any time, and in each step
+// each of them applies any part of the commands that it has not applied. Ages are capped where they no longer matter,
+// so that the graph is finite. It returns the number of states and the first violation found.
+func exploreGraph(t *testing.T, fault string) (states int, problem string) {
+	first := &fleet{fault: fault, limits: []float64{50}}
+	start := newState(t, fileWithTenantLimit(50))
 	for range 3 {
-		first.members = append(first.members, &Member{State: *start, Bound: bound, sure: now})
-		first.applied, first.links = append(first.applied, 0), append(first.links, true)
-		first.heard = append(first.heard, 0)
+		first.members = append(first.members, &Member{State: *start, CutOffAfter: cutOffAfter, lastUpToDate: now})
+		first.applied, first.connected = append(first.applied, 0), append(first.connected, true)
+		first.lastContact = append(first.lastContact, 0)
 	}
-	change := propose(1, change("a.toml", tenantLimit(70)))
+	change := newProposal(1, fileChange("a.toml", fileWithTenantLimit(70)))
 	key := func(f *fleet) string {
 		s := fmt.Sprint(len(f.agreed), f.limits)
 		for _, c := range f.agreed {
 			s += fmt.Sprint(c.Kind, c.Edition)
 		}
-		var both []string // which of the two is which makes no difference
+		var both []string // the two members are interchangeable
 		for i, m := range f.members[1:] {
 			at := now + int64(f.now)
-			s := fmt.Sprint(" ", f.applied[i+1], f.links[i+1], m.goal, " ", min(at-m.sure, bound))
-			s += fmt.Sprint(" ", min(f.now-f.heard[i+1], grace))
-			if m.goal != 0 {
-				s += fmt.Sprint(" ", min(at-m.asked, bound))
+			s := fmt.Sprint(" ", f.applied[i+1], f.connected[i+1], m.catchUpIndex, " ", min(at-m.lastUpToDate, cutOffAfter))
+			s += fmt.Sprint(" ", min(f.now-f.lastContact[i+1], grace))
+			if m.catchUpIndex != 0 {
+				s += fmt.Sprint(" ", min(at-m.goalSetAt, cutOffAfter))
 			}
 			both = append(both, s)
 		}
@@ -39,8 +39,8 @@
 	}
 	copied := func(f *fleet) *fleet {
 		g := *f
-		g.agreed, g.applied, g.links = slices.Clone(f.agreed), slices.Clone(f.applied), slices.Clone(f.links)
-		g.heard, g.members, g.limits = slices.Clone(f.heard), nil, slices.Clone(f.limits)
+		g.agreed, g.applied, g.connected = slices.Clone(f.agreed), slices.Clone(f.applied), slices.Clone(f.connected)
+		g.lastContact, g.members, g.limits = slices.Clone(f.lastContact), nil, slices.Clone(f.limits)
 		for _, m := range f.members {
 			x := *m
 			g.members = append(g.members, &x)
@@ -63,12 +63,12 @@
 		}
 		for i := 1; i < 3; i++ {
 			g := copied(f)
-			g.links[i] = !g.links[i]
+			g.connected[i] = !g.connected[i]
 			next = append(next, g)
 		}
 		for a := f.applied[1]; a <= len(f.agreed); a++ {
 			for b := f.applied[2]; b <= len(f.agreed); b++ {
-				if a > f.applied[1] && !f.links[1] || b > f.applied[2] && !f.links[2] {
+				if a > f.applied[1] && !f.connected[1] || b > f.applied[2] && !f.connected[2] {
 					continue
 				}
 				g := copied(f)
@@ -82,7 +82,7 @@
 				continue
 			}
 			seen[k] = true
-			if w := g.unbound(); w != "" {
+			if w := g.withoutCommonEdition(); w != "" {
 				return len(seen), w
 			}
 			queue = append(queue, g)
@@ -91,17 +91,18 @@
 	return len(seen), ""
 }
 
-// The graph is walked whole. Without the joint phase, with a leader that asks nobody, and with members that
-// take themselves for reached before they have caught up it is not walked far.
-func TestGraph(t *testing.T) {
-	states, wrong := graph(t, "")
-	if t.Logf("%d states", states); wrong != "" {
-		t.Error(wrong)
+// The graph is explored completely without a violation. A violation is found without the joint phase, with a leader
+// that does not wait for the members, and with members that consider themselves up to date before they have caught
+// up.
+func TestExploration(t *testing.T) {
+	states, problem := exploreGraph(t, "")
+	if t.Logf("%d states", states); problem != "" {
+		t.Error(problem)
 	}
-	for _, faulty := range []string{"no joint phase", "nobody asked", "reached is enough"} {
-		states, wrong := graph(t, faulty)
-		if t.Logf("%s: after %d states: %s", faulty, states, wrong); wrong == "" {
-			t.Errorf("%s: not found", faulty)
+	for _, fault := range []string{"no joint phase", "leader does not wait", "contact is enough"} {
+		states, problem := exploreGraph(t, fault)
+		if t.Logf("%s: after %d states: %s", fault, states, problem); problem == "" {
+			t.Errorf("%s: not found", fault)
 		}
 	}
 }
--- a/fleet/charter/file.go
+++ b/fleet/charter/file.go
@@ -1,10 +1,10 @@
-// Package charter is who may set what in a fleet: teams own namespaces in a tree, each by a file that claims
-// names, sets rules on them and grants their use to others; all files together are one charter. It owns the
-// files' schema, how rules of many files become one picture, what in them contradicts, and how one edition
-// follows another. Free of I/O: bytes are handed in. It must never limit, place or deny a req itself, nor
-// look at a clock.
+// Package charter holds the policy of a fleet: who may set which limits and placements. Teams own namespaces in a tree.
+// Each namespace is a file that claims names, sets rules on them and grants their use to others; all files together are
+// the charter. The package defines the schema of the files, combines the rules of all files into a snapshot, finds
+// conflicts between them, and defines how one edition of the charter follows another. It does no I/O: callers pass in
+// bytes. It never limits, places or denies a request itself, and never reads a clock.
 //
-// This file owns one file's schema and its reading.
+// This file holds the schema of a charter file and its parser.
 package charter
 
 import (
@@ -18,32 +18,32 @@
 	"ivybank/conf"
 )
 
-// Format is what a charter file says it is.
+// Format is the value of the field format in a charter file.
 const Format = "ivybank/fleet/charter/1"
 
-const mostName = 64 // bytes of a name
+const maxNameBytes = 64 // bytes of a name
 
-// Dim is what a name is the name of.
-type Dim uint8
+// Dimension is the kind of thing that a name stands for.
+type Dimension uint8
 
-// The kinds of names. Zones, cells and kinds are how servers are named.
+// The dimensions of names. Zones, cells and kinds are the places of servers.
 const (
-	Tenant Dim = iota
+	Tenant Dimension = iota
 	RuleSet
 	Zone
 	Cell
 	Kind
-	Hours // a window, by its name
-	dims
+	WindowName // a window's name
+	dimensionCount
 )
 
-func (d Dim) String() string {
+func (d Dimension) String() string {
 	return [...]string{"tenant", "rule set", "zone", "cell", "kind", "window"}[d]
 }
 
-var fields = [dims]string{"tenants", "rulesets", "zones", "cells", "kinds", "windows"}
+var claimFields = [dimensionCount]string{"tenants", "rulesets", "zones", "cells", "kinds", "windows"}
 
-// Position is where in which file something stands.
+// Position is a position in a file.
 type Position struct {
 	File string
 	Line int
@@ -51,7 +51,7 @@
 
 func (p Position) String() string { return p.File + ":" + strconv.Itoa(p.Line) }
 
-// Names are names of all kinds as files list them.
+// Names holds names by dimension, as files list them.
 type Names struct {
 	Tenants  []string `toml:"tenants"`
 	RuleSets []string `toml:"rulesets"`
@@ -60,33 +60,35 @@
 	Kinds    []string `toml:"kinds"`
 }
 
-func (n *Names) lists() (all [dims][]string) {
-	all = [dims][]string{Tenant: n.Tenants, RuleSet: n.RuleSets, Zone: n.Zones, Kind: n.Kinds}
+// byDimension returns the names of each dimension.
+func (n *Names) byDimension() (all [dimensionCount][]string) {
+	all = [dimensionCount][]string{Tenant: n.Tenants, RuleSet: n.RuleSets, Zone: n.Zones, Kind: n.Kinds}
 	for _, c := range n.Cells {
 		all[Cell] = append(all[Cell], strconv.FormatInt(c, 10))
 	}
 	return all
 }
 
-func (n *Names) places() bool { return len(n.Zones)+len(n.Cells)+len(n.Kinds) > 0 }
+// namesPlaces reports whether zones, cells or kinds are listed.
+func (n *Names) namesPlaces() bool { return len(n.Zones)+len(n.Cells)+len(n.Kinds) > 0 }
 
-// Window is a window of work, each week the same, UTC.
+// Window is a weekly window of time, in UTC.
 type Window struct {
-	Name  string   `toml:"name"`
-	Days  []string `toml:"days"` // those on which it opens, as "mon"; empty: all
-	From  string   `toml:"from"` // as "22:00"
-	Until string   `toml:"until"`
-	At    Position `toml:"-"`
-	week  []part
+	Name      string   `toml:"name"`
+	Days      []string `toml:"days"` // on which it opens, such as "mon"; empty: all days
+	From      string   `toml:"from"` // such as "22:00"
+	Until     string   `toml:"until"`
+	At        Position `toml:"-"`
+	weekSpans []weekSpan
 }
 
-// Rule is one thing that a namespace sets. Where it names no tenants or no rule sets it is about all that the
-// namespace has.
+// Rule is a rule that a namespace sets. A rule that names no tenants, or no rule sets, applies to all that the
+// namespace holds.
 type Rule struct {
 	ID     string  `toml:"id"`
 	Kind   string  `toml:"kind"` // limit, guarantee, quota, value, further, only, never, require, deny or freeze
 	Unit   string  `toml:"unit"` // reqs, cost or worth
-	Per    string  `toml:"per"`  // a limit: second or in_flight; a quota: minute, hour, day or month
+	Per    string  `toml:"per"`  // of a limit: second or in_flight; of a quota: minute, hour, day or month
 	Number float64 `toml:"number"`
 	Names
 	Window string    `toml:"window"`
@@ -95,7 +97,7 @@
 	At     Position  `toml:"-"`
 }
 
-// Grant lets another namespace name what this one owns.
+// Grant allows another namespace to use names that this one owns.
 type Grant struct {
 	ID string `toml:"id"`
 	To string `toml:"to"`
@@ -106,7 +108,7 @@
 	At      Position  `toml:"-"`
 }
 
-// Delegate lets another namespace be a child of this one.
+// Delegate allows another namespace to be a child of this one.
 type Delegate struct {
 	To      string    `toml:"to"`
 	Until   time.Time `toml:"until"`
@@ -114,19 +116,19 @@
 	At      Position  `toml:"-"`
 }
 
-// Claim is one name that a namespace owns.
+// Claim is a name that a namespace claims to own.
 type Claim struct {
-	Dim  Dim
-	Name string
-	At   Position
+	Dimension Dimension
+	Name      string
+	At        Position
 }
 
-// File is a namespace as its team writes it.
+// File is the file of a namespace, as its team writes it.
 type File struct {
 	Format    string     `toml:"format"`
 	Namespace string     `toml:"namespace"`
 	Team      string     `toml:"team"`
-	Parent    string     `toml:"parent"` // empty: the root of all
+	Parent    string     `toml:"parent"` // empty: this is the root
 	Listed    Names      `toml:"claims"`
 	Windows   []Window   `toml:"window"`
 	Rules     []Rule     `toml:"rule"`
@@ -136,86 +138,90 @@
 	At        Position   `toml:"-"`
 }
 
-// Read reads and checks one. A fault is told with file, line and field.
+// Read parses and checks a charter file. Errors name the file, the line and the field.
 func Read(path string, text []byte) (*File, error) {
-	x := &File{}
-	f, err := conf.Read(path, text, x)
+	file := &File{}
+	doc, err := conf.Read(path, text, file)
 	if err != nil {
 		return nil, err
 	}
 	at := func(field string) Position {
 		var fault *conf.FieldError
-		errors.As(f.FieldErrorf(field, ""), &fault)
+		errors.As(doc.FieldErrorf(field, ""), &fault)
 		return Position{path, fault.Line}
 	}
-	x.At = at("namespace")
-	for d, names := range x.Listed.lists() {
+	file.At = at("namespace")
+	for d, names := range file.Listed.byDimension() {
 		for _, n := range names {
-			x.Claims = append(x.Claims, Claim{Dim(d), n, at("claims." + fields[d])})
+			file.Claims = append(file.Claims, Claim{Dimension(d), n, at("claims." + claimFields[d])})
 		}
 	}
-	x.Listed = Names{}
+	file.Listed = Names{}
 	rules := []conf.Rule{
-		{Violated: x.Format != Format, Field: "format", Expected: fmt.Sprintf("expected %q", Format)},
-		{Violated: !sound(x.Namespace), Field: "namespace", Expected: fmt.Sprintf("expected a name, %d bytes at the most",
-			mostName)},
-		{Violated: x.Team == "", Field: "team", Expected: "expected who owns it"},
-		{Violated: x.Parent == x.Namespace, Field: "parent", Expected: "expected another namespace"},
+		{Violated: file.Format != Format, Field: "format", Expected: fmt.Sprintf("expected %q", Format)},
+		{Violated: !validName(file.Namespace), Field: "namespace",
+			Expected: fmt.Sprintf("expected a name, %d bytes at the most", maxNameBytes)},
+		{Violated: file.Team == "", Field: "team", Expected: "expected who owns it"},
+		{Violated: file.Parent == file.Namespace, Field: "parent", Expected: "expected another namespace"},
 	}
-	had := map[string]bool{}
-	own := func(what, name string) bool { // a name that nothing of the same kind has had
+	seen := map[string]bool{}
+	unique := func(what, name string) bool { // reports whether a name is valid and new among those of its kind
 		key := what + " " + name
-		ok := sound(name) && !had[key]
-		had[key] = true
+		ok := validName(name) && !seen[key]
+		seen[key] = true
 		return ok
 	}
-	for _, c := range x.Claims {
-		rules = append(rules, conf.Rule{Violated: !own(fields[c.Dim], c.Name), Field: "claims." + fields[c.Dim],
+	for _, c := range file.Claims {
+		rules = append(rules, conf.Rule{Violated: !unique(claimFields[c.Dimension], c.Name),
+			Field:    "claims." + claimFields[c.Dimension],
 			Expected: fmt.Sprintf("%q: expected names, each once", c.Name)})
 	}
-	for i := range x.Windows {
-		w, p := &x.Windows[i], fmt.Sprintf("window.%d.", i)
+	for i := range file.Windows {
+		w, p := &file.Windows[i], fmt.Sprintf("window.%d.", i)
 		w.At = at(p + "name")
-		var bad string
-		w.week, bad = week(w)
-		rules = append(rules, conf.Rule{Violated: !own("window", w.Name), Field: p + "name",
+		var badField string
+		w.weekSpans, badField = parseWeek(w)
+		rules = append(rules, conf.Rule{Violated: !unique("window", w.Name), Field: p + "name",
 			Expected: "expected a name of its own"},
-			conf.Rule{Violated: bad != "", Field: p + bad, Expected: "expected days as \"mon\", and other times of the day " +
-				"as \"22:00\""})
+			conf.Rule{Violated: badField != "", Field: p + badField,
+				Expected: "expected days as \"mon\", and other times of the day " +
+					"as \"22:00\""})
 	}
-	for i := range x.Rules {
-		r, p := &x.Rules[i], fmt.Sprintf("rule.%d.", i)
+	for i := range file.Rules {
+		r, p := &file.Rules[i], fmt.Sprintf("rule.%d.", i)
 		r.At = at(p + "id")
-		field, want := r.check()
-		rules = append(rules, conf.Rule{Violated: !own("rule", r.ID), Field: p + "id",
+		field, expected := r.check()
+		rules = append(rules, conf.Rule{Violated: !unique("rule", r.ID), Field: p + "id",
 			Expected: "expected an id of its own"},
-			offset(p+"since", r.Since), offset(p+"until", r.Until),
-			conf.Rule{Violated: want != "", Field: p + field, Expected: want})
+			requireOffset(p+"since", r.Since), requireOffset(p+"until", r.Until),
+			conf.Rule{Violated: expected != "", Field: p + field, Expected: expected})
 	}
-	for i := range x.Grants {
-		g, p := &x.Grants[i], fmt.Sprintf("grant.%d.", i)
+	for i := range file.Grants {
+		g, p := &file.Grants[i], fmt.Sprintf("grant.%d.", i)
 		g.At = at(p + "id")
-		rules = append(rules, conf.Rule{Violated: !own("grant", g.ID), Field: p + "id",
+		rules = append(rules, conf.Rule{Violated: !unique("grant", g.ID), Field: p + "id",
 			Expected: "expected an id of its own"},
-			offset(p+"until", g.Until), offset(p+"revoked", g.Revoked),
-			conf.Rule{Violated: !sound(g.To) || g.To == x.Namespace, Field: p + "to", Expected: "expected another namespace"})
+			requireOffset(p+"until", g.Until), requireOffset(p+"revoked", g.Revoked),
+			conf.Rule{Violated: !validName(g.To) || g.To == file.Namespace, Field: p + "to",
+				Expected: "expected another namespace"})
 	}
-	for i := range x.Delegates {
-		d, p := &x.Delegates[i], fmt.Sprintf("delegate.%d.", i)
+	for i := range file.Delegates {
+		d, p := &file.Delegates[i], fmt.Sprintf("delegate.%d.", i)
 		d.At = at(p + "to")
-		rules = append(rules, conf.Rule{Violated: !own("delegate", d.To) || d.To == x.Namespace, Field: p + "to",
-			Expected: "expected another namespace, once"}, offset(p+"until", d.Until), offset(p+"revoked", d.Revoked))
+		rules = append(rules, conf.Rule{Violated: !unique("delegate", d.To) || d.To == file.Namespace, Field: p + "to",
+			Expected: "expected another namespace, once"},
+			requireOffset(p+"until", d.Until), requireOffset(p+"revoked", d.Revoked))
 	}
-	return x, f.CheckRules("", rules)
+	return file, doc.CheckRules("", rules)
 }
 
-// offset is the fault of a moment without an offset: what it is would hang on where it is read.
-func offset(field string, t time.Time) conf.Rule {
+// requireOffset returns a check that a time has a UTC offset. Without one, it would depend on the reader's time zone.
+func requireOffset(field string, t time.Time) conf.Rule {
 	return conf.Rule{Violated: t.Location() == time.Local, Field: field,
 		Expected: "expected an offset, as 2027-01-01T00:00:00Z"}
 }
 
-func sound(name string) bool { return name != "" && len(name) <= mostName }
+func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
 var units = []string{"reqs", "cost", "worth"}
 var limitPer = []string{"second", "in_flight"}
@@ -224,38 +230,38 @@
 var ruleKinds = []string{"limit", "guarantee", "quota", "value", "further", "only", "never", "require",
 	"deny", "freeze"}
 
-// Places in ruleKinds of those that are looked up by.
+// The indices in ruleKinds of the kinds by which rules are looked up, and their number.
 const (
-	limits, guarantees, only, never, require, freezes, kinds = 0, 1, 5, 6, 7, 9, 10
+	limitKind, guaranteeKind, onlyKind, neverKind, requireKind, freezeKind, ruleKindCount = 0, 1, 5, 6, 7, 9, 10
 )
 
-// check names the field of a rule that is wrong and what was expected there.
-func (r *Rule) check() (field, want string) {
-	counted := slices.Contains([]string{"limit", "guarantee", "quota"}, r.Kind)
-	placed := slices.Contains(placedKinds, r.Kind)
+// check returns the field of the rule that is invalid and what was expected there, or empty strings.
+func (r *Rule) check() (field, expected string) {
+	hasUnit := slices.Contains([]string{"limit", "guarantee", "quota"}, r.Kind)
+	isPlacement := slices.Contains(placedKinds, r.Kind)
 	per := map[string][]string{"limit": limitPer, "quota": quotaPer}[r.Kind]
-	most := map[string]float64{"further": 1, "deny": 254, "only": 0, "never": 0, "require": 0, "freeze": 0}
-	top, bounded := most[r.Kind]
-	reqs := len(r.Tenants)+len(r.RuleSets) > 0
+	maxNumbers := map[string]float64{"further": 1, "deny": 254, "only": 0, "never": 0, "require": 0, "freeze": 0}
+	maxNumber, hasMax := maxNumbers[r.Kind]
+	namesRequests := len(r.Tenants)+len(r.RuleSets) > 0
 	switch {
 	case !slices.Contains(ruleKinds, r.Kind):
 		return "kind", fmt.Sprintf("expected one of %v", ruleKinds)
-	case counted != slices.Contains(units, r.Unit) || !counted && r.Unit != "":
+	case hasUnit != slices.Contains(units, r.Unit) || !hasUnit && r.Unit != "":
 		return "unit", "expected reqs, cost or worth at a limit, a guarantee or a quota, and nowhere else"
 	case per != nil && !slices.Contains(per, r.Per) || per == nil && r.Per != "":
 		return "per", "expected second or in_flight at a limit, minute, hour, day or month at a quota, and " +
 			"nowhere else"
-	case !(r.Number >= 0) || math.IsInf(r.Number, 0) || bounded && r.Number > top:
+	case !(r.Number >= 0) || math.IsInf(r.Number, 0) || hasMax && r.Number > maxNumber:
 		return "number", "expected 0 or more; further: up to 1; deny: up to 254; none at placement and freezes"
 	case r.Kind == "deny" && r.Number != math.Trunc(r.Number):
 		return "number", "expected a whole number"
-	case placed && !r.places():
+	case isPlacement && !r.namesPlaces():
 		return "zones", "expected zones, cells or kinds"
-	case !placed && r.Kind != "limit" && r.Kind != "freeze" && r.places():
+	case !isPlacement && r.Kind != "limit" && r.Kind != "freeze" && r.namesPlaces():
 		return "zones", "expected them at placement, limits and freezes alone"
-	case r.places() && reqs && !placed:
+	case r.namesPlaces() && namesRequests && !isPlacement:
 		return "zones", "expected either servers or reqs"
-	case r.Kind == "freeze" && reqs:
+	case r.Kind == "freeze" && namesRequests:
 		return "tenants", "expected servers"
 	case !r.Since.IsZero() && !r.Until.IsZero() && !r.Since.Before(r.Until):
 		return "until", "expected a moment after since"
--- a/fleet/charter/history.go
+++ b/fleet/charter/history.go
@@ -1,8 +1,8 @@
 package charter
 
-// This file owns how one edition follows another in the agreed history, as all members see it the same, and
-// what one member holds by it. Commands come agreed on, one after another. It must never let a new edition
-// bind alone before the old has been met by all that are reached.
+// This file holds how one edition follows another in the agreed history, which is the same for all members, and which
+// editions a member applies by it. Commands arrive in the agreed order. A new edition never becomes the only binding
+// one before all reachable members have applied it.
 
 import (
 	"errors"
@@ -14,39 +14,39 @@
 )
 
 const (
-	mostEditions = 8 // remembered: to go back to, and as bases; the oldest that binds no longer goes first
-	mostBinding  = 4 // at once
-	mostHeard    = 4 // proposals that a member knows of and that are not applied here; the oldest goes first
+	maxEditions = 8 // kept, as bases of proposals and to go back to; the oldest, which is not binding, is removed first
+	maxBinding  = 4 // editions that are binding at once
+	maxPending  = 4 // proposals that a member has seen and not applied; the oldest is removed first
 )
 
-// CommandKind is what a command does.
+// CommandKind is the kind of a command.
 type CommandKind uint8
 
-// The kinds.
+// The kinds of commands.
 const (
-	Propose CommandKind = iota + 1 // files changed, or an earlier edition again
-	Settle                         // what is before an edition binds no longer; a leader's alone
+	Propose CommandKind = iota + 1 // changes files, or goes back to an earlier edition
+	Settle                         // ends the binding of all editions before the newest; proposed by a leader only
 )
 
-// Change is one namespace's file in a proposal; without a text the namespace goes.
+// Change is the file of one namespace in a proposal; without a text the namespace is removed.
 type Change struct {
 	Namespace string
 	Path      string
 	Text      []byte
 }
 
-// Command is one thing to be agreed on.
+// Command is a command that the members agree on. It is encoded under the names of its fields.
 type Command struct {
 	Kind    CommandKind
-	Base    uint64   // Propose: the edition that it was written against
-	Changes []Change // Propose, or
-	Back    uint64   // an edition to go back to
-	Edition uint64   // Settle: the newest, when it was proposed
-	Term    uint64   // Settle: of the leader
-	At      int64    // Unix ns, by the clock of who proposes: the moment that conflicts are looked for from
+	Base    uint64   // Propose: the edition that the changes are based on
+	Changes []Change // Propose: the changed files, or
+	Back    uint64   // Propose: an edition to go back to
+	Edition uint64   // Settle: the newest edition at the time of the proposal
+	Term    uint64   // Settle: the leader's term
+	At      int64    // Unix ns by the proposer's clock; conflicts are checked from this time on
 }
 
-// Edition is one charter that was agreed on.
+// Edition is a charter that was agreed on.
 type Edition struct {
 	Number  uint64
 	Index   uint64 // of the command
@@ -54,17 +54,17 @@
 	Charter *Charter
 }
 
-// State is what all members agree on.
+// State is the state that all members agree on.
 type State struct {
 	Index    uint64
 	Editions []*Edition // the last mostEditions, oldest first
-	Binding  int        // the last so many bind
+	Binding  int        // how many of the last editions are binding
 }
 
-// Refusal is why a proposal is not taken.
-type Refusal struct{ Conflicts []Conflict }
+// ConflictError reports the conflicts for which a proposal is refused.
+type ConflictError struct{ Conflicts []Conflict }
 
-func (r *Refusal) Error() string {
+func (r *ConflictError) Error() string {
 	all := make([]string, len(r.Conflicts))
 	for i, c := range r.Conflicts {
 		all[i] = c.String()
@@ -72,7 +72,7 @@
 	return strings.Join(all, "\n")
 }
 
-// Newest is the number of the newest edition; 0 where there is none.
+// Newest returns the number of the newest edition, or 0 if there is none.
 func (s *State) Newest() uint64 {
 	if len(s.Editions) == 0 {
 		return 0
@@ -80,8 +80,8 @@
 	return s.Editions[len(s.Editions)-1].Number
 }
 
-// Bind are the editions that bind, the newest last; two or more are a joint phase.
-func (s *State) Bind() []*Edition { return s.Editions[len(s.Editions)-s.Binding:] }
+// BindingEditions returns the binding editions, with the newest last. Two or more are a joint phase.
+func (s *State) BindingEditions() []*Edition { return s.Editions[len(s.Editions)-s.Binding:] }
 
 func (s *State) edition(n uint64) *Edition {
 	i := slices.IndexFunc(s.Editions, func(e *Edition) bool { return e.Number == n })
@@ -91,26 +91,26 @@
 	return s.Editions[i]
 }
 
-// Apply takes a command that was agreed on, in the term in which it was, beside plans that run by the same
-// history. It says what came of it; a command that does not fit changes nothing. The same commands give the
-// same state at all members.
-func (s *State) Apply(index, term uint64, c *Command, plans []Running) error {
+// Apply applies the command that was agreed on at index in term; plans are those that are running by the same
+// history. If the command does not fit the state, Apply returns an error and changes nothing but Index. The same
+// commands give the same state at all members.
+func (s *State) Apply(index, term uint64, c *Command, plans []RunningPlan) error {
 	s.Index = index
 	switch {
 	case c.Kind == Settle && c.Term != term:
-		return fmt.Errorf("of term %d, agreed on in %d: its leader is no more", c.Term, term)
+		return fmt.Errorf("command of term %d, agreed on in term %d: its leader was replaced", c.Term, term)
 	case c.Kind == Settle && (c.Edition != s.Newest() || s.Binding < 2):
-		return fmt.Errorf("edition %d is not one to settle: %d is the newest, %d bind", c.Edition, s.Newest(),
+		return fmt.Errorf("edition %d cannot be settled: %d is the newest, %d are binding", c.Edition, s.Newest(),
 			s.Binding)
 	case c.Kind == Settle:
 		s.Binding = 1
 		return nil
 	case c.Kind != Propose:
-		return fmt.Errorf("no command %d", c.Kind)
-	case s.Binding >= mostBinding:
-		return fmt.Errorf("%d editions bind: another has to wait until they have settled", s.Binding)
+		return fmt.Errorf("unknown command kind %d", c.Kind)
+	case s.Binding >= maxBinding:
+		return fmt.Errorf("%d editions are binding: another one has to wait until they are settled", s.Binding)
 	}
-	files, err := s.propose(c)
+	files, err := s.proposedFiles(c)
 	if err != nil {
 		return err
 	}
@@ -120,42 +120,42 @@
 	}
 	e := &Edition{s.Newest() + 1, index, files, merge(slices.Collect(maps.Values(files)), c.At, plans)}
 	if refused := e.Charter.Refused(); len(refused) > 0 {
-		return &Refusal{refused}
+		return &ConflictError{refused}
 	}
-	if found := e.Charter.joint(s.Bind()); len(found) > 0 {
-		return &Refusal{found}
+	if found := e.Charter.jointConflicts(s.BindingEditions()); len(found) > 0 {
+		return &ConflictError{found}
 	}
 	s.Editions, s.Binding = append(slices.Clone(s.Editions), e), s.Binding+1
-	if len(s.Editions) > mostEditions {
+	if len(s.Editions) > maxEditions {
 		s.Editions = s.Editions[1:]
 	}
 	return nil
 }
 
-// propose gives the files as they would be.
-func (s *State) propose(c *Command) (map[string]*File, error) {
+// proposedFiles returns the files, by namespace, as they are after a proposal.
+func (s *State) proposedFiles(c *Command) (map[string]*File, error) {
 	if c.Back != 0 {
 		switch e := s.edition(c.Back); {
 		case c.Base != s.Newest():
 			return nil, s.stale(c, "going back to %d", c.Back)
 		case e == nil:
-			return nil, fmt.Errorf("edition %d is not remembered", c.Back)
+			return nil, fmt.Errorf("edition %d is no longer kept", c.Back)
 		default:
 			return e.Files, nil
 		}
 	}
-	files, was, known := map[string]*File{}, map[string]*File{}, c.Base == 0
+	files, base, known := map[string]*File{}, map[string]*File{}, c.Base == 0
 	if e := s.edition(s.Newest()); e != nil {
 		maps.Copy(files, e.Files)
 	}
 	if e := s.edition(c.Base); e != nil {
-		was, known = e.Files, true
+		base, known = e.Files, true
 	}
 	if !known {
-		return nil, s.stale(c, "edition %d is not remembered", c.Base)
+		return nil, s.stale(c, "edition %d is no longer kept", c.Base)
 	}
 	if len(c.Changes) == 0 {
-		return nil, errors.New("nothing is proposed")
+		return nil, errors.New("the proposal has no changes")
 	}
 	var found []Conflict
 	for _, x := range c.Changes {
@@ -170,7 +170,7 @@
 			}
 			next = f
 		}
-		f, collisions := three(was[x.Namespace], next, files[x.Namespace])
+		f, collisions := mergeThreeWay(base[x.Namespace], next, files[x.Namespace])
 		for _, p := range collisions {
 			found = append(found, Conflict{StaleBase, true, p[0], p[1], Witness{At: c.At, Name: x.Namespace,
 				Amount:  float64(c.Base),
@@ -181,46 +181,49 @@
 		}
 	}
 	if len(found) > 0 {
-		return nil, &Refusal{found}
+		return nil, &ConflictError{found}
 	}
 	return files, nil
 }
 
+// stale returns the error for a proposal whose base cannot be used.
 func (s *State) stale(c *Command, format string, a ...any) error {
 	at := Position{fmt.Sprintf("edition %d", s.Newest()), 0}
 	w := Witness{At: c.At, Amount: float64(c.Base), Against: float64(s.Newest())}
-	return &Refusal{[]Conflict{{StaleBase, true, at, Position{fmt.Sprintf("edition %d", c.Base), 0}, w,
+	return &ConflictError{[]Conflict{{StaleBase, true, at, Position{fmt.Sprintf("edition %d", c.Base), 0}, w,
 		fmt.Sprintf(format, a...)}}}
 }
 
-// three merges one namespace's file by what it consists of: was is the base, mine what is proposed, now what
-// is in force; nil: none. Where both changed the same and not alike it gives the places of both.
-func three(was, mine, now *File) (*File, [][2]Position) {
+// mergeThreeWay merges the file of one namespace item by item: base is the file that the proposal is based on,
+// proposed the proposed file, current the file in force; nil: no file. It returns the positions of items that both
+// sides changed differently.
+func mergeThreeWay(base, proposed, current *File) (*File, [][2]Position) {
 	switch {
-	case same(was, now), same(mine, now):
-		return mine, nil
-	case same(was, mine):
-		return now, nil
-	case was == nil || mine == nil || now == nil:
-		return now, [][2]Position{{mine.place(), now.place()}}
-	}
-	out, all := *now, [][2]Position(nil)
-	if head := [2]string{mine.Team, mine.Parent}; head != [2]string{was.Team, was.Parent} {
-		if theirs := [2]string{now.Team, now.Parent}; theirs != [2]string{was.Team, was.Parent} && theirs != head {
-			all = append(all, [2]Position{mine.At, now.At})
+	case sameFile(base, current), sameFile(proposed, current):
+		return proposed, nil
+	case sameFile(base, proposed):
+		return current, nil
+	case base == nil || proposed == nil || current == nil:
+		return current, [][2]Position{{proposed.position(), current.position()}}
+	}
+	out, all := *current, [][2]Position(nil)
+	if proposedHead := [2]string{proposed.Team, proposed.Parent}; proposedHead != [2]string{base.Team, base.Parent} {
+		if currentHead := [2]string{current.Team, current.Parent}; currentHead != [2]string{base.Team, base.Parent} &&
+			currentHead != proposedHead {
+			all = append(all, [2]Position{proposed.At, current.At})
 		}
-		out.Team, out.Parent, out.At = mine.Team, mine.Parent, mine.At
+		out.Team, out.Parent, out.At = proposed.Team, proposed.Parent, proposed.At
 	}
-	out.Claims = items(was.Claims, mine.Claims, now.Claims, &all)
-	out.Windows = items(was.Windows, mine.Windows, now.Windows, &all)
-	out.Rules = items(was.Rules, mine.Rules, now.Rules, &all)
-	out.Grants = items(was.Grants, mine.Grants, now.Grants, &all)
-	out.Delegates = items(was.Delegates, mine.Delegates, now.Delegates, &all)
+	out.Claims = mergeItems(base.Claims, proposed.Claims, current.Claims, &all)
+	out.Windows = mergeItems(base.Windows, proposed.Windows, current.Windows, &all)
+	out.Rules = mergeItems(base.Rules, proposed.Rules, current.Rules, &all)
+	out.Grants = mergeItems(base.Grants, proposed.Grants, current.Grants, &all)
+	out.Delegates = mergeItems(base.Delegates, proposed.Delegates, current.Delegates, &all)
 	return &out, all
 }
 
-// same says whether two files say the same, wherever it stands in them.
-func same(x, y *File) bool {
+// sameFile reports whether two files have the same content, regardless of positions and order.
+func sameFile(x, y *File) bool {
 	if x == nil || y == nil {
 		return x == y
 	}
@@ -229,35 +232,35 @@
 		sameItems(x.Grants, y.Grants) && sameItems(x.Delegates, y.Delegates)
 }
 
-func (f *File) place() Position {
+func (f *File) position() Position {
 	if f == nil {
 		return Position{"gone", 0}
 	}
 	return f.At
 }
 
-// item is what a file consists of.
+// item is an entry of a file.
 type item interface {
 	key() string
-	place() Position
-	bare() any // without its place
+	position() Position
+	withoutPosition() any // the item without its position
 }
 
-func (c Claim) key() string        { return c.Dim.String() + " " + c.Name }
-func (w Window) key() string       { return w.Name }
-func (r Rule) key() string         { return r.ID }
-func (g Grant) key() string        { return g.ID }
-func (d Delegate) key() string     { return d.To }
-func (c Claim) place() Position    { return c.At }
-func (w Window) place() Position   { return w.At }
-func (r Rule) place() Position     { return r.At }
-func (g Grant) place() Position    { return g.At }
-func (d Delegate) place() Position { return d.At }
-func (c Claim) bare() any          { c.At = Position{}; return c }
-func (w Window) bare() any         { w.At = Position{}; return w }
-func (r Rule) bare() any           { r.At = Position{}; return r }
-func (g Grant) bare() any          { g.At = Position{}; return g }
-func (d Delegate) bare() any       { d.At = Position{}; return d }
+func (c Claim) key() string             { return c.Dimension.String() + " " + c.Name }
+func (w Window) key() string            { return w.Name }
+func (r Rule) key() string              { return r.ID }
+func (g Grant) key() string             { return g.ID }
+func (d Delegate) key() string          { return d.To }
+func (c Claim) position() Position      { return c.At }
+func (w Window) position() Position     { return w.At }
+func (r Rule) position() Position       { return r.At }
+func (g Grant) position() Position      { return g.At }
+func (d Delegate) position() Position   { return d.At }
+func (c Claim) withoutPosition() any    { c.At = Position{}; return c }
+func (w Window) withoutPosition() any   { w.At = Position{}; return w }
+func (r Rule) withoutPosition() any     { r.At = Position{}; return r }
+func (g Grant) withoutPosition() any    { g.At = Position{}; return g }
+func (d Delegate) withoutPosition() any { d.At = Position{}; return d }
 
 func byKey[T item](list []T) map[string]*T {
 	m := make(map[string]*T, len(list))
@@ -267,36 +270,36 @@
 	return m
 }
 
-func alike[T item](x, y *T) bool {
+func equalItems[T item](x, y *T) bool {
 	if x == nil || y == nil {
 		return x == y
 	}
-	return reflect.DeepEqual((*x).bare(), (*y).bare())
+	return reflect.DeepEqual((*x).withoutPosition(), (*y).withoutPosition())
 }
 
 func sameItems[T item](x, y []T) bool {
 	m := byKey(y)
-	return len(x) == len(y) && !slices.ContainsFunc(x, func(i T) bool { return !alike(&i, m[i.key()]) })
+	return len(x) == len(y) && !slices.ContainsFunc(x, func(i T) bool { return !equalItems(&i, m[i.key()]) })
 }
 
-// items merges what files list, by key, in the order of keys.
-func items[T item](was, mine, now []T, collide *[][2]Position) (all []T) {
-	w, m, n := byKey(was), byKey(mine), byKey(now)
+// mergeItems merges the items of three files by key, in the order of keys.
+func mergeItems[T item](base, proposed, current []T, collisions *[][2]Position) (all []T) {
+	w, m, n := byKey(base), byKey(proposed), byKey(current)
 	keys := maps.Clone(m)
 	maps.Copy(keys, n)
 	where := func(x *T) Position {
 		if x == nil {
 			return Position{"gone", 0}
 		}
-		return (*x).place()
+		return (*x).position()
 	}
 	for _, k := range slices.Sorted(maps.Keys(keys)) {
 		take := n[k]
 		switch {
-		case alike(w[k], n[k]):
+		case equalItems(w[k], n[k]):
 			take = m[k]
-		case !alike(w[k], m[k]) && !alike(m[k], n[k]):
-			*collide = append(*collide, [2]Position{where(m[k]), where(n[k])})
+		case !equalItems(w[k], m[k]) && !equalItems(m[k], n[k]):
+			*collisions = append(*collisions, [2]Position{where(m[k]), where(n[k])})
 		}
 		if take != nil {
 			all = append(all, *take)
@@ -305,80 +308,80 @@
 	return all
 }
 
-// joint are the conflicts of an edition and those that still bind, where each alone has none: a way that
-// leads from one to the other has to be taken in two steps. Guarantees need no look, for they meet as bounds
-// do.
-func (c *Charter) joint(binding []*Edition) []Conflict {
+// jointConflicts returns the conflicts between an edition and those that are still binding, if each alone has none.
+// Such a change has to be made in two steps. Guarantees need no check, as the lower of two counts, as with bounds.
+func (c *Charter) jointConflicts(binding []*Edition) []Conflict {
 	charters := []*Charter{c}
 	for _, e := range binding {
 		charters = append(charters, e.Charter)
 	}
-	if n := placesOf(charters...); n > mostPlaces {
+	if n := placeCount(charters...); n > maxPlaces {
 		at := c.nodes[0].At
-		w := Witness{At: c.now, Amount: float64(n), Against: float64(mostPlaces)}
-		return []Conflict{{TooMany, true, at, at, w, "with the editions that still bind"}}
-	}
-	both := &Charter{now: c.now, words: c.words, names: c.names, mask: c.mask, by: c.by, fresh: map[*rule]bool{}}
-	p, at := picturePlaces(c), map[*Rule]*rule{}
-	for _, kind := range []int{only, never, require} {
-		both.by[kind] = slices.Clone(c.by[kind])
-		for _, r := range c.by[kind] {
+		w := Witness{At: c.now, Amount: float64(n), Against: float64(maxPlaces)}
+		return []Conflict{{TooManyPlaces, true, at, at, w, "with the editions that still bind"}}
+	}
+	both := &Charter{now: c.now, names: c.names, ids: c.ids, allPlaces: c.allPlaces,
+		byKind: c.byKind, recheck: map[*rule]bool{}}
+	p, at := numberPlaces(c), map[*Rule]*rule{}
+	for _, kind := range []int{onlyKind, neverKind, requireKind} {
+		both.byKind[kind] = slices.Clone(c.byKind[kind])
+		for _, r := range c.byKind[kind] {
 			at[r.Rule] = r
 		}
 	}
 	for _, e := range binding {
-		alike := slices.EqualFunc(e.Charter.words[:], c.words[:], slices.Equal[[]string])
-		for _, kind := range []int{only, never, require} {
-			for _, r := range e.Charter.by[kind] {
-				if y := at[r.Rule]; alike && (y == r || y != nil && y.span == r.span && y.set == r.set &&
-					slices.Equal(y.tenants, r.tenants) && slices.Equal(y.sets, r.sets)) {
+		sameNames := slices.EqualFunc(e.Charter.names[:], c.names[:], slices.Equal[[]string])
+		for _, kind := range []int{onlyKind, neverKind, requireKind} {
+			for _, r := range e.Charter.byKind[kind] {
+				if y := at[r.Rule]; sameNames && (y == r || y != nil && y.span == r.span && y.placeSet == r.placeSet &&
+					slices.Equal(y.tenants, r.tenants) && slices.Equal(y.ruleSets, r.ruleSets)) {
 					continue
 				}
-				if x := e.Charter.restate(r, c); x != nil {
-					x.set = p.renumber(e.Charter, r.set)
-					both.by[kind], both.fresh[x] = append(both.by[kind], x), true
+				if x := e.Charter.translate(r, c); x != nil {
+					x.placeSet = p.renumber(e.Charter, r.placeSet)
+					both.byKind[kind], both.recheck[x] = append(both.byKind[kind], x), true
 				}
 			}
 		}
 	}
-	if len(both.fresh) > 0 { // else it is the same, and was looked at
-		both.placement()
+	if len(both.recheck) > 0 { // otherwise all placement rules are the same and were checked
+		both.checkPlacement()
 	}
 	return both.Conflicts
 }
 
-// restate is a rule by the numbers of another charter; nil where that has none of its reqs.
-func (c *Charter) restate(r *rule, in *Charter) *rule {
+// translate returns a rule with the numbers of another charter, or nil if that has none of the rule's requests.
+func (c *Charter) translate(r *rule, in *Charter) *rule {
 	x := *r
-	turn := func(d Dim, ids []int32) ([]int32, bool) {
+	renumber := func(d Dimension, ids []int32) ([]int32, bool) {
 		var out []int32
 		for _, id := range ids {
-			if to, ok := in.names[d][c.words[d][id]]; ok {
+			if to, ok := in.ids[d][c.names[d][id]]; ok {
 				out = append(out, to)
 			}
 		}
 		return out, ids == nil || out != nil
 	}
 	var some, ok bool
-	if x.tenants, some = turn(Tenant, r.tenants); !some {
+	if x.tenants, some = renumber(Tenant, r.tenants); !some {
 		return nil
 	}
-	if x.sets, ok = turn(RuleSet, r.sets); !ok {
+	if x.ruleSets, ok = renumber(RuleSet, r.ruleSets); !ok {
 		return nil
 	}
 	return &x
 }
 
-// Report is what is known of a member.
-type Report struct {
-	Applied uint64 // index of the last command that it says it has applied
-	Silent  int64  // ns since it was heard
+// MemberReport is what the leader knows of a member.
+type MemberReport struct {
+	Applied uint64 // index of the last command that the member reports to have applied
+	Silent  int64  // ns since the last contact
 }
 
-// Next is what a leader proposes: that the newest edition binds alone, once each member has applied it or was
-// silent for the grace. The grace is longer than a member's Bound and the longest way of a leader's word
-// together, by the slowest clock. Nil: nothing.
-func (s *State) Next(term uint64, at int64, members []Report, grace int64) *Command {
+// Next returns the command that the leader proposes next, or nil: that only the newest edition is binding, once each
+// member has applied it or was silent for the grace, in ns. The grace is longer than a member's CutOffAfter and the
+// longest delay of a leader's message together, by the slowest clock.
+func (s *State) Next(term uint64, at int64, members []MemberReport, grace int64) *Command {
 	if s.Binding < 2 {
 		return nil
 	}
@@ -391,78 +394,80 @@
 	return &Command{Kind: Settle, Edition: newest.Number, Term: term, At: at}
 }
 
-// Member is what one proxy holds: the agreed history as far as it has applied it, and proposals that it has
-// only heard of. One that begins takes itself for cut off until it has applied what a leader says is agreed
-// on.
+// Member is the state of one proxy: the agreed history as far as it has applied it, and proposals that it has only
+// seen. A new member considers itself cut off until it has applied what a leader reports as agreed on.
 type Member struct {
 	State
-	Bound int64 // ns without knowing that nothing was missed, after which it takes itself for cut off
-	sure  int64 // when it last knew that it had applied all there was
-	asked int64 // when it was told of goal
-	goal  uint64
-	heard []*Edition // at most mostHeard; emptied by what is applied
+	CutOffAfter  int64 // ns without confirmation that it is up to date, after which the member considers itself cut off
+	lastUpToDate int64 // when it was last known to have applied all commands; 0: never
+	goalSetAt    int64 // when catchUpIndex was set
+	catchUpIndex uint64
+	pending      []*Edition // at most maxPending; cleared when a proposal is applied
 }
 
-// Touch takes the word of a leader, whom a majority has answered since, that so much is agreed on. To be
-// reached is not enough: a member that was cut off is so until it has applied what it missed.
-func (m *Member) Touch(at int64, agreed uint64) {
+// NoteAgreed records that the commands up to the index agreed are agreed on, as reported at the given time by a
+// leader that a majority has answered since. Contact alone is not enough: a member that was cut off remains so until
+// it has applied what it missed.
+func (m *Member) NoteAgreed(at int64, agreed uint64) {
 	switch {
 	case m.Index >= agreed:
-		m.sure, m.goal = at, 0
-	case m.goal == 0:
-		m.asked, m.goal = at, agreed
+		m.lastUpToDate, m.catchUpIndex = at, 0
+	case m.catchUpIndex == 0:
+		m.goalSetAt, m.catchUpIndex = at, agreed
 	}
 }
 
-// Cut says whether what is held here may be old.
-func (m *Member) Cut(at int64) bool { return m.sure == 0 || at-m.sure >= m.Bound }
+// IsCutOff reports whether the editions of this member may be outdated.
+func (m *Member) IsCutOff(at int64) bool {
+	return m.lastUpToDate == 0 || at-m.lastUpToDate >= m.CutOffAfter
+}
 
-// Apply is State's; what was only heard of is settled by it.
-func (m *Member) Apply(index, term uint64, c *Command, plans []Running) error {
+// Apply applies a command to the state. A proposal in it clears the pending ones.
+func (m *Member) Apply(index, term uint64, c *Command, plans []RunningPlan) error {
 	err := m.State.Apply(index, term, c, plans)
 	if c.Kind == Propose {
-		m.heard = nil
+		m.pending = nil
 	}
-	if m.goal != 0 && index >= m.goal {
-		m.sure, m.goal = m.asked, 0
+	if m.catchUpIndex != 0 && index >= m.catchUpIndex {
+		m.lastUpToDate, m.catchUpIndex = m.goalSetAt, 0
 	}
 	return err
 }
 
-// Hear takes a proposal that may come to be agreed on. One that would not be taken is nothing.
-func (m *Member) Hear(c *Command, plans []Running) {
-	would := m.State
-	if c.Kind != Propose || would.Apply(m.Index+1, 0, c, plans) != nil {
+// AddPending records a proposal that may become agreed on. A proposal that would be refused is ignored.
+func (m *Member) AddPending(c *Command, plans []RunningPlan) {
+	trial := m.State
+	if c.Kind != Propose || trial.Apply(m.Index+1, 0, c, plans) != nil {
 		return
 	}
-	next := would.Editions[len(would.Editions)-1]
+	next := trial.Editions[len(trial.Editions)-1]
 	all := []*Charter{next.Charter}
-	for _, e := range slices.Concat(m.Bind(), m.heard) {
+	for _, e := range slices.Concat(m.BindingEditions(), m.pending) {
 		all = append(all, e.Charter)
 	}
-	if placesOf(all...) <= mostPlaces {
-		m.heard = append(m.heard, next)
-		m.heard = m.heard[max(0, len(m.heard)-mostHeard):]
+	if placeCount(all...) <= maxPlaces {
+		m.pending = append(m.pending, next)
+		m.pending = m.pending[max(0, len(m.pending)-maxPending):]
 	}
 }
 
-// Holds are the editions whose meet is in force here: all that bind and, where it is cut off, those too that
-// it heard of.
-func (m *Member) Holds(at int64) []*Edition {
-	if m.Cut(at) {
-		return slices.Concat(m.Bind(), m.heard)
+// InForce returns the editions whose meet is in force at this member: all binding ones and, if the member is cut off,
+// also the pending ones.
+func (m *Member) InForce(at int64) []*Edition {
+	if m.IsCutOff(at) {
+		return slices.Concat(m.BindingEditions(), m.pending)
 	}
-	return m.Bind()
+	return m.BindingEditions()
 }
 
-// Picture is what is in force here at a moment; nil where no edition is known.
-func (m *Member) Picture(at int64) *Picture {
+// Snapshot returns the values in force at this member at a time, or nil if no edition is known.
+func (m *Member) Snapshot(at int64) *Snapshot {
 	var all []*Charter
-	for _, e := range m.Holds(at) {
+	for _, e := range m.InForce(at) {
 		all = append(all, e.Charter)
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	return Draw(at, all...)
+	return NewSnapshot(at, all...)
 }
--- a/fleet/charter/history_test.go
+++ b/fleet/charter/history_test.go
@@ -14,59 +14,59 @@
 	"pgregory.net/rapid"
 )
 
-func change(path, text string) Change {
+func fileChange(path, text string) Change {
 	name, _, _ := strings.Cut(strings.Split(text, "namespace = \"")[1], "\"")
 	return Change{Namespace: name, Path: path, Text: []byte(text)}
 }
 
-func propose(base uint64, changes ...Change) *Command {
+func newProposal(base uint64, changes ...Change) *Command {
 	return &Command{Kind: Propose, Base: base, Changes: changes, At: now}
 }
 
-// started is a history with one edition in force alone.
-func started(t interface {
+// newState returns the state after one edition, which is the only binding one.
+func newState(t interface {
 	Fatal(...any)
 	Helper()
 }, more ...string) *State {
 	t.Helper()
 	s := &State{}
-	changes := []Change{change("r.toml", root)}
+	changes := []Change{fileChange("r.toml", root)}
 	for i, text := range more {
-		changes = append(changes, change(fmt.Sprintf("%d.toml", i), text))
+		changes = append(changes, fileChange(fmt.Sprintf("%d.toml", i), text))
 	}
 	for _, name := range []string{"a", "b"} {
 		if !slices.ContainsFunc(changes, func(c Change) bool { return c.Namespace == name }) {
-			changes = append(changes, change(name+".toml", child(name, "")))
+			changes = append(changes, fileChange(name+".toml", childFile(name, "")))
 		}
 	}
-	if err := s.Apply(1, 1, propose(0, changes...), nil); err != nil {
+	if err := s.Apply(1, 1, newProposal(0, changes...), nil); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func limitOf(s *State, tenant string) float64 {
+func tenantLimitIn(s *State, tenant string) float64 {
 	var e Effective
-	(&Member{State: *s}).Picture(now).Of(tenant, "", &e)
-	return e.Bound[Limit(0, 0)]
+	(&Member{State: *s}).Snapshot(now).Lookup(tenant, "", &e)
+	return e.Bound[LimitSlot(0, 0)]
 }
 
-func tenantLimit(n int) string {
-	return child("a", ownsT1+kindOf("l", "limit", fmt.Sprintf("unit = \"reqs\"\nper = \"second\"\nnumber = %d",
+func fileWithTenantLimit(n int) string {
+	return childFile("a", ownsT1+ruleText("l", "limit", fmt.Sprintf("unit = \"reqs\"\nper = \"second\"\nnumber = %d",
 		n)))
 }
 
 func TestEditions(t *testing.T) {
-	s := started(t, tenantLimit(50))
-	if s.Newest() != 1 || limitOf(s, "t1") != 50 || limitOf(s, "t2") != 100 {
-		t.Fatalf("edition %d: %v", s.Newest(), limitOf(s, "t1"))
+	s := newState(t, fileWithTenantLimit(50))
+	if s.Newest() != 1 || tenantLimitIn(s, "t1") != 50 || tenantLimitIn(s, "t2") != 100 {
+		t.Fatalf("edition %d: %v", s.Newest(), tenantLimitIn(s, "t1"))
 	}
-	// Looser: the old binds too until it is settled.
-	if err := s.Apply(2, 1, propose(1, change("a.toml", tenantLimit(80))), nil); err != nil {
+	// A looser edition: the old one is binding too until it is settled.
+	if err := s.Apply(2, 1, newProposal(1, fileChange("a.toml", fileWithTenantLimit(80))), nil); err != nil {
 		t.Fatal(err)
 	}
-	if s.Newest() != 2 || limitOf(s, "t1") != 50 {
-		t.Errorf("edition %d: %v, want the tighter of 50 and 80", s.Newest(), limitOf(s, "t1"))
+	if s.Newest() != 2 || tenantLimitIn(s, "t1") != 50 {
+		t.Errorf("edition %d: %v, want the tighter of 50 and 80", s.Newest(), tenantLimitIn(s, "t1"))
 	}
 	for what, c := range map[string]*Command{"of another term": {Kind: Settle, Edition: 2, Term: 1},
 		"of an old edition": {Kind: Settle, Edition: 1, Term: 2}} {
@@ -74,34 +74,34 @@
 			t.Errorf("settled by a command %s", what)
 		}
 	}
-	if err := s.Apply(4, 2, &Command{Kind: Settle, Edition: 2, Term: 2}, nil); err != nil || limitOf(s,
+	if err := s.Apply(4, 2, &Command{Kind: Settle, Edition: 2, Term: 2}, nil); err != nil || tenantLimitIn(s,
 		"t1") != 80 {
-		t.Errorf("got %v, %v, want 80 alone", err, limitOf(s, "t1"))
+		t.Errorf("got %v, %v, want 80 alone", err, tenantLimitIn(s, "t1"))
 	}
-	// Going back is a proposal like another.
+	// Going back is a proposal like any other.
 	if err := s.Apply(5, 2, &Command{Kind: Propose, Base: 2, Back: 1, At: now}, nil); err != nil ||
-		s.Newest() != 3 || limitOf(s, "t1") != 50 {
-		t.Errorf("got %v, edition %d, %v", err, s.Newest(), limitOf(s, "t1"))
+		s.Newest() != 3 || tenantLimitIn(s, "t1") != 50 {
+		t.Errorf("got %v, edition %d, %v", err, s.Newest(), tenantLimitIn(s, "t1"))
 	}
 	if s.Apply(6, 2, &Command{Kind: Propose, Base: 2, Back: 1, At: now}, nil) == nil {
-		t.Error("went back on an old base")
+		t.Error("went back although the base is outdated")
 	}
-	// A namespace that goes.
+	// A namespace is removed.
 	before := s.Newest()
-	if err := s.Apply(7, 2, propose(3, Change{Namespace: "a"}), nil); err == nil || s.Newest() != before {
-		t.Errorf("%v: what is delegated to nobody is refused", err)
+	if err := s.Apply(7, 2, newProposal(3, Change{Namespace: "a"}), nil); err == nil || s.Newest() != before {
+		t.Errorf("got %v, want an error as a delegation has no namespace", err)
 	}
-	if err := s.Apply(8, 2, propose(3, Change{Namespace: "a"}, change("r.toml", strings.Replace(root,
-		"[[delegate]]\nto = \"a\"\n", "", 1))), nil); err != nil || limitOf(s, "t2") != 100 {
-		t.Errorf("got %v, %v", err, limitOf(s, "t2"))
+	if err := s.Apply(8, 2, newProposal(3, Change{Namespace: "a"}, fileChange("r.toml", strings.Replace(root,
+		"[[delegate]]\nto = \"a\"\n", "", 1))), nil); err != nil || tenantLimitIn(s, "t2") != 100 {
+		t.Errorf("got %v, %v", err, tenantLimitIn(s, "t2"))
 	}
 }
 
-// Two proposals in one instant: the second's base is old. It is merged by rule where the first touched
-// others, else refused with both places.
-func TestTwoAtOnce(t *testing.T) {
-	value := func(id string, n int) string { return kindOf(id, "value", fmt.Sprintf("number = %d", n)) }
-	file := func(x, y int) string { return child("a", ownsT1+value("x", x)+value("y", y)) }
+// Of two concurrent proposals, the second has an outdated base. It is merged if the first changed other items;
+// otherwise it is refused with both positions.
+func TestConcurrentProposals(t *testing.T) {
+	value := func(id string, n int) string { return ruleText(id, "value", fmt.Sprintf("number = %d", n)) }
+	file := func(x, y int) string { return childFile("a", ownsT1+value("x", x)+value("y", y)) }
 	for name, c := range map[string]struct {
 		first, second string
 		want          string
@@ -110,17 +110,17 @@
 		"other rules": {file(2, 1), file(1, 3), "", 2, 3},
 		"the same rule": {file(2, 1), file(3, 1), "refused: base no longer the newest: second.toml:8, " +
 			"first.toml:8", 2, 1},
-		"the same, alike":  {file(2, 1), file(2, 3), "", 2, 3},
-		"one takes it out": {child("a", ownsT1+value("y", 1)), file(3, 1), "second.toml:8, gone:0", math.Inf(1), 1},
-		"another's claims": {child("a", ownsT1+"zones = [\"z1\"]\n"+value("x", 1)+value("y", 1)), file(3, 1), "", 3,
+		"the same change": {file(2, 1), file(2, 3), "", 2, 3},
+		"one removes it":  {childFile("a", ownsT1+value("y", 1)), file(3, 1), "second.toml:8, gone:0", math.Inf(1), 1},
+		"a change of claims": {childFile("a", ownsT1+"zones = [\"z1\"]\n"+value("x", 1)+value("y", 1)), file(3, 1), "", 3,
 			1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := started(t, file(1, 1))
-			if err := s.Apply(2, 1, propose(1, change("first.toml", c.first)), nil); err != nil {
+			s := newState(t, file(1, 1))
+			if err := s.Apply(2, 1, newProposal(1, fileChange("first.toml", c.first)), nil); err != nil {
 				t.Fatal(err)
 			}
-			err := s.Apply(3, 1, propose(1, change("second.toml", c.second)), nil)
+			err := s.Apply(3, 1, newProposal(1, fileChange("second.toml", c.second)), nil)
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("got %v, want %q", err, c.want)
 			}
@@ -133,49 +133,51 @@
 			}
 		})
 	}
-	s := started(t)
-	for i := range uint64(mostEditions) {
-		if s.Apply(2*i+2, 1, propose(s.Newest(), change("a.toml", tenantLimit(int(i)))), nil) != nil ||
+	s := newState(t)
+	for i := range uint64(maxEditions) {
+		if s.Apply(2*i+2, 1, newProposal(s.Newest(), fileChange("a.toml", fileWithTenantLimit(int(i)))), nil) != nil ||
 			s.Apply(2*i+3, 1, &Command{Kind: Settle, Edition: s.Newest(), Term: 1}, nil) != nil {
 			t.Fatal("no edition")
 		}
 	}
-	var r *Refusal
-	if err := s.Apply(99, 1, propose(1, change("b.toml", child("b", "")+"\n[claims]\ntenants = [\"t2\"]\n")),
+	var r *ConflictError
+	if err := s.Apply(99, 1, newProposal(1, fileChange("b.toml", childFile("b", "")+"\n[claims]\ntenants = [\"t2\"]\n")),
 		nil); !errors.As(err, &r) || r.Conflicts[0].Class != StaleBase {
-		t.Errorf("got %v, want a base that is no longer remembered", err)
+		t.Errorf("got %v, want a base that is no longer kept", err)
 	}
 }
 
-// What two editions forbid together is refused before it is, though each alone is sound.
+// An edition that has conflicts with one that is still binding is refused, though each alone has none.
 func TestJointConflicts(t *testing.T) {
-	at := func(zone string) string { return child("a", ownsT1+kindOf("o", "only", "zones = [\""+zone+"\"]")) }
-	s := started(t, at("z1"))
-	err := s.Apply(2, 1, propose(1, change("a.toml", at("z2"))), nil)
-	var r *Refusal
-	if !errors.As(err, &r) || r.Conflicts[0].Class != Nowhere || s.Newest() != 1 {
+	at := func(zone string) string {
+		return childFile("a", ownsT1+ruleText("o", "only", "zones = [\""+zone+"\"]"))
+	}
+	s := newState(t, at("z1"))
+	err := s.Apply(2, 1, newProposal(1, fileChange("a.toml", at("z2"))), nil)
+	var r *ConflictError
+	if !errors.As(err, &r) || r.Conflicts[0].Class != NowhereToRun || s.Newest() != 1 {
 		t.Errorf("got %v, want nowhere to run", err)
 	}
-	if err := s.Apply(3, 1, propose(1, change("a.toml", child("a", ownsT1))), nil); err != nil {
+	if err := s.Apply(3, 1, newProposal(1, fileChange("a.toml", childFile("a", ownsT1))), nil); err != nil {
 		t.Error(err)
 	}
-	if s.Apply(4, 1, propose(2, change("a.toml", at("z2"))), nil) == nil {
-		t.Error("the edition before still binds")
+	if s.Apply(4, 1, newProposal(2, fileChange("a.toml", at("z2"))), nil) == nil {
+		t.Error("accepted though the edition before is still binding")
 	}
 	if err := errors.Join(s.Apply(5, 1, &Command{Kind: Settle, Edition: 2, Term: 1}, nil), s.Apply(6, 1,
-		propose(2, change("a.toml", at("z2"))), nil)); err != nil {
+		newProposal(2, fileChange("a.toml", at("z2"))), nil)); err != nil {
 		t.Errorf("in two steps: %v", err)
 	}
-	s = started(t, child("a", ownsT1+kindOf("o", "never", "zones = [\"z1\"]")))
-	if err := s.Apply(2, 1, propose(1, change("a.toml", child("a", ownsT1+kindOf("o", "require",
-		"zones = [\"z1\"]")))), nil); !errors.As(err, &r) || r.Conflicts[0].Class != Torn {
+	s = newState(t, childFile("a", ownsT1+ruleText("o", "never", "zones = [\"z1\"]")))
+	if err := s.Apply(2, 1, newProposal(1, fileChange("a.toml", childFile("a", ownsT1+ruleText("o", "require",
+		"zones = [\"z1\"]")))), nil); !errors.As(err, &r) || r.Conflicts[0].Class != RequiredForbidden {
 		t.Errorf("got %v, want required and forbidden", err)
 	}
 }
 
-// A command is written and read as those of other agreed parts are, and does the same then.
-func TestCommandRides(t *testing.T) {
-	for _, c := range []*Command{propose(1, change("a.toml", tenantLimit(20)), Change{Namespace: "b"}),
+// A command is the same after encoding and decoding in cbor.
+func TestCommandEncoding(t *testing.T) {
+	for _, c := range []*Command{newProposal(1, fileChange("a.toml", fileWithTenantLimit(20)), Change{Namespace: "b"}),
 		{Kind: Settle, Edition: 7, Term: 3, At: now}, {Kind: Propose, Base: 4, Back: 2}} {
 		body, err := cbor.Marshal(c)
 		var got Command
@@ -185,31 +187,31 @@
 	}
 }
 
-// Editions that bind together name no more places than a picture holds.
-func TestJointTooMany(t *testing.T) {
+// Editions that are binding together name no more places than a snapshot can hold.
+func TestJointTooManyPlaces(t *testing.T) {
 	claims := func(from int) string {
 		var names []string
 		for i := range 200 {
 			names = append(names, fmt.Sprintf("%q", fmt.Sprint("k", from+i)))
 		}
-		return child("a", "[claims]\nkinds = ["+strings.Join(names, ",")+"]\n")
+		return childFile("a", "[claims]\nkinds = ["+strings.Join(names, ",")+"]\n")
 	}
-	s := started(t, claims(0))
-	var r *Refusal
-	err := s.Apply(2, 1, propose(1, change("a.toml", claims(100))), nil)
-	if !errors.As(err, &r) || r.Conflicts[0].Class != TooMany {
+	s := newState(t, claims(0))
+	var r *ConflictError
+	err := s.Apply(2, 1, newProposal(1, fileChange("a.toml", claims(100))), nil)
+	if !errors.As(err, &r) || r.Conflicts[0].Class != TooManyPlaces {
 		t.Errorf("got %v, want too many places", err)
 	}
-	if err := s.Apply(3, 1, propose(1, change("a.toml", claims(20))), nil); err != nil {
+	if err := s.Apply(3, 1, newProposal(1, fileChange("a.toml", claims(20))), nil); err != nil {
 		t.Error(err)
 	}
 }
 
-// The moment of being applied counts: a plan that runs by then.
+// Conflicts with running plans are checked when a command is applied, not when it is proposed.
 func TestCheckedWhenApplied(t *testing.T) {
-	s := started(t)
-	c := propose(1, change("a.toml", child("a", kindOf("z", "freeze", "zones = [\"z2\"]"))))
-	if s.Apply(2, 1, c, []Running{{Plan: "p", Names: Names{Zones: []string{"z2"}}}}) == nil {
+	s := newState(t)
+	c := newProposal(1, fileChange("a.toml", childFile("a", ruleText("z", "freeze", "zones = [\"z2\"]"))))
+	if s.Apply(2, 1, c, []RunningPlan{{Plan: "p", Names: Names{Zones: []string{"z2"}}}}) == nil {
 		t.Error("a freeze against a running plan")
 	}
 	if err := s.Apply(3, 1, c, nil); err != nil {
@@ -217,54 +219,54 @@
 	}
 }
 
-// fleet is a few members that apply one history, each as far as it has heard it. Time goes in whole steps; a
-// member that has heard nothing for bound steps takes itself for cut off, the leader takes it for gone after
-// grace.
+// fleet is a set of members that apply one history, each as far as it has received it. Time passes in whole steps. A
+// member without contact for cutOffAfter steps considers itself cut off; after grace steps the leader no longer waits
+// for it.
 type fleet struct {
-	agreed  []*Command
-	members []*Member
-	applied []int // how many commands each has applied, after the one that all begin with
-	links   []bool
-	heard   []int // step at which each was last in touch
-	now     int
-	faulty  string
-	limits  []float64 // of each edition
+	agreed      []*Command
+	members     []*Member
+	applied     []int // how many commands each has applied, after the one that all start with
+	connected   []bool
+	lastContact []int // step of each member's last contact
+	now         int
+	fault       string
+	limits      []float64 // of each edition
 }
 
-const bound, grace = 2, 3
+const cutOffAfter, grace = 2, 3
 
 func (f *fleet) apply(i, to int) {
 	for f.applied[i] < to {
 		c := f.agreed[f.applied[i]]
 		f.applied[i]++
 		m := f.members[i]
-		if m.Apply(uint64(f.applied[i]+1), 1, c, nil) == nil && f.faulty == "no joint phase" && c.Kind == Propose {
+		if m.Apply(uint64(f.applied[i]+1), 1, c, nil) == nil && f.fault == "no joint phase" && c.Kind == Propose {
 			m.Binding = 1
 		}
 	}
 }
 
-// step takes a moment in which each member applies up to a place, if it is reached, and the leader does what
-// it does.
+// step passes one step of time, in which each connected member applies commands up to the given index and the leader
+// proposes what is due.
 func (f *fleet) step(to []int) {
 	f.now++
 	for i, m := range f.members {
-		if f.links[i] {
-			f.heard[i] = f.now
+		if f.connected[i] {
+			f.lastContact[i] = f.now
 			agreed := uint64(len(f.agreed) + 1)
-			if f.faulty == "reached is enough" {
+			if f.fault == "contact is enough" {
 				agreed = 0
 			}
-			m.Touch(now+int64(f.now), agreed)
+			m.NoteAgreed(now+int64(f.now), agreed)
 			f.apply(i, to[i])
 		}
 	}
-	f.apply(0, len(f.agreed)) // the leader has applied all
+	f.apply(0, len(f.agreed)) // the leader has applied all commands
 	agreed := &f.members[0].State
-	var reports []Report
+	var reports []MemberReport
 	for i := range f.members {
-		reports = append(reports, Report{uint64(f.applied[i] + 1), int64(f.now - f.heard[i])})
-		if f.faulty == "nobody asked" {
+		reports = append(reports, MemberReport{uint64(f.applied[i] + 1), int64(f.now - f.lastContact[i])})
+		if f.fault == "leader does not wait" {
 			reports[i].Applied = math.MaxInt64
 		}
 	}
@@ -274,11 +276,11 @@
 	}
 }
 
-// unbound names two members, neither of which takes itself for cut off, with no edition that binds both.
-func (f *fleet) unbound() string {
+// withoutCommonEdition reports two members that both consider themselves up to date and have no edition in common.
+func (f *fleet) withoutCommonEdition() string {
 	at := now + int64(f.now)
 	held := func(m *Member) (all []uint64) {
-		for _, e := range m.Holds(at) {
+		for _, e := range m.InForce(at) {
 			all = append(all, e.Number)
 		}
 		return all
@@ -286,7 +288,7 @@
 	for i, m := range f.members {
 		for j, n := range f.members[:i] {
 			common := func(x uint64) bool { return slices.Contains(held(n), x) }
-			if !m.Cut(at) && !n.Cut(at) && !slices.ContainsFunc(held(m), common) {
+			if !m.IsCutOff(at) && !n.IsCutOff(at) && !slices.ContainsFunc(held(m), common) {
 				return fmt.Sprintf("member %d holds %v, member %d %v", i, held(m), j, held(n))
 			}
 		}
@@ -294,38 +296,37 @@
 	return ""
 }
 
-// wrong says what no fleet may come to: two members with nothing that binds both, or one that passes what it
-// knows.
-func (f *fleet) wrong() string {
+// violation reports two members without a common edition, or a member that exceeds an edition that it knows.
+func (f *fleet) violation() string {
 	at := now + int64(f.now)
 	for i, m := range f.members {
 		var e Effective
-		m.Picture(at).Of("t1", "", &e)
-		for _, x := range m.Holds(at) {
-			if got, most := e.Bound[Limit(0, 0)], f.limits[x.Number-1]; got > most {
+		m.Snapshot(at).Lookup("t1", "", &e)
+		for _, x := range m.InForce(at) {
+			if got, most := e.Bound[LimitSlot(0, 0)], f.limits[x.Number-1]; got > most {
 				return fmt.Sprintf("member %d lets %v through where edition %d allows %v", i, got, x.Number, most)
 			}
 		}
 	}
-	return f.unbound()
+	return f.withoutCommonEdition()
 }
 
-func played(t *rapid.T, faulty string) string {
-	f := &fleet{faulty: faulty, limits: []float64{50}}
-	start := started(t, tenantLimit(50))
+func playHistory(t *rapid.T, fault string) string {
+	f := &fleet{fault: fault, limits: []float64{50}}
+	start := newState(t, fileWithTenantLimit(50))
 	for range 3 {
-		f.members = append(f.members, &Member{State: *start, Bound: bound, sure: now})
-		f.applied, f.links, f.heard = append(f.applied, 0), append(f.links, true), append(f.heard, 0)
+		f.members = append(f.members, &Member{State: *start, CutOffAfter: cutOffAfter, lastUpToDate: now})
+		f.applied, f.connected, f.lastContact = append(f.applied, 0), append(f.connected, true), append(f.lastContact, 0)
 	}
 	for range 30 {
 		switch rapid.IntRange(0, 4).Draw(t, "event") {
 		case 0:
 			n := rapid.IntRange(10, 90).Draw(t, "limit")
 			was := f.members[0].Newest()
-			c := propose(was, change("a.toml", tenantLimit(n)))
-			for _, m := range f.members { // heard of before it is agreed on, by some
+			c := newProposal(was, fileChange("a.toml", fileWithTenantLimit(n)))
+			for _, m := range f.members { // some members see it before it is agreed on
 				if rapid.Bool().Draw(t, "told") {
-					m.Hear(c, nil)
+					m.AddPending(c, nil)
 				}
 			}
 			f.agreed = append(f.agreed, c)
@@ -335,7 +336,7 @@
 			}
 		case 1:
 			i := rapid.IntRange(1, 2).Draw(t, "link")
-			f.links[i] = !f.links[i]
+			f.connected[i] = !f.connected[i]
 		default:
 			var to []int
 			for i := range f.members {
@@ -343,8 +344,8 @@
 			}
 			f.step(to)
 		}
-		if wrong := f.wrong(); wrong != "" {
-			return wrong
+		if problem := f.violation(); problem != "" {
+			return problem
 		}
 	}
 	return ""
@@ -352,85 +353,86 @@
 
 func TestJointPhase(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if wrong := played(t, ""); wrong != "" {
-			t.Error(wrong)
+		if problem := playHistory(t, ""); problem != "" {
+			t.Error(problem)
 		}
 	})
 }
 
-// A history without the joint phase, and a leader that asks nobody, are found.
-func TestBrokenHistories(t *testing.T) {
-	for _, faulty := range []string{"no joint phase", "nobody asked", "reached is enough"} {
-		tried := rapid.Custom(func(t *rapid.T) string { return played(t, faulty) })
+// The faults are found: a history without the joint phase, a leader that does not wait for the members, and members
+// that consider themselves up to date on contact alone.
+func TestFaultyHistoriesFound(t *testing.T) {
+	for _, fault := range []string{"no joint phase", "leader does not wait", "contact is enough"} {
+		generator := rapid.Custom(func(t *rapid.T) string { return playHistory(t, fault) })
 		found := false
 		for seed := 0; seed < 200 && !found; seed++ {
-			if wrong := tried.Example(seed); wrong != "" {
-				t.Logf("%s, run %d: %s", faulty, seed, wrong)
+			if problem := generator.Example(seed); problem != "" {
+				t.Logf("%s, run %d: %s", fault, seed, problem)
 				found = true
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found", faulty)
+			t.Errorf("%s: not found", fault)
 		}
 	}
 }
 
-// A proxy that is cut off keeps what it heard of, if that is tighter, until the history tells what came of
-// it.
-func TestCutOff(t *testing.T) {
-	m := &Member{State: *started(t, tenantLimit(50)), Bound: 10}
-	if !m.Cut(now) {
-		t.Error("it knows of nothing yet")
-	}
-	m.Touch(now, 1)
+// A member that is cut off also applies the pending proposals, if they are tighter, until it learns from the history
+// what became of them.
+func TestMemberCutOff(t *testing.T) {
+	m := &Member{State: *newState(t, fileWithTenantLimit(50)), CutOffAfter: 10}
+	if !m.IsCutOff(now) {
+		t.Error("a new member is not cut off")
+	}
+	m.NoteAgreed(now, 1)
 	at := now
 	limit := func() float64 {
 		var e Effective
-		m.Picture(at).Of("t1", "", &e)
-		return e.Bound[Limit(0, 0)]
+		m.Snapshot(at).Lookup("t1", "", &e)
+		return e.Bound[LimitSlot(0, 0)]
 	}
-	c := propose(1, change("a.toml", tenantLimit(20)))
-	m.Hear(c, nil)
-	// would be refused
-	m.Hear(propose(1, change("a.toml", strings.Replace(tenantLimit(1), "\"t1\"", "\"t9\", \"t1\"",
+	c := newProposal(1, fileChange("a.toml", fileWithTenantLimit(20)))
+	m.AddPending(c, nil)
+	// This one would be refused.
+	m.AddPending(newProposal(1, fileChange("a.toml", strings.Replace(fileWithTenantLimit(1), "\"t1\"", "\"t9\", \"t1\"",
 		1)+"[[rule]]\nid = \"z\"\nkind = \"never\"\nzones = [\"z9\"]\n")), nil)
-	if limit() != 50 || len(m.Holds(at)) != 1 {
-		t.Errorf("reached: %v of %d editions", limit(), len(m.Holds(at)))
+	if limit() != 50 || len(m.InForce(at)) != 1 {
+		t.Errorf("connected: limit %v from %d editions", limit(), len(m.InForce(at)))
 	}
-	if at += 10; !m.Cut(at) || limit() != 20 {
-		t.Errorf("cut off: %v, want the tighter that it heard of", limit())
+	if at += 10; !m.IsCutOff(at) || limit() != 20 {
+		t.Errorf("cut off: %v, want the tighter limit of the pending proposal", limit())
 	}
-	m.Touch(at, 2)
-	if !m.Cut(at) {
-		t.Error("reached, but it has not caught up")
+	m.NoteAgreed(at, 2)
+	if !m.IsCutOff(at) {
+		t.Error("not cut off in contact before it has caught up")
 	}
-	if err := m.Apply(2, 1, propose(1, change("a.toml", tenantLimit(70))), nil); err != nil {
+	if err := m.Apply(2, 1, newProposal(1, fileChange("a.toml", fileWithTenantLimit(70))), nil); err != nil {
 		t.Fatal(err)
 	}
-	if m.Cut(at) || limit() != 50 {
+	if m.IsCutOff(at) || limit() != 50 {
 		t.Errorf("caught up: %v", limit())
 	}
-	if at += 10; !m.Cut(at) || limit() != 50 {
+	if at += 10; !m.IsCutOff(at) || limit() != 50 {
 		t.Errorf("cut off again: %v, want the joint phase's 50", limit())
 	}
 }
 
-// A proxy that comes back with an older edition applies what it missed and holds what all do.
-func TestBackWithOlder(t *testing.T) {
-	one, late := started(t, tenantLimit(50)), started(t, tenantLimit(50))
-	for i, c := range []*Command{propose(1, change("a.toml", tenantLimit(70))), {Kind: Settle, Edition: 2,
-		Term: 1}, propose(2, change("a.toml", tenantLimit(60)))} {
+// A member that returns with an older edition applies what it missed and has the same state as the others.
+func TestCatchUpFromOlderEdition(t *testing.T) {
+	one, late := newState(t, fileWithTenantLimit(50)), newState(t, fileWithTenantLimit(50))
+	for i, c := range []*Command{newProposal(1, fileChange("a.toml", fileWithTenantLimit(70))), {Kind: Settle, Edition: 2,
+		Term: 1}, newProposal(2, fileChange("a.toml", fileWithTenantLimit(60)))} {
 		for _, s := range []*State{one, late} {
 			if err := s.Apply(uint64(i+2), 1, c, nil); err != nil {
 				t.Fatal(err)
 			}
-			if s == one && i == 0 && limitOf(late, "t1") != 50 {
-				t.Error("the late one is not on the older")
+			if s == one && i == 0 && tenantLimitIn(late, "t1") != 50 {
+				t.Error("the late member is not on the older edition")
 			}
 		}
 	}
-	if limitOf(one, "t1") != limitOf(late, "t1") || !maps.EqualFunc(one.Editions[2].Files,
-		late.Editions[2].Files, same) {
-		t.Error("two states of one history")
+	if tenantLimitIn(one, "t1") != tenantLimitIn(late, "t1") || !maps.EqualFunc(one.Editions[2].Files,
+		late.Editions[2].Files, sameFile) {
+		t.Error("different states from the same history")
 	}
 }
--- a/fleet/charter/merge.go
+++ b/fleet/charter/merge.go
@@ -1,8 +1,8 @@
 package charter
 
-// This file owns how the files of all teams become one charter: the tree, what each namespace holds, which
-// rules are in force for which reqs. Its tables live as long as the charter that they are of. It must never
-// depend on the order in which files come.
+// This file merges the files of all teams into one charter: the tree of namespaces, the names that each namespace
+// holds, and which rules apply to which requests. Its tables live as long as their charter. The result does not
+// depend on the order of the files.
 
 import (
 	"cmp"
@@ -13,38 +13,38 @@
 	"time"
 )
 
-// Running is a plan by which machines are out or go out, as a freeze sees it: every zone, cell and kind that
-// its servers are of.
-type Running struct {
+// RunningPlan is a maintenance plan by which servers are or will be out of service, with every zone, cell and kind that
+// its servers belong to. Freezes are checked against it.
+type RunningPlan struct {
 	Plan string
 	Names
-	Until int64 // Unix ns; 0: open
+	Until int64 // Unix ns; 0: no end
 }
 
 // node is a namespace in the tree.
 type node struct {
 	*File
-	parent *node
-	depth  int
-	stands bool          // it hangs from the root by delegations
-	end    int64         // of the delegations above
-	ender  Position      // the delegation that ends first
-	holds  [dims][]int32 // sorted; nil: all
-	own    [dims]bool    // it claims some itself
-}
-
-// above says whether a namespace is another one or one of those above it. Only for those that stand, which no
-// circle holds.
-func (n *node) above(m *node) bool {
+	parent      *node
+	depth       int
+	attached    bool                    // it is connected to the root by delegations
+	end         int64                   // when the first of the delegations above ends, in Unix ns
+	endPosition Position                // of the delegation that ends first
+	held        [dimensionCount][]int32 // numbers of the names that it holds, sorted; nil: all
+	claimsSome  [dimensionCount]bool    // it claims some names itself
+}
+
+// isAncestorOf reports whether n is m or an ancestor of m. It is only called for attached nodes, which are in no cycle.
+func (n *node) isAncestorOf(m *node) bool {
 	for ; m != nil && m != n; m = m.parent {
 	}
 	return m == n
 }
 
-// box is which reqs something is about, by sorted numbers; nil: all.
-type box struct{ tenants, sets []int32 }
+// reqScope is the set of requests that a rule applies to, by the sorted numbers of tenants and rule sets; nil: all.
+type reqScope struct{ tenants, ruleSets []int32 }
 
-func dimMeets(a, b []int32) bool {
+// listsIntersect reports whether two sorted lists have a number in common; nil stands for all numbers.
+func listsIntersect(a, b []int32) bool {
 	if a == nil || b == nil {
 		return true
 	}
@@ -61,71 +61,79 @@
 	return false
 }
 
-func dimWithin(a, b []int32) bool {
+// listWithin reports whether all numbers of a are in b; nil stands for all numbers.
+func listWithin(a, b []int32) bool {
 	if b == nil {
 		return true
 	}
-	return a != nil && !slices.ContainsFunc(a, func(x int32) bool { return !has(b, x) })
+	return a != nil && !slices.ContainsFunc(a, func(x int32) bool { return !listHas(b, x) })
 }
 
-func has(all []int32, x int32) bool {
+// listHas reports whether x is in a sorted list; nil stands for all numbers.
+func listHas(all []int32, x int32) bool {
 	_, ok := slices.BinarySearch(all, x)
 	return all == nil || ok
 }
 
-func (b box) meets(c box) bool { return dimMeets(b.tenants, c.tenants) && dimMeets(b.sets, c.sets) }
-func (b box) within(c box) bool {
-	return dimWithin(b.tenants, c.tenants) && dimWithin(b.sets, c.sets)
+func (b reqScope) intersects(c reqScope) bool {
+	return listsIntersect(b.tenants, c.tenants) && listsIntersect(b.ruleSets, c.ruleSets)
+}
+func (b reqScope) within(c reqScope) bool {
+	return listWithin(b.tenants, c.tenants) && listWithin(b.ruleSets, c.ruleSets)
+}
+func (b reqScope) includes(tenant, set int32) bool {
+	return listHas(b.tenants, tenant) && listHas(b.ruleSets, set)
 }
-func (b box) of(tenant, set int32) bool { return has(b.tenants, tenant) && has(b.sets, set) }
 
-// rule is a rule with its names resolved. It never changes: charters that follow one another share it.
+// rule is a rule with its names resolved. It never changes, as successive charters share it.
 type rule struct {
 	*Rule
-	box
-	node  *node
-	own   span // as written
-	span  span // cut by the ends of what it stands on
-	set   Set  // places named, or, of only and never, those allowed
-	sound bool
-	ender Position // where what it stands on ends
-	bound int      // the slot that it is about, -1: none
-	kind  int      // its place in ruleKinds
-	unit  int      // its place in units
-}
-
-// Charter is one edition, all files together.
+	reqScope
+	node        *node
+	ownSpan     span     // the rule's own times
+	span        span     // ownSpan, cut where the rights that the rule is based on end
+	placeSet    PlaceSet // places that the rule names; of only and never, the allowed ones
+	valid       bool
+	endPosition Position // of the delegation or grant that ends span
+	slot        int      // of Value.Bound that the rule sets; -1: none
+	kind        int      // index in ruleKinds
+	unit        int      // index in units
+}
+
+// Charter is one edition of the charter: all files together.
 type Charter struct {
-	Conflicts []Conflict // sorted
-	now       int64
-	nodes     []*node // sorted by namespace
-	at        map[string]*node
-	names     [dims]map[string]int32
-	words     [dims][]string // names by their numbers
-	claimed   [dims][][]*node
-	windows   map[string]*Window
-	defined   map[string]*node // the namespace of each window
-	rules     []*rule          // in the order of namespaces
-	by        [kinds][]*rule   // those that are sound, by their places in ruleKinds
-	granted   map[grantKey][]stand
-	mask      [dims]Set      // all places of a kind
-	fresh     map[*rule]bool // those that may contradict what they did not before; nil: all
-}
-
-func (c *Charter) isFresh(r *rule) bool { return c.fresh == nil || c.fresh[r] }
+	Conflicts   []Conflict // sorted
+	now         int64
+	nodes       []*node // sorted by namespace
+	byNamespace map[string]*node
+	ids         [dimensionCount]map[string]int32
+	names       [dimensionCount][]string  // names by their numbers
+	claimants   [dimensionCount][][]*node // by dimension and number: the namespaces that claim the name
+	windows     map[string]*Window
+	windowOwner map[string]*node       // the namespace that defines each window
+	rules       []*rule                // in the order of namespaces
+	byKind      [ruleKindCount][]*rule // the valid rules, by their index in ruleKinds
+	grantsTo    map[grantKey][]basis
+	allPlaces   [dimensionCount]PlaceSet // all claimed places of a dimension
+	recheck     map[*rule]bool           // rules that may be in conflicts that the charter before did not have; nil: all
+}
+
+// needsCheck reports whether a rule has to be checked for conflicts.
+func (c *Charter) needsCheck(r *rule) bool { return c.recheck == nil || c.recheck[r] }
 
 type grantKey struct {
 	to   *node
-	dim  Dim
+	dim  Dimension
 	name string
 }
 
-// stand is what something rests on, and until when.
-type stand struct {
+// basis is the delegation or grant that a right is based on, and when it ends.
+type basis struct {
 	end int64
 	at  Position
 }
 
+// unixOr returns a time in Unix ns, or other for the zero time.
 func unixOr(t time.Time, other int64) int64 {
 	if t.IsZero() {
 		return other
@@ -133,15 +141,16 @@
 	return t.UnixNano()
 }
 
-func endOf(until, revoked time.Time) int64 {
+// endTime returns when a right ends that has an end and may be revoked, in Unix ns.
+func endTime(until, revoked time.Time) int64 {
 	return min(unixOr(until, forever), unixOr(revoked, forever))
 }
 
-// Merge makes one charter of files, by what is known at a moment, beside plans that run. Two files of one
-// namespace are a fault of who calls: the first by its file's name is taken.
-func Merge(files []*File, now int64, plans []Running) *Charter {
-	c := &Charter{now: now, at: map[string]*node{}, windows: map[string]*Window{}, defined: map[string]*node{},
-		granted: map[grantKey][]stand{}}
+// Merge merges files into a charter and finds its conflicts from now on, in Unix ns, also those with running plans. The
+// caller must not pass two files of one namespace; if it does, the first by file name is used.
+func Merge(files []*File, now int64, plans []RunningPlan) *Charter {
+	c := &Charter{now: now, byNamespace: map[string]*node{},
+		windows: map[string]*Window{}, windowOwner: map[string]*node{}, grantsTo: map[grantKey][]basis{}}
 	files = slices.Clone(files)
 	slices.SortFunc(files, func(x, y *File) int {
 		return cmp.Or(cmp.Compare(x.Namespace, y.Namespace), cmp.Compare(x.At.File, y.At.File))
@@ -150,32 +159,32 @@
 	for _, f := range files {
 		n := &node{File: f, end: forever}
 		c.nodes = append(c.nodes, n)
-		c.at[f.Namespace] = n
+		c.byNamespace[f.Namespace] = n
 	}
-	c.tree()
-	c.number()
-	c.hold()
-	c.grants()
+	c.buildTree()
+	c.numberNames()
+	c.assignHeld()
+	c.collectGrants()
 	for _, n := range c.nodes {
 		for i := range n.Rules {
-			if n.stands {
+			if n.attached {
 				c.rules = append(c.rules, c.resolve(n, &n.Rules[i]))
 			}
 		}
 	}
-	c.check(plans)
-	c.sort()
+	c.checkRules(plans)
+	c.sortConflicts()
 	return c
 }
 
-// Change is Merge where files differ from those of a charter without refused conflicts, of an earlier moment.
-// Where they differ in rules alone, what the others come to is taken over: among themselves they contradict
-// in nothing that they did not before.
-func (c *Charter) Change(files []*File, now int64, plans []Running) *Charter {
+// Change returns the same charter as Merge, but reuses what c has already worked out if c has no refused conflicts,
+// is not later than now, and the files differ in their rules only. Unchanged rules then need no check against each
+// other, as they have no conflicts that they did not have before.
+func (c *Charter) Change(files []*File, now int64, plans []RunningPlan) *Charter {
 	changed := map[string]*File{}
 	for _, f := range files {
-		n := c.at[f.Namespace]
-		if n == nil || !sameGround(n.File, f) {
+		n := c.byNamespace[f.Namespace]
+		if n == nil || !sameExceptRules(n.File, f) {
 			return Merge(files, now, plans)
 		}
 		if n.File != f {
@@ -186,8 +195,8 @@
 		return Merge(files, now, plans)
 	}
 	next := *c
-	next.Conflicts, next.now, next.fresh = nil, now, map[*rule]bool{}
-	next.nodes, next.at = slices.Clone(c.nodes), maps.Clone(c.at)
+	next.Conflicts, next.now, next.recheck = nil, now, map[*rule]bool{}
+	next.nodes, next.byNamespace = slices.Clone(c.nodes), maps.Clone(c.byNamespace)
 	next.rules = make([]*rule, 0, len(c.rules))
 	warned := map[Position]bool{}
 	for _, x := range c.Conflicts {
@@ -206,27 +215,28 @@
 			next.rules = append(next.rules, old...)
 			for _, r := range old {
 				if len(warned) > 0 && warned[r.At] {
-					next.fresh[r] = true
+					next.recheck[r] = true
 				}
 			}
 			continue
 		}
 		for j := range f.Rules {
-			x := next.resolve(n, &f.Rules[j]) // the node that was: the ground is the same, and others know it
-			next.fresh[x] = true
+			// The old node is kept, as all but the rules is the same and other rules refer to it.
+			x := next.resolve(n, &f.Rules[j])
+			next.recheck[x] = true
 			next.rules = append(next.rules, x)
 		}
 		m := *n
 		m.File = f
-		next.nodes[i], next.at[n.Namespace] = &m, &m
+		next.nodes[i], next.byNamespace[n.Namespace] = &m, &m
 	}
-	next.check(plans)
-	next.sort()
+	next.checkRules(plans)
+	next.sortConflicts()
 	return &next
 }
 
-// sameGround says whether two files differ in rules alone, in places of all else neither.
-func sameGround(x, y *File) bool {
+// sameExceptRules reports whether two files are equal except for their rules, positions included.
+func sameExceptRules(x, y *File) bool {
 	if x == y {
 		return true
 	}
@@ -235,7 +245,7 @@
 	return reflect.DeepEqual(a, b)
 }
 
-func (c *Charter) sort() {
+func (c *Charter) sortConflicts() {
 	slices.SortFunc(c.Conflicts, func(x, y Conflict) int {
 		return cmp.Or(cmp.Compare(x.Class, y.Class), cmp.Compare(x.A.File, y.A.File),
 			cmp.Compare(x.A.Line, y.A.Line),
@@ -243,19 +253,19 @@
 	})
 }
 
-// tree finds parents, circles and delegations.
-func (c *Charter) tree() {
+// buildTree finds parents, cycles and delegations.
+func (c *Charter) buildTree() {
 	var root *node
 	for _, n := range c.nodes {
-		n.parent = c.at[n.Parent]
+		n.parent = c.byNamespace[n.Parent]
 		switch {
 		case n.Parent == "" && root == nil:
 			root = n
 		case n.Parent == "":
-			c.find(ClaimedTwice, true, root.At, n.At, Witness{At: c.now}, "the root: %s and %s", root.Namespace,
+			c.addConflict(ClaimedTwice, true, root.At, n.At, Witness{At: c.now}, "the root: %s and %s", root.Namespace,
 				n.Namespace)
 		case n.parent == nil:
-			c.find(NoName, true, n.At, n.At, Witness{At: c.now}, "namespace %s", n.Parent)
+			c.addConflict(UnknownName, true, n.At, n.At, Witness{At: c.now}, "namespace %s", n.Parent)
 		}
 	}
 	for _, n := range c.nodes {
@@ -263,7 +273,7 @@
 		for ; m != nil && m != n && n.depth <= len(c.nodes); m = m.parent {
 			n.depth++
 		}
-		if m == n { // told once, by its first
+		if m == n { // reported once, for the first namespace of the cycle by name
 			least, chain := n, n.Namespace
 			for x := n.parent; x != n; x = x.parent {
 				chain += " under " + x.Namespace
@@ -272,125 +282,128 @@
 				}
 			}
 			if least == n {
-				c.find(Circle, true, n.At, n.parent.At, Witness{At: c.now}, "%s under %s", chain, n.Namespace)
+				c.addConflict(DelegationCycle, true, n.At, n.parent.At, Witness{At: c.now},
+					"%s under %s", chain, n.Namespace)
 			}
 		}
-		n.stands = m == nil
+		n.attached = m == nil
 	}
 	byDepth := slices.Clone(c.nodes)
 	slices.SortStableFunc(byDepth, func(x, y *node) int { return cmp.Compare(x.depth, y.depth) })
 	for _, n := range byDepth {
 		switch {
-		case !n.stands:
+		case !n.attached:
 		case n.parent == nil:
-			n.stands = n == root
+			n.attached = n == root
 		default:
 			i := slices.IndexFunc(n.parent.Delegates, func(d Delegate) bool { return d.To == n.Namespace })
 			if i < 0 {
-				c.find(NotOwned, true, n.At, n.parent.At, Witness{At: c.now}, "%s is not delegated to", n.Namespace)
+				c.addConflict(NotOwned, true, n.At, n.parent.At, Witness{At: c.now},
+					"%s is not delegated to", n.Namespace)
 			}
-			if n.stands = i >= 0 && n.parent.stands; n.stands {
-				n.end, n.ender = n.parent.end, n.parent.ender
-				if d := n.parent.Delegates[i]; endOf(d.Until, d.Revoked) < n.end {
-					n.end, n.ender = endOf(d.Until, d.Revoked), d.At
+			if n.attached = i >= 0 && n.parent.attached; n.attached {
+				n.end, n.endPosition = n.parent.end, n.parent.endPosition
+				if d := n.parent.Delegates[i]; endTime(d.Until, d.Revoked) < n.end {
+					n.end, n.endPosition = endTime(d.Until, d.Revoked), d.At
 				}
 			}
 		}
 		for _, d := range n.Delegates {
-			if c.at[d.To] == nil {
-				c.find(NoName, true, d.At, d.At, Witness{At: c.now}, "namespace %s", d.To)
+			if c.byNamespace[d.To] == nil {
+				c.addConflict(UnknownName, true, d.At, d.At, Witness{At: c.now}, "namespace %s", d.To)
 			}
 		}
 	}
 }
 
-// number gives each claimed name a number, in the order of names.
-func (c *Charter) number() {
+// numberNames gives each claimed name a number, in the order of names.
+func (c *Charter) numberNames() {
 	count := 0
-	for d := range Hours {
+	for d := range WindowName {
 		names := map[string][]*node{}
 		for _, n := range c.nodes {
 			for _, x := range n.Claims {
-				if x.Dim == d && n.stands {
+				if x.Dimension == d && n.attached {
 					names[x.Name] = append(names[x.Name], n)
 				}
 			}
 		}
-		c.words[d], c.names[d] = slices.Sorted(maps.Keys(names)), make(map[string]int32, len(names))
-		for i, name := range c.words[d] {
-			c.names[d][name] = int32(i)
-			c.claimed[d] = append(c.claimed[d], names[name])
+		c.names[d], c.ids[d] = slices.Sorted(maps.Keys(names)), make(map[string]int32, len(names))
+		for i, name := range c.names[d] {
+			c.ids[d][name] = int32(i)
+			c.claimants[d] = append(c.claimants[d], names[name])
 		}
 		if d >= Zone {
-			for id := range c.words[d] {
-				c.mask[d].add(c.bit(d, int32(id)))
+			for id := range c.names[d] {
+				c.allPlaces[d].add(c.placeBit(d, int32(id)))
 			}
-			count += len(c.words[d]) + 1
+			count += len(c.names[d]) + 1
 		}
 	}
-	if count > mostPlaces {
-		c.find(TooMany, true, c.nodes[0].At, c.nodes[0].At, Witness{At: c.now},
+	if count > maxPlaces {
+		c.addConflict(TooManyPlaces, true, c.nodes[0].At, c.nodes[0].At, Witness{At: c.now},
 			"%d zones, cells and kinds, %d at the most",
-			count-3, mostPlaces-3)
+			count-3, maxPlaces-3)
 	}
 	for _, n := range c.nodes {
 		for i := range n.Windows {
 			w := &n.Windows[i]
-			switch had := c.defined[w.Name]; {
-			case !n.stands:
+			switch had := c.windowOwner[w.Name]; {
+			case !n.attached:
 			case had != nil:
-				c.find(ClaimedTwice, true, c.windows[w.Name].At, w.At, Witness{At: c.now, Name: w.Name},
+				c.addConflict(ClaimedTwice, true, c.windows[w.Name].At, w.At, Witness{At: c.now, Name: w.Name},
 					"window %s: %s and %s", w.Name, had.Namespace, n.Namespace)
 			default:
-				c.windows[w.Name], c.defined[w.Name] = w, n
+				c.windows[w.Name], c.windowOwner[w.Name] = w, n
 			}
 		}
 	}
 }
 
-// bit is the place of a zone, a cell or a kind among all places. After those of each comes one for all that
-// nobody claims.
-func (c *Charter) bit(d Dim, number int32) int32 {
+// placeBit returns the bit of a zone, a cell or a kind in a PlaceSet. After the bits of each dimension comes one for
+// all names that nobody claims.
+func (c *Charter) placeBit(d Dimension, number int32) int32 {
 	for x := Zone; x < d; x++ {
-		number += int32(len(c.words[x])) + 1
+		number += int32(len(c.names[x])) + 1
 	}
-	return min(number, int32(mostPlaces)-1)
+	return min(number, int32(maxPlaces)-1)
 }
 
-// hold says what each namespace holds: the root all; any other what it claims, or where it claims nothing of
-// a kind what its parent holds.
-func (c *Charter) hold() {
-	nodes := slices.DeleteFunc(slices.Clone(c.nodes), func(n *node) bool { return !n.stands })
+// assignHeld determines which names each namespace holds: the root holds all, any other what it claims, or what its
+// parent holds in a dimension in which it claims nothing.
+func (c *Charter) assignHeld() {
+	nodes := slices.DeleteFunc(slices.Clone(c.nodes), func(n *node) bool { return !n.attached })
 	slices.SortStableFunc(nodes, func(x, y *node) int { return cmp.Compare(x.depth, y.depth) })
 	for _, n := range nodes {
-		var above [dims][]int32
+		var above [dimensionCount][]int32
 		if n.parent != nil {
-			above = n.parent.holds
+			above = n.parent.held
 		}
-		n.holds = above
-		var own [dims][]int32
+		n.held = above
+		var own [dimensionCount][]int32
 		for _, x := range n.Claims {
-			n.own[x.Dim] = true
-			id := c.names[x.Dim][x.Name]
-			if !has(above[x.Dim], id) {
-				c.find(NotOwned, true, x.At, n.parent.At, Witness{At: c.now, Name: x.Name},
-					"%s claims %s %s, which %s does not hold", n.Namespace, x.Dim, x.Name, n.Parent)
+			n.claimsSome[x.Dimension] = true
+			id := c.ids[x.Dimension][x.Name]
+			if !listHas(above[x.Dimension], id) {
+				c.addConflict(NotOwned, true, x.At, n.parent.At, Witness{At: c.now, Name: x.Name},
+					"%s claims %s %s, which %s does not hold", n.Namespace, x.Dimension, x.Name, n.Parent)
 			}
-			own[x.Dim] = append(own[x.Dim], id)
+			own[x.Dimension] = append(own[x.Dimension], id)
 		}
 		for d := range own {
 			if slices.Sort(own[d]); own[d] != nil && n.parent != nil {
-				n.holds[d] = own[d]
+				n.held[d] = own[d]
 			}
 		}
 	}
-	for d := range Hours {
-		for id, all := range c.claimed[d] {
+	for d := range WindowName {
+		for id, all := range c.claimants[d] {
 			for i, n := range all {
 				for _, m := range all[i+1:] {
-					if !n.above(m) && !m.above(n) {
-						name := c.words[d][id]
-						c.find(ClaimedTwice, true, n.claim(d, name), m.claim(d, name), Witness{At: c.now, Name: name},
+					if !n.isAncestorOf(m) && !m.isAncestorOf(n) {
+						name := c.names[d][id]
+						c.addConflict(ClaimedTwice, true, n.claimPosition(d, name), m.claimPosition(d, name),
+							Witness{At: c.now, Name: name},
 							"%s %s: %s and %s", d, name, n.Namespace, m.Namespace)
 					}
 				}
@@ -399,55 +412,57 @@
 	}
 }
 
-func (n *node) claim(d Dim, name string) Position {
-	i := slices.IndexFunc(n.Claims, func(x Claim) bool { return x.Dim == d && x.Name == name })
+// claimPosition returns the position of a claim of the namespace.
+func (n *node) claimPosition(d Dimension, name string) Position {
+	i := slices.IndexFunc(n.Claims, func(x Claim) bool { return x.Dimension == d && x.Name == name })
 	return n.Claims[i].At
 }
 
-// owns says whether a namespace may name something of its own right: it holds it, and nobody claims it who is
-// neither above nor below.
-func (c *Charter) owns(n *node, d Dim, name string) bool {
-	if d == Hours {
-		return c.defined[name].above(n)
+// owns reports whether a namespace may use a name in its own right: it holds the name, and no namespace claims it
+// that is neither an ancestor nor a descendant.
+func (c *Charter) owns(n *node, d Dimension, name string) bool {
+	if d == WindowName {
+		return c.windowOwner[name].isAncestorOf(n)
 	}
-	id := c.names[d][name]
-	return has(n.holds[d], id) && !slices.ContainsFunc(c.claimed[d][id],
-		func(m *node) bool { return !m.above(n) && !n.above(m) })
+	id := c.ids[d][name]
+	return listHas(n.held[d], id) && !slices.ContainsFunc(c.claimants[d][id],
+		func(m *node) bool { return !m.isAncestorOf(n) && !n.isAncestorOf(m) })
 }
 
-func (c *Charter) known(d Dim, name string) bool {
-	if d == Hours {
-		return c.defined[name] != nil
+// known reports whether a name is claimed or, for a window, defined.
+func (c *Charter) known(d Dimension, name string) bool {
+	if d == WindowName {
+		return c.windowOwner[name] != nil
 	}
-	_, ok := c.names[d][name]
+	_, ok := c.ids[d][name]
 	return ok
 }
 
-// grants notes what is granted to whom.
-func (c *Charter) grants() {
+// collectGrants collects the grants, by the namespace that they are made to.
+func (c *Charter) collectGrants() {
 	for _, n := range c.nodes {
 		for _, g := range n.Grants {
-			to := c.at[g.To]
-			if !n.stands {
+			to := c.byNamespace[g.To]
+			if !n.attached {
 				continue
 			}
 			if to == nil {
-				c.find(NoName, true, g.At, g.At, Witness{At: c.now}, "namespace %s", g.To)
+				c.addConflict(UnknownName, true, g.At, g.At, Witness{At: c.now}, "namespace %s", g.To)
 			}
-			lists := g.lists()
-			lists[Hours] = g.Windows
+			lists := g.byDimension()
+			lists[WindowName] = g.Windows
 			for d, names := range lists {
 				for _, name := range names {
-					d := Dim(d)
+					d := Dimension(d)
 					switch {
 					case !c.known(d, name):
-						c.find(NoName, true, g.At, g.At, Witness{At: c.now, Name: name}, "%s %s", d, name)
+						c.addConflict(UnknownName, true, g.At, g.At, Witness{At: c.now, Name: name}, "%s %s", d, name)
 					case !c.owns(n, d, name):
-						c.find(NotOwned, true, g.At, n.At, Witness{At: c.now, Name: name},
+						c.addConflict(NotOwned, true, g.At, n.At, Witness{At: c.now, Name: name},
 							"%s grants %s %s, which it does not own", n.Namespace, d, name)
 					case to != nil:
 						k := grantKey{to, d, name}
-						c.granted[k] = append(c.granted[k], stand{min(endOf(g.Until, g.Revoked), n.end), g.At})
+						c.grantsTo[k] = append(c.grantsTo[k], basis{min(endTime(g.Until, g.Revoked), n.end), g.At})
 					}
 				}
 			}
@@ -455,14 +470,15 @@
 	}
 }
 
-// may says on what a namespace's use of a name rests: its own right, or the grant that ends last.
-func (c *Charter) may(n *node, d Dim, name string) (stand, bool) {
+// basisFor returns what a namespace's use of a name is based on: its own right, or the grant that ends last. It returns
+// false if the namespace may not use the name.
+func (c *Charter) basisFor(n *node, d Dimension, name string) (basis, bool) {
 	if c.owns(n, d, name) {
-		return stand{n.end, n.ender}, true
+		return basis{n.end, n.endPosition}, true
 	}
-	best, found := stand{}, false
+	best, found := basis{}, false
 	for m := n; m != nil; m = m.parent {
-		for _, s := range c.granted[grantKey{m, d, name}] {
+		for _, s := range c.grantsTo[grantKey{m, d, name}] {
 			if !found || s.end > best.end {
 				best, found = s, true
 			}
@@ -471,138 +487,140 @@
 	return best, found
 }
 
-// resolve finds what a rule names, and what that rests on.
+// resolve resolves the names of a rule and determines until when the namespace may use them.
 func (c *Charter) resolve(n *node, r *Rule) *rule {
-	x := &rule{Rule: r, node: n, sound: true, bound: r.slot(), kind: slices.Index(ruleKinds, r.Kind),
-		unit: slices.Index(units, r.Unit),
-		own:  span{from: unixOr(r.Since, 0), to: unixOr(r.Until, forever)}}
-	end := stand{n.end, n.ender}
-	lists := r.lists()
+	x := &rule{Rule: r, node: n, valid: true, slot: r.boundSlot(), kind: slices.Index(ruleKinds, r.Kind),
+		unit:    slices.Index(units, r.Unit),
+		ownSpan: span{from: unixOr(r.Since, 0), to: unixOr(r.Until, forever)}}
+	end := basis{n.end, n.endPosition}
+	lists := r.byDimension()
 	if r.Window != "" {
-		lists[Hours] = []string{r.Window}
+		lists[WindowName] = []string{r.Window}
 	}
-	var ids [dims][]int32
+	var ids [dimensionCount][]int32
 	for d, names := range lists {
 		for _, name := range names {
-			d := Dim(d)
-			s, ok := stand{}, false
+			d := Dimension(d)
+			s, ok := basis{}, false
 			if c.known(d, name) {
-				s, ok = c.may(n, d, name)
+				s, ok = c.basisFor(n, d, name)
 			}
 			switch {
 			case !c.known(d, name):
-				c.find(NoName, true, r.At, r.At, Witness{At: c.now, Name: name}, "%s %s of rule %s", d, name, r.ID)
+				c.addConflict(UnknownName, true, r.At, r.At, Witness{At: c.now, Name: name},
+					"%s %s of rule %s", d, name, r.ID)
 			case !ok:
-				c.find(NotOwned, true, r.At, c.owner(d, name), Witness{At: c.now, Name: name},
+				c.addConflict(NotOwned, true, r.At, c.ownerPosition(d, name), Witness{At: c.now, Name: name},
 					"rule %s names %s %s, which %s neither owns nor was granted", r.ID, d, name, n.Namespace)
 			case s.end < end.end:
 				end = s
 			}
 			if !ok {
-				x.sound = false
-			} else if d == Hours {
-				x.own.window = c.windows[name]
+				x.valid = false
+			} else if d == WindowName {
+				x.ownSpan.window = c.windows[name]
 			} else {
-				ids[d] = append(ids[d], c.names[d][name])
+				ids[d] = append(ids[d], c.ids[d][name])
 			}
 		}
 	}
-	some := n.parent == nil || n.own[Tenant] || n.own[RuleSet] || len(r.Tenants)+len(r.RuleSets) > 0
-	if r.Kind == "freeze" || r.Kind == "limit" && r.places() {
-		some = n.parent == nil || n.own[Zone] || n.own[Cell] || n.own[Kind] || r.places()
+	some := n.parent == nil || n.claimsSome[Tenant] || n.claimsSome[RuleSet] || len(r.Tenants)+len(r.RuleSets) > 0
+	if r.Kind == "freeze" || r.Kind == "limit" && r.namesPlaces() {
+		some = n.parent == nil || n.claimsSome[Zone] || n.claimsSome[Cell] || n.claimsSome[Kind] || r.namesPlaces()
 	}
 	if !some {
-		c.find(NotOwned, true, r.At, n.At, Witness{At: c.now},
+		c.addConflict(NotOwned, true, r.At, n.At, Witness{At: c.now},
 			"rule %s names nothing, and %s claims nothing that it could be about", r.ID, n.Namespace)
-		x.sound = false
+		x.valid = false
 	}
 	for d := range Zone {
 		slices.Sort(ids[d])
 		if ids[d] = slices.Compact(ids[d]); ids[d] == nil {
-			ids[d] = n.holds[d]
+			ids[d] = n.held[d]
 		}
 	}
-	x.box = box{ids[Tenant], ids[RuleSet]}
-	if r.Kind == "freeze" && !r.places() {
+	x.reqScope = reqScope{ids[Tenant], ids[RuleSet]}
+	if r.Kind == "freeze" && !r.namesPlaces() {
 		if n.parent == nil {
-			x.set = x.set.not()
+			x.placeSet = x.placeSet.complement()
 		}
-		for d := Zone; d < Hours; d++ {
-			if n.own[d] {
-				ids[d] = n.holds[d]
+		for d := Zone; d < WindowName; d++ {
+			if n.claimsSome[d] {
+				ids[d] = n.held[d]
 			}
 		}
 	}
-	named := [dims]Set{}
-	for d := Zone; d < Hours; d++ {
+	named := [dimensionCount]PlaceSet{}
+	for d := Zone; d < WindowName; d++ {
 		for _, id := range ids[d] {
-			named[d].add(c.bit(d, id))
+			named[d].add(c.placeBit(d, id))
 		}
 	}
-	all := named[Zone].or(named[Cell]).or(named[Kind])
+	all := named[Zone].union(named[Cell]).union(named[Kind])
 	switch {
 	case r.Kind == "only":
-		x.set = Set{}.not()
-		for d := Zone; d < Hours; d++ {
-			if !named[d].empty() {
-				whole := c.mask[d]
-				whole.add(c.bit(d, int32(len(c.words[d]))))
-				x.set = x.set.and(named[d].or(whole.not()))
+		x.placeSet = PlaceSet{}.complement()
+		for d := Zone; d < WindowName; d++ {
+			if !named[d].isEmpty() {
+				whole := c.allPlaces[d]
+				whole.add(c.placeBit(d, int32(len(c.names[d]))))
+				x.placeSet = x.placeSet.intersect(named[d].union(whole.complement()))
 			}
 		}
 	case r.Kind == "never":
-		x.set = all.not()
-	case !all.empty():
-		x.set = all
+		x.placeSet = all.complement()
+	case !all.isEmpty():
+		x.placeSet = all
 	}
-	x.span, x.ender = x.own, end.at
-	x.span.to = min(x.own.to, end.end)
+	x.span, x.endPosition = x.ownSpan, end.at
+	x.span.to = min(x.ownSpan.to, end.end)
 	return x
 }
 
-// owner is where a name is claimed by the deepest of those who claim it.
-func (c *Charter) owner(d Dim, name string) Position {
-	if d == Hours {
+// ownerPosition returns the position at which the deepest namespace that claims a name does so.
+func (c *Charter) ownerPosition(d Dimension, name string) Position {
+	if d == WindowName {
 		return c.windows[name].At
 	}
-	all := c.claimed[d][c.names[d][name]]
+	all := c.claimants[d][c.ids[d][name]]
 	deep := slices.MaxFunc(all, func(x, y *node) int { return cmp.Compare(x.depth, y.depth) })
-	return deep.claim(d, name)
+	return deep.claimPosition(d, name)
 }
 
-// slot is the bound that a rule sets, or -1.
-func (r *Rule) slot() int {
+// boundSlot returns the slot of Value.Bound that a rule sets, or -1.
+func (r *Rule) boundSlot() int {
 	unit := slices.Index(units, r.Unit)
 	switch r.Kind {
 	case "limit":
-		return Limit(unit, slices.Index(limitPer, r.Per))
+		return LimitSlot(unit, slices.Index(limitPer, r.Per))
 	case "quota":
-		return Quota(unit, slices.Index(quotaPer, r.Per))
+		return QuotaSlot(unit, slices.Index(quotaPer, r.Per))
 	case "value":
-		return Billing
+		return ValueSlot
 	case "further":
-		return Further
+		return FurtherSlot
 	}
 	return -1
 }
 
-// value is what a rule says by itself.
+// value returns the value of the rule alone.
 func (x *rule) value() Value {
 	v := None()
 	switch {
-	case x.bound >= 0:
-		v.Bound[x.bound] = x.Number
+	case x.slot >= 0:
+		v.Bound[x.slot] = x.Number
 	case x.Kind == "guarantee":
-		v.Sure = []Part{{x.name(), x.unit, x.Number}}
+		v.Guaranteed = []Guarantee{{x.name(), x.unit, x.Number}}
 	case x.Kind == "deny":
-		shift := 8 * (mostTier - 1 - min(x.node.depth, mostTier-1))
+		shift := 8 * (maxTiers - 1 - min(x.node.depth, maxTiers-1))
 		v.Rank = v.Rank&^(0xff<<shift) | uint64(x.Number)<<shift
 	case x.Kind == "only" || x.Kind == "never":
-		v.Allowed = x.set
+		v.Allowed = x.placeSet
 	case x.Kind == "freeze":
-		v.Frozen = x.set
+		v.Frozen = x.placeSet
 	}
 	return v
 }
 
+// name returns the rule's id with its namespace.
 func (x *rule) name() string { return fmt.Sprintf("%s/%s", x.node.Namespace, x.ID) }
