--- a/fleet/charter/conflict.go
+++ b/fleet/charter/conflict.go
@@ -118,7 +118,7 @@
 // eachIntersecting calls f once with each rule that applies to a request of the scope.
 func (x *ruleIndex) eachIntersecting(b reqScope, f func(*rule)) {
 	seen := map[*rule]bool{} // only rules that are indexed under several names
-	take := func(all []*rule) {
+	visit := func(all []*rule) {
 		for _, r := range all {
 			if !r.intersects(b) {
 				continue
@@ -132,22 +132,22 @@
 			f(r)
 		}
 	}
-	pick := func(m map[int32][]*rule, ids []int32) {
+	visitListed := func(m map[int32][]*rule, ids []int32) {
 		if ids == nil || len(ids) > len(m) {
 			for id, all := range m {
 				if listHas(ids, id) {
-					take(all)
+					visit(all)
 				}
 			}
 			return
 		}
 		for _, id := range ids {
-			take(m[id])
+			visit(m[id])
 		}
 	}
-	take(x.any)
-	pick(x.byTenant, b.tenants)
-	pick(x.bySet, b.ruleSets)
+	visit(x.any)
+	visitListed(x.byTenant, b.tenants)
+	visitListed(x.bySet, b.ruleSets)
 }
 
 // checkRules finds all conflicts of rules.
@@ -189,12 +189,12 @@
 		c.addConflict(NeverApplies, false, r.At, r.At, Witness{At: c.now}, "rule %s is in force at no moment from now on",
 			r.name())
 	}
-	late := r.ownSpan
-	late.from = max(late.from, r.span.to)
+	afterEnd := r.ownSpan
+	afterEnd.from = max(afterEnd.from, r.span.to)
 	if r.span.to == r.ownSpan.to {
 		return // the rule ends no later than its rights
 	}
-	if at, ok := firstOpen(c.now, late); ok {
+	if at, ok := firstOpen(c.now, afterEnd); ok {
 		c.addConflict(UsedPastEnd, r.span.to <= c.now, r.At, r.endPosition, Witness{At: at},
 			"rule %s goes on past %s", r.name(),
 			time.Unix(0, r.span.to).UTC().Format(time.RFC3339))
@@ -234,24 +234,24 @@
 	guaranteeIndex, changed := newRuleIndex(c.byKind[guaranteeKind]), c.toRecheck(c.byKind[guaranteeKind])
 	var within []*rule
 	var spans []span
-	for _, l := range c.byKind[limitKind] {
-		touched := func(g *rule) bool { return g.unit == l.unit && g.within(l.reqScope) }
-		if l.slot != LimitSlot(l.unit, 0) || l.namesPlaces() ||
-			!c.needsCheck(l) && !slices.ContainsFunc(changed, touched) {
+	for _, limit := range c.byKind[limitKind] {
+		touched := func(g *rule) bool { return g.unit == limit.unit && g.within(limit.reqScope) }
+		if limit.slot != LimitSlot(limit.unit, 0) || limit.namesPlaces() ||
+			!c.needsCheck(limit) && !slices.ContainsFunc(changed, touched) {
 			continue
 		}
-		within, spans = within[:0], append(spans[:0], l.span)
+		within, spans = within[:0], append(spans[:0], limit.span)
 		total := 0.0
-		guaranteeIndex.eachIntersecting(l.reqScope, func(g *rule) {
-			if g.unit == l.unit && g.within(l.reqScope) {
+		guaranteeIndex.eachIntersecting(limit.reqScope, func(g *rule) {
+			if g.unit == limit.unit && g.within(limit.reqScope) {
 				within, spans, total = append(within, g), append(spans, g.span), total+g.Number
 			}
 		})
-		if total <= l.Number {
+		if total <= limit.Number {
 			continue
 		}
 		slices.SortFunc(within, byPosition)
-		c.checkGuaranteesAt(l, within, spans)
+		c.checkGuaranteesAt(limit, within, spans)
 	}
 }
 
@@ -261,13 +261,13 @@
 
 // checkGuaranteesAt finds the first time at which guarantees exceed a limit. Guarantees with the same span are added up
 // beforehand.
-func (c *Charter) checkGuaranteesAt(l *rule, within []*rule, spans []span) {
+func (c *Charter) checkGuaranteesAt(limit *rule, within []*rule, spans []span) {
 	sums := map[span]float64{}
 	for _, g := range within {
 		sums[g.span] += g.Number
 	}
 	for _, at := range candidateTimes(c.now, spans) {
-		if !l.span.open(at) {
+		if !limit.span.open(at) {
 			continue
 		}
 		total := 0.0
@@ -276,7 +276,7 @@
 				total += x
 			}
 		}
-		if total <= l.Number {
+		if total <= limit.Number {
 			continue
 		}
 		var open []*rule
@@ -292,9 +292,9 @@
 			where = append(where[:8], fmt.Sprintf("and %d more", more))
 		}
 		t, s := c.sampleReq(open[0].reqScope)
-		c.addConflict(OverLimit, true, l.At, open[0].At, Witness{at, t, s, "", total, l.Number},
+		c.addConflict(OverLimit, true, limit.At, open[0].At, Witness{at, t, s, "", total, limit.Number},
 			"limit %s, guarantees of %s",
-			l.name(), strings.Join(where, ", "))
+			limit.name(), strings.Join(where, ", "))
 		return
 	}
 }
@@ -368,14 +368,14 @@
 	if len(changed) == 0 {
 		return
 	}
-	meet := func(rules []*rule) PlaceSet {
+	allowedByAll := func(rules []*rule) PlaceSet {
 		s := PlaceSet{}.complement()
 		for _, r := range rules {
 			s = s.intersect(r.placeSet)
 		}
 		return s
 	}
-	anywhere := meet(all.any)
+	anywhere := allowedByAll(all.any)
 	tenants := []int32{-1}
 	for t := range all.byTenant {
 		tenants = append(tenants, t)
@@ -383,44 +383,44 @@
 	slices.Sort(tenants)
 	byTenant := make([]PlaceSet, len(tenants))
 	for i, t := range tenants {
-		byTenant[i] = meet(all.byTenant[t])
+		byTenant[i] = allowedByAll(all.byTenant[t])
 	}
-	var bare []int // indices of tenants that lack places even without rules of a rule set
-	every := make([]int, len(tenants))
+	var lackingTenants []int // indices of tenants that lack places even without rules of a rule set
+	allTenants := make([]int, len(tenants))
 	for i := range tenants {
-		if every[i] = i; c.lacksPlaces(anywhere.intersect(byTenant[i])) {
-			bare = append(bare, i)
+		if allTenants[i] = i; c.lacksPlaces(anywhere.intersect(byTenant[i])) {
+			lackingTenants = append(lackingTenants, i)
 		}
 	}
 	for id := range c.names[RuleSet] {
-		set, look := int32(id), bare
-		here := anywhere
+		set, candidates := int32(id), lackingTenants
+		setPlaces := anywhere
 		if all.bySet[set] != nil {
-			look, here = every, here.intersect(meet(all.bySet[set]))
+			candidates, setPlaces = allTenants, setPlaces.intersect(allowedByAll(all.bySet[set]))
 		}
-		for _, i := range look {
+		for _, i := range candidates {
 			t := tenants[i]
-			if !c.lacksPlaces(here.intersect(byTenant[i])) || // places are left even if all rules were in force at once
+			if !c.lacksPlaces(setPlaces.intersect(byTenant[i])) || // places are left even if all rules were in force at once
 				!slices.ContainsFunc(changed, func(r *rule) bool { return r.includes(t, set) }) {
 				continue
 			}
-			var hit []*rule
+			var applicable []*rule
 			for _, r := range slices.Concat(all.any, all.byTenant[t], all.bySet[set]) {
 				if r.includes(t, set) {
-					hit = append(hit, r)
+					applicable = append(applicable, r)
 				}
 			}
-			if at, ok := c.firstTimeLackingPlaces(hit); ok {
-				hit = slices.DeleteFunc(hit, func(r *rule) bool { return !r.span.open(at) })
-				slices.SortFunc(hit, byPosition)
+			if at, ok := c.firstTimeLackingPlaces(applicable); ok {
+				applicable = slices.DeleteFunc(applicable, func(r *rule) bool { return !r.span.open(at) })
+				slices.SortFunc(applicable, byPosition)
 				name, where := "", []string{}
 				if t >= 0 {
 					name = c.names[Tenant][t]
 				}
-				for _, r := range hit {
+				for _, r := range applicable {
 					where = append(where, r.name())
 				}
-				c.addConflict(NowhereToRun, true, hit[0].At, hit[len(hit)-1].At, Witness{At: at, Tenant: name,
+				c.addConflict(NowhereToRun, true, applicable[0].At, applicable[len(applicable)-1].At, Witness{At: at, Tenant: name,
 					RuleSet: c.names[RuleSet][id]}, "nothing is left by %s", strings.Join(where, ", "))
 				break
 			}
--- a/fleet/charter/merge.go
+++ b/fleet/charter/merge.go
@@ -274,14 +274,14 @@
 			n.depth++
 		}
 		if m == n { // reported once, for the first namespace of the cycle by name
-			least, chain := n, n.Namespace
+			firstByName, chain := n, n.Namespace
 			for x := n.parent; x != n; x = x.parent {
 				chain += " under " + x.Namespace
-				if x.Namespace < least.Namespace {
-					least = x
+				if x.Namespace < firstByName.Namespace {
+					firstByName = x
 				}
 			}
-			if least == n {
+			if firstByName == n {
 				c.addConflict(DelegationCycle, true, n.At, n.parent.At, Witness{At: c.now},
 					"%s under %s", chain, n.Namespace)
 			}
@@ -524,11 +524,11 @@
 			}
 		}
 	}
-	some := n.parent == nil || n.claimsSome[Tenant] || n.claimsSome[RuleSet] || len(r.Tenants)+len(r.RuleSets) > 0
+	hasScope := n.parent == nil || n.claimsSome[Tenant] || n.claimsSome[RuleSet] || len(r.Tenants)+len(r.RuleSets) > 0
 	if r.Kind == "freeze" || r.Kind == "limit" && r.namesPlaces() {
-		some = n.parent == nil || n.claimsSome[Zone] || n.claimsSome[Cell] || n.claimsSome[Kind] || r.namesPlaces()
+		hasScope = n.parent == nil || n.claimsSome[Zone] || n.claimsSome[Cell] || n.claimsSome[Kind] || r.namesPlaces()
 	}
-	if !some {
+	if !hasScope {
 		c.addConflict(NotOwned, true, r.At, n.At, Witness{At: c.now},
 			"rule %s names nothing, and %s claims nothing that it could be about", r.ID, n.Namespace)
 		x.valid = false
@@ -562,9 +562,9 @@
 		x.placeSet = PlaceSet{}.complement()
 		for d := Zone; d < WindowName; d++ {
 			if !named[d].isEmpty() {
-				whole := c.allPlaces[d]
-				whole.add(c.placeBit(d, int32(len(c.names[d]))))
-				x.placeSet = x.placeSet.intersect(named[d].union(whole.complement()))
+				allowed := c.allPlaces[d]
+				allowed.add(c.placeBit(d, int32(len(c.names[d]))))
+				x.placeSet = x.placeSet.intersect(named[d].union(allowed.complement()))
 			}
 		}
 	case r.Kind == "never":
--- a/fleet/charter/snapshot.go
+++ b/fleet/charter/snapshot.go
@@ -257,14 +257,14 @@
 
 // Limit returns the limit of a place in a slot, or +Inf if there is none.
 func (p *Snapshot) Limit(d Dimension, name string, slot int) float64 {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	bit, ok := p.places[d][name]
 	for i := range p.editions {
 		if l := p.editions[i].limits[bit]; ok && l != nil {
-			least = min(least, l[slot])
+			lowest = min(lowest, l[slot])
 		}
 	}
-	return least
+	return lowest
 }
 
 // Contribution is a rule that sets a value, and what it sets or why it does not apply.
@@ -321,13 +321,13 @@
 		if len(name) == 0 {
 			name = []string{"all reqs"}
 		}
-		var hit []*rule
+		var applicable []*rule
 		for _, r := range c.rules {
 			if r.valid && !(r.namesPlaces() && r.Kind == "limit") && r.Kind != "freeze" && r.includes(x.t, x.s) {
-				hit = append(hit, r)
+				applicable = append(applicable, r)
 			}
 		}
-		all = append(all, c.effectsOf(strings.Join(name, " "), at, hit)...)
+		all = append(all, c.effectsOf(strings.Join(name, " "), at, applicable)...)
 	}
 	placed := map[string][]*rule{}
 	for _, r := range c.rules {
@@ -379,13 +379,13 @@
 		e := Effect{Scope: scope, What: what, Number: "none"}
 		rules := slices.Clone(by[what])
 		slices.SortFunc(rules, byPosition)
-		total, open, low := 0.0, 0, (*rule)(nil)
+		total, open, lowest := 0.0, 0, (*rule)(nil)
 		for _, r := range rules {
 			if r.span.open(at) {
 				open++
 				total += r.Number
-				if low == nil || r.Number < low.Number {
-					low = r
+				if lowest == nil || r.Number < lowest.Number {
+					lowest = r
 				}
 			}
 		}
@@ -402,8 +402,8 @@
 				v = v.Merge(r.value())
 			case r.Kind == "freeze":
 				x.Why = "no work"
-			case r.Kind != "guarantee" && r.Number > low.Number:
-				x.Why = fmt.Sprintf("%g, above %s at %s", r.Number, low.name(), low.At)
+			case r.Kind != "guarantee" && r.Number > lowest.Number:
+				x.Why = fmt.Sprintf("%g, above %s at %s", r.Number, lowest.name(), lowest.At)
 				e.Overridden = append(e.Overridden, x)
 				continue
 			}
@@ -418,7 +418,7 @@
 		case strings.HasPrefix(what, "guarantee"):
 			e.Number = fmt.Sprintf("%g", total)
 		default:
-			e.Number = fmt.Sprintf("%g", low.Number)
+			e.Number = fmt.Sprintf("%g", lowest.Number)
 		}
 		all = append(all, e)
 	}
