--- a/rehearse/soak/callers_test.go
+++ b/rehearse/soak/callers_test.go
@@ -22,49 +22,49 @@
 	numberCallers   = 3
 	keyCallers      = 6
 	readCallers     = 6
-	locksShared     = 5
-	electionsShared = 2
-	numbersShared   = 2
-	groupsShared    = 3
-	keysOfGroup     = 6
+	lockCount       = 5
+	electionCount   = 2
+	numberCount     = 2
+	groupCount      = 3
+	keysPerGroup    = 6
 
-	callPatience  = 8 * time.Second // of a caller, over all its attempts
-	longestWork   = 400 * time.Millisecond
-	electionHold  = 2 * time.Second
-	shortestHold  = 300 * time.Millisecond
-	longestHold   = 1200 * time.Millisecond
-	longestPauses = 60 * time.Millisecond
-	readPause     = 5 * time.Millisecond
+	callTimeout      = 8 * time.Second // of a caller, over all its attempts
+	maxWork          = 400 * time.Millisecond
+	electionHoldTime = 2 * time.Second
+	minHold          = 300 * time.Millisecond
+	maxHold          = 1200 * time.Millisecond
+	maxPause         = 60 * time.Millisecond
+	readInterval     = 5 * time.Millisecond
 )
 
-var errDead = errors.New("the caller is dead")
+var errCallerCrashed = errors.New("the caller is dead")
 
 // mortal carries the calls of one life of a caller.
-type mortal struct {
-	witness *witness
-	dead    atomic.Bool
+type callerTransport struct {
+	checker *checker
+	crashed atomic.Bool
 }
 
-func (m *mortal) RoundTrip(q *http.Request) (*http.Response, error) {
-	if m.dead.Load() {
-		return nil, errDead
+func (m *callerTransport) RoundTrip(q *http.Request) (*http.Response, error) {
+	if m.crashed.Load() {
+		return nil, errCallerCrashed
 	}
-	return m.witness.RoundTrip(q)
+	return m.checker.RoundTrip(q)
 }
 
 // applications are the callers of one run.
 type applications struct {
-	t         *testing.T
-	witness   *witness
-	addresses []string
-	seed      uint64
-	callers   sync.WaitGroup
-	saved     sync.Map // revisions by group, as watchers saved them last
-	lost      atomic.Int64
+	t              *testing.T
+	checker        *checker
+	addresses      []string
+	seed           uint64
+	callers        sync.WaitGroup
+	savedRevisions sync.Map // revisions by group, as watchers saved them last
+	locksLost      atomic.Int64
 }
 
 func newApplications(t *testing.T, f *fleet, seed uint64) *applications {
-	a := &applications{t: t, witness: newWitness(), seed: seed}
+	a := &applications{t: t, checker: newChecker(), seed: seed}
 	for _, m := range f.alive(true) {
 		a.addresses = append(a.addresses, addressOf(m.number, servicePort))
 	}
@@ -72,8 +72,8 @@
 }
 
 // client makes a client of a new life.
-func (a *applications) client() (*coordclient.Client, *mortal) {
-	m := &mortal{witness: a.witness}
+func (a *applications) client() (*coordclient.Client, *callerTransport) {
+	m := &callerTransport{checker: a.checker}
 	c, err := coordclient.New(coordclient.Options{Addresses: a.addresses, Transport: m})
 	if err != nil {
 		panic(err)
@@ -91,33 +91,33 @@
 			a.callers.Go(func() { caller(ctx, i, random) })
 		}
 	}
-	run(lockCallers, a.takeLocks)
-	run(electionCallers, a.standForElection)
+	run(lockCallers, a.acquireLocks)
+	run(electionCallers, a.runElections)
 	run(numberCallers, a.drawNumbers)
 	run(keyCallers, a.putAndRead)
 	run(readCallers, a.read)
-	run(groupsShared, a.watchAll)
-	run(groupsShared, a.watchFromNowOn)
+	run(groupCount, a.watchFromStart)
+	run(groupCount, a.watchFromNow)
 }
 
 func groupName(i int) string { return fmt.Sprint("g", i, ".") }
 
 // found puts the first key of each group, so that watches have something to begin after.
-func (a *applications) found(ctx context.Context) {
+func (a *applications) putFirstKeys(ctx context.Context) {
 	c, _ := a.client()
-	for i := range groupsShared {
+	for i := range groupCount {
 		_, err := c.Put(ctx, groupName(i)+"first", "first")
 		assert.NilError(a.t, err)
 	}
 }
 
 // each calls again and again, with pauses.
-func each(ctx context.Context, random *rand.Rand, call func(ctx context.Context)) {
+func repeat(ctx context.Context, random *rand.Rand, call func(ctx context.Context)) {
 	for ctx.Err() == nil {
-		one, cancel := context.WithTimeout(ctx, callPatience)
-		call(one)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		call(callCtx)
 		cancel()
-		pause(ctx, time.Duration(random.Int64N(int64(longestPauses))))
+		pause(ctx, time.Duration(random.Int64N(int64(maxPause))))
 	}
 }
 
@@ -129,30 +129,30 @@
 }
 
 // takeLocks takes locks for a moment. Some holders die, and come back under their old name; some sleep beyond their time.
-func (a *applications) takeLocks(ctx context.Context, number int, random *rand.Rand) {
-	c, life := a.client()
+func (a *applications) acquireLocks(ctx context.Context, number int, random *rand.Rand) {
+	c, transport := a.client()
 	holder := fmt.Sprint("caller-", number)
-	each(ctx, random, func(ctx context.Context) {
-		name := fmt.Sprint("l", random.IntN(locksShared))
-		hold := shortestHold + time.Duration(random.Int64N(int64(longestHold-shortestHold)))
-		work, fate := time.Duration(random.Int64N(int64(longestWork))), random.IntN(10)
+	repeat(ctx, random, func(ctx context.Context) {
+		name := fmt.Sprint("l", random.IntN(lockCount))
+		hold := minHold + time.Duration(random.Int64N(int64(maxHold-minHold)))
+		work, outcome := time.Duration(random.Int64N(int64(maxWork))), random.IntN(10)
 		l, err := c.TryLockAs(ctx, name, holder, hold)
 		if err != nil {
 			return
 		}
-		switch fate {
+		switch outcome {
 		case 0: // dies
-			life.dead.Store(true)
+			transport.crashed.Store(true)
 			pause(ctx, work)
-			c, life = a.client()
+			c, transport = a.client()
 		case 1: // stands still beyond its time
-			life.dead.Store(true)
+			transport.crashed.Store(true)
 			pause(ctx, hold+work)
-			life.dead.Store(false)
-			a.giveBack(l)
+			transport.crashed.Store(false)
+			a.release(l)
 		default:
 			a.work(l, work)
-			a.giveBack(l)
+			a.release(l)
 		}
 	})
 }
@@ -161,42 +161,42 @@
 func (a *applications) work(l *coordclient.Lock, span time.Duration) {
 	select {
 	case <-l.Context().Done():
-		a.lost.Add(1)
+		a.locksLost.Add(1)
 	case <-time.After(span):
 	}
 }
 
 // giveBack sends Finish. Nothing waits for a lock whose return got no answer.
-func (a *applications) giveBack(l *coordclient.Lock) {
+func (a *applications) release(l *coordclient.Lock) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	_ = l.Finish(ctx)
 }
 
 // standForElection holds locks for long.
-func (a *applications) standForElection(ctx context.Context, number int, random *rand.Rand) {
+func (a *applications) runElections(ctx context.Context, number int, random *rand.Rand) {
 	c, _ := a.client()
-	each(ctx, random, func(one context.Context) {
-		l, err := c.Lock(one, fmt.Sprint("e", number%electionsShared), electionHold)
+	repeat(ctx, random, func(callCtx context.Context) {
+		l, err := c.Lock(callCtx, fmt.Sprint("e", number%electionCount), electionHoldTime)
 		if err != nil {
 			return
 		}
-		a.work(l, time.Duration(random.Int64N(int64(3*electionHold))))
-		a.giveBack(l)
+		a.work(l, time.Duration(random.Int64N(int64(3*electionHoldTime))))
+		a.release(l)
 	})
 }
 
 func (a *applications) drawNumbers(ctx context.Context, number int, random *rand.Rand) {
 	c, _ := a.client()
-	each(ctx, random, func(ctx context.Context) { _, _ = c.NextNumber(ctx, fmt.Sprint("n", random.IntN(numbersShared))) })
+	repeat(ctx, random, func(ctx context.Context) { _, _ = c.NextNumber(ctx, fmt.Sprint("n", random.IntN(numberCount))) })
 }
 
 // putAndRead puts and reads keys, half of the puts upon the revision that was read last.
 func (a *applications) putAndRead(ctx context.Context, number int, random *rand.Rand) {
 	c, _ := a.client()
 	seen, puts := map[string]uint64{}, 0
-	each(ctx, random, func(ctx context.Context) {
-		key := groupName(random.IntN(groupsShared)) + fmt.Sprint("k", random.IntN(keysOfGroup))
+	repeat(ctx, random, func(ctx context.Context) {
+		key := groupName(random.IntN(groupCount)) + fmt.Sprint("k", random.IntN(keysPerGroup))
 		puts++
 		value := fmt.Sprintf("value-%d-%d", number, puts)
 		switch random.IntN(4) {
@@ -222,26 +222,26 @@
 // read reads keys in quick succession, always at one address: also where that is a leader that has been cut off.
 func (a *applications) read(ctx context.Context, number int, random *rand.Rand) {
 	address := a.addresses[number%len(a.addresses)]
-	c, err := coordclient.New(coordclient.Options{Addresses: []string{address}, Transport: a.witness})
+	c, err := coordclient.New(coordclient.Options{Addresses: []string{address}, Transport: a.checker})
 	if err != nil {
 		panic(err)
 	}
 	for ctx.Err() == nil {
-		key := groupName(random.IntN(groupsShared)) + fmt.Sprint("k", random.IntN(keysOfGroup))
-		one, cancel := context.WithTimeout(ctx, callPatience/10)
-		_, _ = c.Get(one, key)
+		key := groupName(random.IntN(groupCount)) + fmt.Sprint("k", random.IntN(keysPerGroup))
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout/10)
+		_, _ = c.Get(callCtx, key)
 		cancel()
-		pause(ctx, readPause)
+		pause(ctx, readInterval)
 	}
 }
 
 // watchAll watches a group from its first put, and takes the watch up anew again and again.
-func (a *applications) watchAll(ctx context.Context, group int, random *rand.Rand) {
+func (a *applications) watchFromStart(ctx context.Context, group int, random *rand.Rand) {
 	a.watch(ctx, group, 1, random)
 }
 
 // watchFromNowOn watches a group from what is present.
-func (a *applications) watchFromNowOn(ctx context.Context, group int, random *rand.Rand) {
+func (a *applications) watchFromNow(ctx context.Context, group int, random *rand.Rand) {
 	a.watch(ctx, group, 0, random)
 }
 
@@ -258,7 +258,7 @@
 		}
 		after = watch.Revision()
 		if after > 0 {
-			a.saved.Store(groupName(group), after)
+			a.savedRevisions.Store(groupName(group), after)
 		}
 	}
 }
--- a/rehearse/soak/witness_test.go
+++ b/rehearse/soak/checker_test.go
@@ -32,7 +32,7 @@
 	}
 	// What was known when it was sent: the highest fence that another holder had, the highest number, the newest revision
 	// of the key, for a watch of the group.
-	floor uint64
+	lowerBound uint64
 }
 
 func (c *applicationCall) hold() time.Duration {
@@ -55,12 +55,12 @@
 
 // holding is what one holder counts on.
 type holding struct {
-	fence uint64
-	until time.Time
-	over  bool // given back
+	fence    uint64
+	until    time.Time
+	released bool // given back
 }
 
-func (h *holding) counts(now time.Time) bool { return !h.over && now.Before(h.until) }
+func (h *holding) isValid(now time.Time) bool { return !h.released && now.Before(h.until) }
 
 // lockHistory is what is known of one lock.
 type lockHistory struct {
@@ -71,7 +71,7 @@
 
 // putHistory is what is known of one put.
 type putHistory struct {
-	floor      uint64 // newest revision of the group that was known when it was first sent
+	lowerBound uint64 // newest revision of the group that was known when it was first sent
 	ifRevision *uint64
 	revision   uint64 // 0 as long as it isn't known
 	rejected   bool
@@ -91,75 +91,75 @@
 // watchSpan is one answer to a watch.
 type watchSpan struct {
 	after, upTo uint64
-	told        []uint64
+	revisions   []uint64
 }
 
 // witness carries the calls of applications, and holds all that is sent and answered against the rules. It is safe for
 // concurrent use.
-type witness struct {
-	carrier http.RoundTripper
+type checker struct {
+	transport http.RoundTripper
 
-	mu      sync.Mutex
-	locks   map[string]*lockHistory
-	numbers map[string]uint64
-	given   map[string]map[uint64]bool // numbers
-	groups  map[string]*groupHistory
-	faults  []string
-	counts  map[string]int // by verb and status; status 0 is no answer
-	traps   []*trap
+	mu         sync.Mutex
+	locks      map[string]*lockHistory
+	numbers    map[string]uint64
+	issued     map[string]map[uint64]bool // numbers
+	groups     map[string]*groupHistory
+	violations []string
+	counts     map[string]int // by verb and status; status 0 is no answer
+	triggers   []*trigger
 }
 
 // trap does something once, at the next call that it waits for.
-type trap struct {
+type trigger struct {
 	answered bool // at a 200; otherwise at the sending
 	verbs    []string
-	spring   func()
+	fire     func()
 }
 
-func newWitness() *witness {
-	return &witness{carrier: &http.Transport{MaxIdleConnsPerHost: 16}, locks: map[string]*lockHistory{}, numbers: map[string]uint64{},
-		given: map[string]map[uint64]bool{}, groups: map[string]*groupHistory{}, counts: map[string]int{}}
+func newChecker() *checker {
+	return &checker{transport: &http.Transport{MaxIdleConnsPerHost: 16}, locks: map[string]*lockHistory{}, numbers: map[string]uint64{},
+		issued: map[string]map[uint64]bool{}, groups: map[string]*groupHistory{}, counts: map[string]int{}}
 }
 
-func (w *witness) fault(rule, format string, args ...any) {
-	w.faults = append(w.faults, rule+": "+fmt.Sprintf(format, args...)+" at "+time.Now().Format("15:04:05.000"))
+func (w *checker) addViolation(rule, format string, args ...any) {
+	w.violations = append(w.violations, rule+": "+fmt.Sprintf(format, args...)+" at "+time.Now().Format("15:04:05.000"))
 }
 
 // set lays a trap.
-func (w *witness) set(t *trap) {
+func (w *checker) addTrigger(t *trigger) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.traps = append(w.traps, t)
+	w.triggers = append(w.triggers, t)
 }
 
 // lift takes a trap away that has not sprung, and reports false where it has.
-func (w *witness) lift(t *trap) bool {
+func (w *checker) removeTrigger(t *trigger) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := slices.Index(w.traps, t)
+	at := slices.Index(w.triggers, t)
 	if at < 0 {
 		return false
 	}
-	w.traps = slices.Delete(w.traps, at, at+1)
+	w.triggers = slices.Delete(w.triggers, at, at+1)
 	return true
 }
 
 // springTraps takes the traps that wait for a call. The caller holds w.mu.
-func (w *witness) springTraps(c *applicationCall, answered bool) {
-	w.traps = slices.DeleteFunc(w.traps, func(t *trap) bool {
+func (w *checker) fireTriggers(c *applicationCall, answered bool) {
+	w.triggers = slices.DeleteFunc(w.triggers, func(t *trigger) bool {
 		if t.answered != answered || !slices.Contains(t.verbs, c.verb) {
 			return false
 		}
-		go t.spring()
+		go t.fire()
 		return true
 	})
 }
 
 // RoundTrip implements http.RoundTripper.
-func (w *witness) RoundTrip(q *http.Request) (*http.Response, error) {
+func (w *checker) RoundTrip(q *http.Request) (*http.Response, error) {
 	c := readCall(q)
 	w.send(c)
-	response, err := w.carrier.RoundTrip(q)
+	response, err := w.transport.RoundTrip(q)
 	if err != nil {
 		w.count(c, 0)
 		return nil, err
@@ -172,7 +172,7 @@
 	}
 	response.Body = io.NopCloser(bytes.NewReader(text))
 	w.count(c, response.StatusCode)
-	w.take(c, response.StatusCode, text)
+	w.checkAnswer(c, response.StatusCode, text)
 	return response, nil
 }
 
@@ -189,51 +189,51 @@
 	return c
 }
 
-func (w *witness) count(c *applicationCall, status int) {
+func (w *checker) count(c *applicationCall, status int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counts[fmt.Sprint(c.verb, " ", status)]++
 }
 
 // send notes what was known before a call.
-func (w *witness) send(c *applicationCall) {
+func (w *checker) send(c *applicationCall) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch c.verb {
 	case "Locks.Begin":
 		for holder, fence := range w.lock(c.name).highest {
 			if holder != c.body.Holder {
-				c.floor = max(c.floor, fence)
+				c.lowerBound = max(c.lowerBound, fence)
 			}
 		}
 	case "Locks.Finish":
 		if h := w.lock(c.name).holdings[c.body.Holder]; h != nil && h.fence == c.body.Fence {
-			h.over = true
+			h.released = true
 		}
 	case "numbers":
-		c.floor = w.numbers[c.name]
+		c.lowerBound = w.numbers[c.name]
 	case "Cells.Replace":
 		w.sendPut(c)
 	case "Cells.Get":
-		c.floor = w.group(c.name).newestOf[c.name]
+		c.lowerBound = w.group(c.name).newestOf[c.name]
 	case "watch":
-		c.floor = w.group(c.name).newest
+		c.lowerBound = w.group(c.name).newest
 	}
-	w.springTraps(c, false)
+	w.fireTriggers(c, false)
 }
 
-func (w *witness) sendPut(c *applicationCall) {
+func (w *checker) sendPut(c *applicationCall) {
 	g := w.group(c.name)
-	c.floor = g.newestOf[c.name]
+	c.lowerBound = g.newestOf[c.name]
 	if g.puts[c.name] == nil {
 		g.puts[c.name] = map[string]*putHistory{}
 	}
 	if g.puts[c.name][c.body.Value] == nil {
-		g.puts[c.name][c.body.Value] = &putHistory{floor: g.newest, ifRevision: c.body.IfRevision}
+		g.puts[c.name][c.body.Value] = &putHistory{lowerBound: g.newest, ifRevision: c.body.IfRevision}
 	}
 }
 
-func (w *witness) lock(name string) *lockHistory {
+func (w *checker) lock(name string) *lockHistory {
 	if w.locks[name] == nil {
 		w.locks[name] = &lockHistory{map[string]*holding{}, map[uint64]string{}, map[string]uint64{}}
 	}
@@ -241,7 +241,7 @@
 }
 
 // group gives that of a key or of a group.
-func (w *witness) group(key string) *groupHistory {
+func (w *checker) group(key string) *groupHistory {
 	name, _, _ := strings.Cut(key, ".")
 	if w.groups[name] == nil {
 		w.groups[name] = &groupHistory{byRevision: map[uint64]applicationPut{}, newestOf: map[string]uint64{},
@@ -251,7 +251,7 @@
 }
 
 // take holds an answer against the rules.
-func (w *witness) take(c *applicationCall, status int, text []byte) {
+func (w *checker) checkAnswer(c *applicationCall, status int, text []byte) {
 	var a applicationAnswer
 	if err := json.Unmarshal(text, &a); err != nil && status == http.StatusOK {
 		a = applicationAnswer{}
@@ -260,143 +260,143 @@
 	defer w.mu.Unlock()
 	switch {
 	case status == http.StatusOK:
-		w.takeGood(c, &a)
-		w.springTraps(c, true)
+		w.checkSuccess(c, &a)
+		w.fireTriggers(c, true)
 	case status == http.StatusConflict && c.verb == "Locks.Heartbeat":
-		w.takeLost(c)
+		w.checkDeniedRenewal(c)
 	case status == http.StatusPreconditionFailed:
-		w.takeRejected(c, a.Rev)
+		w.checkRejectedPut(c, a.Rev)
 	case status == http.StatusNotFound && c.verb == "Cells.Get":
-		w.takeRead(c, "", 0)
+		w.checkRead(c, "", 0)
 	case status == http.StatusGone:
-		w.fault("LOST", "watch of %s after %d is no longer kept", c.name, c.after)
+		w.addViolation("LOST", "watch of %s after %d is no longer kept", c.name, c.after)
 	case status == http.StatusBadRequest || status == http.StatusNotFound:
-		w.fault("CALL", "%s %s answered %d", c.verb, c.name, status)
+		w.addViolation("CALL", "%s %s answered %d", c.verb, c.name, status)
 	}
 }
 
-func (w *witness) takeGood(c *applicationCall, a *applicationAnswer) {
+func (w *checker) checkSuccess(c *applicationCall, a *applicationAnswer) {
 	switch c.verb {
 	case "Locks.Begin":
-		w.takeGrant(c, a.Fence)
+		w.checkGrant(c, a.Fence)
 	case "Locks.Heartbeat":
-		w.takeRenewal(c)
+		w.checkRenewal(c)
 	case "numbers":
-		w.takeNumber(c, a.Value)
+		w.checkNumber(c, a.Value)
 	case "Cells.Replace":
-		w.takePut(c, a.Rev)
+		w.checkPut(c, a.Rev)
 	case "Cells.Get":
 		var value string
 		_ = json.Unmarshal(a.Value, &value)
-		w.takeRead(c, value, a.Rev)
+		w.checkRead(c, value, a.Rev)
 	case "watch":
-		w.takeWatch(c, a)
+		w.checkWatch(c, a)
 	}
 }
 
-func (w *witness) takeGrant(c *applicationCall, fence uint64) {
+func (w *checker) checkGrant(c *applicationCall, fence uint64) {
 	l, now := w.lock(c.name), time.Now()
 	holder := c.body.Holder
-	if fence <= c.floor {
-		w.fault("ONE", "lock %s: %s got fence %d, another had %d before", c.name, holder, fence, c.floor)
+	if fence <= c.lowerBound {
+		w.addViolation("ONE", "lock %s: %s got fence %d, another had %d before", c.name, holder, fence, c.lowerBound)
 	}
 	if owner, known := l.fences[fence]; known && owner != holder {
-		w.fault("ONE", "lock %s: fence %d went to %s and %s", c.name, fence, owner, holder)
+		w.addViolation("ONE", "lock %s: fence %d went to %s and %s", c.name, fence, owner, holder)
 	}
 	if fence < l.highest[holder] {
-		w.fault("ONE", "lock %s: %s got fence %d after %d", c.name, holder, fence, l.highest[holder])
+		w.addViolation("ONE", "lock %s: %s got fence %d after %d", c.name, holder, fence, l.highest[holder])
 	}
 	l.fences[fence] = holder
 	l.highest[holder] = max(l.highest[holder], fence)
 	until := c.sent.Add(c.hold())
 	l.holdings[holder] = &holding{fence: fence, until: until}
-	w.checkOne(c, now)
+	w.checkSingleHolder(c, now)
 }
 
 // checkOne looks for two that count themselves holder of one lock.
-func (w *witness) checkOne(c *applicationCall, now time.Time) {
+func (w *checker) checkSingleHolder(c *applicationCall, now time.Time) {
 	for other, h := range w.lock(c.name).holdings {
 		mine := w.lock(c.name).holdings[c.body.Holder]
-		if other != c.body.Holder && h.counts(now) && mine.counts(now) {
-			w.fault("ONE", "lock %s: %s holds it with fence %d and %s with %d, for %v more", c.name, c.body.Holder, mine.fence, other, h.fence,
+		if other != c.body.Holder && h.isValid(now) && mine.isValid(now) {
+			w.addViolation("ONE", "lock %s: %s holds it with fence %d and %s with %d, for %v more", c.name, c.body.Holder, mine.fence, other, h.fence,
 				h.until.Sub(now))
 		}
 	}
 }
 
-func (w *witness) takeRenewal(c *applicationCall) {
+func (w *checker) checkRenewal(c *applicationCall) {
 	h, now := w.lock(c.name).holdings[c.body.Holder], time.Now()
-	if h == nil || h.fence != c.body.Fence || !h.counts(now) {
+	if h == nil || h.fence != c.body.Fence || !h.isValid(now) {
 		return // it came too late
 	}
 	if until := c.sent.Add(c.hold()); until.After(h.until) {
 		h.until = until
 	}
-	w.checkOne(c, now)
+	w.checkSingleHolder(c, now)
 }
 
 // takeLost notes a lock that its holder still counts on, and that is denied.
-func (w *witness) takeLost(c *applicationCall) {
-	if h := w.lock(c.name).holdings[c.body.Holder]; h != nil && h.fence == c.body.Fence && h.counts(time.Now()) {
-		w.fault("HOLD", "lock %s: %s is denied fence %d %v before its time is over", c.name, c.body.Holder, h.fence, time.Until(h.until))
-		h.over = true
+func (w *checker) checkDeniedRenewal(c *applicationCall) {
+	if h := w.lock(c.name).holdings[c.body.Holder]; h != nil && h.fence == c.body.Fence && h.isValid(time.Now()) {
+		w.addViolation("HOLD", "lock %s: %s is denied fence %d %v before its time is over", c.name, c.body.Holder, h.fence, time.Until(h.until))
+		h.released = true
 	}
 }
 
-func (w *witness) takeNumber(c *applicationCall, text json.RawMessage) {
+func (w *checker) checkNumber(c *applicationCall, text json.RawMessage) {
 	var number uint64
 	_ = json.Unmarshal(text, &number) // 0 breaks the rule
-	if number <= c.floor {
-		w.fault("ORDER", "number %s: %d after %d", c.name, number, c.floor)
+	if number <= c.lowerBound {
+		w.addViolation("ORDER", "number %s: %d after %d", c.name, number, c.lowerBound)
 	}
-	if w.given[c.name] == nil {
-		w.given[c.name] = map[uint64]bool{}
+	if w.issued[c.name] == nil {
+		w.issued[c.name] = map[uint64]bool{}
 	}
-	if w.given[c.name][number] {
-		w.fault("ORDER", "number %s: %d twice", c.name, number)
+	if w.issued[c.name][number] {
+		w.addViolation("ORDER", "number %s: %d twice", c.name, number)
 	}
-	w.given[c.name][number] = true
+	w.issued[c.name][number] = true
 	w.numbers[c.name] = max(w.numbers[c.name], number)
 }
 
 // show notes that a key had a value at a revision.
-func (w *witness) show(put applicationPut) {
+func (w *checker) recordValue(put applicationPut) {
 	g := w.group(put.Name)
 	if known, ok := g.byRevision[put.Rev]; ok && known != put {
-		w.fault("ORDER", "revision %d is of %v and of %v", put.Rev, known, put)
+		w.addViolation("ORDER", "revision %d is of %v and of %v", put.Rev, known, put)
 	}
 	g.byRevision[put.Rev] = put
 	g.newest = max(g.newest, put.Rev)
 	g.newestOf[put.Name] = max(g.newestOf[put.Name], put.Rev)
 	sent := g.puts[put.Name][put.Value]
 	if sent == nil {
-		w.fault("MIXED", "%v was never put", put)
+		w.addViolation("MIXED", "%v was never put", put)
 		return
 	}
 	if sent.revision != 0 && sent.revision != put.Rev {
-		w.fault("MIXED", "%v was shown at revision %d before", put, sent.revision)
+		w.addViolation("MIXED", "%v was shown at revision %d before", put, sent.revision)
 	}
 	if sent.rejected {
-		w.fault("REFUSED", "%v was rejected", put)
+		w.addViolation("REFUSED", "%v was rejected", put)
 	}
-	if put.Rev <= sent.floor {
-		w.fault("ORDER", "%v got its revision after %d", put, sent.floor)
+	if put.Rev <= sent.lowerBound {
+		w.addViolation("ORDER", "%v got its revision after %d", put, sent.lowerBound)
 	}
 	sent.revision, sent.shown = put.Rev, true
 }
 
-func (w *witness) takePut(c *applicationCall, revision uint64) {
-	w.show(applicationPut{c.name, c.body.Value, revision})
+func (w *checker) checkPut(c *applicationCall, revision uint64) {
+	w.recordValue(applicationPut{c.name, c.body.Value, revision})
 }
 
-func (w *witness) takeRejected(c *applicationCall, revision uint64) {
+func (w *checker) checkRejectedPut(c *applicationCall, revision uint64) {
 	g := w.group(c.name)
 	put := g.puts[c.name][c.body.Value]
 	if put.revision != 0 {
-		w.fault("REFUSED", "%s=%s is rejected, and was shown at revision %d", c.name, c.body.Value, put.revision)
+		w.addViolation("REFUSED", "%s=%s is rejected, and was shown at revision %d", c.name, c.body.Value, put.revision)
 	}
-	if revision < c.floor {
-		w.fault("STALE", "%s is rejected at revision %d after %d", c.name, revision, c.floor)
+	if revision < c.lowerBound {
+		w.addViolation("STALE", "%s is rejected at revision %d after %d", c.name, revision, c.lowerBound)
 	}
 	put.rejected = true
 	if revision != 0 {
@@ -404,29 +404,29 @@
 	}
 }
 
-func (w *witness) takeRead(c *applicationCall, value string, revision uint64) {
-	if revision < c.floor {
-		w.fault("STALE", "%s is read at revision %d after %d", c.name, revision, c.floor)
+func (w *checker) checkRead(c *applicationCall, value string, revision uint64) {
+	if revision < c.lowerBound {
+		w.addViolation("STALE", "%s is read at revision %d after %d", c.name, revision, c.lowerBound)
 	}
 	if revision != 0 {
-		w.show(applicationPut{c.name, value, revision})
+		w.recordValue(applicationPut{c.name, value, revision})
 	}
 }
 
-func (w *witness) takeWatch(c *applicationCall, a *applicationAnswer) {
+func (w *checker) checkWatch(c *applicationCall, a *applicationAnswer) {
 	span := watchSpan{after: c.after, upTo: a.Rev}
 	last := c.after
 	for _, put := range a.Events {
 		if put.Rev <= last || put.Rev > a.Rev {
-			w.fault("ORDER", "watch of %s after %d up to %d tells %d after %d", c.name, c.after, a.Rev, put.Rev, last)
+			w.addViolation("ORDER", "watch of %s after %d up to %d tells %d after %d", c.name, c.after, a.Rev, put.Rev, last)
 		}
 		last = put.Rev
-		span.told = append(span.told, put.Rev)
-		w.show(put)
+		span.revisions = append(span.revisions, put.Rev)
+		w.recordValue(put)
 	}
 	if c.after == 0 {
-		if a.Rev < c.floor {
-			w.fault("STALE", "watch of %s begins at %d after %d", c.name, a.Rev, c.floor)
+		if a.Rev < c.lowerBound {
+			w.addViolation("STALE", "watch of %s begins at %d after %d", c.name, a.Rev, c.lowerBound)
 		}
 		return
 	}
@@ -435,7 +435,7 @@
 }
 
 // finish looks at what can be judged once all is known.
-func (w *witness) finish() {
+func (w *checker) finish() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, g := range w.groups {
@@ -443,30 +443,30 @@
 		w.checkConditions(g)
 		for _, m := range g.mismatches {
 			if g.byRevision[m.Rev].Name != m.Name {
-				w.fault("MIXED", "a put of %s was rejected for revision %d, which is of %v", m.Name, m.Rev, g.byRevision[m.Rev])
+				w.addViolation("MIXED", "a put of %s was rejected for revision %d, which is of %v", m.Name, m.Rev, g.byRevision[m.Rev])
 			}
 		}
 	}
 }
 
 // checkSpans looks for puts that a watch has skipped.
-func (w *witness) checkSpans(name string, g *groupHistory) {
+func (w *checker) checkSpans(name string, g *groupHistory) {
 	for _, span := range g.spans {
 		at := 0
 		for revision := span.after + 1; revision <= span.upTo; revision++ {
-			if at < len(span.told) && span.told[at] == revision {
+			if at < len(span.revisions) && span.revisions[at] == revision {
 				at++
 				continue
 			}
 			if put, known := g.byRevision[revision]; known {
-				w.fault("ORDER", "a watch of %s after %d up to %d skipped %v", name, span.after, span.upTo, put)
+				w.addViolation("ORDER", "a watch of %s after %d up to %d skipped %v", name, span.after, span.upTo, put)
 			}
 		}
 	}
 }
 
 // checkConditions looks for puts that took effect over a later revision than they named.
-func (w *witness) checkConditions(g *groupHistory) {
+func (w *checker) checkConditions(g *groupHistory) {
 	before := map[string]uint64{}
 	for revision := uint64(1); revision <= g.newest; revision++ {
 		put, known := g.byRevision[revision]
@@ -475,15 +475,15 @@
 		}
 		sent := g.puts[put.Name][put.Value]
 		if sent != nil && sent.ifRevision != nil && before[put.Name] != *sent.ifRevision {
-			w.fault("ORDER", "%v was to follow revision %d, and followed %d", put, *sent.ifRevision, before[put.Name])
+			w.addViolation("ORDER", "%v was to follow revision %d, and followed %d", put, *sent.ifRevision, before[put.Name])
 		}
 		before[put.Name] = revision
 	}
 }
 
 // outcome gives what was counted and what was wrong.
-func (w *witness) outcome() (map[string]int, []string) {
+func (w *checker) outcome() (map[string]int, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.counts, w.faults
+	return w.counts, w.violations
 }
--- a/rehearse/soak/clients_test.go
+++ b/rehearse/soak/clients_test.go
@@ -14,55 +14,55 @@
 )
 
 const (
-	unsafePath = "/unsafe/"
-	againPath  = "/again/"
-	streamPath = "/stream/"
+	unsafePath     = "/unsafe/"
+	idempotentPath = "/again/"
+	streamPath     = "/stream/"
 
-	clientDeadline = 1500 * time.Millisecond
-	clientPatience = 3 * time.Second
-	clientsOfOne   = 8 // of each tenant
+	clientDeadline   = 1500 * time.Millisecond
+	clientTimeout    = 3 * time.Second
+	clientsPerTenant = 8 // of each tenant
 )
 
 // tenant is a customer, what it may use and what it sends.
 type tenant struct {
-	name    string
-	unit    string
-	rate    float64 // of its first limit
-	demand  float64 // that it sends, as a part of that
-	largest float64 // request
-	below   bool    // it never sends more than it may
+	name       string
+	unit       string
+	rate       float64 // of its first limit
+	demand     float64 // that it sends, as a part of that
+	maxCost    float64 // request
+	belowLimit bool    // it never sends more than it may
 }
 
 func (t *tenant) key() string { return "key-" + t.name }
 
 // draw gives the cost of a request.
-func (t *tenant) draw(random *rand.Rand) float64 {
+func (t *tenant) drawCost(random *rand.Rand) float64 {
 	if t.unit != config.TokenUnit {
 		return 1
 	}
-	return float64(1 + random.IntN(int(t.largest)))
+	return float64(1 + random.IntN(int(t.maxCost)))
 }
 
 // client sends requests of one tenant to one router, over one connection, for as long as that lasts.
 type client struct {
-	fleet  *fleet
-	tenant *tenant
-	random *rand.Rand
-	number int
-	sent   int
-	http   *http.Client
-	to     *machine
+	fleet   *fleet
+	tenant  *tenant
+	random  *rand.Rand
+	number  int
+	sent    int
+	http    *http.Client
+	machine *machine
 }
 
 var requestsSent atomic.Int64
 
 // run sends until the context ends.
 func (c *client) run(ctx context.Context) {
-	pace := float64(clientsOfOne) / (c.tenant.demand * c.tenant.rate) // seconds for each unit
+	pace := float64(clientsPerTenant) / (c.tenant.demand * c.tenant.rate) // seconds for each unit
 	for ctx.Err() == nil {
-		cost := c.tenant.draw(c.random)
+		cost := c.tenant.drawCost(c.random)
 		began := time.Now()
-		c.one(ctx, cost)
+		c.sendRequest(ctx, cost)
 		wait := time.Duration(cost*pace*(0.5+c.random.Float64())*float64(time.Second)) - time.Since(began)
 		select {
 		case <-ctx.Done():
@@ -80,17 +80,17 @@
 }
 
 // one sends one request.
-func (c *client) one(ctx context.Context, cost float64) {
-	if c.http == nil || c.to.gone {
+func (c *client) sendRequest(ctx context.Context, cost float64) {
+	if c.http == nil || c.machine.removed {
 		c.leave()
-		c.to = c.fleet.anyFront(c.random)
-		c.http = &http.Client{Timeout: clientPatience, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+		c.machine = c.fleet.randomFront(c.random)
+		c.http = &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	}
 	c.sent++
-	path := []string{unsafePath, unsafePath, againPath, streamPath}[c.random.IntN(4)]
+	path := []string{unsafePath, unsafePath, idempotentPath, streamPath}[c.random.IntN(4)]
 	r := &request{id: fmt.Sprintf("%s-%d-%d", c.tenant.name, c.number, c.sent), tenant: c.tenant, cost: cost, path: path, sent: time.Now(),
-		router: c.to.processes[routerRole]}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addressOf(c.to.number, servicePort)+path, strings.NewReader("body"))
+		router: c.machine.processes[routerRole]}
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addressOf(c.machine.number, servicePort)+path, strings.NewReader("body"))
 	if err != nil {
 		panic(err)
 	}
@@ -106,14 +106,14 @@
 	answer, err := c.http.Do(q)
 	if err != nil {
 		if ctx.Err() == nil {
-			c.fleet.ledger.end(r, 0, false)
+			c.fleet.ledger.finish(r, 0, false)
 		}
 		c.leave()
 		return
 	}
 	_, err = io.Copy(io.Discard, answer.Body)
 	answer.Body.Close()
-	c.fleet.ledger.end(r, answer.StatusCode, err == nil)
+	c.fleet.ledger.finish(r, answer.StatusCode, err == nil)
 	if err != nil {
 		c.leave()
 	}
--- a/rehearse/soak/coordination_test.go
+++ b/rehearse/soak/coordination_test.go
@@ -22,13 +22,13 @@
 
 const (
 	// recoverySpan is how long it may take until all is served again after a restart of all.
-	recoverySpan = 15 * time.Second
+	recoveryTimeout = 15 * time.Second
 	// slowService is after how long without service what the processes know is logged.
-	slowService = 3 * time.Second
+	slowServiceAfter = 3 * time.Second
 	// Too little played fails a run: so much for each second of trouble.
-	leastAnswers          = 15
-	leastTroublesOfSecond = 0.7
-	leastKindsOfTrouble   = 5
+	minAnswersPerSecond            = 15
+	minCoordinationFaultsPerSecond = 0.7
+	minCoordinationFaultKinds      = 5
 )
 
 // TestCoordinationSoak plays troubles against real control processes, and holds what applications were told of locks, numbers,
@@ -45,31 +45,31 @@
 
 func coordinationSoak(t *testing.T, binaries string, seed uint64, controls int) {
 	random := rand.New(rand.NewPCG(seed, uint64(controls)))
-	f := newFleet(t, binaries, controls, 0, rules{tolerate: controls / 2, coordinates: true})
+	f := newFleet(t, binaries, controls, 0, options{tolerate: controls / 2, coordination: true})
 	a := newApplications(t, f, seed)
-	soon, cancel := context.WithTimeout(t.Context(), startPatience)
+	startCtx, cancel := context.WithTimeout(t.Context(), startTimeout)
 	defer cancel()
-	a.found(soon)
+	a.putFirstKeys(startCtx)
 
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	a.start(ctx)
 	disk := watchDisk(ctx, f.folder)
-	troubled, end := context.WithTimeout(ctx, time.Duration(*coordinationSecondsFlag)*time.Second)
+	faultCtx, end := context.WithTimeout(ctx, time.Duration(*coordinationSecondsFlag)*time.Second)
 	defer end()
-	played := newSeries(troubled, f, coordinationTroubles(a.witness))
+	played := newFaultSchedule(faultCtx, f, coordinationFaults(a.checker))
 	played.run(random)
 	f.network.heal()
-	f.thaw()
+	f.resumeAll()
 	a.awaitService(t, f, "once all is calm")
 	stop()
 	a.callers.Wait()
 	t.Logf("slowest sync of the disk beneath: %v", disk().Round(time.Millisecond))
 
-	played.killAll(span(random, 50, 500))
+	played.killAll(randomDuration(random, 50, 500))
 	a.awaitService(t, f, "after a restart of all")
-	a.readBack(t)
-	a.witness.finish()
+	a.readAcknowledged(t)
+	a.checker.finish()
 	a.report(t, played)
 }
 
@@ -77,9 +77,9 @@
 func (a *applications) awaitService(t *testing.T, f *fleet, when string) {
 	t.Helper()
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(t.Context(), recoverySpan)
+	ctx, cancel := context.WithTimeout(t.Context(), recoveryTimeout)
 	defer cancel()
-	slow := time.AfterFunc(slowService, func() { f.describeParts(t) })
+	slow := time.AfterFunc(slowServiceAfter, func() { f.describeParts(t) })
 	defer slow.Stop()
 	var names sync.WaitGroup
 	for i := range 16 {
@@ -94,26 +94,26 @@
 }
 
 // readBack asks for all that was acknowledged, within the time that recovery may take. What the answers say the witness judges.
-func (a *applications) readBack(t *testing.T) {
+func (a *applications) readAcknowledged(t *testing.T) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), recoverySpan)
+	ctx, cancel := context.WithTimeout(t.Context(), recoveryTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
 	c, _ := a.client()
-	for group := range groupsShared {
-		for key := range keysOfGroup {
+	for group := range groupCount {
+		for key := range keysPerGroup {
 			calls.Go(func() {
 				_, err := c.Get(ctx, groupName(group)+fmt.Sprint("k", key))
 				assert.Check(t, err == nil || err == coordclient.ErrNotFound, "%v", err)
 			})
 		}
-		calls.Go(func() { a.resume(ctx, t, c, groupName(group)) })
+		calls.Go(func() { a.resumeWatches(ctx, t, c, groupName(group)) })
 	}
-	for i := range locksShared {
-		calls.Go(func() { a.takeOnce(ctx, t, c, fmt.Sprint("l", i)) })
+	for i := range lockCount {
+		calls.Go(func() { a.lockOnce(ctx, t, c, fmt.Sprint("l", i)) })
 	}
-	for i := range electionsShared {
-		calls.Go(func() { a.takeOnce(ctx, t, c, fmt.Sprint("e", i)) })
+	for i := range electionCount {
+		calls.Go(func() { a.lockOnce(ctx, t, c, fmt.Sprint("e", i)) })
 	}
 	calls.Wait()
 }
@@ -151,21 +151,21 @@
 	}
 }
 
-func (a *applications) takeOnce(ctx context.Context, t *testing.T, c *coordclient.Client, name string) {
-	l, err := c.Lock(ctx, name, longestHold)
+func (a *applications) lockOnce(ctx context.Context, t *testing.T, c *coordclient.Client, name string) {
+	l, err := c.Lock(ctx, name, maxHold)
 	if !assert.Check(t, err, "lock %s at the end", name) {
 		return
 	}
-	a.giveBack(l)
+	a.release(l)
 }
 
 // resume takes a watch up from its first put and from the revision that was saved last, and has both reach the newest put.
-func (a *applications) resume(ctx context.Context, t *testing.T, c *coordclient.Client, group string) {
+func (a *applications) resumeWatches(ctx context.Context, t *testing.T, c *coordclient.Client, group string) {
 	last, err := c.Put(ctx, group+"last", "last")
 	if !assert.Check(t, err, "the last put in %s", group) {
 		return
 	}
-	saved, ok := a.saved.Load(group)
+	saved, ok := a.savedRevisions.Load(group)
 	assert.Check(t, ok, "no revision of %s was saved", group)
 	for _, after := range []uint64{1, saved.(uint64)} {
 		for change, err := range c.Watch(group, after).Changes(ctx) {
@@ -177,9 +177,9 @@
 }
 
 // report tells what was played and fails the run for each broken rule, and where too little was played.
-func (a *applications) report(t *testing.T, played *series) {
+func (a *applications) report(t *testing.T, played *faultSchedule) {
 	t.Helper()
-	counts, faults := a.witness.outcome()
+	counts, violations := a.checker.outcome()
 	var lines []string
 	answers := 0
 	for call, n := range counts {
@@ -189,18 +189,18 @@
 		}
 	}
 	sort.Strings(lines)
-	troubles := 0
+	faults := 0
 	for _, n := range played.played {
-		troubles += n
+		faults += n
 	}
 	t.Logf("played: %s", played)
-	t.Logf("answers by status (0 is none): %s; %d locks were lost at work", strings.Join(lines, "; "), a.lost.Load())
-	for _, fault := range faults {
-		t.Error(fault)
+	t.Logf("answers by status (0 is none): %s; %d locks were lost at work", strings.Join(lines, "; "), a.locksLost.Load())
+	for _, violation := range violations {
+		t.Error(violation)
 	}
 	seconds := *coordinationSecondsFlag
-	assert.Check(t, answers >= leastAnswers*seconds, "%d calls were answered 200", answers)
-	assert.Check(t, float64(troubles) >= leastTroublesOfSecond*float64(seconds), "%d troubles", troubles)
-	assert.Check(t, len(played.played) >= leastKindsOfTrouble, "%d kinds of trouble", len(played.played))
-	assert.Check(t, played.played[trapSprang] > 0, "nothing was done amid a call")
+	assert.Check(t, answers >= minAnswersPerSecond*seconds, "%d calls were answered 200", answers)
+	assert.Check(t, float64(faults) >= minCoordinationFaultsPerSecond*float64(seconds), "%d troubles", faults)
+	assert.Check(t, len(played.played) >= minCoordinationFaultKinds, "%d kinds of trouble", len(played.played))
+	assert.Check(t, played.played[triggerFired] > 0, "nothing was done amid a call")
 }
--- a/rehearse/soak/fleet_test.go
+++ b/rehearse/soak/fleet_test.go
@@ -27,11 +27,11 @@
 
 // The rules that hold in the soak.
 const (
-	window  = 4 * time.Second
-	overage = 0.1
-	slack   = 0.0
-	graceS  = 3
-	seeds   = 3
+	quotaWindow  = 4 * time.Second
+	quotaOverage = 0.1
+	quotaSlack   = 0.0
+	graceSeconds = 3
+	seedCount    = 3
 )
 
 // limitChange is a limit of a tenant that was sent to the fleet.
@@ -46,40 +46,40 @@
 	t        *testing.T
 	folder   string
 	binaries string
-	rules    rules
+	options  options
 	network  *network
 	platform *system.Platform
 	ledger   *ledger
 	tenants  []*tenant
 
-	mu       sync.Mutex
-	machines []*machine
-	hosts    []*host
-	nextHost int
-	seeds    []int // machines
-	revision int64
-	pace     map[*tenant]*limitChange
-	limits   map[*tenant][]*limitChange
-	reads    int
-	older    []string // reads that brought an older configuration than was acknowledged
+	mu                 sync.Mutex
+	machines           []*machine
+	hosts              []*host
+	nextHost           int
+	seedMachines       []int // machines
+	revision           int64
+	acknowledgedLimits map[*tenant]*limitChange
+	limitHistory       map[*tenant][]*limitChange
+	reads              int
+	staleReads         []string // reads that brought an older configuration than was acknowledged
 }
 
-func newFleet(t *testing.T, binaries string, controls, fronts int, rules rules) *fleet {
-	folder := dataFolder(t, rules)
-	f := &fleet{t: t, folder: folder, binaries: binaries, rules: rules, network: newNetwork(), platform: system.NewPlatform(), ledger: newLedger(),
-		pace: map[*tenant]*limitChange{}, limits: map[*tenant][]*limitChange{}}
+func newFleet(t *testing.T, binaries string, controls, fronts int, options options) *fleet {
+	folder := dataFolder(t, options)
+	f := &fleet{t: t, folder: folder, binaries: binaries, options: options, network: newNetwork(), platform: system.NewPlatform(), ledger: newLedger(),
+		acknowledgedLimits: map[*tenant]*limitChange{}, limitHistory: map[*tenant][]*limitChange{}}
 	f.tenants = []*tenant{
-		{name: "far-over", unit: config.TokenUnit, rate: 20_000, demand: 5, largest: 1_000},
-		{name: "large-requests", unit: config.TokenUnit, rate: 40_000, demand: 3, largest: 9_000},
+		{name: "far-over", unit: config.TokenUnit, rate: 20_000, demand: 5, maxCost: 1_000},
+		{name: "large-requests", unit: config.TokenUnit, rate: 40_000, demand: 3, maxCost: 9_000},
 		{name: "by-requests", rate: 50, demand: 4},
-		{name: "below", unit: config.TokenUnit, rate: 20_000, demand: 0.5, largest: 1_000, below: true},
+		{name: "below", unit: config.TokenUnit, rate: 20_000, demand: 0.5, maxCost: 1_000, belowLimit: true},
 	}
 	t.Cleanup(f.close)
 	for range 4 {
 		f.addHost()
 	}
-	for i := range seeds {
-		f.seeds = append(f.seeds, i)
+	for i := range seedCount {
+		f.seedMachines = append(f.seedMachines, i)
 	}
 	for i := range controls + fronts {
 		f.addMachine(i < controls, true)
@@ -93,10 +93,10 @@
 // dataFolder makes the folder for logs and data. Where only processes end, and no power is lost, a sync shows nothing; so the
 // parts, which sync at each call, have their data in memory where that can be: a disk that stalls for seconds would be
 // measured, not they. With -keep it is the operator who says where.
-func dataFolder(t *testing.T, rules rules) string {
+func dataFolder(t *testing.T, options options) string {
 	t.Helper()
 	root := *keepFlag
-	if root == "" && rules.coordinates {
+	if root == "" && options.coordination {
 		root = memoryFolder
 	}
 	if root == "" {
@@ -136,7 +136,7 @@
 	number := len(f.machines)
 	f.mu.Unlock()
 	m := &machine{number: number, control: control, bootstrap: first, folder: filepath.Join(f.folder, fmt.Sprint("machine-", number)),
-		rules: f.rules, processes: map[role]*process{}}
+		options: f.options, processes: map[role]*process{}}
 	assert.NilError(f.t, os.MkdirAll(m.folder, 0o700))
 	isControl := func(i int) bool { return i == number && control || i < len(f.machines) && f.machines[i].control }
 	assert.NilError(f.t, f.network.add(number, isControl))
@@ -144,7 +144,7 @@
 	for _, r := range m.roles() {
 		output, err := os.Create(filepath.Join(m.folder, string(r)+".log"))
 		assert.NilError(f.t, err)
-		p := &process{machine: m, role: r, binary: f.binaries, wanted: true, pause: 200 * time.Millisecond, ended: make(chan struct{}), output: output}
+		p := &process{machine: m, role: r, binary: f.binaries, wanted: true, restartDelay: 200 * time.Millisecond, ended: make(chan struct{}), output: output}
 		m.processes[r] = p
 		go p.run()
 	}
@@ -157,7 +157,7 @@
 // seedAddresses gives the seeds. Of an address only the machine is used: it is dialled at the port of the one that dials.
 func (f *fleet) seedAddresses() []string {
 	var addresses []string
-	for _, i := range f.seeds {
+	for _, i := range f.seedMachines {
 		addresses = append(addresses, addressOf(i, servicePort))
 	}
 	return addresses
@@ -166,7 +166,7 @@
 // remove takes a machine away for good.
 func (f *fleet) remove(m *machine) {
 	f.mu.Lock()
-	m.gone = true
+	m.removed = true
 	f.mu.Unlock()
 	for _, p := range m.processes {
 		p.stop()
@@ -179,14 +179,14 @@
 	defer f.mu.Unlock()
 	var all []*machine
 	for _, m := range f.machines {
-		if m.control == control && !m.gone {
+		if m.control == control && !m.removed {
 			all = append(all, m)
 		}
 	}
 	return all
 }
 
-func (f *fleet) anyFront(random *rand.Rand) *machine {
+func (f *fleet) randomFront(random *rand.Rand) *machine {
 	all := f.alive(false)
 	return all[random.IntN(len(all))]
 }
@@ -198,20 +198,20 @@
 	defer f.mu.Unlock()
 	h := &host{id: fmt.Sprint("host-", f.nextHost), ledger: f.ledger}
 	f.nextHost++
-	h.listed = system.Instance{ID: h.id, Backend: service, Address: listener.Addr().String(), Slots: 64, State: "ready"}
+	h.instance = system.Instance{ID: h.id, Backend: service, Address: listener.Addr().String(), Slots: 64, State: "ready"}
 	h.server = &http.Server{Handler: h}
 	go func() { _ = h.server.Serve(listener) }()
 	f.hosts = append(f.hosts, h)
-	f.list()
+	f.publishHosts()
 }
 
 // list tells the platform of all hosts. The caller holds f.mu.
-func (f *fleet) list() {
-	var listed []system.Instance
+func (f *fleet) publishHosts() {
+	var instance []system.Instance
 	for _, h := range f.hosts {
-		listed = append(listed, h.listed)
+		instance = append(instance, h.instance)
 	}
-	f.platform.SetInstances(listed...)
+	f.platform.SetInstances(instance...)
 }
 
 // replaceHost drains the oldest host and starts a new one.
@@ -220,8 +220,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.hosts[0]
-	f.hosts[0].listed.State = "draining"
-	f.list()
+	f.hosts[0].instance.State = "draining"
+	f.publishHosts()
 	time.AfterFunc(4*time.Second, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -231,7 +231,7 @@
 				break
 			}
 		}
-		f.list()
+		f.publishHosts()
 		time.AfterFunc(2*time.Second, func() { _ = old.server.Close() })
 	})
 }
@@ -249,7 +249,7 @@
 	}
 	body, err := json.Marshal(map[string]any{"revision": revision, "tenants": tenants, "limits": map[string]any{},
 		"services": []any{map[string]any{"name": service, "max_conns": 1000}},
-		"routes":   []any{route("u", unsafePath, "unsafe", 2), route("i", againPath, "idempotent", 2), route("s", streamPath, "streaming", 2)}})
+		"routes":   []any{route("u", unsafePath, "unsafe", 2), route("i", idempotentPath, "idempotent", 2), route("s", streamPath, "streaming", 2)}})
 	if err != nil {
 		panic(err)
 	}
@@ -278,13 +278,13 @@
 }
 
 // change puts limits in force: it sends the order to one control process after the other until the answer is clear.
-func (f *fleet) change(ctx context.Context, limits map[*tenant]*limitChange) bool {
+func (f *fleet) replaceLimits(ctx context.Context, limits map[*tenant]*limitChange) bool {
 	f.mu.Lock()
 	base := f.revision
 	next := base + 1
 	for t, l := range limits {
 		l.sent = time.Now()
-		f.limits[t] = append(f.limits[t], l)
+		f.limitHistory[t] = append(f.limitHistory[t], l)
 	}
 	f.mu.Unlock()
 	body := f.configuration(next, limits)
@@ -311,7 +311,7 @@
 	f.revision = revision
 	for t, l := range limits {
 		l.acked = time.Now()
-		f.pace[t] = l
+		f.acknowledgedLimits[t] = l
 	}
 }
 
@@ -331,18 +331,18 @@
 	defer f.mu.Unlock()
 	f.reads++
 	if err := json.Unmarshal(body, &got); err != nil || got.Revision < before {
-		f.older = append(f.older, fmt.Sprintf("%s shows %d after %d was acknowledged (%v)", m, got.Revision, before, err))
+		f.staleReads = append(f.staleReads, fmt.Sprintf("%s shows %d after %d was acknowledged (%v)", m, got.Revision, before, err))
 	}
 	return got.Revision
 }
 
 // isWhole says whether a leader has all its members on machines that there are, and none is being changed; and where the fleet
 // has parts, whether that holds for each part.
-func (f *fleet) isWhole(ctx context.Context) bool {
-	return f.configurationIsWhole(ctx) && (!f.rules.coordinates || f.partsAreWhole(ctx))
+func (f *fleet) isHealthy(ctx context.Context) bool {
+	return f.configurationIsHealthy(ctx) && (!f.options.coordination || f.partsAreHealthy(ctx))
 }
 
-func (f *fleet) configurationIsWhole(ctx context.Context) bool {
+func (f *fleet) configurationIsHealthy(ctx context.Context) bool {
 	all := f.alive(true)
 	for _, m := range all {
 		var s control.Status
--- a/rehearse/soak/hosts_test.go
+++ b/rehearse/soak/hosts_test.go
@@ -11,36 +11,36 @@
 )
 
 // use is one run of a request at a host.
-type use struct {
+type usage struct {
 	at   time.Time
 	cost float64
 }
 
 // request is what one client sent, and what became of it.
 type request struct {
-	id     string
-	tenant *tenant
-	cost   float64
-	path   string
-	sent   time.Time
-	ended  time.Time
-	status int  // 0 where the connection ended without an answer
-	whole  bool // the answer is
-	router *process
-	ran    int
-	spoilt bool // a host broke off
+	id       string
+	tenant   *tenant
+	cost     float64
+	path     string
+	sent     time.Time
+	ended    time.Time
+	status   int  // 0 where the connection ended without an answer
+	complete bool // the answer is
+	router   *process
+	runCount int
+	aborted  bool // a host broke off
 }
 
 // ledger is all that clients sent and hosts ran. It is safe for concurrent use.
 type ledger struct {
-	mu       sync.Mutex
-	requests map[string]*request
-	uses     map[*tenant][]use
-	unknown  []string // requests that hosts ran and nobody sent, or under another tenant
+	mu         sync.Mutex
+	requests   map[string]*request
+	uses       map[*tenant][]usage
+	unexpected []string // requests that hosts ran and nobody sent, or under another tenant
 }
 
 func newLedger() *ledger {
-	return &ledger{requests: map[string]*request{}, uses: map[*tenant][]use{}}
+	return &ledger{requests: map[string]*request{}, uses: map[*tenant][]usage{}}
 }
 
 func (l *ledger) send(r *request) {
@@ -49,10 +49,10 @@
 	l.requests[r.id] = r
 }
 
-func (l *ledger) end(r *request, status int, whole bool) {
+func (l *ledger) finish(r *request, status int, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.ended, r.status, r.whole = time.Now(), status, whole
+	r.ended, r.status, r.complete = time.Now(), status, complete
 }
 
 // run counts a run of a request, at the moment at which it came to the host.
@@ -61,35 +61,35 @@
 	defer l.mu.Unlock()
 	r := l.requests[id]
 	if r == nil || r.tenant.name != tenant {
-		l.unknown = append(l.unknown, id+" of "+tenant)
+		l.unexpected = append(l.unexpected, id+" of "+tenant)
 		return nil
 	}
-	r.ran++
-	l.uses[r.tenant] = append(l.uses[r.tenant], use{at, r.cost})
+	r.runCount++
+	l.uses[r.tenant] = append(l.uses[r.tenant], usage{at, r.cost})
 	return r
 }
 
-func (l *ledger) spoil(r *request) {
+func (l *ledger) markAborted(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.spoilt = true
+	r.aborted = true
 }
 
 // The parts of requests, in thousand, that hosts treat otherwise than by serving them.
 const (
-	refusedOf1000 = 20
-	brokenOf1000  = 5
-	longWork      = 60 * time.Millisecond
-	events        = 3
-	service       = "model"
+	rejectedPerMille = 20
+	abortedPerMille  = 5
+	maxWorkTime      = 60 * time.Millisecond
+	events           = 3
+	service          = "model"
 )
 
 // host stands in for one host of the service.
 type host struct {
-	id     string
-	ledger *ledger
-	server *http.Server
-	listed system.Instance
+	id       string
+	ledger   *ledger
+	server   *http.Server
+	instance system.Instance
 }
 
 func (h *host) ServeHTTP(w http.ResponseWriter, q *http.Request) {
@@ -101,17 +101,17 @@
 		return
 	}
 	chance := rand.IntN(1000)
-	if chance < refusedOf1000 {
+	if chance < rejectedPerMille {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	r := h.ledger.run(id, q.Header.Get("Tenant"), arrived)
-	time.Sleep(rand.N(longWork))
+	time.Sleep(rand.N(maxWorkTime))
 	w.Header().Set("Response-Seal", system.ResponseSeal(h.id, id))
-	broken := chance < refusedOf1000+brokenOf1000
+	broken := chance < rejectedPerMille+abortedPerMille
 	if broken && r != nil {
-		h.ledger.spoil(r)
+		h.ledger.markAborted(r)
 	}
 	if strings.HasPrefix(q.URL.Path, streamPath) {
 		h.stream(w, broken)
--- a/rehearse/soak/network_test.go
+++ b/rehearse/soak/network_test.go
@@ -15,40 +15,40 @@
 // it on to b's own port, unless the way from a to b is cut. Nothing needs privileges, and all stays on loopback.
 type network struct {
 	mu       sync.Mutex
-	cuts     map[way]time.Time // until when
-	conns    map[way]map[net.Conn]bool
+	cuts     map[link]time.Time // until when
+	conns    map[link]map[net.Conn]bool
 	machines int
 	closers  []io.Closer
 	senders  map[int]*net.UDPConn // by machine, for datagrams that are passed on in its name
 }
 
 // way is the direction from one machine to another.
-type way struct{ from, to int }
+type link struct{ from, to int }
 
 const (
-	firstPort    = 10000
-	portsOfSlot  = 1200
-	portsOfOne   = 2 // internal and local
-	servicePort  = 19000
-	relayBuffer  = 16 << 10
-	largestUDP   = 4096
-	cutPoll      = 20 * time.Millisecond
-	hostsPerNet  = 200
-	addressStart = 64
+	firstPort       = 10000
+	portsPerSlot    = 1200
+	portsPerMachine = 2 // internal and local
+	servicePort     = 19000
+	relayBuffer     = 16 << 10
+	largestUDP      = 4096
+	cutPoll         = 20 * time.Millisecond
+	machinesPerNet  = 200
+	addressStart    = 64
 )
 
 func newNetwork() *network {
-	return &network{cuts: map[way]time.Time{}, conns: map[way]map[net.Conn]bool{}, senders: map[int]*net.UDPConn{}}
+	return &network{cuts: map[link]time.Time{}, conns: map[link]map[net.Conn]bool{}, senders: map[int]*net.UDPConn{}}
 }
 
 // ipOf is the address of a machine. Runs of other processes have other addresses.
 func ipOf(machine int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", addressStart+pid>>7&127, pid&127<<1|machine/hostsPerNet, machine%hostsPerNet+1)
+	return fmt.Sprintf("127.%d.%d.%d", addressStart+pid>>7&127, pid&127<<1|machine/machinesPerNet, machine%machinesPerNet+1)
 }
 
 // portOf is the port that a machine uses for what it says to others. Runs at the same time have slots of their own.
-func portOf(machine int) int { return firstPort + *slotFlag*portsOfSlot + portsOfOne*machine }
+func portOf(machine int) int { return firstPort + *slotFlag*portsPerSlot + portsPerMachine*machine }
 
 func addressOf(machine, port int) string { return net.JoinHostPort(ipOf(machine), strconv.Itoa(port)) }
 
@@ -64,7 +64,7 @@
 	n.machines++
 	n.mu.Unlock()
 	for other := range machine {
-		for _, w := range []way{{machine, other}, {other, machine}} {
+		for _, w := range []link{{machine, other}, {other, machine}} {
 			if err := n.relay(w, isControl(w.to)); err != nil {
 				return err
 			}
@@ -73,13 +73,13 @@
 	return nil
 }
 
-func (n *network) relay(w way, dialled bool) error {
+func (n *network) relay(w link, dialled bool) error {
 	datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(w.to)), Port: portOf(w.from)})
 	if err != nil {
 		return err
 	}
 	n.track(datagrams)
-	go n.passDatagrams(w, datagrams)
+	go n.forwardDatagrams(w, datagrams)
 	if !dialled {
 		return nil
 	}
@@ -88,7 +88,7 @@
 		return err
 	}
 	n.track(listener)
-	go n.passConnections(w, listener)
+	go n.forwardConnections(w, listener)
 	return nil
 }
 
@@ -98,7 +98,7 @@
 	n.closers = append(n.closers, c)
 }
 
-func (n *network) passDatagrams(w way, in *net.UDPConn) {
+func (n *network) forwardDatagrams(w link, in *net.UDPConn) {
 	buffer := make([]byte, largestUDP)
 	to := &net.UDPAddr{IP: net.ParseIP(ipOf(w.to)), Port: portOf(w.to)}
 	for {
@@ -115,20 +115,20 @@
 	}
 }
 
-func (n *network) passConnections(w way, listener net.Listener) {
+func (n *network) forwardConnections(w link, listener net.Listener) {
 	for {
 		in, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go n.passConnection(w, in)
+		go n.forwardConnection(w, in)
 	}
 }
 
-func (n *network) passConnection(w way, in net.Conn) {
+func (n *network) forwardConnection(w link, in net.Conn) {
 	defer in.Close()
-	back := way{w.to, w.from}
-	for n.isCut(w) || n.isCut(back) { // it does not come up meanwhile
+	reverse := link{w.to, w.from}
+	for n.isCut(w) || n.isCut(reverse) { // it does not come up meanwhile
 		time.Sleep(cutPoll)
 		if isClosed(in) {
 			return
@@ -140,11 +140,11 @@
 		return
 	}
 	defer out.Close()
-	n.hold(w, in, true)
-	defer n.hold(w, in, false)
+	n.trackConn(w, in, true)
+	defer n.trackConn(w, in, false)
 	done := make(chan struct{}, 2)
 	go func() { n.copy(w, out, in); done <- struct{}{} }()
-	go func() { n.copy(back, in, out); done <- struct{}{} }()
+	go func() { n.copy(reverse, in, out); done <- struct{}{} }()
 	<-done
 }
 
@@ -155,11 +155,11 @@
 		return true
 	}
 	closed := false
-	_ = raw.Control(func(fd uintptr) { closed = peerHasEnded(int(fd)) })
+	_ = raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) })
 	return closed
 }
 
-func (n *network) hold(w way, c net.Conn, held bool) {
+func (n *network) trackConn(w link, c net.Conn, held bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.conns[w] == nil {
@@ -173,7 +173,7 @@
 }
 
 // copy passes bytes on; while the way is cut it holds them back.
-func (n *network) copy(w way, to, from net.Conn) {
+func (n *network) copy(w link, to, from net.Conn) {
 	buffer := make([]byte, relayBuffer)
 	for {
 		size, err := from.Read(buffer)
@@ -191,14 +191,14 @@
 	}
 }
 
-func (n *network) isCut(w way) bool {
+func (n *network) isCut(w link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Now().Before(n.cuts[w])
 }
 
 // cut parts one machine from another, one way, for a time.
-func (n *network) cut(w way, span time.Duration) {
+func (n *network) cut(w link, span time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if until := time.Now().Add(span); until.After(n.cuts[w]) {
@@ -207,7 +207,7 @@
 }
 
 // reset ends all connections between two machines.
-func (n *network) reset(w way) {
+func (n *network) reset(w link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns[w] {
--- a/rehearse/soak/process_test.go
+++ b/rehearse/soak/process_test.go
@@ -24,17 +24,17 @@
 type machine struct {
 	number    int
 	control   bool
-	gone      bool // for good
+	removed   bool // for good
 	folder    string
 	bootstrap bool
-	rules     rules
+	options   options
 	processes map[role]*process
 }
 
 // rules are those that the settings of a fleet's machines differ in from fleet to fleet.
-type rules struct {
-	tolerate    int  // machines that may fail at once
-	coordinates bool // applications may ask for locks, numbers and keys
+type options struct {
+	tolerate     int  // machines that may fail at once
+	coordination bool // applications may ask for locks, numbers and keys
 }
 
 func (m *machine) String() string {
@@ -53,18 +53,18 @@
 
 // process is one program of a machine. It is started again whenever it ends, as long as it is wanted.
 type process struct {
-	mu      sync.Mutex
-	machine *machine
-	role    role
-	binary  string
-	command *exec.Cmd
-	wanted  bool
-	frozen  bool
-	pause   time.Duration // before it is started again
-	lives   int
-	ended   chan struct{}
-	harmed  []time.Time // when it was killed or frozen
-	output  *os.File
+	mu           sync.Mutex
+	machine      *machine
+	role         role
+	binary       string
+	command      *exec.Cmd
+	wanted       bool
+	frozen       bool
+	restartDelay time.Duration // before it is started again
+	starts       int
+	ended        chan struct{}
+	disruptions  []time.Time // when it was killed or frozen
+	output       *os.File
 }
 
 // run starts the program again and again.
@@ -88,16 +88,16 @@
 		p.command.Env = append(os.Environ(), "IVYBANK_CONFIG="+p.machine.settingsPath(), "GOMAXPROCS=2")
 		p.command.Stdout, p.command.Stderr = p.output, p.output
 		err := p.command.Start()
-		p.lives++
+		p.starts++
 		p.mu.Unlock()
 		if err == nil {
 			_ = p.command.Wait()
 		}
 		p.mu.Lock()
-		pause := p.pause
+		restartDelay := p.restartDelay
 		p.frozen = false
 		p.mu.Unlock()
-		time.Sleep(pause)
+		time.Sleep(restartDelay)
 	}
 }
 
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGSTOP || s == syscall.SIGCONT {
-		p.harmed = append(p.harmed, time.Now())
+		p.disruptions = append(p.disruptions, time.Now())
 	}
 	if p.command != nil && p.command.Process != nil {
 		_ = p.command.Process.Signal(s)
@@ -114,10 +114,10 @@
 }
 
 // harmedWithin says whether the process was killed, stopped or frozen within a span.
-func (p *process) harmedWithin(from, to time.Time) bool {
+func (p *process) disruptedBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, at := range p.harmed {
+	for _, at := range p.disruptions {
 		if at.After(from) && at.Before(to) {
 			return true
 		}
@@ -145,10 +145,10 @@
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	line("node_name = %q", m.String())
 	line("ip = %q", ipOf(m.number))
-	line("port_range = [%d,%d]", portOf(m.number), portOf(m.number)+portsOfOne-1)
+	line("port_range = [%d,%d]", portOf(m.number), portOf(m.number)+portsPerMachine-1)
 	line(`seeds = ["%s"]`, strings.Join(seeds, `","`))
 	line("bootstrap = %v", m.bootstrap)
-	if m.rules.coordinates {
+	if m.options.coordination {
 		line(`guarantees = ["coord"]`)
 	}
 	if m.control {
@@ -160,10 +160,10 @@
 	} else {
 		line("front = %q\nready = %q", addressOf(m.number, servicePort), addressOf(m.number, servicePort+1))
 	}
-	line("[tolerate]\nmachines = %d", m.rules.tolerate)
+	line("[tolerate]\nmachines = %d", m.options.tolerate)
 	line("[cloud]\naddress = %q\nrate_per_s = 100.0", platform)
-	line("[bounds]\ndrain_ms = 2000\ngrace_s = %v\nconfig_ms = 2000\nsync_s = 4\nretry_ratio = 0.2\nretry_window_s = 10\nretry_slack = 56", graceS)
+	line("[bounds]\ndrain_ms = 2000\ngrace_s = %v\nconfig_ms = 2000\nsync_s = 4\nretry_ratio = 0.2\nretry_window_s = 10\nretry_slack = 56", graceSeconds)
 	line("history_s = %v", historySpan.Seconds())
-	line("quota_window_s = %v\nquota_overage = %v\nquota_slack = %v", window.Seconds(), overage, slack)
+	line("quota_window_s = %v\nquota_overage = %v\nquota_slack = %v", quotaWindow.Seconds(), quotaOverage, quotaSlack)
 	return os.WriteFile(m.settingsPath(), []byte(b.String()), 0o600)
 }
--- a/rehearse/soak/rules_test.go
+++ b/rehearse/soak/rules_test.go
@@ -12,9 +12,9 @@
 )
 
 // scripted answers each call with the next answer of a list: a status, a space and a body.
-type scripted struct{ answers []string }
+type scriptedTransport struct{ answers []string }
 
-func (s *scripted) RoundTrip(*http.Request) (*http.Response, error) {
+func (s *scriptedTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	status, body, _ := strings.Cut(s.answers[0], " ")
 	s.answers = s.answers[1:]
 	codes := map[string]int{"200": 200, "404": 404, "409": 409, "410": 410, "412": 412}
@@ -24,8 +24,8 @@
 // played sends calls ("VERB/NAME BODY") to a witness whose fleet gives answers, and returns the rules that it found broken.
 func played(t *testing.T, calls, answers []string) []string {
 	t.Helper()
-	w := newWitness()
-	w.carrier = &scripted{answers}
+	w := newChecker()
+	w.transport = &scriptedTransport{answers}
 	for _, c := range calls {
 		path, body, _ := strings.Cut(c, " ")
 		method := http.MethodPost
@@ -39,8 +39,8 @@
 	}
 	w.finish()
 	var rules []string
-	for _, fault := range w.faults {
-		rule, _, _ := strings.Cut(fault, ":")
+	for _, violation := range w.violations {
+		rule, _, _ := strings.Cut(violation, ":")
 		rules = append(rules, rule)
 	}
 	return rules
@@ -59,7 +59,7 @@
 	watchOne   = `watch/g.?after=1&wait_ms=1`
 )
 
-func TestWitnessTellsBrokenRules(t *testing.T) {
+func TestCheckerReportsViolations(t *testing.T) {
 	for name, test := range map[string]struct {
 		calls, answers []string
 		broken         string
@@ -92,14 +92,14 @@
 	}
 }
 
-func TestWitnessFindsNothingWhereRulesHold(t *testing.T) {
+func TestCheckerAcceptsValidHistory(t *testing.T) {
 	calls := []string{beginA, beatA, finishA, beginB, putOnZero, putOne, putOnZero, get, watchOne, "numbers/n {}", "numbers/n {}"}
 	answers := []string{`200 {"fence":1}`, `200 {}`, `200 {}`, `200 {"fence":2}`, `200 {"rev":1}`, `200 {"rev":2}`, `200 {"rev":1}`,
 		`200 {"value":"one","rev":2}`, `200 {"events":[{"name":"g.a","value":"one","rev":2}],"rev":2}`, `200 {"value":3}`, `200 {"value":9}`}
 	assert.Equal(t, len(played(t, calls, answers)), 0)
 
-	w := newWitness()
-	w.carrier = &scripted{[]string{`200 {"fence":1}`, `200 {"fence":2}`}}
+	w := newChecker()
+	w.transport = &scriptedTransport{[]string{`200 {"fence":1}`, `200 {"fence":2}`}}
 	for _, c := range []string{beginShort, beginB} {
 		path, body, _ := strings.Cut(c, " ")
 		q, err := http.NewRequest(http.MethodPost, "http://fleet/v1/"+path, strings.NewReader(body))
@@ -108,5 +108,5 @@
 		assert.NilError(t, err)
 		time.Sleep(2 * time.Millisecond) // the short hold is over
 	}
-	assert.Equal(t, len(w.faults), 0)
+	assert.Equal(t, len(w.violations), 0)
 }
--- a/rehearse/soak/soak_test.go
+++ b/rehearse/soak/soak_test.go
@@ -32,16 +32,16 @@
 	calmBefore = 8 * time.Second
 	calmAfter  = 6 * time.Second
 	// startPatience is how long a fleet may take to serve at first.
-	startPatience = 20 * time.Second
+	startTimeout = 20 * time.Second
 	// limitLag is how long a lower limit may take to be in force at the owner.
-	limitLag = 3 * time.Second
+	limitPropagation = 3 * time.Second
 	// Too little played fails a run: so much for each second of trouble.
-	leastRuns     = 40
-	leastRefusals = 20
-	leastTroubles = 0.8
-	leastKinds    = 9
+	minRunsPerSecond      = 40
+	minOverLimitPerSecond = 20
+	minFaultsPerSecond    = 0.8
+	minFaultKinds         = 9
 	// harmSpan around a request in which harm to its router explains a broken connection.
-	harmSpan = 500 * time.Millisecond
+	disruptionMargin = 500 * time.Millisecond
 )
 
 // TestSoak plays troubles against real processes and holds what their hosts ran against the limits.
@@ -65,35 +65,35 @@
 
 func soak(t *testing.T, binaries string, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2026))
-	f := newFleet(t, binaries, controls, *frontsFlag, rules{tolerate: 1})
+	f := newFleet(t, binaries, controls, *frontsFlag, options{tolerate: 1})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	first := map[*tenant]*limitChange{}
 	for _, tenant := range f.tenants {
 		first[tenant] = &limitChange{rate: tenant.rate, burst: tenant.rate}
 	}
-	soon, cancel := context.WithTimeout(ctx, startPatience)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	assert.Assert(t, f.change(soon, first), "the first configuration is not taken")
+	assert.Assert(t, f.replaceLimits(startCtx, first), "the first configuration is not taken")
 	f.awaitReady(t)
 	var clients sync.WaitGroup
 	for _, tenant := range f.tenants {
-		for i := range clientsOfOne {
+		for i := range clientsPerTenant {
 			c := &client{fleet: f, tenant: tenant, number: i, random: rand.New(rand.NewPCG(seed, random.Uint64()))}
 			clients.Go(func() { c.run(ctx) })
 		}
 	}
-	clients.Go(func() { f.readAgainAndAgain(ctx) })
+	clients.Go(func() { f.pollConfiguration(ctx) })
 
 	began := time.Now()
 	time.Sleep(calmBefore)
 	calm := [2]time.Time{began.Add(calmBefore / 4), time.Now()}
-	troubled, end := context.WithTimeout(ctx, time.Duration(*secondsFlag)*time.Second)
+	faultCtx, end := context.WithTimeout(ctx, time.Duration(*secondsFlag)*time.Second)
 	defer end()
-	played := newSeries(troubled, f, troubles)
+	played := newFaultSchedule(faultCtx, f, soakFaults)
 	played.run(random)
 	f.network.heal()
-	f.thaw()
+	f.resumeAll()
 	settled := time.Now().Add(calmAfter)
 	f.awaitNewest(t, settled)
 	time.Sleep(time.Until(settled))
@@ -106,7 +106,7 @@
 // awaitReady waits until all routers are ready.
 func (f *fleet) awaitReady(t *testing.T) {
 	t.Helper()
-	until := time.Now().Add(startPatience)
+	until := time.Now().Add(startTimeout)
 	for _, m := range f.alive(false) {
 		for {
 			answer, err := operatorClient.Get("http://" + addressOf(m.number, servicePort+1) + "/v1/ready")
@@ -136,7 +136,7 @@
 	t.Errorf("nobody shows revision %d once all is calm", f.revision)
 }
 
-func (f *fleet) readAgainAndAgain(ctx context.Context) {
+func (f *fleet) pollConfiguration(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range f.alive(true) {
 			f.read(ctx, m)
@@ -146,7 +146,7 @@
 }
 
 // thaw lets all go on that stands still.
-func (f *fleet) thaw() {
+func (f *fleet) resumeAll() {
 	for _, m := range append(f.alive(true), f.alive(false)...) {
 		for _, p := range m.processes {
 			p.signal(syscall.SIGCONT)
@@ -158,25 +158,25 @@
 // it anywhere.
 func (f *fleet) allowed(t *tenant, end time.Time) float64 {
 	most := 0.0
-	changes := f.limits[t]
+	changes := f.limitHistory[t]
 	for i, c := range changes {
-		over := i+1 < len(changes) && !changes[i+1].acked.IsZero() && changes[i+1].acked.Add(limitLag).Before(end.Add(-window))
+		over := i+1 < len(changes) && !changes[i+1].acked.IsZero() && changes[i+1].acked.Add(limitPropagation).Before(end.Add(-quotaWindow))
 		if over || c.sent.After(end) {
 			continue
 		}
-		most = max(most, (c.rate*window.Seconds()+c.burst)*(1+overage)+slack)
+		most = max(most, (c.rate*quotaWindow.Seconds()+c.burst)*(1+quotaOverage)+quotaSlack)
 	}
 	return most
 }
 
 // fullest gives the window in which a tenant used the largest part of what it was allowed.
-func (f *fleet) fullest(t *tenant) (part, used, allowed float64, end time.Time) {
+func (f *fleet) highestUsage(t *tenant) (part, used, allowed float64, end time.Time) {
 	uses := f.ledger.uses[t]
-	slices.SortFunc(uses, func(a, b use) int { return a.at.Compare(b.at) })
+	slices.SortFunc(uses, func(a, b usage) int { return a.at.Compare(b.at) })
 	sum, first := 0.0, 0
 	for _, u := range uses {
 		sum += u.cost
-		for !uses[first].at.After(u.at.Add(-window)) {
+		for !uses[first].at.After(u.at.Add(-quotaWindow)) {
 			sum -= uses[first].cost
 			first++
 		}
@@ -189,9 +189,9 @@
 
 // tally is what became of a tenant's requests.
 type tally struct {
-	sent, served, beyond, refused, broken, failed int
-	calmSent, calmBeyond                          int
-	calmUse                                       float64
+	sent, served, overLimit, refused, broken, failed int
+	calmSent, calmBeyond                             int
+	calmUse                                          float64
 }
 
 func (f *fleet) tallyOf(t *tenant, calm [2]time.Time) (n tally) {
@@ -205,19 +205,19 @@
 			n.calmSent++
 		}
 		switch {
-		case r.status == http.StatusOK && r.whole:
+		case r.status == http.StatusOK && r.complete:
 			n.served++
 			if inCalm {
 				n.calmUse += r.cost
 			}
 		case r.status == http.StatusTooManyRequests:
-			n.beyond++
+			n.overLimit++
 			if inCalm {
 				n.calmBeyond++
 			}
 		case r.status == http.StatusServiceUnavailable:
 			n.refused++
-		case r.status == 0 || !r.whole:
+		case r.status == 0 || !r.complete:
 			n.broken++
 		default:
 			n.failed++
@@ -226,66 +226,66 @@
 	return n
 }
 
-func (f *fleet) report(t *testing.T, played *series, calm [2]time.Time) {
+func (f *fleet) report(t *testing.T, played *faultSchedule, calm [2]time.Time) {
 	t.Helper()
 	t.Logf("played: %s", played)
 	for _, tenant := range f.tenants {
 		n := f.tallyOf(tenant, calm)
-		part, used, allowed, end := f.fullest(tenant)
+		part, used, allowed, end := f.highestUsage(tenant)
 		t.Logf("%-14s sent %d, served %d, beyond the limit %d, refused %d, broken %d, failed %d; calm: %d sent, %d refused, %.2f of the rate used; "+
-			"fullest window %.3f: %.0f of %.0f, ends %v after the calm", tenant.name, n.sent, n.served, n.beyond, n.refused, n.broken, n.failed,
+			"fullest window %.3f: %.0f of %.0f, ends %v after the calm", tenant.name, n.sent, n.served, n.overLimit, n.refused, n.broken, n.failed,
 			n.calmSent, n.calmBeyond, n.calmUse/(tenant.rate*calm[1].Sub(calm[0]).Seconds()), part, used, allowed,
 			end.Sub(calm[1]).Round(time.Millisecond))
 	}
-	lives := 0
+	starts := 0
 	for _, m := range f.machines {
 		for _, p := range m.processes {
-			lives += p.lives
+			starts += p.starts
 		}
 	}
-	t.Logf("%d machines, %d lives of processes, %d reads of the configuration, revision %d", len(f.machines), lives, f.reads, f.revision)
+	t.Logf("%d machines, %d lives of processes, %d reads of the configuration, revision %d", len(f.machines), starts, f.reads, f.revision)
 	f.checkPlayed(t, played, calm)
 }
 
 // checkPlayed fails a run in which too little happened to show anything.
-func (f *fleet) checkPlayed(t *testing.T, played *series, calm [2]time.Time) {
+func (f *fleet) checkPlayed(t *testing.T, played *faultSchedule, calm [2]time.Time) {
 	t.Helper()
 	ran, refused, all := 0, 0, 0
 	for _, tenant := range f.tenants {
 		n := f.tallyOf(tenant, calm)
 		ran += len(f.ledger.uses[tenant])
-		refused += n.beyond
+		refused += n.overLimit
 	}
 	for _, n := range played.played {
 		all += n
 	}
-	assert.Check(t, ran >= leastRuns**secondsFlag, "%d runs", ran)
-	assert.Check(t, refused >= leastRefusals**secondsFlag, "%d refusals of requests beyond limits", refused)
-	assert.Check(t, float64(all) >= leastTroubles*float64(*secondsFlag), "%d troubles", all)
-	assert.Check(t, len(played.played) >= leastKinds, "%d kinds of trouble", len(played.played))
+	assert.Check(t, ran >= minRunsPerSecond**secondsFlag, "%d runs", ran)
+	assert.Check(t, refused >= minOverLimitPerSecond**secondsFlag, "%d refusals of requests beyond limits", refused)
+	assert.Check(t, float64(all) >= minFaultsPerSecond*float64(*secondsFlag), "%d troubles", all)
+	assert.Check(t, len(played.played) >= minFaultKinds, "%d kinds of trouble", len(played.played))
 	assert.Check(t, f.reads > *secondsFlag, "%d reads of the configuration", f.reads)
 }
 
 func (f *fleet) check(t *testing.T, calm [2]time.Time) {
 	t.Helper()
 	for _, tenant := range f.tenants {
-		part, used, allowed, end := f.fullest(tenant)
+		part, used, allowed, end := f.highestUsage(tenant)
 		assert.Check(t, part <= 1, "%s used %.0f of %.0f in the window that ends %v after the calm", tenant.name, used, allowed, end.Sub(calm[1]))
-		if n := f.tallyOf(tenant, calm); tenant.below {
+		if n := f.tallyOf(tenant, calm); tenant.belowLimit {
 			assert.Check(t, n.calmBeyond == 0, "%d of %d requests of %s refused in calm", n.calmBeyond, n.calmSent, tenant.name)
 		}
 	}
-	assert.Check(t, len(f.ledger.unknown) == 0, "hosts ran what nobody sent: %v", f.ledger.unknown)
-	assert.Check(t, len(f.older) == 0, "%v", f.older)
+	assert.Check(t, len(f.ledger.unexpected) == 0, "hosts ran what nobody sent: %v", f.ledger.unexpected)
+	assert.Check(t, len(f.staleReads) == 0, "%v", f.staleReads)
 	lost := 0
 	for _, r := range f.ledger.requests {
 		if r.ended.IsZero() {
 			continue // the run was over
 		}
-		assert.Check(t, r.ran <= 1 || r.path == againPath, "%s ran %d times", r.id, r.ran)
+		assert.Check(t, r.runCount <= 1 || r.path == idempotentPath, "%s ran %d times", r.id, r.runCount)
 		promised := r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable
-		assert.Check(t, !promised || r.ran == 0, "%s ran and got %d", r.id, r.status)
-		if r.status == 0 && r.ran > 0 && !r.spoilt && !r.router.harmedWithin(r.sent.Add(-clientPatience), r.ended.Add(harmSpan)) {
+		assert.Check(t, !promised || r.runCount == 0, "%s ran and got %d", r.id, r.status)
+		if r.status == 0 && r.runCount > 0 && !r.aborted && !r.router.disruptedBetween(r.sent.Add(-clientTimeout), r.ended.Add(disruptionMargin)) {
 			lost++
 			t.Logf("%s lost: ran at a host, sent to %s, ended after %v", r.id, r.router.machine, r.ended.Sub(r.sent))
 		}
