--- a/rehearse/soak/callers_test.go
+++ b/rehearse/soak/callers_test.go
@@ -28,7 +28,7 @@
 	groupCount      = 3
 	keysPerGroup    = 6
 
-	callTimeout      = 8 * time.Second // of a caller, over all its attempts
+	callTimeout      = 8 * time.Second // for one call, all its attempts included
 	maxWork          = 400 * time.Millisecond
 	electionHoldTime = 2 * time.Second
 	minHold          = 300 * time.Millisecond
@@ -37,29 +37,29 @@
 	readInterval     = 5 * time.Millisecond
 )
 
-var errCallerCrashed = errors.New("the caller is dead")
+var errCallerCrashed = errors.New("the simulated caller has crashed")
 
-// mortal carries the calls of one life of a caller.
+// callerTransport carries the calls of one caller. Once the caller has crashed, every call fails without being sent.
 type callerTransport struct {
 	checker *checker
 	crashed atomic.Bool
 }
 
-func (m *callerTransport) RoundTrip(q *http.Request) (*http.Response, error) {
-	if m.crashed.Load() {
+func (t *callerTransport) RoundTrip(q *http.Request) (*http.Response, error) {
+	if t.crashed.Load() {
 		return nil, errCallerCrashed
 	}
-	return m.checker.RoundTrip(q)
+	return t.checker.RoundTrip(q)
 }
 
-// applications are the callers of one run.
+// applications holds the simulated applications of one run.
 type applications struct {
 	t              *testing.T
 	checker        *checker
 	addresses      []string
 	seed           uint64
 	callers        sync.WaitGroup
-	savedRevisions sync.Map // revisions by group, as watchers saved them last
+	savedRevisions sync.Map // by group, the last revision that a watcher saved
 	locksLost      atomic.Int64
 }
 
@@ -71,17 +71,17 @@
 	return a
 }
 
-// client makes a client of a new life.
+// client makes a client with a transport of its own, like a caller that has just started.
 func (a *applications) client() (*coordclient.Client, *callerTransport) {
-	m := &callerTransport{checker: a.checker}
-	c, err := coordclient.New(coordclient.Options{Addresses: a.addresses, Transport: m})
+	t := &callerTransport{checker: a.checker}
+	c, err := coordclient.New(coordclient.Options{Addresses: a.addresses, Transport: t})
 	if err != nil {
 		panic(err)
 	}
-	return c, m
+	return c, t
 }
 
-// start has all callers call until the context ends.
+// start starts all callers; they run until the context ends.
 func (a *applications) start(ctx context.Context) {
 	number := uint64(0)
 	run := func(count int, caller func(context.Context, int, *rand.Rand)) {
@@ -102,7 +102,7 @@
 
 func groupName(i int) string { return fmt.Sprint("g", i, ".") }
 
-// found puts the first key of each group, so that watches have something to begin after.
+// putFirstKeys puts the first key of each group, so that watches have a revision to start after.
 func (a *applications) putFirstKeys(ctx context.Context) {
 	c, _ := a.client()
 	for i := range groupCount {
@@ -111,7 +111,7 @@
 	}
 }
 
-// each calls again and again, with pauses.
+// repeat runs call with random pauses until the context ends. Each run has a timeout.
 func repeat(ctx context.Context, random *rand.Rand, call func(ctx context.Context)) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -128,7 +128,9 @@
 	}
 }
 
-// takeLocks takes locks for a moment. Some holders die, and come back under their old name; some sleep beyond their time.
+// acquireLocks takes locks and holds them briefly. Some holders crash and return under the same name; some stall until
+// after
+// their lock has expired.
 func (a *applications) acquireLocks(ctx context.Context, number int, random *rand.Rand) {
 	c, transport := a.client()
 	holder := fmt.Sprint("caller-", number)
@@ -141,11 +143,11 @@
 			return
 		}
 		switch outcome {
-		case 0: // dies
+		case 0: // crashes
 			transport.crashed.Store(true)
 			pause(ctx, work)
 			c, transport = a.client()
-		case 1: // stands still beyond its time
+		case 1: // stalls until after the lock has expired
 			transport.crashed.Store(true)
 			pause(ctx, hold+work)
 			transport.crashed.Store(false)
@@ -157,7 +159,7 @@
 	})
 }
 
-// work holds a lock for a time, or until it is lost.
+// work holds a lock for a given time, or until it is lost.
 func (a *applications) work(l *coordclient.Lock, span time.Duration) {
 	select {
 	case <-l.Context().Done():
@@ -166,14 +168,14 @@
 	}
 }
 
-// giveBack sends Finish. Nothing waits for a lock whose return got no answer.
+// release sends Finish. An error is ignored: no caller waits for a lock whose release got no answer.
 func (a *applications) release(l *coordclient.Lock) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	_ = l.Finish(ctx)
 }
 
-// standForElection holds locks for long.
+// runElections takes election locks and holds them for a long time.
 func (a *applications) runElections(ctx context.Context, number int, random *rand.Rand) {
 	c, _ := a.client()
 	repeat(ctx, random, func(callCtx context.Context) {
@@ -191,7 +193,7 @@
 	repeat(ctx, random, func(ctx context.Context) { _, _ = c.NextNumber(ctx, fmt.Sprint("n", random.IntN(numberCount))) })
 }
 
-// putAndRead puts and reads keys, half of the puts upon the revision that was read last.
+// putAndRead puts and reads keys. Half of the calls are puts that are conditional on the revision that was seen last.
 func (a *applications) putAndRead(ctx context.Context, number int, random *rand.Rand) {
 	c, _ := a.client()
 	seen, puts := map[string]uint64{}, 0
@@ -219,7 +221,8 @@
 	})
 }
 
-// read reads keys in quick succession, always at one address: also where that is a leader that has been cut off.
+// read reads keys in quick succession, always at the same address, even when that is a leader that has been
+// partitioned off.
 func (a *applications) read(ctx context.Context, number int, random *rand.Rand) {
 	address := a.addresses[number%len(a.addresses)]
 	c, err := coordclient.New(coordclient.Options{Addresses: []string{address}, Transport: a.checker})
@@ -235,12 +238,12 @@
 	}
 }
 
-// watchAll watches a group from its first put, and takes the watch up anew again and again.
+// watchFromStart watches a group from its first put, and resumes the watch repeatedly.
 func (a *applications) watchFromStart(ctx context.Context, group int, random *rand.Rand) {
 	a.watch(ctx, group, 1, random)
 }
 
-// watchFromNowOn watches a group from what is present.
+// watchFromNow watches a group from its current state.
 func (a *applications) watchFromNow(ctx context.Context, group int, random *rand.Rand) {
 	a.watch(ctx, group, 0, random)
 }
--- a/rehearse/soak/clients_test.go
+++ b/rehearse/soak/clients_test.go
@@ -20,22 +20,22 @@
 
 	clientDeadline   = 1500 * time.Millisecond
 	clientTimeout    = 3 * time.Second
-	clientsPerTenant = 8 // of each tenant
+	clientsPerTenant = 8 // clients that each tenant runs
 )
 
-// tenant is a customer, what it may use and what it sends.
+// tenant is a customer with its limit and its load.
 type tenant struct {
 	name       string
 	unit       string
-	rate       float64 // of its first limit
-	demand     float64 // that it sends, as a part of that
-	maxCost    float64 // request
-	belowLimit bool    // it never sends more than it may
+	rate       float64 // first limit, units per second
+	demand     float64 // load that it sends, as a fraction of rate
+	maxCost    float64 // cost of its largest request
+	belowLimit bool    // it never sends more than its limit allows
 }
 
 func (t *tenant) key() string { return "key-" + t.name }
 
-// draw gives the cost of a request.
+// drawCost returns a random cost for a request.
 func (t *tenant) drawCost(random *rand.Rand) float64 {
 	if t.unit != config.TokenUnit {
 		return 1
@@ -43,7 +43,7 @@
 	return float64(1 + random.IntN(int(t.maxCost)))
 }
 
-// client sends requests of one tenant to one router, over one connection, for as long as that lasts.
+// client sends requests of one tenant to one router over one connection, as long as the connection lasts.
 type client struct {
 	fleet   *fleet
 	tenant  *tenant
@@ -56,9 +56,9 @@
 
 var requestsSent atomic.Int64
 
-// run sends until the context ends.
+// run sends requests until the context ends.
 func (c *client) run(ctx context.Context) {
-	pace := float64(clientsPerTenant) / (c.tenant.demand * c.tenant.rate) // seconds for each unit
+	pace := float64(clientsPerTenant) / (c.tenant.demand * c.tenant.rate) // seconds per unit of cost
 	for ctx.Err() == nil {
 		cost := c.tenant.drawCost(c.random)
 		began := time.Now()
@@ -79,7 +79,7 @@
 	}
 }
 
-// one sends one request.
+// sendRequest sends one request and records its outcome in the ledger.
 func (c *client) sendRequest(ctx context.Context, cost float64) {
 	if c.http == nil || c.machine.removed {
 		c.leave()
--- a/rehearse/soak/coordination_faults_test.go
+++ b/rehearse/soak/coordination_faults_test.go
@@ -11,36 +11,36 @@
 	"ivybank/control"
 )
 
-// changes are the calls that are acknowledged once they are on a majority's disks.
+// changeVerbs lists the calls that are acknowledged once they are on the disks of a majority.
 var changeVerbs = []string{"Locks.Begin", "Locks.Heartbeat", "Locks.Finish", "numbers", "Cells.Replace"}
 
 const (
 	statusTimeout = 300 * time.Millisecond
-	// trapPatience is how long a trap waits for its call.
+	// triggerTimeout bounds the time that a trigger waits for its call.
 	triggerTimeout = 2 * time.Second
-	triggerFired   = "a trap sprang"
+	triggerFired   = "a trigger fired"
 )
 
-// coordinationTroubles are those that the parts are played under.
-func coordinationFaults(w *checker) []fault {
+// coordinationFaults returns the faults of the coordination soak.
+func coordinationFaults(ck *checker) []fault {
 	return []fault{
-		{"freeze a leader amid a grant", 5, func(s *faultSchedule, r *rand.Rand) {
+		{"freeze a leader during a grant", 5, func(s *faultSchedule, r *rand.Rand) {
 			m, delay, duration := s.randomLeader(r), time.Duration(r.IntN(4000))*time.Microsecond, randomDuration(r, 300, 2500)
-			s.onTrigger(w, &trigger{verbs: []string{"Locks.Begin"}}, func() {
+			s.onTrigger(ck, &trigger{verbs: []string{"Locks.Begin"}}, func() {
 				time.Sleep(delay)
 				s.freeze(m, duration)
 			})
 		}},
 		{"kill a leader right after an acknowledgement", 5, func(s *faultSchedule, r *rand.Rand) {
 			m, restartDelay := s.randomLeader(r), randomDuration(r, 50, 1500)
-			s.onTrigger(w, &trigger{answered: true, verbs: changeVerbs}, func() { s.kill(m, controlRole, restartDelay) })
+			s.onTrigger(ck, &trigger{answered: true, verbs: changeVerbs}, func() { s.kill(m, controlRole, restartDelay) })
 		}},
 		{"kill all right after an acknowledgement", 2, func(s *faultSchedule, r *rand.Rand) {
 			restartDelay := randomDuration(r, 50, 600)
-			s.onTrigger(w, &trigger{answered: true, verbs: changeVerbs}, func() { s.killAll(restartDelay) })
+			s.onTrigger(ck, &trigger{answered: true, verbs: changeVerbs}, func() { s.killAll(restartDelay) })
 		}},
 		{"lose disks and all power right after an acknowledgement", 2, func(s *faultSchedule, r *rand.Rand) {
-			s.loseDisksAfterAcknowledgement(w, r)
+			s.loseDisksAfterAcknowledgement(ck, r)
 		}},
 		{"kill control processes in a row", 2, func(s *faultSchedule, r *rand.Rand) {
 			for _, m := range s.fleet.alive(true) {
@@ -81,19 +81,21 @@
 	}
 }
 
-// upon lays a trap, and waits until what it does is done. Where nothing has come for too long, the trap is lifted.
-func (s *faultSchedule) onTrigger(w *checker, t *trigger, do func()) {
+// onTrigger adds a trigger that runs do, and waits until do has returned. If no matching call comes within
+// triggerTimeout, it
+// removes the trigger.
+func (s *faultSchedule) onTrigger(ck *checker, t *trigger, do func()) {
 	done := make(chan struct{})
 	t.fire = func() {
 		do()
 		close(done)
 	}
-	w.addTrigger(t)
+	ck.addTrigger(t)
 	select {
 	case <-done:
 		s.count(triggerFired)
 	case <-time.After(triggerTimeout):
-		if !w.removeTrigger(t) {
+		if !ck.removeTrigger(t) {
 			<-done
 		}
 	}
@@ -105,7 +107,7 @@
 	}
 }
 
-// anyLeader gives a machine that leads some part, any one where none is heard of.
+// randomLeader returns a machine that leads some part, or any machine if none reports that it leads.
 func (s *faultSchedule) randomLeader(r *rand.Rand) *machine {
 	all := s.fleet.alive(true)
 	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -120,7 +122,7 @@
 	return all[0]
 }
 
-// loseDisks has as many disks lost at once as the fleet tolerates.
+// loseDisks wipes as many disks at once as the fleet tolerates.
 func (s *faultSchedule) loseDisks(r *rand.Rand, restartDelay time.Duration) {
 	if !s.canLoseDisk() {
 		return
@@ -130,29 +132,31 @@
 	}
 }
 
-// loseDisksUponAcknowledgement takes as many disks as the fleet tolerates, and ends all other processes at the same moment.
-func (s *faultSchedule) loseDisksAfterAcknowledgement(w *checker, r *rand.Rand) {
-	toleratedMachines, restartDelay := s.toleratedMachines(r), randomDuration(r, 100, 600)
+// loseDisksAfterAcknowledgement wipes as many disks as the fleet tolerates right after an acknowledgement, and kills
+// all other
+// processes at the same moment.
+func (s *faultSchedule) loseDisksAfterAcknowledgement(ck *checker, r *rand.Rand) {
+	machines, restartDelay := s.toleratedMachines(r), randomDuration(r, 100, 600)
 	if !s.canLoseDisk() {
 		return
 	}
-	s.onTrigger(w, &trigger{answered: true, verbs: changeVerbs}, func() {
+	s.onTrigger(ck, &trigger{answered: true, verbs: changeVerbs}, func() {
 		s.killAll(restartDelay)
-		for _, m := range toleratedMachines {
+		for _, m := range machines {
 			s.wipe(m, restartDelay)
 		}
-		s.count("disks were lost and all others ended")
+		s.count("disks were lost and all other processes killed")
 	})
 }
 
-// lots draws as many machines as may fail at once.
+// toleratedMachines draws as many machines as may fail at once.
 func (s *faultSchedule) toleratedMachines(r *rand.Rand) []*machine {
 	all := s.fleet.alive(true)
 	r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:s.fleet.options.tolerate]
 }
 
-// status asks a control process what it knows.
+// status asks a control process for its status.
 func (f *fleet) status(ctx context.Context, m *machine) (s control.Status, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -160,7 +164,8 @@
 	return s, status == http.StatusOK && json.Unmarshal(body, &s) == nil
 }
 
-// partsAreWhole says whether each process is a member of each part, knows its leader, and no other members are left.
+// partsAreHealthy reports whether each process is a member of each part and knows its leader, and no other members are
+// left.
 func (f *fleet) partsAreHealthy(ctx context.Context) bool {
 	all := f.alive(true)
 	leading := map[int]bool{}
--- a/rehearse/soak/coordination_test.go
+++ b/rehearse/soak/coordination_test.go
@@ -18,21 +18,22 @@
 	"ivybank/coordclient"
 )
 
-var coordinationSecondsFlag = flag.Int("coordination-seconds", 6, "seconds of trouble in each run of the coordination soak")
+var coordinationSecondsFlag = flag.Int("coordination-seconds", 6, "seconds of fault injection in each run of the coordination soak")
 
 const (
-	// recoverySpan is how long it may take until all is served again after a restart of all.
+	// recoveryTimeout bounds the time from a restart of all processes until all parts are served again.
 	recoveryTimeout = 15 * time.Second
-	// slowService is after how long without service what the processes know is logged.
+	// slowServiceAfter is the time without service after which the status of all processes is logged.
 	slowServiceAfter = 3 * time.Second
-	// Too little played fails a run: so much for each second of trouble.
+	// A run in which too little happened to show anything fails. The minimum rates are per second of fault injection.
 	minAnswersPerSecond            = 15
 	minCoordinationFaultsPerSecond = 0.7
 	minCoordinationFaultKinds      = 5
 )
 
-// TestCoordinationSoak plays troubles against real control processes, and holds what applications were told of locks, numbers,
-// keys and watches against the rules.
+// TestCoordinationSoak injects faults into real control processes, and checks the answers that applications got about
+// locks,
+// numbers, keys and watches against the rules.
 func TestCoordinationSoak(t *testing.T) {
 	binaries := buildPrograms(t)
 	for i := range *runsFlag {
@@ -61,25 +62,26 @@
 	played.run(random)
 	f.network.heal()
 	f.resumeAll()
-	a.awaitService(t, f, "once all is calm")
+	a.awaitService(t, f, "after the last fault has ended")
 	stop()
 	a.callers.Wait()
-	t.Logf("slowest sync of the disk beneath: %v", disk().Round(time.Millisecond))
+	t.Logf("slowest sync of the underlying disk: %v", disk().Round(time.Millisecond))
 
 	played.killAll(randomDuration(random, 50, 500))
-	a.awaitService(t, f, "after a restart of all")
+	a.awaitService(t, f, "after a restart of all processes")
 	a.readAcknowledged(t)
 	a.checker.finish()
 	a.report(t, played)
 }
 
-// awaitService asks for a number under many names, which are spread over all parts, until each has been answered.
+// awaitService asks for a number under many names, which are spread over all parts, and waits until each call is
+// answered.
 func (a *applications) awaitService(t *testing.T, f *fleet, when string) {
 	t.Helper()
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), recoveryTimeout)
 	defer cancel()
-	slow := time.AfterFunc(slowServiceAfter, func() { f.describeParts(t) })
+	slow := time.AfterFunc(slowServiceAfter, func() { f.logParts(t) })
 	defer slow.Stop()
 	var names sync.WaitGroup
 	for i := range 16 {
@@ -93,7 +95,8 @@
 	t.Logf("all parts served %v %s", time.Since(began).Round(time.Millisecond), when)
 }
 
-// readBack asks for all that was acknowledged, within the time that recovery may take. What the answers say the witness judges.
+// readAcknowledged reads everything that was acknowledged, within the time that recovery may take. The checker judges
+// the answers.
 func (a *applications) readAcknowledged(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), recoveryTimeout)
@@ -118,10 +121,11 @@
 	calls.Wait()
 }
 
-// watchDisk syncs a file again and again until the context ends, and gives how long the slowest sync took: where that is
-// seconds, a failed run tells of the disk beneath.
+// watchDisk syncs a file repeatedly until the context ends; slowest returns the duration of the slowest sync. If that
+// is
+// seconds, a failed run may be due to the underlying disk.
 func watchDisk(ctx context.Context, folder string) (slowest func() time.Duration) {
-	most, done := time.Duration(0), make(chan struct{})
+	slowestSync, done := time.Duration(0), make(chan struct{})
 	go func() {
 		defer close(done)
 		file, err := os.Create(filepath.Join(folder, "syncs"))
@@ -133,18 +137,18 @@
 			began := time.Now()
 			_, _ = file.WriteString("x")
 			_ = file.Sync()
-			most = max(most, time.Since(began))
+			slowestSync = max(slowestSync, time.Since(began))
 			pause(ctx, 100*time.Millisecond)
 		}
 	}()
 	return func() time.Duration {
 		<-done
-		return most
+		return slowestSync
 	}
 }
 
-// describeParts logs what each process knows of each part.
-func (f *fleet) describeParts(t *testing.T) {
+// logParts logs the status of each part as each process reports it.
+func (f *fleet) logParts(t *testing.T) {
 	for _, m := range f.alive(true) {
 		s, ok := f.status(t.Context(), m)
 		t.Logf("%s answers %v as %s: parts %+v, dropped %+v", m, ok, s.ID, s.Parts, s.Dropped)
@@ -159,7 +163,8 @@
 	a.release(l)
 }
 
-// resume takes a watch up from its first put and from the revision that was saved last, and has both reach the newest put.
+// resumeWatches resumes a watch from the first put and one from the revision that was saved last; both must reach the
+// newest put.
 func (a *applications) resumeWatches(ctx context.Context, t *testing.T, c *coordclient.Client, group string) {
 	last, err := c.Put(ctx, group+"last", "last")
 	if !assert.Check(t, err, "the last put in %s", group) {
@@ -176,7 +181,7 @@
 	}
 }
 
-// report tells what was played and fails the run for each broken rule, and where too little was played.
+// report logs what was played, and fails the run for each broken rule and if too little was played.
 func (a *applications) report(t *testing.T, played *faultSchedule) {
 	t.Helper()
 	counts, violations := a.checker.outcome()
@@ -194,13 +199,13 @@
 		faults += n
 	}
 	t.Logf("played: %s", played)
-	t.Logf("answers by status (0 is none): %s; %d locks were lost at work", strings.Join(lines, "; "), a.locksLost.Load())
+	t.Logf("answers by status (0 is none): %s; %d locks were lost while held", strings.Join(lines, "; "), a.locksLost.Load())
 	for _, violation := range violations {
 		t.Error(violation)
 	}
 	seconds := *coordinationSecondsFlag
 	assert.Check(t, answers >= minAnswersPerSecond*seconds, "%d calls were answered 200", answers)
-	assert.Check(t, float64(faults) >= minCoordinationFaultsPerSecond*float64(seconds), "%d troubles", faults)
-	assert.Check(t, len(played.played) >= minCoordinationFaultKinds, "%d kinds of trouble", len(played.played))
-	assert.Check(t, played.played[triggerFired] > 0, "nothing was done amid a call")
+	assert.Check(t, float64(faults) >= minCoordinationFaultsPerSecond*float64(seconds), "%d faults were injected", faults)
+	assert.Check(t, len(played.played) >= minCoordinationFaultKinds, "%d kinds of faults were injected", len(played.played))
+	assert.Check(t, played.played[triggerFired] > 0, "no trigger fired during a call")
 }
--- a/rehearse/soak/doc.go
+++ b/rehearse/soak/doc.go
@@ -1,8 +1,11 @@
-// Package soak has tests alone: they play real processes of a fleet on loopback under series of troubles that overlap, all
-// drawn from one seed, and check what came of it.
+// Package soak holds only tests. They run real processes of a fleet on loopback, inject overlapping faults that are all
+// drawn from one seed, and check the outcome.
 //
-// TestSoak plays control processes, agents and routers, and checks what stand-ins for hosts ran against the limits.
-// TestCoordinationSoak plays control processes, and checks what applications were told of locks, numbers, keys and watches.
+// TestSoak runs control processes, agents and routers, and checks the requests that simulated hosts ran against the
+// limits.
+// TestCoordinationSoak runs control processes, and checks the answers that applications got about locks, numbers, keys
+// and
+// watches.
 //
 //	go test ./rehearse/soak -v -run TestSoak -seed 7 -seconds 60 -fronts 8
 //	go test ./rehearse/soak -v -run TestCoordinationSoak -seed 7 -runs 10 -coordination-seconds 60
--- a/rehearse/soak/faults_test.go
+++ b/rehearse/soak/faults_test.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// trouble is something that is done to the fleet. All that it does is drawn when it begins, from the seed of the run.
+// fault is a kind of fault that is injected into the fleet. All its random draws come from the seed of the run.
 type fault struct {
 	name   string
 	weight int
 	play   func(s *faultSchedule, random *rand.Rand)
 }
 
-// series plays troubles one after the other; each may last on while the next begins.
+// faultSchedule injects faults one after the other; each may continue while the next begins.
 type faultSchedule struct {
 	ctx          context.Context
 	fleet        *fleet
 	faults       []fault
 	mu           sync.Mutex
 	played       map[string]int
-	lastDiskLoss time.Time // when a disk was lost or a machine of control replaced
+	lastDiskLoss time.Time // when a disk was last lost or a control machine last replaced
 	changing     sync.Mutex
 	running      sync.WaitGroup
 }
@@ -34,7 +34,7 @@
 const (
 	minGap = 200 * time.Millisecond
 	maxGap = 1200 * time.Millisecond
-	// diskPause is how long after a lost disk no other one is lost: the fleet bears one at a time.
+	// diskLossInterval is the minimum time between two lost disks: the fleet tolerates one loss at a time.
 	diskLossInterval = 8 * time.Second
 )
 
@@ -123,7 +123,7 @@
 	{"replace a host", 3, func(s *faultSchedule, _ *rand.Rand) { s.fleet.replaceHost() }},
 }
 
-// span draws a time in milliseconds.
+// randomDuration draws a duration between two bounds in milliseconds, both included.
 func randomDuration(r *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+r.IntN(most-least+1)) * time.Millisecond
 }
@@ -132,7 +132,7 @@
 	return &faultSchedule{ctx: ctx, fleet: f, faults: faults, played: map[string]int{}}
 }
 
-// run plays troubles until the context ends, and then waits for those that last.
+// run injects faults until the context ends, and then waits for those that are still running.
 func (s *faultSchedule) run(random *rand.Rand) {
 	weights := 0
 	for _, t := range s.faults {
@@ -157,7 +157,7 @@
 	s.played[name]++
 }
 
-// sleep waits, and reports false once the series is over.
+// sleep waits for d, and reports false if the schedule ended first.
 func (s *faultSchedule) sleep(d time.Duration) bool {
 	select {
 	case <-s.ctx.Done():
@@ -191,7 +191,7 @@
 	}
 }
 
-// freeze has all processes of a machine stand still for a time.
+// freeze stops all processes of a machine for a given time.
 func (s *faultSchedule) freeze(m *machine, duration time.Duration) {
 	for _, r := range m.roles() {
 		m.processes[r].signal(syscall.SIGSTOP)
@@ -202,7 +202,7 @@
 	}
 }
 
-// part cuts a machine off from others, one way or both.
+// partition cuts a machine off from others, in one direction or both.
 func (s *faultSchedule) partition(m *machine, others []*machine, duration time.Duration, directions int, reset bool) {
 	for _, other := range others {
 		if other == m {
@@ -219,8 +219,8 @@
 	}
 }
 
-// mayLoseDisk says whether one more disk is borne now: a leader has to say so, with all its members on machines that are
-// there. The fleet tolerates one loss; a second one before the first is repaired is not for it to bear.
+// canLoseDisk reports whether the fleet can lose a disk now, and if so records the loss. The fleet has to be healthy: a
+// loss before the previous one is repaired is more than it has to tolerate.
 func (s *faultSchedule) canLoseDisk() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +237,7 @@
 	}
 }
 
-// wipe kills a control process and takes its disk away.
+// wipe kills a control process and deletes its data.
 func (s *faultSchedule) wipe(m *machine, restartDelay time.Duration) {
 	s.count("a disk was lost")
 	p := m.processes[controlRole]
@@ -248,11 +248,11 @@
 	_ = m.writeSettings(s.fleet.seedAddresses(), s.fleet.platform.Address())
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
-	time.Sleep(50 * time.Millisecond) // it has ended, and is not back
+	time.Sleep(50 * time.Millisecond) // the process has ended and is not restarted yet
 	_ = os.RemoveAll(m.dataFolder())
 }
 
-// replaceControl takes a machine of control away for good and adds an empty one at another address.
+// replaceControl removes a control machine permanently and adds an empty one at another address.
 func (s *faultSchedule) replaceControl(m *machine, restartDelay time.Duration) {
 	if !s.canLoseDisk() {
 		return
@@ -283,7 +283,8 @@
 	}
 }
 
-// changeLimits raises or lowers limits, rate and burst each by itself. That of the tenant below its limit stays.
+// changeLimits raises or lowers limits, rate and burst independently. The limit of the tenant that stays below it is
+// kept.
 func (s *faultSchedule) changeLimits(r *rand.Rand) {
 	s.changing.Lock()
 	defer s.changing.Unlock()
@@ -303,7 +304,7 @@
 	}
 }
 
-// String tells what was played.
+// String lists how often each fault was injected.
 func (s *faultSchedule) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/rehearse/soak/fleet_test.go
+++ b/rehearse/soak/fleet_test.go
@@ -25,7 +25,7 @@
 	"ivybank/wire"
 )
 
-// The rules that hold in the soak.
+// Quota settings and seed machines of the fleets.
 const (
 	quotaWindow  = 4 * time.Second
 	quotaOverage = 0.1
@@ -34,14 +34,14 @@
 	seedCount    = 3
 )
 
-// limitChange is a limit of a tenant that was sent to the fleet.
+// limitChange is a limit of a tenant that was sent to the fleet. Rate is in units per second, burst in units.
 type limitChange struct {
 	rate, burst float64
 	sent        time.Time
-	acked       time.Time // zero as long as it isn't
+	acked       time.Time // zero until it is acknowledged
 }
 
-// fleet is the processes, the stand-ins around them, and the operator's view.
+// fleet holds the processes, the simulated hosts and platform around them, and the operator's view.
 type fleet struct {
 	t        *testing.T
 	folder   string
@@ -56,12 +56,12 @@
 	machines           []*machine
 	hosts              []*host
 	nextHost           int
-	seedMachines       []int // machines
+	seedMachines       []int // numbers of the machines that serve as seeds
 	revision           int64
 	acknowledgedLimits map[*tenant]*limitChange
 	limitHistory       map[*tenant][]*limitChange
 	reads              int
-	staleReads         []string // reads that brought an older configuration than was acknowledged
+	staleReads         []string // reads that returned an older configuration than was acknowledged before
 }
 
 func newFleet(t *testing.T, binaries string, controls, fronts int, options options) *fleet {
@@ -87,12 +87,15 @@
 	return f
 }
 
-// memoryFolder is where Linux has a file system in memory.
+// memoryFolder is the in-memory file system of Linux.
 const memoryFolder = "/dev/shm"
 
-// dataFolder makes the folder for logs and data. Where only processes end, and no power is lost, a sync shows nothing; so the
-// parts, which sync at each call, have their data in memory where that can be: a disk that stalls for seconds would be
-// measured, not they. With -keep it is the operator who says where.
+// dataFolder makes the folder for logs and data. With -keep it is in the folder that the flag names. Otherwise fleets
+// that
+// coordinate keep their data in memory if possible: they sync at each call, and a disk that stalls for seconds would
+// dominate
+// the result. Nothing is lost by that, since the tests end processes but never cut the power, so syncs make no
+// difference.
 func dataFolder(t *testing.T, options options) string {
 	t.Helper()
 	root := *keepFlag
@@ -104,7 +107,7 @@
 	}
 	folder, err := os.MkdirTemp(root, "soak-")
 	if err != nil && *keepFlag == "" {
-		return t.TempDir() // there is no such file system
+		return t.TempDir() // there is no in-memory file system
 	}
 	assert.NilError(t, err)
 	if *keepFlag == "" {
@@ -130,7 +133,7 @@
 	}
 }
 
-// addMachine starts a further machine.
+// addMachine adds a machine to the fleet and starts its processes.
 func (f *fleet) addMachine(control, first bool) *machine {
 	f.mu.Lock()
 	number := len(f.machines)
@@ -154,7 +157,8 @@
 	return m
 }
 
-// seedAddresses gives the seeds. Of an address only the machine is used: it is dialled at the port of the one that dials.
+// seedAddresses returns the addresses of the seeds. Only the IP of each is used: it is dialled at the port of the
+// dialling machine.
 func (f *fleet) seedAddresses() []string {
 	var addresses []string
 	for _, i := range f.seedMachines {
@@ -163,7 +167,7 @@
 	return addresses
 }
 
-// remove takes a machine away for good.
+// remove stops a machine permanently.
 func (f *fleet) remove(m *machine) {
 	f.mu.Lock()
 	m.removed = true
@@ -173,7 +177,7 @@
 	}
 }
 
-// alive gives the machines of a kind that there are.
+// alive returns the machines that have not been removed: the control machines, or the front machines.
 func (f *fleet) alive(control bool) []*machine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,7 +209,7 @@
 	f.publishHosts()
 }
 
-// list tells the platform of all hosts. The caller holds f.mu.
+// publishHosts sends the platform the list of all hosts. The caller holds f.mu.
 func (f *fleet) publishHosts() {
 	var instance []system.Instance
 	for _, h := range f.hosts {
@@ -236,7 +240,7 @@
 	})
 }
 
-// configuration is the one of a revision, with limits as they are to be.
+// configuration returns the configuration of a revision as JSON, with the given limits.
 func (f *fleet) configuration(revision int64, limits map[*tenant]*limitChange) []byte {
 	route := func(name, prefix, kind string, attempts int) map[string]any {
 		return map[string]any{"name": name, "hostname": "soak.example", "path_prefix": prefix, "route_type": kind, "timeout_ms": 2000,
@@ -258,7 +262,7 @@
 
 var operatorClient = &http.Client{Timeout: 1500 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// call sends one call of the operator to a control process; status 0 for no answer.
+// call sends an operator call to a control process. It returns status 0 if there is no answer.
 func call(ctx context.Context, m *machine, method, path string, base int64, body []byte) (int, []byte) {
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+addressOf(m.number, servicePort)+path, bytes.NewReader(body))
 	if err != nil {
@@ -277,7 +281,9 @@
 	return answer.StatusCode, text
 }
 
-// change puts limits in force: it sends the order to one control process after the other until the answer is clear.
+// replaceLimits sends new limits to one control process after the other until one acknowledges or rejects them. It
+// reports
+// whether they were acknowledged.
 func (f *fleet) replaceLimits(ctx context.Context, limits map[*tenant]*limitChange) bool {
 	f.mu.Lock()
 	base := f.revision
@@ -296,7 +302,7 @@
 				return true
 			}
 			if status >= 400 && status < 500 {
-				f.t.Errorf("order %d on %d: %d %s", next, base, status, text)
+				f.t.Errorf("revision %d on base %d was rejected: %d %s", next, base, status, text)
 				return false
 			}
 		}
@@ -315,7 +321,9 @@
 	}
 }
 
-// read asks one control process for the configuration, and notes an older one than was acknowledged before.
+// read reads the configuration from a control process and returns its revision, or 0 without an answer. It records the
+// read
+// as stale if the revision is older than one that was acknowledged before.
 func (f *fleet) read(ctx context.Context, m *machine) int64 {
 	f.mu.Lock()
 	before := f.revision
@@ -331,13 +339,14 @@
 	defer f.mu.Unlock()
 	f.reads++
 	if err := json.Unmarshal(body, &got); err != nil || got.Revision < before {
-		f.staleReads = append(f.staleReads, fmt.Sprintf("%s shows %d after %d was acknowledged (%v)", m, got.Revision, before, err))
+		f.staleReads = append(f.staleReads, fmt.Sprintf("%s returned revision %d after %d was acknowledged (%v)", m, got.Revision, before, err))
 	}
 	return got.Revision
 }
 
-// isWhole says whether a leader has all its members on machines that there are, and none is being changed; and where the fleet
-// has parts, whether that holds for each part.
+// isHealthy reports whether a leader has all its members on machines that have not been removed, and no membership
+// change is
+// in progress. If the fleet has parts, each part has to be healthy too.
 func (f *fleet) isHealthy(ctx context.Context) bool {
 	return f.configurationIsHealthy(ctx) && (!f.options.coordination || f.partsAreHealthy(ctx))
 }
--- a/rehearse/soak/hosts_test.go
+++ b/rehearse/soak/hosts_test.go
@@ -10,13 +10,13 @@
 	"ivybank/rehearse/system"
 )
 
-// use is one run of a request at a host.
+// usage is one execution of a request at a host.
 type usage struct {
 	at   time.Time
 	cost float64
 }
 
-// request is what one client sent, and what became of it.
+// request is a request that a client sent, with its outcome.
 type request struct {
 	id       string
 	tenant   *tenant
@@ -24,19 +24,19 @@
 	path     string
 	sent     time.Time
 	ended    time.Time
-	status   int  // 0 where the connection ended without an answer
-	complete bool // the answer is
+	status   int  // 0 if the connection ended without an answer
+	complete bool // the whole answer was read
 	router   *process
 	runCount int
-	aborted  bool // a host broke off
+	aborted  bool // a host aborted the answer
 }
 
-// ledger is all that clients sent and hosts ran. It is safe for concurrent use.
+// ledger records the requests that clients sent and hosts ran. It is safe for concurrent use.
 type ledger struct {
 	mu         sync.Mutex
 	requests   map[string]*request
 	uses       map[*tenant][]usage
-	unexpected []string // requests that hosts ran and nobody sent, or under another tenant
+	unexpected []string // requests that hosts ran though no client sent them, or not for that tenant
 }
 
 func newLedger() *ledger {
@@ -55,7 +55,8 @@
 	r.ended, r.status, r.complete = time.Now(), status, complete
 }
 
-// run counts a run of a request, at the moment at which it came to the host.
+// run records an execution of a request at the time at which it arrived at the host. It returns nil for an unexpected
+// request.
 func (l *ledger) run(id, tenant string, at time.Time) *request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +76,7 @@
 	r.aborted = true
 }
 
-// The parts of requests, in thousand, that hosts treat otherwise than by serving them.
+// Behaviour of the hosts. The first two are the numbers of requests in 1000 that hosts reject, or run and abort.
 const (
 	rejectedPerMille = 20
 	abortedPerMille  = 5
@@ -84,7 +85,7 @@
 	service          = "model"
 )
 
-// host stands in for one host of the service.
+// host simulates one host of the service.
 type host struct {
 	id       string
 	ledger   *ledger
--- a/rehearse/soak/network_test.go
+++ b/rehearse/soak/network_test.go
@@ -10,19 +10,21 @@
 	"time"
 )
 
-// The network stands between all processes of different machines. Each machine uses a port of its own for what it says to
-// others, so that what machine a sends to machine b comes to b's address and a's port: there a relay listens, and passes
-// it on to b's own port, unless the way from a to b is cut. Nothing needs privileges, and all stays on loopback.
+// network relays all traffic between processes of different machines. Each machine sends to the others at its own port
+// number,
+// so that what machine a sends to machine b arrives at b's address and a's port. A relay listens there and forwards it
+// to b's
+// own port, unless the link from a to b is cut. This needs no privileges, and all traffic stays on loopback.
 type network struct {
 	mu       sync.Mutex
-	cuts     map[link]time.Time // until when
+	cuts     map[link]time.Time // the time at which each cut ends
 	conns    map[link]map[net.Conn]bool
 	machines int
 	closers  []io.Closer
-	senders  map[int]*net.UDPConn // by machine, for datagrams that are passed on in its name
+	senders  map[int]*net.UDPConn // by machine, for datagrams that are forwarded from its address
 }
 
-// way is the direction from one machine to another.
+// link is one direction of the connection between two machines.
 type link struct{ from, to int }
 
 const (
@@ -41,18 +43,18 @@
 	return &network{cuts: map[link]time.Time{}, conns: map[link]map[net.Conn]bool{}, senders: map[int]*net.UDPConn{}}
 }
 
-// ipOf is the address of a machine. Runs of other processes have other addresses.
+// ipOf returns the address of a machine. It depends on the process ID, so that concurrent runs use different addresses.
 func ipOf(machine int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", addressStart+pid>>7&127, pid&127<<1|machine/machinesPerNet, machine%machinesPerNet+1)
 }
 
-// portOf is the port that a machine uses for what it says to others. Runs at the same time have slots of their own.
+// portOf returns the port that a machine uses to send to others. Concurrent runs use different slots.
 func portOf(machine int) int { return firstPort + *slotFlag*portsPerSlot + portsPerMachine*machine }
 
 func addressOf(machine, port int) string { return net.JoinHostPort(ipOf(machine), strconv.Itoa(port)) }
 
-// add connects a further machine with all that there are. Control processes alone are dialled.
+// add connects a new machine with all existing ones. Only control processes accept TCP connections.
 func (n *network) add(machine int, isControl func(int) bool) error {
 	from, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(machine))})
 	if err != nil {
@@ -73,14 +75,14 @@
 	return nil
 }
 
-func (n *network) relay(w link, dialled bool) error {
+func (n *network) relay(w link, acceptsTCP bool) error {
 	datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(w.to)), Port: portOf(w.from)})
 	if err != nil {
 		return err
 	}
 	n.track(datagrams)
 	go n.forwardDatagrams(w, datagrams)
-	if !dialled {
+	if !acceptsTCP {
 		return nil
 	}
 	listener, err := net.Listen("tcp4", addressOf(w.to, portOf(w.from)))
@@ -128,7 +130,7 @@
 func (n *network) forwardConnection(w link, in net.Conn) {
 	defer in.Close()
 	reverse := link{w.to, w.from}
-	for n.isCut(w) || n.isCut(reverse) { // it does not come up meanwhile
+	for n.isCut(w) || n.isCut(reverse) { // the connection is not established while either direction is cut
 		time.Sleep(cutPoll)
 		if isClosed(in) {
 			return
@@ -148,7 +150,7 @@
 	<-done
 }
 
-// isClosed says whether the peer has ended a connection on which nothing was read yet.
+// isClosed reports whether the peer has closed a connection from which nothing was read yet.
 func isClosed(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -159,20 +161,20 @@
 	return closed
 }
 
-func (n *network) trackConn(w link, c net.Conn, held bool) {
+func (n *network) trackConn(w link, c net.Conn, add bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.conns[w] == nil {
 		n.conns[w] = map[net.Conn]bool{}
 	}
-	if held {
+	if add {
 		n.conns[w][c] = true
 	} else {
 		delete(n.conns[w], c)
 	}
 }
 
-// copy passes bytes on; while the way is cut it holds them back.
+// copy forwards bytes; while the link is cut it holds them back.
 func (n *network) copy(w link, to, from net.Conn) {
 	buffer := make([]byte, relayBuffer)
 	for {
@@ -197,16 +199,16 @@
 	return time.Now().Before(n.cuts[w])
 }
 
-// cut parts one machine from another, one way, for a time.
-func (n *network) cut(w link, span time.Duration) {
+// cut cuts one direction between two machines for a given time.
+func (n *network) cut(w link, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until := time.Now().Add(span); until.After(n.cuts[w]) {
+	if until := time.Now().Add(duration); until.After(n.cuts[w]) {
 		n.cuts[w] = until
 	}
 }
 
-// reset ends all connections between two machines.
+// reset closes all connections from one machine to another.
 func (n *network) reset(w link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/rehearse/soak/process_test.go
+++ b/rehearse/soak/process_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// role is a program of the fleet.
+// role is the role that a process has in the fleet.
 type role string
 
 const (
@@ -24,14 +24,14 @@
 type machine struct {
 	number    int
 	control   bool
-	removed   bool // for good
+	removed   bool // permanently
 	folder    string
 	bootstrap bool
 	options   options
 	processes map[role]*process
 }
 
-// rules are those that the settings of a fleet's machines differ in from fleet to fleet.
+// options are the settings that differ from fleet to fleet.
 type options struct {
 	tolerate     int  // machines that may fail at once
 	coordination bool // applications may ask for locks, numbers and keys
@@ -51,7 +51,7 @@
 	return []role{agentRole, routerRole}
 }
 
-// process is one program of a machine. It is started again whenever it ends, as long as it is wanted.
+// process is one process of a machine. It is restarted whenever it ends, until stop is called.
 type process struct {
 	mu           sync.Mutex
 	machine      *machine
@@ -60,14 +60,14 @@
 	command      *exec.Cmd
 	wanted       bool
 	frozen       bool
-	restartDelay time.Duration // before it is started again
+	restartDelay time.Duration // wait before it is restarted
 	starts       int
 	ended        chan struct{}
-	disruptions  []time.Time // when it was killed or frozen
+	disruptions  []time.Time // times at which it was killed, frozen or resumed
 	output       *os.File
 }
 
-// run starts the program again and again.
+// run starts the process and restarts it whenever it ends, until stop is called.
 func (p *process) run() {
 	defer close(p.ended)
 	for {
@@ -101,7 +101,7 @@
 	}
 }
 
-// signal sends a signal; those that end or stop the process are noted as harm.
+// signal sends a signal, and records SIGKILL, SIGSTOP and SIGCONT as disruptions.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-// harmedWithin says whether the process was killed, stopped or frozen within a span.
+// disruptedBetween reports whether the process was killed, frozen or resumed between two times.
 func (p *process) disruptedBetween(from, to time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,7 +125,7 @@
 	return false
 }
 
-// stop ends the process for good.
+// stop ends the process permanently.
 func (p *process) stop() {
 	p.mu.Lock()
 	p.wanted = false
@@ -139,7 +139,7 @@
 
 func (m *machine) dataFolder() string { return filepath.Join(m.folder, "data") }
 
-// writeSettings writes the settings file of a machine.
+// writeSettings writes the settings file of a machine and returns the error of the write.
 func (m *machine) writeSettings(seeds []string, platform string) error {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
--- a/rehearse/soak/rules_test.go
+++ b/rehearse/soak/rules_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// scripted answers each call with the next answer of a list: a status, a space and a body.
+// scriptedTransport answers each call with the next answer of a list: a status, a space and a body.
 type scriptedTransport struct{ answers []string }
 
 func (s *scriptedTransport) RoundTrip(*http.Request) (*http.Response, error) {
@@ -21,11 +21,13 @@
 	return &http.Response{StatusCode: codes[status], Body: io.NopCloser(strings.NewReader(body))}, nil
 }
 
-// played sends calls ("VERB/NAME BODY") to a witness whose fleet gives answers, and returns the rules that it found broken.
-func played(t *testing.T, calls, answers []string) []string {
+// brokenRules sends calls ("VERB/NAME BODY") through a checker whose transport returns answers, and returns the rules
+// that the
+// checker found broken.
+func brokenRules(t *testing.T, calls, answers []string) []string {
 	t.Helper()
-	w := newChecker()
-	w.transport = &scriptedTransport{answers}
+	ck := newChecker()
+	ck.transport = &scriptedTransport{answers}
 	for _, c := range calls {
 		path, body, _ := strings.Cut(c, " ")
 		method := http.MethodPost
@@ -34,12 +36,12 @@
 		}
 		q, err := http.NewRequest(method, "http://fleet/v1/"+path, bytes.NewReader([]byte(body)))
 		assert.NilError(t, err)
-		_, err = w.RoundTrip(q)
+		_, err = ck.RoundTrip(q)
 		assert.NilError(t, err)
 	}
-	w.finish()
+	ck.finish()
 	var rules []string
-	for _, violation := range w.violations {
+	for _, violation := range ck.violations {
 		rule, _, _ := strings.Cut(violation, ":")
 		rules = append(rules, rule)
 	}
@@ -85,8 +87,8 @@
 		"history lost":               {[]string{watchOne}, []string{`410 {}`}, "LOST"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rules := played(t, test.calls, test.answers)
-			assert.Assert(t, len(rules) > 0, "nothing was found")
+			rules := brokenRules(t, test.calls, test.answers)
+			assert.Assert(t, len(rules) > 0, "no violation was found")
 			assert.Equal(t, rules[0], test.broken)
 		})
 	}
@@ -96,17 +98,17 @@
 	calls := []string{beginA, beatA, finishA, beginB, putOnZero, putOne, putOnZero, get, watchOne, "numbers/n {}", "numbers/n {}"}
 	answers := []string{`200 {"fence":1}`, `200 {}`, `200 {}`, `200 {"fence":2}`, `200 {"rev":1}`, `200 {"rev":2}`, `200 {"rev":1}`,
 		`200 {"value":"one","rev":2}`, `200 {"events":[{"name":"g.a","value":"one","rev":2}],"rev":2}`, `200 {"value":3}`, `200 {"value":9}`}
-	assert.Equal(t, len(played(t, calls, answers)), 0)
+	assert.Equal(t, len(brokenRules(t, calls, answers)), 0)
 
-	w := newChecker()
-	w.transport = &scriptedTransport{[]string{`200 {"fence":1}`, `200 {"fence":2}`}}
+	ck := newChecker()
+	ck.transport = &scriptedTransport{[]string{`200 {"fence":1}`, `200 {"fence":2}`}}
 	for _, c := range []string{beginShort, beginB} {
 		path, body, _ := strings.Cut(c, " ")
 		q, err := http.NewRequest(http.MethodPost, "http://fleet/v1/"+path, strings.NewReader(body))
 		assert.NilError(t, err)
-		_, err = w.RoundTrip(q)
+		_, err = ck.RoundTrip(q)
 		assert.NilError(t, err)
-		time.Sleep(2 * time.Millisecond) // the short hold is over
+		time.Sleep(2 * time.Millisecond) // the short hold has expired
 	}
-	assert.Equal(t, len(w.violations), 0)
+	assert.Equal(t, len(ck.violations), 0)
 }
--- a/rehearse/soak/soak_test.go
+++ b/rehearse/soak/soak_test.go
@@ -19,11 +19,11 @@
 
 var (
 	seedFlag    = flag.Uint64("seed", 1, "seed of the first run")
-	runsFlag    = flag.Int("runs", 1, "runs, with seeds that follow each other")
-	secondsFlag = flag.Int("seconds", 40, "seconds of trouble in each run")
-	frontsFlag  = flag.Int("fronts", 6, "front machines")
+	runsFlag    = flag.Int("runs", 1, "number of runs, with consecutive seeds")
+	secondsFlag = flag.Int("seconds", 40, "seconds of fault injection in each run")
+	frontsFlag  = flag.Int("fronts", 6, "number of front machines")
 	keepFlag    = flag.String("keep", "", "folder to keep the processes' logs and data in")
-	slotFlag    = flag.Int("slot", os.Getpid()%slots, "0 to 15: runs at the same time need different ones")
+	slotFlag    = flag.Int("slot", os.Getpid()%slots, "port slot, 0 to 15; concurrent runs need different slots")
 )
 
 const (
@@ -31,20 +31,21 @@
 	controls   = 3
 	calmBefore = 8 * time.Second
 	calmAfter  = 6 * time.Second
-	// startPatience is how long a fleet may take to serve at first.
+	// startTimeout bounds the time that a new fleet takes until it serves.
 	startTimeout = 20 * time.Second
-	// limitLag is how long a lower limit may take to be in force at the owner.
+	// limitPropagation bounds the time that a lower limit takes until the owner enforces it.
 	limitPropagation = 3 * time.Second
-	// Too little played fails a run: so much for each second of trouble.
+	// A run in which too little happened to show anything fails. The minimum rates are per second of fault injection.
 	minRunsPerSecond      = 40
 	minOverLimitPerSecond = 20
 	minFaultsPerSecond    = 0.8
 	minFaultKinds         = 9
-	// harmSpan around a request in which harm to its router explains a broken connection.
+	// disruptionMargin is the time after the end of a request in which a disruption of its router still explains a
+	// broken connection.
 	disruptionMargin = 500 * time.Millisecond
 )
 
-// TestSoak plays troubles against real processes and holds what their hosts ran against the limits.
+// TestSoak injects faults into real processes and checks the requests that their hosts ran against the limits.
 func TestSoak(t *testing.T) {
 	binaries := buildPrograms(t)
 	for i := range *runsFlag {
@@ -53,7 +54,7 @@
 	}
 }
 
-// buildPrograms builds those that fleets run, and gives their folder.
+// buildPrograms builds the programs that fleets run, and returns their folder.
 func buildPrograms(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
@@ -74,7 +75,7 @@
 	}
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	assert.Assert(t, f.replaceLimits(startCtx, first), "the first configuration is not taken")
+	assert.Assert(t, f.replaceLimits(startCtx, first), "the first configuration was not accepted")
 	f.awaitReady(t)
 	var clients sync.WaitGroup
 	for _, tenant := range f.tenants {
@@ -133,7 +134,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Errorf("nobody shows revision %d once all is calm", f.revision)
+	t.Errorf("no control process returned revision %d after the last fault had ended", f.revision)
 }
 
 func (f *fleet) pollConfiguration(ctx context.Context) {
@@ -145,7 +146,7 @@
 	}
 }
 
-// thaw lets all go on that stands still.
+// resumeAll resumes all frozen processes.
 func (f *fleet) resumeAll() {
 	for _, m := range append(f.alive(true), f.alive(false)...) {
 		for _, p := range m.processes {
@@ -154,8 +155,9 @@
 	}
 }
 
-// allowed is what the rules let a tenant use in the window that ends at a moment: by the largest limit that was in force in
-// it anywhere.
+// allowed returns the cost that a tenant may use in the window that ends at a given time, by the largest limit that
+// was in
+// force anywhere in that window.
 func (f *fleet) allowed(t *tenant, end time.Time) float64 {
 	most := 0.0
 	changes := f.limitHistory[t]
@@ -169,7 +171,7 @@
 	return most
 }
 
-// fullest gives the window in which a tenant used the largest part of what it was allowed.
+// highestUsage returns the window in which a tenant used the largest part of its allowance.
 func (f *fleet) highestUsage(t *tenant) (part, used, allowed float64, end time.Time) {
 	uses := f.ledger.uses[t]
 	slices.SortFunc(uses, func(a, b usage) int { return a.at.Compare(b.at) })
@@ -187,7 +189,7 @@
 	return part, used, allowed, end
 }
 
-// tally is what became of a tenant's requests.
+// tally counts a tenant's requests by outcome, over the whole run and in the calm period before the faults.
 type tally struct {
 	sent, served, overLimit, refused, broken, failed int
 	calmSent, calmBeyond                             int
@@ -243,7 +245,7 @@
 			starts += p.starts
 		}
 	}
-	t.Logf("%d machines, %d lives of processes, %d reads of the configuration, revision %d", len(f.machines), starts, f.reads, f.revision)
+	t.Logf("%d machines, %d process starts, %d reads of the configuration, revision %d", len(f.machines), starts, f.reads, f.revision)
 	f.checkPlayed(t, played, calm)
 }
 
@@ -259,11 +261,11 @@
 	for _, n := range played.played {
 		all += n
 	}
-	assert.Check(t, ran >= minRunsPerSecond**secondsFlag, "%d runs", ran)
-	assert.Check(t, refused >= minOverLimitPerSecond**secondsFlag, "%d refusals of requests beyond limits", refused)
-	assert.Check(t, float64(all) >= minFaultsPerSecond*float64(*secondsFlag), "%d troubles", all)
-	assert.Check(t, len(played.played) >= minFaultKinds, "%d kinds of trouble", len(played.played))
-	assert.Check(t, f.reads > *secondsFlag, "%d reads of the configuration", f.reads)
+	assert.Check(t, ran >= minRunsPerSecond**secondsFlag, "hosts ran %d requests", ran)
+	assert.Check(t, refused >= minOverLimitPerSecond**secondsFlag, "%d requests were rejected as over the limit", refused)
+	assert.Check(t, float64(all) >= minFaultsPerSecond*float64(*secondsFlag), "%d faults were injected", all)
+	assert.Check(t, len(played.played) >= minFaultKinds, "%d kinds of faults were injected", len(played.played))
+	assert.Check(t, f.reads > *secondsFlag, "the configuration was read %d times", f.reads)
 }
 
 func (f *fleet) check(t *testing.T, calm [2]time.Time) {
@@ -275,16 +277,16 @@
 			assert.Check(t, n.calmBeyond == 0, "%d of %d requests of %s refused in calm", n.calmBeyond, n.calmSent, tenant.name)
 		}
 	}
-	assert.Check(t, len(f.ledger.unexpected) == 0, "hosts ran what nobody sent: %v", f.ledger.unexpected)
+	assert.Check(t, len(f.ledger.unexpected) == 0, "hosts ran requests that no client sent: %v", f.ledger.unexpected)
 	assert.Check(t, len(f.staleReads) == 0, "%v", f.staleReads)
 	lost := 0
 	for _, r := range f.ledger.requests {
 		if r.ended.IsZero() {
-			continue // the run was over
+			continue // the run ended first
 		}
 		assert.Check(t, r.runCount <= 1 || r.path == idempotentPath, "%s ran %d times", r.id, r.runCount)
 		promised := r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable
-		assert.Check(t, !promised || r.runCount == 0, "%s ran and got %d", r.id, r.status)
+		assert.Check(t, !promised || r.runCount == 0, "%s ran though its client got %d", r.id, r.status)
 		if r.status == 0 && r.runCount > 0 && !r.aborted && !r.router.disruptedBetween(r.sent.Add(-clientTimeout), r.ended.Add(disruptionMargin)) {
 			lost++
 			t.Logf("%s lost: ran at a host, sent to %s, ended after %v", r.id, r.router.machine, r.ended.Sub(r.sent))
