--- a/rehearse/soak/callers_test.go
+++ b/rehearse/soak/callers_test.go
@@ -128,9 +128,8 @@
 	}
 }
 
-// acquireLocks takes locks and holds them briefly. Some holders crash and return under the same name; some stall until
-// after
-// their lock has expired.
+// acquireLocks takes locks and holds them briefly. Some holders crash and return under the same name; some stall
+// until after their lock has expired.
 func (a *applications) acquireLocks(ctx context.Context, number int, random *rand.Rand) {
 	c, transport := a.client()
 	holder := fmt.Sprint("caller-", number)
--- a/rehearse/soak/checker_test.go
+++ b/rehearse/soak/checker_test.go
@@ -31,8 +31,7 @@
 		IfRevision *uint64 `json:"if_revision"`
 	}
 	// lowerBound is what was known when the call was sent: the highest fence that another holder had, the highest
-	// number, or
-	// the newest revision of the key (for a watch: of the group).
+	// number, or the newest revision of the key (for a watch: of the group).
 	lowerBound uint64
 }
 
@@ -95,9 +94,8 @@
 	revisions   []uint64
 }
 
-// checker is a transport that carries the calls of applications and checks all calls and answers against the rules. It
-// is
-// safe for concurrent use.
+// checker is a transport that carries the calls of applications and checks all calls and answers against the rules.
+// It is safe for concurrent use.
 type checker struct {
 	transport http.RoundTripper
 
--- a/rehearse/soak/coordination_faults_test.go
+++ b/rehearse/soak/coordination_faults_test.go
@@ -82,8 +82,7 @@
 }
 
 // onTrigger adds a trigger that runs do, and waits until do has returned. If no matching call comes within
-// triggerTimeout, it
-// removes the trigger.
+// triggerTimeout, it removes the trigger.
 func (s *faultSchedule) onTrigger(ck *checker, t *trigger, do func()) {
 	done := make(chan struct{})
 	t.fire = func() {
@@ -133,8 +132,7 @@
 }
 
 // loseDisksAfterAcknowledgement wipes as many disks as the fleet tolerates right after an acknowledgement, and kills
-// all other
-// processes at the same moment.
+// all other processes at the same moment.
 func (s *faultSchedule) loseDisksAfterAcknowledgement(ck *checker, r *rand.Rand) {
 	machines, restartDelay := s.toleratedMachines(r), randomDuration(r, 100, 600)
 	if !s.canLoseDisk() {
--- a/rehearse/soak/coordination_test.go
+++ b/rehearse/soak/coordination_test.go
@@ -32,8 +32,7 @@
 )
 
 // TestCoordinationSoak injects faults into real control processes, and checks the answers that applications got about
-// locks,
-// numbers, keys and watches against the rules.
+// locks, numbers, keys and watches against the rules.
 func TestCoordinationSoak(t *testing.T) {
 	binaries := buildPrograms(t)
 	for i := range *runsFlag {
@@ -122,8 +121,7 @@
 }
 
 // watchDisk syncs a file repeatedly until the context ends; slowest returns the duration of the slowest sync. If that
-// is
-// seconds, a failed run may be due to the underlying disk.
+// is seconds, a failed run may be due to the underlying disk.
 func watchDisk(ctx context.Context, folder string) (slowest func() time.Duration) {
 	slowestSync, done := time.Duration(0), make(chan struct{})
 	go func() {
--- a/rehearse/soak/doc.go
+++ b/rehearse/soak/doc.go
@@ -2,10 +2,8 @@
 // drawn from one seed, and check the outcome.
 //
 // TestSoak runs control processes, agents and routers, and checks the requests that simulated hosts ran against the
-// limits.
-// TestCoordinationSoak runs control processes, and checks the answers that applications got about locks, numbers, keys
-// and
-// watches.
+// limits. TestCoordinationSoak runs control processes, and checks the answers that applications got about locks,
+// numbers, keys and watches.
 //
 //	go test ./rehearse/soak -v -run TestSoak -seed 7 -seconds 60 -fronts 8
 //	go test ./rehearse/soak -v -run TestCoordinationSoak -seed 7 -runs 10 -coordination-seconds 60
--- a/rehearse/soak/fleet_test.go
+++ b/rehearse/soak/fleet_test.go
@@ -91,11 +91,9 @@
 const memoryFolder = "/dev/shm"
 
 // dataFolder makes the folder for logs and data. With -keep it is in the folder that the flag names. Otherwise fleets
-// that
-// coordinate keep their data in memory if possible: they sync at each call, and a disk that stalls for seconds would
-// dominate
-// the result. Nothing is lost by that, since the tests end processes but never cut the power, so syncs make no
-// difference.
+// that coordinate keep their data in memory if possible: they sync at each call, and a disk that stalls for seconds
+// would dominate the result. Nothing is lost by that, since the tests end processes but never cut the power, so syncs
+// make no difference.
 func dataFolder(t *testing.T, options options) string {
 	t.Helper()
 	root := *keepFlag
@@ -282,8 +280,7 @@
 }
 
 // replaceLimits sends new limits to one control process after the other until one acknowledges or rejects them. It
-// reports
-// whether they were acknowledged.
+// reports whether they were acknowledged.
 func (f *fleet) replaceLimits(ctx context.Context, limits map[*tenant]*limitChange) bool {
 	f.mu.Lock()
 	base := f.revision
@@ -321,9 +318,8 @@
 	}
 }
 
-// read reads the configuration from a control process and returns its revision, or 0 without an answer. It records the
-// read
-// as stale if the revision is older than one that was acknowledged before.
+// read reads the configuration from a control process and returns its revision, or 0 without an answer. It records
+// the read as stale if the revision is older than one that was acknowledged before.
 func (f *fleet) read(ctx context.Context, m *machine) int64 {
 	f.mu.Lock()
 	before := f.revision
@@ -345,8 +341,7 @@
 }
 
 // isHealthy reports whether a leader has all its members on machines that have not been removed, and no membership
-// change is
-// in progress. If the fleet has parts, each part has to be healthy too.
+// change is in progress. If the fleet has parts, each part has to be healthy too.
 func (f *fleet) isHealthy(ctx context.Context) bool {
 	return f.configurationIsHealthy(ctx) && (!f.options.coordination || f.partsAreHealthy(ctx))
 }
--- a/rehearse/soak/network_test.go
+++ b/rehearse/soak/network_test.go
@@ -10,11 +10,10 @@
 	"time"
 )
 
-// network relays all traffic between processes of different machines. Each machine sends to the others at its own port
-// number,
-// so that what machine a sends to machine b arrives at b's address and a's port. A relay listens there and forwards it
-// to b's
-// own port, unless the link from a to b is cut. This needs no privileges, and all traffic stays on loopback.
+// network relays all traffic between processes of different machines. Each machine sends to the others at its own
+// port number, so that what machine a sends to machine b arrives at b's address and a's port. A relay listens there
+// and forwards it to b's own port, unless the link from a to b is cut. This needs no privileges, and all traffic
+// stays on loopback.
 type network struct {
 	mu       sync.Mutex
 	cuts     map[link]time.Time // the time at which each cut ends
--- a/rehearse/soak/rules_test.go
+++ b/rehearse/soak/rules_test.go
@@ -22,8 +22,7 @@
 }
 
 // brokenRules sends calls ("VERB/NAME BODY") through a checker whose transport returns answers, and returns the rules
-// that the
-// checker found broken.
+// that the checker found broken.
 func brokenRules(t *testing.T, calls, answers []string) []string {
 	t.Helper()
 	ck := newChecker()
--- a/rehearse/soak/soak_test.go
+++ b/rehearse/soak/soak_test.go
@@ -156,8 +156,7 @@
 }
 
 // allowed returns the cost that a tenant may use in the window that ends at a given time, by the largest limit that
-// was in
-// force anywhere in that window.
+// was in force anywhere in that window.
 func (f *fleet) allowed(t *tenant, end time.Time) float64 {
 	most := 0.0
 	changes := f.limitHistory[t]
--- a/review/standin/cases.go
+++ b/review/standin/cases.go
@@ -37,12 +37,13 @@
 	return body
 }
 
-var small = plan{cores: []string{"didube", "saburtalo", "vake"}, seeds: []int{0, 1, 2}, tolerate: "machines = 1\nzones = 0\nregions = 0", front: true}
+var smallPlan = plan{cores: []string{"didube", "saburtalo", "vake"}, seeds: []int{0, 1, 2}, tolerate: "machines = 1\nzones = 0\nregions = 0", front: true}
 
 var errNotReady = errors.New("the fleet doesn't serve")
 
-// begin starts a fleet with hosts and a first configuration, and waits until the router is ready.
-func begin(r *record, p plan, first []byte) (*fleet, error) {
+// startServing starts a fleet with hosts and a first configuration, and waits until the router is ready. It may
+// return a fleet together with an error; the caller closes it.
+func startServing(r *record, p plan, first []byte) (*fleet, error) {
 	f, err := startFleet(r, p)
 	if err != nil {
 		return f, err
@@ -62,7 +63,7 @@
 	f.hosts = append(f.hosts, h)
 	f.platform.add(h.id, h.service, h.address, p.cores[0])
 	time.Sleep(500 * time.Millisecond)
-	if f.order(0, first, 10*time.Second) != 200 {
+	if f.replaceConfiguration(0, first, 10*time.Second) != 200 {
 		return f, errors.New("the first configuration isn't taken")
 	}
 	for end := time.Now().Add(10 * time.Second); p.front; time.Sleep(50 * time.Millisecond) {
@@ -77,41 +78,44 @@
 	return f, nil
 }
 
-// pathCase: extracts are issued on the route /extract/, by one service. A change adds /extract/2026/, of another service.
-// Extracts are asked for by the names of charters, such as 2026/17, which a path holds as 2026%2F17.
-func pathCase(r *record, trouble bool) (int, error) {
+// pathCase checks that a path with an encoded slash is routed by its prefix as sent. The route /extract/ belongs to
+// one service; with the disruption, a change adds the route /extract/2026/ of another service. Clients ask for
+// extracts by the names of charters, such as 2026/17, which a path holds as 2026%2F17; such a request has to stay on
+// /extract/.
+func pathCase(r *record, disruption bool) (int, error) {
 	issue := route("r-issue", "/extract/", "unsafe", 4000)
 	issue["backend"] = "app"
-	f, err := begin(r, small, configuration(3, issue))
+	f, err := startServing(r, smallPlan, configuration(3, issue))
 	if f != nil {
 		defer f.close()
 	}
 	if err != nil {
 		return 0, err
 	}
-	if trouble {
-		if f.order(3, configuration(5, issue, route("r-look", "/extract/2026/", "idempotent", 4000)), 4*time.Second) != 200 {
+	if disruption {
+		if f.replaceConfiguration(3, configuration(5, issue, route("r-look", "/extract/2026/", "idempotent", 4000)), 4*time.Second) != 200 {
 			return 0, errors.New("the change isn't acknowledged")
 		}
 	}
-	time.Sleep(4 * time.Second) // over config_ms and contact_ms
+	time.Sleep(4 * time.Second) // longer than config_ms (2 s) and contact_ms (3 s)
 	c := &client{address: f.frontAddress()}
 	defer c.close()
 	for i := range 10 {
 		for name, path := range map[string]string{"look": "/extract/2026/%d", "issue": "/extract/2026%%2F%d"} {
 			id, path := fmt.Sprintf("%s-%d", name, i), fmt.Sprintf(path, i)
-			ended := c.request(path, id, map[string]string{"Deadline-Ms": "4000", "Authorization": "Bearer " + tenantKey}, "charter")
-			r.line("client: %s POST %s ends: %v, body %q", id, path, ended, ended.body)
-			if ended.status != 200 {
+			answer := c.request(path, id, map[string]string{"Deadline-Ms": "4000", "Authorization": "Bearer " + tenantKey}, "charter")
+			r.line("client: %s POST %s ends: %v, body %q", id, path, answer, answer.body)
+			if answer.status != 200 {
 				return 0, errNotReady
 			}
 		}
 	}
 	runs, wrong := 0, 0
 	for _, h := range f.hosts {
-		for _, run := range h.ran() {
-			// By the page the route is the one whose path_prefix begins the path and is the longest; app's is in both versions.
-			allowed := h.service == "app" || trouble && strings.HasPrefix(run.path, "/extract/2026/")
+		for _, run := range h.executed() {
+			// By the specification a request takes the route with the longest path_prefix that begins its path; the
+			// route of app is in both versions.
+			allowed := h.service == "app" || disruption && strings.HasPrefix(run.path, "/extract/2026/")
 			if runs++; !allowed {
 				r.line("%s %s was run by %s, which no configuration lets it go to", run.id, run.path, h.service)
 				wrong++
@@ -120,7 +124,7 @@
 	}
 	r.line("%d of %d runs were of a service that no configuration lets the request go to", wrong, runs)
 	if wrong > 0 {
-		return exitBroken, nil
+		return exitViolated, nil
 	}
-	return exitHeld, nil
+	return exitPassed, nil
 }
--- a/review/standin/client.go
+++ b/review/standin/client.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// client keeps one connection to the router.
+// client sends requests to the router over one connection at a time.
 type client struct {
-	address string
-	conn    net.Conn
-	reader  *bufio.Reader
-	used    int // requests that were answered on it
+	address  string
+	conn     net.Conn
+	reader   *bufio.Reader
+	answered int // requests answered on the connection
 }
 
 func (c *client) connect() error {
@@ -25,29 +25,29 @@
 	if err != nil {
 		return err
 	}
-	c.conn, c.reader, c.used = conn, bufio.NewReader(conn), 0
+	c.conn, c.reader, c.answered = conn, bufio.NewReader(conn), 0
 	return nil
 }
 
-// result is how one request ended at its client.
+// result is the outcome of one request as its client saw it.
 type result struct {
-	status int
-	seal   string
-	events int
-	whole  bool
-	body   string
-	took   time.Duration
-	err    error
+	status   int
+	seal     string
+	events   int
+	complete bool
+	body     string
+	duration time.Duration
+	err      error
 }
 
 func (r result) String() string {
-	return fmt.Sprintf("status %d, seal %q, %d events, whole %v, after %.3f s, %v", r.status, r.seal, r.events, r.whole, r.took.Seconds(), r.err)
+	return fmt.Sprintf("status %d, seal %q, %d events, whole %v, after %.3f s, %v", r.status, r.seal, r.events, r.complete, r.duration.Seconds(), r.err)
 }
 
-// request sends one request on the client's connection and reads the answer.
+// request sends one request on the client's connection, which it opens if there is none, and reads the answer.
 func (c *client) request(path, id string, header map[string]string, body string) (r result) {
 	began := time.Now()
-	defer func() { r.took = time.Since(began) }()
+	defer func() { r.duration = time.Since(began) }()
 	if c.conn == nil {
 		if r.err = c.connect(); r.err != nil {
 			return r
@@ -72,8 +72,8 @@
 	r.status, r.seal = answer.StatusCode, answer.Header.Get("Response-Seal")
 	text, err := io.ReadAll(answer.Body)
 	r.body, r.events, r.err = string(text), strings.Count(string(text), "\n\n"), err
-	r.whole = err == nil
-	if c.used++; err != nil || answer.Close {
+	r.complete = err == nil
+	if c.answered++; err != nil || answer.Close {
 		c.close()
 	}
 	return r
--- a/review/standin/fleet.go
+++ b/review/standin/fleet.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// record is what was sent, answered and run, with seconds since the start.
+// record is the log of what was sent, answered and run. Each line begins with the seconds since the start.
 type record struct {
 	mu    sync.Mutex
 	start time.Time
@@ -46,7 +46,7 @@
 	processes      []*process
 }
 
-// process is one program of a machine.
+// process is one process of a machine.
 type process struct {
 	name    string
 	command []string
@@ -81,7 +81,7 @@
 	<-p.done
 }
 
-// alive says whether the process has not ended.
+// alive reports whether the process is still running.
 func (p *process) alive() bool {
 	select {
 	case <-p.done:
@@ -91,22 +91,22 @@
 	}
 }
 
-// plan says what a deployment looks like.
+// plan describes a deployment.
 type plan struct {
 	cores    []string // the zone of each core machine
-	seeds    []int    // core machines
-	tolerate string   // the lines of [tolerate]
-	front    bool     // one front machine, in the zone of the first core machine
-	coord    bool     // applications ask for coordination
+	seeds    []int    // indexes of the core machines that serve as seeds
+	tolerate string   // the lines of the [tolerate] section of the settings
+	front    bool     // whether there is a front machine, in the zone of the first core machine
+	coord    bool     // whether applications may ask for coordination
 }
 
-// fleet is a deployment on loopback, with its platform.
+// fleet is a deployment on loopback, with a simulated platform and hosts.
 type fleet struct {
 	record   *record
 	plan     plan
 	folder   string
-	net      string // the first three numbers of all addresses
-	port     int    // first of the ports
+	net      string // the first three octets of all addresses
+	port     int    // first port of the range
 	cores    []*machine
 	front    *machine
 	platform *platform
@@ -119,7 +119,8 @@
 	roleRouter  = "target/ivyfleet router"
 )
 
-// startFleet starts all processes. The working directory is the root of the repository.
+// startFleet starts all processes. The working directory has to be the root of the repository. It may return a fleet
+// together with an error; the caller closes it.
 func startFleet(r *record, p plan) (*fleet, error) {
 	folder, err := os.MkdirTemp("", "ivybank-review-")
 	if err != nil {
@@ -156,7 +157,7 @@
 func (f *fleet) frontAddress() string        { return fmt.Sprintf("%s:%d", f.front.ip, f.port+17) }
 func (f *fleet) readyAddress() string        { return fmt.Sprintf("%s:%d", f.front.ip, f.port+18) }
 
-// freePorts finds 20 ports in a row that nobody listens at.
+// freePorts returns the first of 20 consecutive ports on which nothing listens, or an error if there are none.
 func (f *fleet) freePorts() (int, error) {
 	for first := 20000 + os.Getpid()%400*20; first < 32000; first += 20 {
 		free := true
@@ -204,10 +205,10 @@
 	return nil
 }
 
-// settings writes a settings file as that of the small sites; see DEPLOY, "Settings of a process".
+// settings returns the text of a settings file like that of a small site; see DEPLOY, "Settings of a process".
 func (f *fleet) settings(m *machine, role string, bootstrap bool) string {
 	var b strings.Builder
-	p := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	var seeds []string
 	for _, i := range f.plan.seeds {
 		seeds = append(seeds, fmt.Sprintf("%q", fmt.Sprintf("%s:%d", f.ip(i+1), f.port+16)))
@@ -220,32 +221,32 @@
 	if m.core {
 		class, serves = "core", `"control"`
 	}
-	p("node_name = %q\nrole = %q\nmachine_class = %q\nserves = [%s]\nip = %q\nzone = %q\nregion = \"r\"", m.name, role, class, serves, m.ip, m.zone)
-	p("port_range = [%d,%d]\nseeds = [%s]\nbootstrap = %v\ncounts_for_quorum = %v", f.port, f.port+15, strings.Join(seeds, ","), bootstrap, m.core)
+	line("node_name = %q\nrole = %q\nmachine_class = %q\nserves = [%s]\nip = %q\nzone = %q\nregion = \"r\"", m.name, role, class, serves, m.ip, m.zone)
+	line("port_range = [%d,%d]\nseeds = [%s]\nbootstrap = %v\ncounts_for_quorum = %v", f.port, f.port+15, strings.Join(seeds, ","), bootstrap, m.core)
 	if m.core {
-		p("data_dir = %q", filepath.Join(m.folder, "data"))
+		line("data_dir = %q", filepath.Join(m.folder, "data"))
 	}
-	p("discovery = \"cloud_api\"\nentry = \"vip\"\nheartbeat_ms = 1200\nguarantees = [%s]\n[zones]", guarantees)
-	told := map[string]bool{}
+	line("discovery = \"cloud_api\"\nentry = \"vip\"\nheartbeat_ms = 1200\nguarantees = [%s]\n[zones]", guarantees)
+	written := map[string]bool{}
 	for _, zone := range f.plan.cores {
-		if !told[zone] {
-			p("%s = \"r\"", zone)
-			told[zone] = true
+		if !written[zone] {
+			line("%s = \"r\"", zone)
+			written[zone] = true
 		}
 	}
-	p("[listen]")
+	line("[listen]")
 	switch {
 	case m.core:
-		p("control = \"%s:%d\"", m.ip, f.port+16)
+		line("control = \"%s:%d\"", m.ip, f.port+16)
 	case role == "router":
-		p("front = %q\nready = %q", f.frontAddress(), f.readyAddress())
+		line("front = %q\nready = %q", f.frontAddress(), f.readyAddress())
 	}
 	memory := 284
 	if m.core {
 		memory = 280
 	}
-	p("[limits]\ncpu_share = 0.96\ncores = 1\nmemory_mb = %d\nmax_fds = 4096\nlink_mbps = 1000.0\ndisk_mb = 128\n[tolerate]\n%s", memory, f.plan.tolerate)
-	p(`[bounds]
+	line("[limits]\ncpu_share = 0.96\ncores = 1\nmemory_mb = %d\nmax_fds = 4096\nlink_mbps = 1000.0\ndisk_mb = 128\n[tolerate]\n%s", memory, f.plan.tolerate)
+	line(`[bounds]
 seed_lag_s = 3
 reuse_after_s = 2
 contact_ms = 3000
@@ -278,7 +279,7 @@
 	return b.String()
 }
 
-// close ends all processes and removes the folder.
+// close kills all processes and removes the folder, unless the environment variable KEEP is set.
 func (f *fleet) close() {
 	for _, m := range append(append([]*machine{}, f.cores...), f.front) {
 		if m == nil {
@@ -297,7 +298,7 @@
 	}
 }
 
-// platform keeps the list of hosts.
+// platform simulates the platform that serves the list of hosts.
 type platform struct {
 	address string
 	server  *http.Server
@@ -330,7 +331,7 @@
 		"slots": 64, "state": "ready", "cold_left_ms": 0})
 }
 
-// call makes one call of an operator or an application: 307 are followed twice, an address has a second.
+// call makes one call of an operator or an application. It follows a 307 at most twice, and times out after 1 s in all.
 func call(method, address, path string, header map[string]string, body []byte) (int, []byte, error) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(_ *http.Request, via []*http.Request) error {
@@ -356,8 +357,8 @@
 	return answer.StatusCode, text, err
 }
 
-// final says whether the operator takes an answer as the last word on an order.
-func final(status int) bool {
+// isFinal reports whether the operator takes a status as the final answer to a change of the configuration.
+func isFinal(status int) bool {
 	switch status {
 	case 200, 400, 409, 412, 413, 422:
 		return true
@@ -365,10 +366,11 @@
 	return false
 }
 
-// order sends a configuration to one core machine after the other until there is a clear answer or the patience ends.
-func (f *fleet) order(base int, body []byte, patience time.Duration) int {
+// replaceConfiguration sends a configuration to one core machine after the other until it gets a final answer or the
+// timeout ends. It returns the last status.
+func (f *fleet) replaceConfiguration(base int, body []byte, timeout time.Duration) int {
 	status := 0
-	for i, end := 0, time.Now().Add(patience); time.Now().Before(end); i++ {
+	for i, end := 0, time.Now().Add(timeout); time.Now().Before(end); i++ {
 		at := i % len(f.cores)
 		got, text, err := call("POST", f.controlAddress(at), "/v1/Config.Replace", map[string]string{"Base-Version": fmt.Sprint(base)}, body)
 		if err != nil {
@@ -376,7 +378,7 @@
 		} else {
 			f.record.line("operator: order on base %d to %s: %d %s", base, f.cores[at].name, got, bytes.TrimSpace(text))
 		}
-		if status = got; final(got) {
+		if status = got; isFinal(got) {
 			return got
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/review/standin/host.go
+++ b/review/standin/host.go
@@ -10,7 +10,8 @@
 	"sync"
 )
 
-// host is a sound host: it runs what is meant for it, echoes the id, stamps its answers and answers at once.
+// host simulates a correct host: it runs the requests that are meant for it, echoes the request ID, seals its answers
+// and answers at once.
 type host struct {
 	id, service, address string
 	record               *record
@@ -52,8 +53,8 @@
 	fmt.Fprintf(w, "answer to %s", id)
 }
 
-// ran gives what this host ran, in order.
-func (h *host) ran() []run {
+// executed returns the requests that this host ran, in order.
+func (h *host) executed() []run {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]run{}, h.runs...)
--- a/review/standin/main.go
+++ b/review/standin/main.go
@@ -1,7 +1,7 @@
 //go:build review
 
-// Command standin plays the cases of the review: it starts the fleet's programs on loopback, with stand-ins of hosts,
-// clients, the operator and the platform around them, and says whether a rule was broken.
+// Command standin runs the cases of the review. It starts the fleet's programs on loopback with simulated hosts,
+// clients, operator and platform around them, and reports whether a rule was broken.
 package main
 
 import (
@@ -11,33 +11,33 @@
 	"syscall"
 )
 
-// What a case ends with.
+// Exit statuses of a case.
 const (
-	exitHeld   = 0
-	exitBroken = 1
-	exitNot    = 2 // the case couldn't run
+	exitPassed   = 0
+	exitViolated = 1
+	exitNotRun   = 2 // the case couldn't run
 )
 
-var cases = map[string]func(r *record, trouble bool) (int, error){}
+var cases = map[string]func(r *record, disruption bool) (int, error){}
 
 func main() {
 	if len(os.Args) != 3 || cases[os.Args[1]] == nil {
-		fmt.Fprintln(os.Stderr, "standin CASE RECORD")
-		os.Exit(exitNot)
+		fmt.Fprintln(os.Stderr, "usage: standin CASE RECORD")
+		os.Exit(exitNotRun)
 	}
-	// Processes that were started end with this one; see process.start.
+	// The processes that were started are killed when this one ends; see process.start.
 	signal.Ignore(syscall.SIGPIPE)
 	r, err := newRecord(os.Args[2])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(exitNot)
+		os.Exit(exitNotRun)
 	}
-	trouble := os.Getenv("TROUBLE") != "0"
-	r.line("case %s, disruption %v", os.Args[1], trouble)
-	status, err := cases[os.Args[1]](r, trouble)
+	disruption := os.Getenv("TROUBLE") != "0"
+	r.line("case %s, disruption %v", os.Args[1], disruption)
+	status, err := cases[os.Args[1]](r, disruption)
 	if err != nil {
 		r.line("the case couldn't run: %v", err)
-		status = exitNot
+		status = exitNotRun
 	}
 	r.line("exit %d", status)
 	os.Exit(status)
