--- a/rehearse/soak/clients_test.go
+++ b/rehearse/soak/clients_test.go
@@ -28,7 +28,7 @@
 	name       string
 	unit       string
 	rate       float64 // first limit, units per second
-	demand     float64 // load that it sends, as a fraction of rate
+	demand     float64 // load that it sends, as a multiple of rate
 	maxCost    float64 // cost of its largest request
 	belowLimit bool    // it never sends more than its limit allows
 }
--- a/rehearse/soak/network_test.go
+++ b/rehearse/soak/network_test.go
@@ -65,8 +65,8 @@
 	n.machines++
 	n.mu.Unlock()
 	for other := range machine {
-		for _, w := range []link{{machine, other}, {other, machine}} {
-			if err := n.relay(w, isControl(w.to)); err != nil {
+		for _, l := range []link{{machine, other}, {other, machine}} {
+			if err := n.relay(l, isControl(l.to)); err != nil {
 				return err
 			}
 		}
@@ -74,22 +74,22 @@
 	return nil
 }
 
-func (n *network) relay(w link, acceptsTCP bool) error {
-	datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(w.to)), Port: portOf(w.from)})
+func (n *network) relay(l link, acceptsTCP bool) error {
+	datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(l.to)), Port: portOf(l.from)})
 	if err != nil {
 		return err
 	}
 	n.track(datagrams)
-	go n.forwardDatagrams(w, datagrams)
+	go n.forwardDatagrams(l, datagrams)
 	if !acceptsTCP {
 		return nil
 	}
-	listener, err := net.Listen("tcp4", addressOf(w.to, portOf(w.from)))
+	listener, err := net.Listen("tcp4", addressOf(l.to, portOf(l.from)))
 	if err != nil {
 		return err
 	}
 	n.track(listener)
-	go n.forwardConnections(w, listener)
+	go n.forwardConnections(l, listener)
 	return nil
 }
 
@@ -99,52 +99,52 @@
 	n.closers = append(n.closers, c)
 }
 
-func (n *network) forwardDatagrams(w link, in *net.UDPConn) {
+func (n *network) forwardDatagrams(l link, in *net.UDPConn) {
 	buffer := make([]byte, largestUDP)
-	to := &net.UDPAddr{IP: net.ParseIP(ipOf(w.to)), Port: portOf(w.to)}
+	to := &net.UDPAddr{IP: net.ParseIP(ipOf(l.to)), Port: portOf(l.to)}
 	for {
 		size, err := in.Read(buffer)
 		if err != nil {
 			return
 		}
-		if !n.isCut(w) {
+		if !n.isCut(l) {
 			n.mu.Lock()
-			sender := n.senders[w.from]
+			sender := n.senders[l.from]
 			n.mu.Unlock()
 			_, _ = sender.WriteToUDP(buffer[:size], to)
 		}
 	}
 }
 
-func (n *network) forwardConnections(w link, listener net.Listener) {
+func (n *network) forwardConnections(l link, listener net.Listener) {
 	for {
 		in, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go n.forwardConnection(w, in)
+		go n.forwardConnection(l, in)
 	}
 }
 
-func (n *network) forwardConnection(w link, in net.Conn) {
+func (n *network) forwardConnection(l link, in net.Conn) {
 	defer in.Close()
-	reverse := link{w.to, w.from}
-	for n.isCut(w) || n.isCut(reverse) { // the connection is not established while either direction is cut
+	reverse := link{l.to, l.from}
+	for n.isCut(l) || n.isCut(reverse) { // the connection is not established while either direction is cut
 		time.Sleep(cutPoll)
 		if isClosed(in) {
 			return
 		}
 	}
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ipOf(w.from))}, Timeout: time.Second}
-	out, err := dialer.Dial("tcp4", addressOf(w.to, portOf(w.to)))
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ipOf(l.from))}, Timeout: time.Second}
+	out, err := dialer.Dial("tcp4", addressOf(l.to, portOf(l.to)))
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	n.trackConn(w, in, true)
-	defer n.trackConn(w, in, false)
+	n.trackConn(l, in, true)
+	defer n.trackConn(l, in, false)
 	done := make(chan struct{}, 2)
-	go func() { n.copy(w, out, in); done <- struct{}{} }()
+	go func() { n.copy(l, out, in); done <- struct{}{} }()
 	go func() { n.copy(reverse, in, out); done <- struct{}{} }()
 	<-done
 }
@@ -160,25 +160,25 @@
 	return closed
 }
 
-func (n *network) trackConn(w link, c net.Conn, add bool) {
+func (n *network) trackConn(l link, c net.Conn, add bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.conns[w] == nil {
-		n.conns[w] = map[net.Conn]bool{}
+	if n.conns[l] == nil {
+		n.conns[l] = map[net.Conn]bool{}
 	}
 	if add {
-		n.conns[w][c] = true
+		n.conns[l][c] = true
 	} else {
-		delete(n.conns[w], c)
+		delete(n.conns[l], c)
 	}
 }
 
 // copy forwards bytes; while the link is cut it holds them back.
-func (n *network) copy(w link, to, from net.Conn) {
+func (n *network) copy(l link, to, from net.Conn) {
 	buffer := make([]byte, relayBuffer)
 	for {
 		size, err := from.Read(buffer)
-		for n.isCut(w) {
+		for n.isCut(l) {
 			time.Sleep(cutPoll)
 		}
 		if size > 0 {
@@ -192,26 +192,26 @@
 	}
 }
 
-func (n *network) isCut(w link) bool {
+func (n *network) isCut(l link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Now().Before(n.cuts[w])
+	return time.Now().Before(n.cuts[l])
 }
 
 // cut cuts one direction between two machines for a given time.
-func (n *network) cut(w link, duration time.Duration) {
+func (n *network) cut(l link, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until := time.Now().Add(duration); until.After(n.cuts[w]) {
-		n.cuts[w] = until
+	if until := time.Now().Add(duration); until.After(n.cuts[l]) {
+		n.cuts[l] = until
 	}
 }
 
 // reset closes all connections from one machine to another.
-func (n *network) reset(w link) {
+func (n *network) reset(l link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c := range n.conns[w] {
+	for c := range n.conns[l] {
 		c.Close()
 	}
 }
