--- a/rehearse/soak/clients_test.go
+++ b/rehearse/soak/clients_test.go
@@ -45,13 +45,13 @@
 
 // client sends requests of one tenant to one router over one connection, as long as the connection lasts.
 type client struct {
-	fleet   *fleet
-	tenant  *tenant
-	random  *rand.Rand
-	number  int
-	sent    int
-	http    *http.Client
-	machine *machine
+	fleet  *fleet
+	tenant *tenant
+	random *rand.Rand
+	number int
+	sent   int
+	http   *http.Client
+	front  *machine
 }
 
 var requestsSent atomic.Int64
@@ -81,16 +81,16 @@
 
 // sendRequest sends one request and records its outcome in the ledger.
 func (c *client) sendRequest(ctx context.Context, cost float64) {
-	if c.http == nil || c.machine.removed {
+	if c.http == nil || c.front.removed {
 		c.leave()
-		c.machine = c.fleet.randomFront(c.random)
+		c.front = c.fleet.randomFront(c.random)
 		c.http = &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	}
 	c.sent++
 	path := []string{unsafePath, unsafePath, idempotentPath, streamPath}[c.random.IntN(4)]
 	r := &request{id: fmt.Sprintf("%s-%d-%d", c.tenant.name, c.number, c.sent), tenant: c.tenant, cost: cost, path: path, sent: time.Now(),
-		router: c.machine.processes[routerRole]}
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addressOf(c.machine.number, servicePort)+path, strings.NewReader("body"))
+		router: c.front.processes[routerRole]}
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addressOf(c.front.number, servicePort)+path, strings.NewReader("body"))
 	if err != nil {
 		panic(err)
 	}
