--- a/rehearse/soak/network_test.go
+++ b/rehearse/soak/network_test.go
@@ -10,49 +10,50 @@
 	"time"
 )
 
-// The network stands between all processes of different machines. Each machine uses a port of its own for what it says to
-// others, so that what machine a sends to machine b comes to b's address and a's port: there a relay listens, and passes
-// it on to b's own port, unless the way from a to b is cut. Nothing needs privileges, and all stays on loopback.
+// network relays all traffic between processes of different machines. Each machine sends to the others at its own
+// port number, so that what machine a sends to machine b arrives at b's address and a's port. A relay listens there
+// and forwards it to b's own port, unless the link from a to b is cut. This needs no privileges, and all traffic
+// stays on loopback.
 type network struct {
 	mu       sync.Mutex
-	cuts     map[way]time.Time // until when
-	conns    map[way]map[net.Conn]bool
+	cuts     map[link]time.Time // the time at which each cut ends
+	conns    map[link]map[net.Conn]bool
 	machines int
 	closers  []io.Closer
-	senders  map[int]*net.UDPConn // by machine, for datagrams that are passed on in its name
+	senders  map[int]*net.UDPConn // by machine, for datagrams that are forwarded from its address
 }
 
-// way is the direction from one machine to another.
-type way struct{ from, to int }
+// link is one direction of the connection between two machines.
+type link struct{ from, to int }
 
 const (
-	firstPort    = 10000
-	portsOfSlot  = 1200
-	portsOfOne   = 2 // internal and local
-	servicePort  = 19000
-	relayBuffer  = 16 << 10
-	largestUDP   = 4096
-	cutPoll      = 20 * time.Millisecond
-	hostsPerNet  = 200
-	addressStart = 64
+	firstPort       = 10000
+	portsPerSlot    = 1200
+	portsPerMachine = 2 // internal and local
+	servicePort     = 19000
+	relayBuffer     = 16 << 10
+	largestUDP      = 4096
+	cutPoll         = 20 * time.Millisecond
+	machinesPerNet  = 200
+	addressStart    = 64
 )
 
 func newNetwork() *network {
-	return &network{cuts: map[way]time.Time{}, conns: map[way]map[net.Conn]bool{}, senders: map[int]*net.UDPConn{}}
+	return &network{cuts: map[link]time.Time{}, conns: map[link]map[net.Conn]bool{}, senders: map[int]*net.UDPConn{}}
 }
 
-// ipOf is the address of a machine. Runs of other processes have other addresses.
+// ipOf returns the address of a machine. It depends on the process ID, so that concurrent runs use different addresses.
 func ipOf(machine int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", addressStart+pid>>7&127, pid&127<<1|machine/hostsPerNet, machine%hostsPerNet+1)
+	return fmt.Sprintf("127.%d.%d.%d", addressStart+pid>>7&127, pid&127<<1|machine/machinesPerNet, machine%machinesPerNet+1)
 }
 
-// portOf is the port that a machine uses for what it says to others. Runs at the same time have slots of their own.
-func portOf(machine int) int { return firstPort + *slotFlag*portsOfSlot + portsOfOne*machine }
+// portOf returns the port that a machine uses to send to others. Concurrent runs use different slots.
+func portOf(machine int) int { return firstPort + *slotFlag*portsPerSlot + portsPerMachine*machine }
 
 func addressOf(machine, port int) string { return net.JoinHostPort(ipOf(machine), strconv.Itoa(port)) }
 
-// add connects a further machine with all that there are. Control processes alone are dialled.
+// add connects a new machine with all existing ones. Only control processes accept TCP connections.
 func (n *network) add(machine int, isControl func(int) bool) error {
 	from, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(machine))})
 	if err != nil {
@@ -64,8 +65,8 @@
 	n.machines++
 	n.mu.Unlock()
 	for other := range machine {
-		for _, w := range []way{{machine, other}, {other, machine}} {
-			if err := n.relay(w, isControl(w.to)); err != nil {
+		for _, l := range []link{{machine, other}, {other, machine}} {
+			if err := n.relay(l, isControl(l.to)); err != nil {
 				return err
 			}
 		}
@@ -73,22 +74,22 @@
 	return nil
 }
 
-func (n *network) relay(w way, dialled bool) error {
-	datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(w.to)), Port: portOf(w.from)})
+func (n *network) relay(l link, acceptsTCP bool) error {
+	datagrams, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ipOf(l.to)), Port: portOf(l.from)})
 	if err != nil {
 		return err
 	}
 	n.track(datagrams)
-	go n.passDatagrams(w, datagrams)
-	if !dialled {
+	go n.forwardDatagrams(l, datagrams)
+	if !acceptsTCP {
 		return nil
 	}
-	listener, err := net.Listen("tcp4", addressOf(w.to, portOf(w.from)))
+	listener, err := net.Listen("tcp4", addressOf(l.to, portOf(l.from)))
 	if err != nil {
 		return err
 	}
 	n.track(listener)
-	go n.passConnections(w, listener)
+	go n.forwardConnections(l, listener)
 	return nil
 }
 
@@ -98,86 +99,86 @@
 	n.closers = append(n.closers, c)
 }
 
-func (n *network) passDatagrams(w way, in *net.UDPConn) {
+func (n *network) forwardDatagrams(l link, in *net.UDPConn) {
 	buffer := make([]byte, largestUDP)
-	to := &net.UDPAddr{IP: net.ParseIP(ipOf(w.to)), Port: portOf(w.to)}
+	to := &net.UDPAddr{IP: net.ParseIP(ipOf(l.to)), Port: portOf(l.to)}
 	for {
 		size, err := in.Read(buffer)
 		if err != nil {
 			return
 		}
-		if !n.isCut(w) {
+		if !n.isCut(l) {
 			n.mu.Lock()
-			sender := n.senders[w.from]
+			sender := n.senders[l.from]
 			n.mu.Unlock()
 			_, _ = sender.WriteToUDP(buffer[:size], to)
 		}
 	}
 }
 
-func (n *network) passConnections(w way, listener net.Listener) {
+func (n *network) forwardConnections(l link, listener net.Listener) {
 	for {
 		in, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		go n.passConnection(w, in)
+		go n.forwardConnection(l, in)
 	}
 }
 
-func (n *network) passConnection(w way, in net.Conn) {
+func (n *network) forwardConnection(l link, in net.Conn) {
 	defer in.Close()
-	back := way{w.to, w.from}
-	for n.isCut(w) || n.isCut(back) { // it does not come up meanwhile
+	reverse := link{l.to, l.from}
+	for n.isCut(l) || n.isCut(reverse) { // the connection is not established while either direction is cut
 		time.Sleep(cutPoll)
 		if isClosed(in) {
 			return
 		}
 	}
-	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ipOf(w.from))}, Timeout: time.Second}
-	out, err := dialer.Dial("tcp4", addressOf(w.to, portOf(w.to)))
+	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ipOf(l.from))}, Timeout: time.Second}
+	out, err := dialer.Dial("tcp4", addressOf(l.to, portOf(l.to)))
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	n.hold(w, in, true)
-	defer n.hold(w, in, false)
+	n.trackConn(l, in, true)
+	defer n.trackConn(l, in, false)
 	done := make(chan struct{}, 2)
-	go func() { n.copy(w, out, in); done <- struct{}{} }()
-	go func() { n.copy(back, in, out); done <- struct{}{} }()
+	go func() { n.copy(l, out, in); done <- struct{}{} }()
+	go func() { n.copy(reverse, in, out); done <- struct{}{} }()
 	<-done
 }
 
-// isClosed says whether the peer has ended a connection on which nothing was read yet.
+// isClosed reports whether the peer has closed a connection from which nothing was read yet.
 func isClosed(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
 	}
 	closed := false
-	_ = raw.Control(func(fd uintptr) { closed = peerHasEnded(int(fd)) })
+	_ = raw.Control(func(fd uintptr) { closed = peerHasClosed(int(fd)) })
 	return closed
 }
 
-func (n *network) hold(w way, c net.Conn, held bool) {
+func (n *network) trackConn(l link, c net.Conn, add bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.conns[w] == nil {
-		n.conns[w] = map[net.Conn]bool{}
+	if n.conns[l] == nil {
+		n.conns[l] = map[net.Conn]bool{}
 	}
-	if held {
-		n.conns[w][c] = true
+	if add {
+		n.conns[l][c] = true
 	} else {
-		delete(n.conns[w], c)
+		delete(n.conns[l], c)
 	}
 }
 
-// copy passes bytes on; while the way is cut it holds them back.
-func (n *network) copy(w way, to, from net.Conn) {
+// copy forwards bytes; while the link is cut it holds them back.
+func (n *network) copy(l link, to, from net.Conn) {
 	buffer := make([]byte, relayBuffer)
 	for {
 		size, err := from.Read(buffer)
-		for n.isCut(w) {
+		for n.isCut(l) {
 			time.Sleep(cutPoll)
 		}
 		if size > 0 {
@@ -191,26 +192,26 @@
 	}
 }
 
-func (n *network) isCut(w way) bool {
+func (n *network) isCut(l link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Now().Before(n.cuts[w])
+	return time.Now().Before(n.cuts[l])
 }
 
-// cut parts one machine from another, one way, for a time.
-func (n *network) cut(w way, span time.Duration) {
+// cut cuts one direction between two machines for a given time.
+func (n *network) cut(l link, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until := time.Now().Add(span); until.After(n.cuts[w]) {
-		n.cuts[w] = until
+	if until := time.Now().Add(duration); until.After(n.cuts[l]) {
+		n.cuts[l] = until
 	}
 }
 
-// reset ends all connections between two machines.
-func (n *network) reset(w way) {
+// reset closes all connections from one machine to another.
+func (n *network) reset(l link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c := range n.conns[w] {
+	for c := range n.conns[l] {
 		c.Close()
 	}
 }
