--- a/proxy/admit.go
+++ b/proxy/admit.go
@@ -32,7 +32,7 @@
 	key         *idempotency.Key // set for a request with an idempotency key, which has no client of its own
 	retryHash   float64          // hash of what a client's retries have in common, from 0 to 1; 0 without peers
 	denied      bool             // denied by the fleet, through overload control or a limit
-	limitBook   *lease.Limiter   // the limits under which it was admitted; nil if the fleet has none
+	limiter     *lease.Limiter   // the limits under which it was admitted; nil if the fleet has none
 }
 
 // admit validates a request and hands it to the balancer. A request that no host could serve is rejected here: a
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -125,16 +125,16 @@
 	book := l.Limiter()
 	admitted, retryAfter := book.Admit(lease.Scope{RuleSet: r.msg.RuleSet, Tenant: r.msg.Tenant}, now)
 	if admitted {
-		r.limitBook = book
+		r.limiter = book
 	}
 	return !admitted, retryAfter
 }
 
 // releaseLimit gives back the request's share of work in flight.
 func (r *request) releaseLimit() {
-	if r.limitBook != nil {
-		r.limitBook.Done(lease.Scope{RuleSet: r.msg.RuleSet, Tenant: r.msg.Tenant})
-		r.limitBook = nil
+	if r.limiter != nil {
+		r.limiter.Done(lease.Scope{RuleSet: r.msg.RuleSet, Tenant: r.msg.Tenant})
+		r.limiter = nil
 	}
 }
 
--- a/proxy/maintenance.go
+++ b/proxy/maintenance.go
@@ -39,9 +39,9 @@
 // planState is the event loop's state of plans; nil if there are none.
 type planState struct {
 	MaintenanceConfig
-	crew  *planexec.Coordinator
-	file  *quorum.File
-	timer *timer
+	coordinator *planexec.Coordinator
+	file        *quorum.File
+	timer       *timer
 }
 
 // startPlans begins to take part in plans, with the members of the fleet.
@@ -56,7 +56,7 @@
 		return
 	}
 	plans := &planState{MaintenanceConfig: *cfg, file: file}
-	plans.crew, err = planexec.New(planexec.Config{Self: ps.Terms.Index, Members: ps.Terms.Members,
+	plans.coordinator, err = planexec.New(planexec.Config{Self: ps.Terms.Index, Members: ps.Terms.Members,
 		Voters: min(cfg.Voters, ps.Terms.Members), Incarnation: ps.fleet.Membership().Incarnation(), Seed: p.terms.Seed ^ 3,
 		Leader: planstate.LeaderConfig{Grace: cfg.Grace, MaxClientTimeout: p.config.LongestTimeout, MinService: cfg.Service,
 			SettleTime: cfg.Settle}}, entries, now)
@@ -82,7 +82,7 @@
 // handOverPlans passes the lead on, as this process ends.
 func (p *Proxy) handOverPlans(now int64) {
 	if plans := p.plans; plans != nil {
-		plans.crew.TransferLeadership(p.peers.fleet.Membership().Alive)
+		plans.coordinator.TransferLeadership(p.peers.fleet.Membership().Alive)
 		p.runPlanActions(now)
 	}
 }
@@ -98,7 +98,7 @@
 
 func (p *Proxy) tickPlans(now int64) {
 	plans := p.plans
-	plans.crew.Tick(p.planView(now))
+	plans.coordinator.Tick(p.planView(now))
 	p.runPlanActions(now)
 	plans.timer = p.after(now, planTickNs, p.tickPlans)
 }
@@ -108,7 +108,7 @@
 	plans := p.plans
 	view := planexec.View{Now: now, Wall: time.Now().UnixNano(), Open: map[string]int{}, Service: 1,
 		Alive: func(i int) bool { return p.peers != nil && p.peers.fleet.Membership().Alive(i) }}
-	if !plans.crew.State().Busy() {
+	if !plans.coordinator.State().Busy() {
 		return view
 	}
 	learnt := map[string]balance.ServerSnapshot{}
@@ -123,7 +123,7 @@
 			Listed: h.reported.State == balance.Running, Healthy: learnt[h.id].EjectionLeft == 0,
 			Warm: p.terms.RampTime <= 0 || now-h.startTime >= p.terms.RampTime, ManuallyOut: p.holds.Hosts[h.id].Out})
 	}
-	for _, t := range plans.crew.State().Unavailable() {
+	for _, t := range plans.coordinator.State().Unavailable() {
 		for _, r := range p.requests {
 			for _, d := range r.dispatches {
 				if d.outstanding && d.host != nil && d.host.id == t.ID {
@@ -145,7 +145,7 @@
 // runPlanActions carries out the coordinator's actions. It writes off the event loop, one batch at a time.
 func (p *Proxy) runPlanActions(now int64) {
 	plans := p.plans
-	for action, ok := plans.crew.Next(); ok; action, ok = plans.crew.Next() {
+	for action, ok := plans.coordinator.Next(); ok; action, ok = plans.coordinator.Next() {
 		switch action.Kind {
 		case planexec.Send:
 			if p.peers != nil {
@@ -174,7 +174,7 @@
 		p.stop(plans.timer)
 		return
 	}
-	plans.crew.Persisted(batch, now)
+	plans.coordinator.Persisted(batch, now)
 	p.runPlanActions(now)
 }
 
@@ -184,7 +184,7 @@
 	if p.plans == nil {
 		return s
 	}
-	phase, step := p.plans.crew.State().Phase(s.ID)
+	phase, step := p.plans.coordinator.State().Phase(s.ID)
 	switch {
 	case (phase == planstate.Draining || phase == planstate.Out) && s.State == balance.Running:
 		s.State = balance.Draining
@@ -200,7 +200,7 @@
 		return admin.Error(http.StatusNotFound,
 			"no plans are taken part in: the operator file has no [maintenance], or no peers are heard")
 	}
-	statuses := p.plans.crew.Status(id, p.planView(now))
+	statuses := p.plans.coordinator.Status(id, p.planView(now))
 	if id != "" && len(statuses) == 0 {
 		return admin.Error(http.StatusNotFound, planexec.ErrUnknownPlan.Error())
 	}
@@ -227,7 +227,7 @@
 		if p.plans == nil {
 			return p.plansReply("", now)
 		}
-		existing := p.plans.crew.State().Find(c.Plan)
+		existing := p.plans.coordinator.State().Find(c.Plan)
 		switch {
 		case body == nil && existing == nil:
 			return admin.Error(http.StatusNotFound, planexec.ErrUnknownPlan.Error())
@@ -240,14 +240,14 @@
 		case body != nil && !samePlan(&existing.Plan, body):
 			return admin.Error(http.StatusConflict, "another plan has this id")
 		}
-		p.plans.crew.Request(command, now)
+		p.plans.coordinator.Request(command, now)
 		return admin.OK("")
 	}); reply.Status != http.StatusOK {
 		return reply
 	}
 	for deadline := time.Now().Add(maxAgreementWait); time.Now().Before(deadline); time.Sleep(agreementPollInterval) {
 		if reply := p.askLoop(func(int64) admin.Reply {
-			if p.plans != nil && p.plans.crew.Applied(&command) {
+			if p.plans != nil && p.plans.coordinator.Applied(&command) {
 				return admin.OK("agreed on")
 			}
 			return admin.Error(http.StatusAccepted, "")
--- a/proxy/peers.go
+++ b/proxy/peers.go
@@ -215,7 +215,7 @@
 			ps.fleet.SendBeliefs(action.To, p.balancer.ServerSnapshots(now), now)
 		case fleet.Deliver:
 			if p.plans != nil {
-				p.plans.crew.Receive(action.To, action.Message, now)
+				p.plans.coordinator.Receive(action.To, action.Message, now)
 				p.runPlanActions(now)
 			}
 		case fleet.ApplyPeerReports:
