--- a/fleet/serverreports.go
+++ b/fleet/serverreports.go
@@ -34,7 +34,7 @@
 type report struct {
 	member      int
 	observation peer.Observation
-	at          int64
+	observedAt  int64
 	timesSent   int
 }
 
@@ -81,8 +81,10 @@
 }
 
 func (w *serverReports) find(id string) *serverRecord {
-	i, had := slices.BinarySearchFunc(w.servers, id, func(m serverRecord, id string) int { return cmp.Compare(m.id, id) })
-	if !had {
+	i, found := slices.BinarySearchFunc(w.servers, id, func(m serverRecord, id string) int {
+		return cmp.Compare(m.id, id)
+	})
+	if !found {
 		return nil
 	}
 	return &w.servers[i]
@@ -112,14 +114,16 @@
 		if healthy {
 			observation = peer.ProbeAnswered
 		}
-		m.probes = insertReport(m.probes, report{member: member, observation: observation, at: now})
+		m.probes = insertReport(m.probes, report{member: member, observation: observation, observedAt: now})
 	}
 }
 
 // insertReport keeps the newest report of each member, and those of the maxReporters newest members.
 func insertReport(all []report, r report) []report {
 	if i := slices.IndexFunc(all, func(x report) bool { return x.member == r.member }); i >= 0 {
-		if r.at > all[i].at+10*ms || r.observation != all[i].observation && r.at >= all[i].at { // the same report received again by another route is not newer
+		// The same report received again by another route is not newer.
+		if r.observedAt > all[i].observedAt+10*ms || r.observation != all[i].observation &&
+			r.observedAt >= all[i].observedAt {
 			all[i] = r
 		}
 		return all
@@ -128,7 +132,7 @@
 	if len(all) > maxReporters {
 		oldest := 0
 		for i := range all {
-			if all[i].at < all[oldest].at {
+			if all[i].observedAt < all[oldest].observedAt {
 				oldest = i
 			}
 		}
@@ -138,37 +142,39 @@
 }
 
 // receiveHint records a hint. For the result of a probe it returns the server and the probe's time.
-func (w *serverReports) receiveHint(h peer.Hint, now int64) (id string, at int64, probe bool) {
+func (w *serverReports) receiveHint(h peer.Hint, now int64) (id string, probedAt int64, probe bool) {
 	i, ok := w.byHash[h.Server]
 	if !ok || i < 0 {
 		return "", 0, false
 	}
 	m := &w.servers[i]
-	r := report{member: h.Origin, observation: h.Observation, at: now - peer.Nanoseconds(h.Age)}
+	r := report{member: h.Origin, observation: h.Observation, observedAt: now - peer.Nanoseconds(h.Age)}
 	if h.Observation == peer.DispatchesLost {
-		if now-r.at < reportMaxAge {
+		if now-r.observedAt < reportMaxAge {
 			m.reports = insertReport(m.reports, r)
 		}
 		return "", 0, false
 	}
-	if now-r.at < probeMaxAge {
+	if now-r.observedAt < probeMaxAge {
 		m.probes = insertReport(m.probes, r)
 	}
-	return m.id, r.at, true
+	return m.id, r.observedAt, true
 }
 
 // updateOwnReports updates what this member itself reports.
 func (w *serverReports) updateOwnReports(index int, now int64) {
 	for i := range w.servers {
 		m := &w.servers[i]
-		m.reports = slices.DeleteFunc(m.reports, func(r report) bool { return now-r.at >= reportMaxAge })
-		m.probes = slices.DeleteFunc(m.probes, func(r report) bool { return now-r.at >= probeMaxAge })
+		m.reports = slices.DeleteFunc(m.reports, func(r report) bool { return now-r.observedAt >= reportMaxAge })
+		m.probes = slices.DeleteFunc(m.probes, func(r report) bool { return now-r.observedAt >= probeMaxAge })
 		lost := m.lost.Now(now, lossWindow)
 		if lost < minLost || lost < minLostPart*m.sent.Now(now, lossWindow) {
 			continue
 		}
-		if j := slices.IndexFunc(m.reports, func(r report) bool { return r.member == index }); j < 0 || now-m.reports[j].at >= repeatReportAfter {
-			m.reports = insertReport(m.reports, report{member: index, observation: peer.DispatchesLost, at: now})
+		if j := slices.IndexFunc(m.reports, func(r report) bool { return r.member == index }); j < 0 ||
+			now-m.reports[j].observedAt >= repeatReportAfter {
+			m.reports = insertReport(m.reports, report{member: index, observation: peer.DispatchesLost,
+				observedAt: now})
 		}
 	}
 }
@@ -197,7 +203,8 @@
 			break
 		}
 		x.r.timesSent++
-		hints = append(hints, peer.Hint{Server: x.m.hash, Origin: x.r.member, Observation: x.r.observation, Age: peer.Hundredths(now - x.r.at)})
+		hints = append(hints, peer.Hint{Server: x.m.hash, Origin: x.r.member, Observation: x.r.observation,
+			Age: peer.Hundredths(now - x.r.observedAt)})
 	}
 	return hints
 }
@@ -216,13 +223,15 @@
 		m := &w.servers[i]
 		var reporters []int // each member counts once
 		for _, r := range m.reports {
-			if (r.member == index || alive(r.member)) && float64(serversReported[r.member]) <= max(1, maxReportedPart*float64(len(w.servers))) {
+			if (r.member == index || alive(r.member)) &&
+				float64(serversReported[r.member]) <= max(1, maxReportedPart*float64(len(w.servers))) {
 				reporters = append(reporters, r.member)
 			}
 		}
 		ownReport := slices.Contains(reporters, index)
 		for _, r := range m.probes {
-			if r.observation == peer.ProbeUnanswered && (r.member == index || alive(r.member)) && !slices.Contains(reporters, r.member) {
+			if r.observation == peer.ProbeUnanswered && (r.member == index || alive(r.member)) &&
+				!slices.Contains(reporters, r.member) {
 				reporters = append(reporters, r.member)
 			}
 		}
--- a/fleet/warmstart/warmstart.go
+++ b/fleet/warmstart/warmstart.go
@@ -53,14 +53,15 @@
 	Incarnation uint64 `json:"Life"`  // 0: none
 	Number      uint64 // number of the snapshot within the incarnation
 	WallTime    int64  `json:"Wall"` // Unix ns
-	BootID      string `json:"Boot"` // id of the machine's boot; with Uptime it gives ages that do not depend on wall time
-	Uptime      int64  `json:"Up"`
-	ConfigHash  uint64 `json:"Shape"` // see ConfigHash
-	List        List
-	Balancer    balance.Snapshot `json:"Module"`
-	Holds       holds.Table
-	NewestKey   int64   `json:"Newest"` // Unix ns of the start of the newest idempotency key; 0: none
-	Service     float64 // recent part of the value that was served in time; 0: not known
+	// Id of the machine's boot; with Uptime it gives ages that do not depend on wall time.
+	BootID     string `json:"Boot"`
+	Uptime     int64  `json:"Up"`
+	ConfigHash uint64 `json:"Shape"` // see ConfigHash
+	List       List
+	Balancer   balance.Snapshot `json:"Module"`
+	Holds      holds.Table
+	NewestKey  int64   `json:"Newest"` // Unix ns of the start of the newest idempotency key; 0: none
+	Service    float64 // recent part of the value that was served in time; 0: not known
 }
 
 // Clocks is a point in time on the available clocks, in ns.
@@ -98,42 +99,43 @@
 // Evaluate returns what of a snapshot can be trusted, each part according to its age. Parts that are too old are
 // emptied.
 func Evaluate(m Snapshot, proxy string, cfg *balance.Config, now Clocks, trust int64) (Snapshot, []Verdict) {
-	var out []Verdict
+	var verdicts []Verdict
 	judge := func(part string, kept bool, why string, a ...any) bool {
-		out = append(out, Verdict{part, kept, fmt.Sprintf(why, a...)})
+		verdicts = append(verdicts, Verdict{part, kept, fmt.Sprintf(why, a...)})
 		return kept
 	}
 	age, known := m.Age(now)
 	if !judge("all", known && m.Proxy == proxy, "of %s, %.1f s old", m.Proxy, float64(age)/1e9) {
-		return Snapshot{}, out
+		return Snapshot{}, verdicts
 	}
 	m.List.Age += age
-	if !judge("list", m.List.Age <= listMaxAge && len(m.List.Hosts) > 0, "%d servers, generation %d, %.1f s old", len(m.List.Hosts), m.List.Generation, float64(m.List.Age)/1e9) {
+	if !judge("list", m.List.Age <= listMaxAge && len(m.List.Hosts) > 0, "%d servers, generation %d, %.1f s old",
+		len(m.List.Hosts), m.List.Generation, float64(m.List.Age)/1e9) {
 		m.List = List{}
 	}
-	x := &m.Balancer
-	if !judge("servers", age <= trust, "what was met at %d, trusted for %.0f s", len(x.Servers), float64(trust)/1e9) {
-		x.Servers = nil
+	b := &m.Balancer
+	if !judge("servers", age <= trust, "what was met at %d, trusted for %.0f s", len(b.Servers), float64(trust)/1e9) {
+		b.Servers = nil
 	}
-	x.Servers = slices.Clone(x.Servers)
-	for i := range x.Servers {
-		fadeServer(&x.Servers[i], age, trust)
+	b.Servers = slices.Clone(b.Servers)
+	for i := range b.Servers {
+		fadeServer(&b.Servers[i], age, trust)
 	}
-	if !judge("rates", age < rateMaxAge && m.ConfigHash == ConfigHash(cfg), "%.1f answers a second", x.Rate) {
-		x.Rate, x.Tenants, x.LatencyRatio, x.MeanTarget, x.MeanValue, x.Keys = 0, nil, 0, 0, 0, nil
+	if !judge("rates", age < rateMaxAge && m.ConfigHash == ConfigHash(cfg), "%.1f answers a second", b.Rate) {
+		b.Rate, b.Tenants, b.LatencyRatio, b.MeanTarget, b.MeanValue, b.Keys = 0, nil, 0, 0, 0, nil
 	}
-	left := max(0, 1-float64(age)/float64(rateMaxAge))
-	x.Rate *= left
-	x.LatencyRatio *= left
-	x.Tenants = slices.Clone(x.Tenants)
-	for i := range x.Tenants {
-		x.Tenants[i].Rate *= left
+	weight := max(0, 1-float64(age)/float64(rateMaxAge))
+	b.Rate *= weight
+	b.LatencyRatio *= weight
+	b.Tenants = slices.Clone(b.Tenants)
+	for i := range b.Tenants {
+		b.Tenants[i].Rate *= weight
 	}
-	x.Keys = slices.Clone(x.Keys)
-	for i := range x.Keys {
-		x.Keys[i].N *= left
+	b.Keys = slices.Clone(b.Keys)
+	for i := range b.Keys {
+		b.Keys[i].N *= weight
 	}
-	return m, out
+	return m, verdicts
 }
 
 // fadeServer ages what is known of one server.
@@ -171,9 +173,10 @@
 
 // Belief is a peer's view of one server.
 type Belief struct {
-	Server    balance.ServerSnapshot // Health, EjectionLeft, Draining, Since and LastOutcomeAge only
-	HeardAt   int64                  // time of its arrival
-	StartTime uint32                 // start of the server's process as received; Server.Since is the start in the local list
+	Server  balance.ServerSnapshot // Health, EjectionLeft, Draining, Since and LastOutcomeAge only
+	HeardAt int64                  // time of its arrival
+	// Start of the server's process as received; Server.Since is the start in the local list.
+	StartTime uint32
 }
 
 // MatchListed keeps the beliefs about processes that are in the local list. since returns a server's start in that
@@ -200,17 +203,17 @@
 func MergeReports(own []balance.ServerSnapshot, reports []PeerReport, now int64) []balance.ServerSnapshot {
 	var order []string
 	latest, ownByID := map[string]int64{}, map[string]balance.ServerSnapshot{}
-	note := func(l balance.ServerSnapshot) {
-		if since, ok := latest[l.ID]; !ok {
-			order = append(order, l.ID)
-			latest[l.ID] = l.Since
+	note := func(server balance.ServerSnapshot) {
+		if since, ok := latest[server.ID]; !ok {
+			order = append(order, server.ID)
+			latest[server.ID] = server.Since
 		} else {
-			latest[l.ID] = max(since, l.Since)
+			latest[server.ID] = max(since, server.Since)
 		}
 	}
-	for _, l := range own {
-		note(l)
-		ownByID[l.ID] = l
+	for _, server := range own {
+		note(server)
+		ownByID[server.ID] = server
 	}
 	for _, report := range reports {
 		for _, belief := range report.Beliefs {
@@ -218,37 +221,38 @@
 		}
 	}
 	slices.Sort(order)
-	var out []balance.ServerSnapshot
+	var merged []balance.ServerSnapshot
 	for _, id := range order {
-		l, known := ownByID[id]
-		if known = known && l.Since == latest[id]; !known {
-			l = balance.ServerSnapshot{ID: id, Since: latest[id], Health: 1, InflightCap: 1}
+		server, known := ownByID[id]
+		if known = known && server.Since == latest[id]; !known {
+			server = balance.ServerSnapshot{ID: id, Since: latest[id], Health: 1, InflightCap: 1}
 		}
 		var ejections []int64 // rest of the ejection according to each peer
 		for _, report := range reports {
 			for _, belief := range report.Beliefs {
-				if belief.Server.ID != id || belief.Server.Since != l.Since {
+				if belief.Server.ID != id || belief.Server.Since != server.Since {
 					continue
 				}
-				l.Draining = l.Draining || belief.Server.Draining
-				if x := belief.Server.EjectionLeft - (now - belief.HeardAt); x > 0 {
-					ejections = append(ejections, x)
+				server.Draining = server.Draining || belief.Server.Draining
+				if left := belief.Server.EjectionLeft - (now - belief.HeardAt); left > 0 {
+					ejections = append(ejections, left)
 				}
 				if !known {
-					l.Health = min(l.Health, cmp.Or(belief.Server.Health, 1))
+					server.Health = min(server.Health, cmp.Or(belief.Server.Health, 1))
 				}
 			}
 		}
-		switch l.LastOutcomeAge = -1; {
-		case l.EjectionLeft > 0:
+		switch server.LastOutcomeAge = -1; {
+		case server.EjectionLeft > 0:
 		case len(ejections) >= minReporters:
-			l.EjectionLeft, l.Streak, l.Ejections = slices.Min(ejections), ejectionStreak, max(1, l.Ejections)
+			server.EjectionLeft, server.Streak, server.Ejections = slices.Min(ejections), ejectionStreak,
+				max(1, server.Ejections)
 		case len(ejections) > 0:
-			l.Health, l.Streak, l.InflightCap = min(l.Health, suspectHealth), ejectionStreak-1, 1
+			server.Health, server.Streak, server.InflightCap = min(server.Health, suspectHealth), ejectionStreak-1, 1
 		}
-		out = append(out, l)
+		merged = append(merged, server)
 	}
-	return out
+	return merged
 }
 
 // ServiceMeter measures service in slices of time, and when it is full again after a start.
@@ -261,11 +265,11 @@
 }
 
 // Add counts the value of a final answer.
-func (m *ServiceMeter) Add(worth float64, inTime bool, now int64) {
+func (m *ServiceMeter) Add(value float64, inTime bool, now int64) {
 	m.advance(now)
 	p := &m.slices[m.newest%sliceCount]
-	if p.all += worth; inTime {
-		p.served += worth
+	if p.all += value; inTime {
+		p.served += value
 	}
 }
 
@@ -309,7 +313,8 @@
 
 // Valid reports whether all figures are within their ranges. A snapshot that is not valid is ignored as a whole.
 func (m *Snapshot) Valid() bool {
-	for _, figure := range []float64{m.Balancer.Rate, m.Balancer.LatencyRatio, m.Balancer.MeanTarget, m.Balancer.MeanValue, m.Service} {
+	for _, figure := range []float64{m.Balancer.Rate, m.Balancer.LatencyRatio, m.Balancer.MeanTarget,
+		m.Balancer.MeanValue, m.Service} {
 		if math.IsNaN(figure) || figure < 0 || figure > 1e15 {
 			return false
 		}
