--- a/cmd/ivybank/fleet_test.go
+++ b/cmd/ivybank/fleet_test.go
@@ -115,7 +115,7 @@
 func TestFleetOfTwo(t *testing.T) {
 	r := startFleet(t, 2, "4s", "")
 	waitAlive(t, r, 2, 0, 1)
-	undo := r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 6e9})
+	undo := r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 6e9})
 	defer undo()
 	eventually(t, "the killed member is declared dead", func() bool { return sees(r, 0, 1, "dead") })
 	waitAlive(t, r, 2, 0, 1)
@@ -193,7 +193,7 @@
 	r := startFleet(t, 5, "6s", "")
 	waitAlive(t, r, 5, 0, 1, 2)
 	for _, index := range []int{3, 4} {
-		conn, peers, err := r.Pose(index)
+		conn, peers, err := r.Impersonate(index)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -294,7 +294,7 @@
 		}
 		return ok && owner >= 0
 	})
-	time.AfterFunc(6*time.Second, func() { r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 60e9}) })
+	time.AfterFunc(6*time.Second, func() { r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 60e9}) })
 	f, err := r.Play()
 	if err != nil {
 		t.Fatal(err)
@@ -332,7 +332,7 @@
 func TestFleetLeave(t *testing.T) {
 	r := startFleet(t, 3, "4s", "")
 	waitAlive(t, r, 3, 0, 1, 2)
-	r.Strike(emu.Fault{Kind: "proxy_end", Proxies: []int{1}})
+	r.InjectFault(emu.Fault{Kind: "proxy_end", Proxies: []int{1}})
 	eventually(t, "it has left", func() bool { return sees(r, 0, 1, "left") && sees(r, 2, 1, "left") })
 }
 
--- a/cmd/ivybank/limits_test.go
+++ b/cmd/ivybank/limits_test.go
@@ -53,7 +53,7 @@
 // limitStatus returns what a proxy reports of the fleet limits at its admin address.
 func limitStatus(r *lab.Rehearsal, proxy int) []lease.Status {
 	var v struct{ Limits []lease.Status }
-	text, err := callAdmin(http.MethodGet, r.Door(proxy), "/fleet", nil)
+	text, err := callAdmin(http.MethodGet, r.AdminAddr(proxy), "/fleet", nil)
 	if err != nil || json.Unmarshal(text, &v) != nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 		owner <- len(x) == 1 && x[0].Owns
 	})
 	return func() time.Duration {
-		end := r.Struck("split") + time.Duration(l.Lease)
+		end := r.LastInjected("split") + time.Duration(l.Lease)
 		if <-owner {
 			end += time.Duration(l.Lease) / 3
 		}
@@ -124,7 +124,7 @@
 			if o.Over > 0 {
 				t.Errorf("over by %.1f requests: admitted by seconds %v", o.Over, o.Seconds)
 			}
-			if n := r.LetIn(0, "filing", end, healedAt); n > 0 {
+			if n := r.AdmittedBetween(0, "filing", end, healedAt); n > 0 {
 				t.Errorf("the proxy cut off admitted %d after its lease, which ended at %v", n, end)
 			}
 		}},
@@ -132,7 +132,7 @@
 			if o.Breach > 0 {
 				t.Errorf("over by %.1f requests more than the floors: admitted by seconds %v", o.Breach, o.Seconds)
 			}
-			if n := r.LetIn(0, "filing", end, healedAt); n < 6 || n > 17 {
+			if n := r.AdmittedBetween(0, "filing", end, healedAt); n < 6 || n > 17 {
 				t.Errorf("the proxy cut off admitted %d in %v with a floor of 4 per second", n, healedAt-end)
 			}
 		}},
@@ -153,8 +153,8 @@
 			if f.Breaches != [5]int{} || f.Crashes > 0 {
 				t.Errorf("breaches %v, %d crashes: %v", f.Breaches, f.Crashes, f.Notes)
 			}
-			others := r.LetIn(1, "filing", 5*time.Second, 9*time.Second) +
-				r.LetIn(2, "filing", 5*time.Second, 9*time.Second)
+			others := r.AdmittedBetween(1, "filing", 5*time.Second, 9*time.Second) +
+				r.AdmittedBetween(2, "filing", 5*time.Second, 9*time.Second)
 			if others < 20 {
 				t.Errorf("the proxies not cut off admitted %d in 4 s of %.0f per second", others, l.Amount)
 			}
@@ -165,14 +165,14 @@
 		strike func(r *lab.Rehearsal, owner int)
 	}{
 		{"the owner killed", func(r *lab.Rehearsal, owner int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 1e9})
+			r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{owner}, Duration: 1e9})
 		}},
 		{"the owner stopped, and woken", func(r *lab.Rehearsal, owner int) {
-			undo := r.Strike(emu.Fault{Kind: "proxy_pause", Proxies: []int{owner}})
+			undo := r.InjectFault(emu.Fault{Kind: "proxy_pause", Proxies: []int{owner}})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"all killed", func(r *lab.Rehearsal, _ int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2}, Duration: 2e8})
+			r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2}, Duration: 2e8})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/ivybank/plan_test.go
+++ b/cmd/ivybank/plan_test.go
@@ -47,7 +47,7 @@
 
 // planStatus returns what a proxy reports of the plan at its admin address.
 func planStatus(r *lab.Rehearsal, proxy int) (x planexec.Status, ok bool) {
-	text, err := callAdmin(http.MethodGet, r.Door(proxy), "/plans/kernel", nil)
+	text, err := callAdmin(http.MethodGet, r.AdminAddr(proxy), "/plans/kernel", nil)
 	var all []planexec.Status
 	if err != nil || json.Unmarshal(text, &all) != nil || len(all) != 1 {
 		return x, false
@@ -72,7 +72,7 @@
 					m.down++
 					m.maxDown = max(m.maxDown, m.down)
 					go func() {
-						undo := r.Strike(emu.Fault{Kind: "crash", Servers: []string{s.Server}})
+						undo := r.InjectFault(emu.Fault{Kind: "crash", Servers: []string{s.Server}})
 						time.Sleep(200 * time.Millisecond)
 						undo()
 						m.mu.Lock()
@@ -100,23 +100,23 @@
 	}{
 		{"no fault", "", nil},
 		{"the leader killed", "", func(r *lab.Rehearsal, leader int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, Duration: 1e9})
+			r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{leader}, Duration: 1e9})
 		}},
 		{"the leader paused and resumed", "", func(r *lab.Rehearsal, leader int) {
-			undo := r.Strike(emu.Fault{Kind: "proxy_pause", Proxies: []int{leader}})
+			undo := r.InjectFault(emu.Fault{Kind: "proxy_pause", Proxies: []int{leader}})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"the leader cut off in one direction", "", func(r *lab.Rehearsal, leader int) {
-			undo := r.Strike(emu.Fault{Kind: "split", Proxies: []int{leader}, Direction: "out"})
+			undo := r.InjectFault(emu.Fault{Kind: "split", Proxies: []int{leader}, Direction: "out"})
 			time.AfterFunc(5*time.Second, undo)
 		}},
 		{"all killed", "", func(r *lab.Rehearsal, _ int) {
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, Duration: 3e8})
+			r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{0, 1, 2, 3}, Duration: 3e8})
 		}},
 		{"a voter's folder lost", "", func(r *lab.Rehearsal, leader int) {
 			voter := (leader + 1) % 3
-			r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{voter}, Duration: 5e8})
-			r.Strike(emu.Fault{Kind: "state_lost", Proxies: []int{voter}})
+			r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{voter}, Duration: 5e8})
+			r.InjectFault(emu.Fault{Kind: "state_lost", Proxies: []int{voter}})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 			})
 			time.Sleep(time.Second) // of load before the plan
 			eventually(t, "the plan is accepted", func() bool {
-				_, err := callAdmin(http.MethodPut, r.Door(3), "/plans/kernel", []byte(testPlan))
+				_, err := callAdmin(http.MethodPut, r.AdminAddr(3), "/plans/kernel", []byte(testPlan))
 				return err == nil
 			})
 			if c.strike != nil {
--- a/cmd/ivybank/recovery_test.go
+++ b/cmd/ivybank/recovery_test.go
@@ -103,7 +103,7 @@
 	eventually(t, "there is a snapshot", func() bool { v, ok := r.Returned(1); return ok && v.Written > 0 })
 	for n := range 8 {
 		before, _ := r.View(1)
-		r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 1e6})
+		r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 1e6})
 		eventually(t, "it is back", func() bool { v, ok := r.View(1); return ok && v.Incarnation > before.Incarnation })
 		v, ok := r.Returned(1)
 		if !ok || v.Refused > 0 || len(v.Kept) == 0 {
@@ -118,7 +118,7 @@
 	t.Parallel()
 	r := startRecoveryFleet(t, 2, "4s", recoveryOperatorFile, "")
 	eventually(t, "there is a snapshot", func() bool { v, ok := r.Returned(0); return ok && v.Written > 0 })
-	r.Strike(emu.Fault{Kind: "state_full", Proxies: []int{0, 1}})
+	r.InjectFault(emu.Fault{Kind: "state_full", Proxies: []int{0, 1}})
 	eventually(t, "writing fails", func() bool { v, ok := r.Returned(0); return ok && v.Unwritten > 1 })
 	f, err := r.Play()
 	checkRecovered(t, f, err)
@@ -269,14 +269,14 @@
 			waitAlive(t, r, 3, 0, 1, 2)
 			ask := func(key string) (int, string) { return r.Ask(1, "filing", "Idempotency-Key", key) }
 			eventually(t, "keys are accepted", func() bool { status, _ := ask("first"); return status == 200 })
-			r.Strike(emu.Fault{Kind: "state_save", Proxies: []int{1}})
+			r.InjectFault(emu.Fault{Kind: "state_save", Proxies: []int{1}})
 			time.Sleep(300 * time.Millisecond) // until the copy has been made
 			if status, outcome := ask("second"); status != 200 {
 				t.Fatalf("got %d (%s) for the first request with a key", status, outcome)
 			}
 			time.Sleep(1500 * time.Millisecond) // until peers know and a snapshot has been written; a longer wait does no harm
-			if r.Strike(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 500e6}); c.fault != "" {
-				r.Strike(emu.Fault{Kind: c.fault, Proxies: []int{1}})
+			if r.InjectFault(emu.Fault{Kind: "proxy_kill", Proxies: []int{1}, Duration: 500e6}); c.fault != "" {
+				r.InjectFault(emu.Fault{Kind: c.fault, Proxies: []int{1}})
 			} else if err := os.RemoveAll(filepath.Join(r.Folder(1), "keys")); err != nil {
 				t.Fatal(err)
 			}
--- a/rehearse/lab/baseline.go
+++ b/rehearse/lab/baseline.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns what the module is compared with: policies of a few lines behind the module's interface. They keep to the
-// same rules on dispatching again and on denying, and differ in which server they take. They must never leave the lab.
+// This file holds the baseline policies that the decision module is compared with. They implement the module's
+// interface and keep to the same rules on repeated dispatches and on denials; they differ only in how they choose a
+// server. They must never be used outside this package.
 
 import (
 	"cmp"
@@ -13,67 +14,72 @@
 	"ivybank/rehearse/emu"
 )
 
-// Policies are those that a variant may name.
+// Policies lists the policy names that a variant may use.
 var Policies = []string{"module", "random", "least", "two", "oracle"}
 
-// newPolicy gives what puts a policy in a balancer's place.
+// newPolicy returns a constructor for the named policy.
 func newPolicy(name string, f *emu.Fleet) func(t balance.Config, now int64) emu.Policy {
 	return func(t balance.Config, now int64) emu.Policy {
 		if name == "module" {
 			return balance.New(t, now)
 		}
-		p := &plain{t: t, reqs: map[uint64]*plainReq{}, out: map[string]int{}, asks: t.ListOnRequest}
-		p.dice.Seed = t.Seed
+		p := &baselinePolicy{config: t, reqs: map[uint64]*baselineRequest{}, inFlight: map[string]int{}, listNeeded: t.ListOnRequest}
+		p.random.Seed = t.Seed
 		switch name {
 		case "least":
-			p.pick = func(c []balance.Server, _ *plainReq) int { return p.lower(c, p.any(len(c)), 0, len(c)) }
+			p.pick = func(c []balance.Server, _ *baselineRequest) int {
+				return p.leastLoaded(c, p.randomIndex(len(c)), 0, len(c))
+			}
 		case "two":
-			p.pick = func(c []balance.Server, _ *plainReq) int { return p.lower(c, p.any(len(c)), p.any(len(c)), 1) }
+			p.pick = func(c []balance.Server, _ *baselineRequest) int {
+				return p.leastLoaded(c, p.randomIndex(len(c)), p.randomIndex(len(c)), 1)
+			}
 		case "oracle":
-			p.pick = func(c []balance.Server, r *plainReq) int { return quickest(f, t.Zone, c, r.Work) }
+			p.pick = func(c []balance.Server, r *baselineRequest) int { return fastestServer(f, t.Zone, c, r.Work) }
 		default:
-			p.pick = func(c []balance.Server, _ *plainReq) int { return p.any(len(c)) }
+			p.pick = func(c []balance.Server, _ *baselineRequest) int { return p.randomIndex(len(c)) }
 		}
 		return p
 	}
 }
 
-type plainReq struct {
+type baselineRequest struct {
 	balance.Arrival
-	rules  balance.RuleSet
-	giveUp int64
-	sends  []plainSend
-	outs   int
-	ended  bool
+	rules       balance.RuleSet
+	deadline    int64
+	attempts    []baselineAttempt
+	outstanding int
+	ended       bool
 }
 
-type plainSend struct {
-	srv   balance.Server
-	maybe bool
-	out   bool
-	at    int64
+type baselineAttempt struct {
+	srv         balance.Server
+	mayHaveRun  bool
+	outstanding bool
+	at          int64
 }
 
-// plain is a policy that knows the list and its own dispatches, nothing else.
-type plain struct {
-	t       balance.Config
-	dice    rng.Source
-	pick    func(c []balance.Server, r *plainReq) int
-	servers []balance.Server     // by id
-	reqs    map[uint64]*plainReq // emptied when a req has ended and nothing of it is out
-	open    []*plainReq          // in order of arrival; emptied by Next
-	out     map[string]int       // own dispatches at each server; emptied as they end
-	todo    []balance.Decision
-	planned bool
-	asks    bool
-	askAt   int64
+// baselinePolicy is a policy that knows only the server list and its own dispatches.
+type baselinePolicy struct {
+	config      balance.Config
+	random      rng.Source
+	pick        func(c []balance.Server, r *baselineRequest) int
+	servers     []balance.Server            // sorted by ID
+	reqs        map[uint64]*baselineRequest // an entry is removed when its request has ended and no attempt is outstanding
+	open        []*baselineRequest          // in order of arrival; plan removes requests that have ended
+	inFlight    map[string]int              // this policy's outstanding dispatches by server ID; removed as they end
+	decisions   []balance.Decision
+	planned     bool
+	listNeeded  bool
+	listRetryAt int64
 }
 
-func (p *plain) any(n int) int { return min(n-1, int(p.dice.Next()*float64(n))) }
+func (p *baselinePolicy) randomIndex(n int) int { return min(n-1, int(p.random.Next()*float64(n))) }
 
-// lower is the first of n servers from i on, counted round from j, that has the fewest own dispatches for its size.
-func (p *plain) lower(c []balance.Server, i, j, n int) int {
-	load := func(k int) float64 { return float64(p.out[c[k].ID]+1) / max(0.1, c[k].Share) }
+// leastLoaded compares server i with n servers from index j on, wrapping around, and returns the first that has
+// the fewest of this policy's dispatches relative to its share.
+func (p *baselinePolicy) leastLoaded(c []balance.Server, i, j, n int) int {
+	load := func(k int) float64 { return float64(p.inFlight[c[k].ID]+1) / max(0.1, c[k].Share) }
 	for k := range n {
 		if at := (j + k) % len(c); load(at) < load(i) {
 			i = at
@@ -82,8 +88,8 @@
 	return i
 }
 
-// quickest is the server that would truly answer first.
-func quickest(f *emu.Fleet, zone string, c []balance.Server, work int64) int {
+// fastestServer returns the index of the reachable server with the lowest expected latency by its true state, or -1.
+func fastestServer(f *emu.Fleet, zone string, c []balance.Server, work int64) int {
 	best, took := -1, math.Inf(1)
 	for i, s := range c {
 		srv := f.Server(s.ID)
@@ -94,49 +100,49 @@
 	return best
 }
 
-func (p *plain) AddRequest(a balance.Arrival, now int64) {
-	r := &plainReq{Arrival: a, giveUp: now + a.Budget}
-	if x := p.t.RuleSet(a.RuleSet); x != nil {
+func (p *baselinePolicy) AddRequest(a balance.Arrival, now int64) {
+	r := &baselineRequest{Arrival: a, deadline: now + a.Budget}
+	if x := p.config.RuleSet(a.RuleSet); x != nil {
 		r.rules = *x
-		r.giveUp = min(r.giveUp, now+x.ResponseTarget)
+		r.deadline = min(r.deadline, now+x.ResponseTarget)
 	}
-	r.giveUp -= 2 * p.t.Tick
+	r.deadline -= 2 * p.config.Tick
 	p.reqs[a.ID] = r
 	p.open = append(p.open, r)
 }
 
-func (p *plain) Withdrawn(id uint64) {
+func (p *baselinePolicy) Withdrawn(id uint64) {
 	if r := p.reqs[id]; r != nil {
 		p.end(r)
 	}
 }
 
-func (p *plain) end(r *plainReq) {
+func (p *baselinePolicy) end(r *baselineRequest) {
 	r.ended = true
-	if r.outs == 0 {
+	if r.outstanding == 0 {
 		delete(p.reqs, r.ID)
 	}
 }
 
-func (p *plain) Finished(id uint64, n int, o balance.Outcome, final bool, _, _ int64) {
+func (p *baselinePolicy) Finished(id uint64, n int, o balance.Outcome, final bool, _, _ int64) {
 	r := p.reqs[id]
-	if r == nil || n >= len(r.sends) || !r.sends[n].out {
+	if r == nil || n >= len(r.attempts) || !r.attempts[n].outstanding {
 		return
 	}
-	s := &r.sends[n]
-	s.out, s.maybe = false, o != balance.Refused && o != balance.NoConnection && o != balance.NotSent
-	r.outs--
-	if p.out[s.srv.ID]--; p.out[s.srv.ID] == 0 {
-		delete(p.out, s.srv.ID)
+	s := &r.attempts[n]
+	s.outstanding, s.mayHaveRun = false, o != balance.Refused && o != balance.NoConnection && o != balance.NotSent
+	r.outstanding--
+	if p.inFlight[s.srv.ID]--; p.inFlight[s.srv.ID] == 0 {
+		delete(p.inFlight, s.srv.ID)
 	}
 	if final || r.ended {
 		p.end(r)
 	}
 }
 
-func (p *plain) UpdateList(form balance.ListForm, entries []balance.Server, now int64) {
+func (p *baselinePolicy) UpdateList(form balance.ListForm, entries []balance.Server, now int64) {
 	if form == balance.ListUnavailable {
-		p.askAt = now + 5e8
+		p.listRetryAt = now + 5e8
 		return
 	}
 	if form != balance.ListUpdate {
@@ -152,69 +158,69 @@
 	}
 }
 
-func (p *plain) Next(now int64) (balance.Decision, bool) {
+func (p *baselinePolicy) Next(now int64) (balance.Decision, bool) {
 	if !p.planned {
 		p.plan(now)
 	}
-	if p.planned = len(p.todo) > 0; !p.planned {
+	if p.planned = len(p.decisions) > 0; !p.planned {
 		return balance.Decision{}, false
 	}
-	d := p.todo[0]
-	p.todo = p.todo[1:]
+	d := p.decisions[0]
+	p.decisions = p.decisions[1:]
 	return d, true
 }
 
-func (p *plain) plan(now int64) {
-	if p.asks || p.askAt > 0 && now >= p.askAt {
-		p.asks, p.askAt = false, 0
-		p.todo = append(p.todo, balance.Decision{Kind: balance.RequestList})
+func (p *baselinePolicy) plan(now int64) {
+	if p.listNeeded || p.listRetryAt > 0 && now >= p.listRetryAt {
+		p.listNeeded, p.listRetryAt = false, 0
+		p.decisions = append(p.decisions, balance.Decision{Kind: balance.RequestList})
 	}
 	next := int64(math.MaxInt64)
-	if p.askAt > 0 {
-		next = p.askAt
+	if p.listRetryAt > 0 {
+		next = p.listRetryAt
 	}
-	p.open = slices.DeleteFunc(p.open, func(r *plainReq) bool { return r.ended })
+	p.open = slices.DeleteFunc(p.open, func(r *baselineRequest) bool { return r.ended })
 	for _, r := range p.open {
-		if r.outs == 0 && now < r.giveUp {
+		if r.outstanding == 0 && now < r.deadline {
 			p.dispatch(r, now)
 		}
-		if !r.ended && (r.outs == 0 || now >= r.giveUp) {
+		if !r.ended && (r.outstanding == 0 || now >= r.deadline) {
 			d := balance.Decision{Kind: balance.Abort, Request: r.ID}
-			if p.harmless(r) {
-				d.Kind, d.Time = balance.Deny, min(p.t.MaxRetryAfter, r.rules.ResponseTarget/5)
+			if p.canDeny(r) {
+				d.Kind, d.Time = balance.Deny, min(p.config.MaxRetryAfter, r.rules.ResponseTarget/5)
 			}
-			p.todo = append(p.todo, d)
-			for i, s := range r.sends {
-				if s.out {
-					p.todo = append(p.todo, balance.Decision{Kind: balance.Cancel, Request: r.ID, Attempt: i})
+			p.decisions = append(p.decisions, d)
+			for i, s := range r.attempts {
+				if s.outstanding {
+					p.decisions = append(p.decisions, balance.Decision{Kind: balance.Cancel, Request: r.ID, Attempt: i})
 				}
 			}
 			p.end(r)
 		}
 		if !r.ended {
-			next = min(next, r.giveUp)
+			next = min(next, r.deadline)
 		}
 	}
 	if next < math.MaxInt64 {
-		p.todo = append(p.todo, balance.Decision{Kind: balance.Wake, Time: max(p.t.Tick, next-now)})
+		p.decisions = append(p.decisions, balance.Decision{Kind: balance.Wake, Time: max(p.config.Tick, next-now)})
 	}
 }
 
-func (p *plain) harmless(r *plainReq) bool {
-	return r.rules.CanDenyAfterRun() || !slices.ContainsFunc(r.sends, func(s plainSend) bool { return s.maybe || s.out })
+func (p *baselinePolicy) canDeny(r *baselineRequest) bool {
+	return r.rules.CanDenyAfterRun() || !slices.ContainsFunc(r.attempts, func(s baselineAttempt) bool { return s.mayHaveRun || s.outstanding })
 }
 
-// dispatch takes a server of those that the rules leave.
-func (p *plain) dispatch(r *plainReq, now int64) {
-	if len(r.sends) >= p.t.MaxDispatches {
+// dispatch sends the request to one of the servers that the repetition rules still allow.
+func (p *baselinePolicy) dispatch(r *baselineRequest, now int64) {
+	if len(r.attempts) >= p.config.MaxDispatches {
 		return
 	}
 	left := slices.DeleteFunc(slices.Clone(p.servers), func(s balance.Server) bool {
 		if s.State != balance.Running {
 			return true
 		}
-		return slices.ContainsFunc(r.sends, func(x plainSend) bool {
-			return x.maybe && !r.rules.CanRepeat(x.srv, s, x.at, now)
+		return slices.ContainsFunc(r.attempts, func(x baselineAttempt) bool {
+			return x.mayHaveRun && !r.rules.CanRepeat(x.srv, s, x.at, now)
 		})
 	})
 	if len(left) == 0 {
@@ -224,8 +230,8 @@
 	if i < 0 {
 		return
 	}
-	r.sends = append(r.sends, plainSend{srv: left[i], maybe: true, out: true, at: now})
-	r.outs++
-	p.out[left[i].ID]++
-	p.todo = append(p.todo, balance.Decision{Kind: balance.Dispatch, Request: r.ID, Server: left[i].ID, Time: r.giveUp})
+	r.attempts = append(r.attempts, baselineAttempt{srv: left[i], mayHaveRun: true, outstanding: true, at: now})
+	r.outstanding++
+	p.inFlight[left[i].ID]++
+	p.decisions = append(p.decisions, balance.Decision{Kind: balance.Dispatch, Request: r.ID, Server: left[i].ID, Time: r.deadline})
 }
--- a/rehearse/lab/clients.go
+++ b/rehearse/lab/clients.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the clients on sockets: each ask at its time, whether or not the machine keeps up, with its retries. It must never
-// hold an ask back for one before it.
+// This file holds the clients of the sockets and processes modes: each request is sent at its time, with its retries,
+// whether or not the machine keeps up. A request must never be held back for an earlier one.
 
 import (
 	"context"
@@ -19,7 +19,8 @@
 	"ivybank/rehearse/emu"
 )
 
-// play sends the load, each ask at its time. What waits for a machine that is late counts from the time at which it was due.
+// play sends the load, each request at its time. Latency counts from the time at which a request was due, so that a
+// delay of the load generator itself is included.
 func (r *rig) play(l load, m *measure, f *Figures) error {
 	client := &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: 1 << 14, DisableCompression: true}
 	defer client.CloseIdleConnections()
@@ -49,7 +50,7 @@
 		n++
 		number := n
 		asks.Go(func() {
-			if x, asked := r.ask(client, r.procs[at%len(r.procs)], number, a, due); asked {
+			if x, asked := r.runClient(client, r.procs[at%len(r.procs)], number, a, due); asked {
 				x.Balancer = at
 				results <- x
 			}
@@ -66,75 +67,77 @@
 	return err
 }
 
-// unusable says why a run does not count, empty where it does.
+// unusable returns the reason why a run does not count, or "" if it does. late is the 99th percentile in ms.
 func unusable(late float64) string {
-	if late*1e3 <= mostLate {
+	if late*1e3 <= maxLateMicroseconds {
 		return ""
 	}
 	return fmt.Sprintf("the load came %.0f ms late (99 in 100)", late)
 }
 
-// ask is one client with its retries; false where its proxy has gone before the first: the two stop and start together.
-func (r *rig) ask(client *http.Transport, p *process, n int, a emu.Request, due time.Time) (emu.Result, bool) {
-	x := r.e.clients()
+// runClient sends one request with its retries. It returns false if the proxy was already gone at the first attempt: a
+// client stops and starts together with its proxy.
+func (r *rig) runClient(client *http.Transport, p *process, n int, a emu.Request, due time.Time) (emu.Result, bool) {
+	x := r.e.clientConfig()
 	key := ""
 	if r.e.Load.Key != "" {
 		key = fmt.Sprint("filing-", n)
 	}
 	for try := 1; ; try++ {
-		got := r.try(client, p, n, try, key, a)
-		if got.gone && try == 1 {
+		got := r.sendAttempt(client, p, n, try, key, a)
+		if got.connectionRefused && try == 1 {
 			return emu.Result{}, false
 		}
-		again := got.kind == emu.Denied || key != "" && (got.kind == emu.Unanswered || got.open)
+		again := got.kind == emu.Denied || key != "" && (got.kind == emu.Unanswered || got.stillOpen)
 		if !again || try > x.MaxRetries || key == "" && int64(time.Since(due)) >= x.Timeout {
 			if key != "" {
-				r.hold(key, got.kind, a)
+				r.checkKeyedAnswer(key, got.kind, a)
 			}
 			return emu.Result{Request: a, Kind: got.kind, Latency: int64(time.Since(due)), Attempts: try}, true
 		}
-		if got.back <= 0 || r.e.Load.Ignores {
-			got.back = time.Duration(x.RetryDelay)
+		if got.retryAfter <= 0 || r.e.Load.Ignores {
+			got.retryAfter = time.Duration(x.RetryDelay)
 		}
-		time.Sleep(got.back)
+		time.Sleep(got.retryAfter)
 	}
 }
 
-// hold holds what a client was told of its key against what the servers saw.
-func (r *rig) hold(key string, kind emu.ResultKind, a emu.Request) {
-	if r.rules(a.RuleSet).Effect == balance.Replayable {
+// checkKeyedAnswer compares the final answer for an idempotency key with the executions that the servers counted.
+func (r *rig) checkKeyedAnswer(key string, kind emu.ResultKind, a emu.Request) {
+	if r.ruleSet(a.RuleSet).Effect == balance.Replayable {
 		return
 	}
 	r.clock.Do(func() {
 		switch runs := r.fleet.Checker.Executions(key); {
 		case kind == emu.Done && runs != 1:
-			r.fleet.Checker.ContradictedAnswer("%s was answered as done, and ran %d times", key, runs)
+			r.fleet.Checker.ContradictedAnswer("%s was answered as done, but was executed %d times", key, runs)
 		case kind == emu.Denied && runs != 0:
-			r.fleet.Checker.ContradictedAnswer("%s was denied, and ran %d times", key, runs)
+			r.fleet.Checker.ContradictedAnswer("%s was denied, but was executed %d times", key, runs)
 		}
 	})
 }
 
-// told is what one try got.
-type told struct {
-	kind emu.ResultKind
-	back time.Duration
-	open bool // the first attempt is still open
-	gone bool // nobody listened
+// attemptResult is the outcome of one attempt.
+type attemptResult struct {
+	kind              emu.ResultKind
+	retryAfter        time.Duration
+	stillOpen         bool // the first attempt with this key is still in progress
+	connectionRefused bool // the proxy was down and nothing listened on its port
 }
 
-func (r *rig) try(client *http.Transport, p *process, n, number int, key string, a emu.Request) told {
+func (r *rig) sendAttempt(client *http.Transport, p *process, n, number int, key string, a emu.Request) attemptResult {
 	id := fmt.Sprintf("%d-%d", n, number)
-	x := r.e.clients()
-	ctx, cancel := context.WithTimeout(r.ctx, time.Duration(x.Timeout)+100*time.Millisecond) // an answer that is late is seen to be
+	x := r.e.clientConfig()
+	// Wait past the timeout, so that a late answer is recorded as late.
+	ctx, cancel := context.WithTimeout(r.ctx, time.Duration(x.Timeout)+100*time.Millisecond)
 	defer cancel()
 	method := http.MethodPost
-	if r.rules(a.RuleSet).Effect == balance.Replayable {
+	if r.ruleSet(a.RuleSet).Effect == balance.Replayable {
 		method = http.MethodGet
 	}
 	q, err := http.NewRequestWithContext(ctx, method, fmt.Sprintf("http://%s/api?n=%d", p.listen, n), nil)
 	if err != nil {
-		return told{kind: emu.Unanswered}
+		return attemptResult{kind: emu.Unanswered}
 	}
 	q.Header = http.Header{"Request-Id": {id}, "Request-Class": {a.RuleSet}, "Tenant": {a.Tenant}, "Affinity-Key": {a.Key},
 		"Request-Timeout": {fmt.Sprintf("%.3f", float64(x.Timeout)/1e9)}, "Request-Info": {fmt.Sprintf("CostGuessNs=%d", a.Work)}}
@@ -143,10 +146,10 @@
 		q.Header.Set(r.e.Load.Key, key)
 		want = key
 	}
-	hurt := p.hurt.Load()
+	hurt := p.outageChanges.Load()
 	r.clock.Do(func() {
-		r.asked[id] = r.clock.Now()
-		r.fleet.Checker.RequestAccepted(id, r.asked[id]+x.Timeout+50e6)
+		r.requestTimes[id] = r.clock.Now()
+		r.fleet.Checker.RequestAccepted(id, r.requestTimes[id]+x.Timeout+50e6)
 	})
 	answer, err := client.RoundTrip(q)
 	var body []byte
@@ -155,19 +158,19 @@
 		_ = answer.Body.Close()
 	}
 	if err != nil {
-		// What a proxy held when it was killed is for the client to ask again, and one that was stopped could not answer.
-		if p.hurt.Load() != hurt || p.down.Load() > 0 {
+		// Requests held by a killed proxy are for the client to retry, and a paused proxy could not answer.
+		if p.outageChanges.Load() != hurt || p.outages.Load() > 0 {
 			r.clock.Do(func() { r.fleet.Checker.ClientLeft(id) })
 		}
-		return told{kind: emu.Unanswered, gone: p.down.Load() > 0 && errors.Is(err, syscall.ECONNREFUSED)}
+		return attemptResult{kind: emu.Unanswered, connectionRefused: p.outages.Load() > 0 && errors.Is(err, syscall.ECONNREFUSED)}
 	}
 	r.clock.Do(func() {
-		if p.hurt.Load() != hurt || p.down.Load() > 0 { // it may be late by as long as its proxy was stopped
+		if p.outageChanges.Load() != hurt || p.outages.Load() > 0 { // the answer may be late by as long as its proxy was paused
 			r.fleet.Checker.ClientLeft(id)
 			return
 		}
 		if answer.StatusCode == http.StatusOK && string(body) != want {
-			r.fleet.Checker.ContradictedAnswer("req %s got an answer that was not made for it: %q", id, body)
+			r.fleet.Checker.ContradictedAnswer("request %s received the answer to another request: %q", id, body)
 		}
 		r.fleet.Checker.Answered(id)
 	})
@@ -176,9 +179,9 @@
 	back := time.Duration(s * 1e9)
 	switch answer.StatusCode {
 	case http.StatusOK:
-		return told{kind: emu.Done}
+		return attemptResult{kind: emu.Done}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return told{kind: emu.Denied, back: back}
+		return attemptResult{kind: emu.Denied, retryAfter: back}
 	}
-	return told{kind: emu.Aborted, back: back, open: answer.Header.Get("Idempotency-Outcome") == "open"}
+	return attemptResult{kind: emu.Aborted, retryAfter: back, stillOpen: answer.Header.Get("Idempotency-Outcome") == "open"}
 }
--- a/rehearse/lab/experiment.go
+++ b/rehearse/lab/experiment.go
@@ -1,7 +1,8 @@
-// Package lab plays experiments against a rehearsed fleet: in virtual time with the decision module, or on loopback with the
-// built program. It keeps what came of them as tables and charts.
+// Package lab runs experiments against an emulated fleet: in virtual time with the decision module, or on loopback with
+// the built program. It writes the results as tables and charts.
 //
-// This file owns the experiment file. It must never take one in part, nor guess what it does not say.
+// This file holds the experiment file format. A file must never be accepted in part, and missing values must never be
+// guessed.
 package lab
 
 import (
@@ -17,10 +18,10 @@
 	"ivybank/rehearse/trace"
 )
 
-// Format is what an experiment file says it is.
+// Format is the value of the format field of an experiment file.
 const Format = "ivybank/experiment/1"
 
-// Experiment is an experiment file.
+// Experiment is a parsed experiment file.
 type Experiment struct {
 	Format string        `toml:"format"`
 	Name   string        `toml:"name"`
@@ -28,7 +29,7 @@
 	Mode   string        `toml:"mode"` // virtual, sockets or processes
 	Seeds  []uint64      `toml:"seeds"`
 	Length conf.Duration `toml:"length"`
-	Warm   conf.Duration `toml:"warm"` // from the start, left out of the figures
+	Warm   conf.Duration `toml:"warm"` // warm-up at the start, left out of the figures
 
 	Fleet struct {
 		Balancers     int           `toml:"balancers"`
@@ -55,19 +56,19 @@
 	} `toml:"fleet"`
 
 	Load struct {
-		Rate    float64       `toml:"rate"`   // reqs a second, all balancers together
-		Swing   float64       `toml:"swing"`  // part by which the rate is raised and lowered in turn,
-		Each    conf.Duration `toml:"each"`   // for so long each
-		Uneven  float64       `toml:"uneven"` // the n-th balancer gets as 1 over n to this power; 0: all the same
+		Rate    float64       `toml:"rate"`   // requests per second, over all balancers
+		Swing   float64       `toml:"swing"`  // fraction by which the rate is raised and lowered in turn
+		Each    conf.Duration `toml:"each"`   // duration of each raised or lowered period
+		Uneven  float64       `toml:"uneven"` // exponent: the n-th balancer's share is 1/n^uneven; 0: equal shares
 		Keys    int           `toml:"keys"`
-		Skew    float64       `toml:"skew"` // of keys: the n-th is asked for as 1 over n to this power
+		Skew    float64       `toml:"skew"` // exponent: the n-th key is requested in proportion to 1/n^skew
 		Work    conf.Duration `toml:"work"`
-		Spread  string        `toml:"spread"` // of work: fixed, uniform or exponential
+		Spread  string        `toml:"spread"` // distribution of work: fixed, uniform or exponential
 		Timeout conf.Duration `toml:"timeout"`
 		Retries int           `toml:"retries"`
 		Wait    conf.Duration `toml:"wait"`
-		Ignores bool          `toml:"ignores_advice"` // clients come again after wait whatever they are told
-		Key     string        `toml:"idempotent"`     // sockets: the field in which each ask's tries carry one key
+		Ignores bool          `toml:"ignores_advice"` // clients retry after wait and ignore Retry-After
+		Key     string        `toml:"idempotent"`     // sockets: header in which all attempts of a request carry the same idempotency key
 		Tenants []struct {
 			Name  string  `toml:"name"`
 			Share float64 `toml:"share"`
@@ -81,9 +82,9 @@
 		Window conf.Duration `toml:"window"`
 		Target conf.Duration `toml:"response_target"`
 		Value  float64       `toml:"value"`
-		Share  float64       `toml:"share"` // of reqs
+		Share  float64       `toml:"share"` // relative share of the requests
 
-		Proxies []int `toml:"proxies"` // where its reqs come; empty: everywhere
+		Proxies []int `toml:"proxies"` // indices of the proxies that receive its requests; empty: all
 	} `toml:"ruleset"`
 
 	Trace *Trace `toml:"trace"`
@@ -106,40 +107,40 @@
 		Spread  conf.Duration `toml:"spread"`
 	} `toml:"fault"`
 
-	Maintenance *maintenance `toml:"maintenance"` // nil: nothing is done to servers
+	Maintenance *maintenance `toml:"maintenance"` // nil: no maintenance
 
-	Limits string `toml:"limits"` // processes: an operator file by whose limits all variants are judged
+	Limits string `toml:"limits"` // processes: the operator file whose limits all variants are checked against
 
 	Variants []Variant `toml:"variant"`
 
 	path string
 }
 
-// Variant is one of what an experiment compares.
+// Variant is one of the configurations that an experiment compares.
 type Variant struct {
 	Name     string `toml:"name"`
-	Policy   string `toml:"policy"`   // virtual
-	Operator string `toml:"operator"` // an operator file, beside the experiment's; virtual: its [fleet]
-	Build    string `toml:"build"`    // sockets: the program; empty: this one
+	Policy   string `toml:"policy"`   // virtual only
+	Operator string `toml:"operator"` // an operator file, relative to the experiment file; virtual uses only its [fleet]
+	Build    string `toml:"build"`    // sockets: path of the program; empty: this program
 
-	Maintenance string `toml:"maintenance"` // processes: plan, timer or at once; empty: none
+	Maintenance string `toml:"maintenance"` // processes: plan, timer or at once; empty: no maintenance
 
-	Others      []string `toml:"others"`       // processes: build and operator file of the last few proxies, which differ
-	OthersCount int      `toml:"others_count"` // how many
+	Others      []string `toml:"others"`       // processes: build and operator file of the last OthersCount proxies
+	OthersCount int      `toml:"others_count"` // number of proxies that use Others
 }
 
-// Trace is a load from a trace file in place of a generated one.
+// Trace describes a load that is read from a trace file instead of being generated.
 type Trace struct {
-	File     string            `toml:"file"` // beside the experiment's
+	File     string            `toml:"file"` // relative to the experiment file
 	Layout   string            `toml:"layout"`
-	Columns  map[string]string `toml:"columns"` // what the layout calls them = what the file does
-	Speed    float64           `toml:"speed"`   // times faster than it was
-	Part     float64           `toml:"part"`    // of its rows, drawn by seed
-	Work     float64           `toml:"work"`    // work is so many times what the trace tells
+	Columns  map[string]string `toml:"columns"` // column name in the layout = column name in the file
+	Speed    float64           `toml:"speed"`   // factor by which the replay is faster than the trace
+	Part     float64           `toml:"part"`    // fraction of the rows to play, drawn by seed
+	Work     float64           `toml:"work"`    // factor applied to the work in the trace
 	LeastFor conf.Duration     `toml:"least_work"`
 	MostFor  conf.Duration     `toml:"most_work"`
-	RuleSets map[string]string `toml:"rulesets"` // kind in the trace = rule set; "*" is for all others
-	Problems int               `toml:"problems"` // bad rows past which a run stops
+	RuleSets map[string]string `toml:"rulesets"` // request kind in the trace = rule set; "*" covers all others
+	Problems int               `toml:"problems"` // a run stops when it meets more bad rows than this
 }
 
 var effects = map[string]balance.Effect{"replayable": balance.Replayable, "uniqued": balance.Deduplicated, "non-replayable": balance.NonReplayable}
@@ -154,7 +155,7 @@
 	return Read(path, text)
 }
 
-// Read is Load for a text.
+// Read parses and checks the text of an experiment file; path is used in errors and to resolve the files that it names.
 func Read(path string, text []byte) (*Experiment, error) {
 	e := &Experiment{}
 	f, err := conf.Read(path, text, e)
@@ -168,7 +169,7 @@
 	return e, nil
 }
 
-// check holds what one field cannot say by its kind.
+// check validates what the types of the fields do not.
 func (e *Experiment) check(f *conf.File) error {
 	rules := []conf.Rule{
 		{e.Format != Format, "format", fmt.Sprintf("expected %q", Format)},
@@ -251,7 +252,7 @@
 	return f.CheckRules("", rules)
 }
 
-// Once narrows an experiment to one run of one policy in virtual time.
+// Once reduces the experiment to one run, with its first seed, of one policy in virtual time.
 func (e *Experiment) Once(policy string) error {
 	if !slices.Contains(Policies, policy) {
 		return fmt.Errorf("policy %q: expected one of %v", policy, Policies)
@@ -260,8 +261,8 @@
 	return nil
 }
 
-// terms is what the module would be told of this deployment.
-func (e *Experiment) terms() balance.Config {
+// balanceConfig returns the balancer configuration of this deployment.
+func (e *Experiment) balanceConfig() balance.Config {
 	t := balance.Config{MaxDispatches: 3, CanCancel: true, MaxRetryAfter: 15e8, ListOnRequest: true, AskWithin: 2e9,
 		StartCapacity: e.Fleet.StartCapacity, RampTime: int64(e.Fleet.Ramp), CrossZonePrice: 0.01, WastePrice: 0.05, Tick: 5e6,
 		FleetSize: e.Fleet.Balancers, OverloadFactor: e.Fleet.FallOver, OverloadTime: int64(e.Fleet.FallAfter)}
@@ -275,10 +276,10 @@
 	return t
 }
 
-// zone is where the n-th balancer or server stands.
+// zone returns the zone of the n-th balancer or server.
 func (e *Experiment) zone(n int) string { return e.Fleet.Zones[n%len(e.Fleet.Zones)] }
 
-// machines spreads the kinds of machine over the zones.
+// machines returns all machines, spread over the zones in turn.
 func (e *Experiment) machines() (all []emu.Machine) {
 	for _, m := range e.Fleet.Machines {
 		for range m.Count {
@@ -290,13 +291,13 @@
 	return all
 }
 
-func (e *Experiment) nature() emu.ServerParams {
+func (e *Experiment) serverParams() emu.ServerParams {
 	x := &e.Fleet
 	return emu.ServerParams{QueueCapacity: x.Queue, CacheKeys: x.CacheKeys, CacheTTL: int64(x.CacheFor), CacheSavings: x.CacheSaves, RampTime: int64(x.Ramp),
 		StartCapacity: x.StartCapacity, OverloadFactor: x.FallOver, OverloadWindow: int64(x.FallAfter), ReportInterval: int64(x.ReportEvery)}
 }
 
-func (e *Experiment) wire() emu.Network {
+func (e *Experiment) network() emu.Network {
 	return emu.Network{SameZoneDelay: int64(e.Fleet.OneWay), CrossZoneDelay: int64(e.Fleet.Cross), DiscoveryDelay: int64(e.Fleet.Told)}
 }
 
@@ -308,17 +309,17 @@
 	return all
 }
 
-func (e *Experiment) clients() emu.ClientConfig {
+func (e *Experiment) clientConfig() emu.ClientConfig {
 	return emu.ClientConfig{Timeout: int64(e.Load.Timeout), MaxRetries: e.Load.Retries, RetryDelay: int64(e.Load.Wait), IgnoreRetryAfter: e.Load.Ignores}
 }
 
-// beside is a file that an experiment names.
-func (e *Experiment) beside(file string) string {
+// resolvePath returns the path of a file that the experiment names, relative to the experiment file.
+func (e *Experiment) resolvePath(file string) string {
 	if filepath.IsAbs(file) {
 		return file
 	}
 	file = filepath.Join(filepath.Dir(e.path), file)
-	if whole, err := filepath.Abs(file); err == nil { // a proxy runs in a folder of its own
+	if whole, err := filepath.Abs(file); err == nil { // absolute, because a proxy runs in a folder of its own
 		return whole
 	}
 	return file
--- a/rehearse/lab/gentrace.go
+++ b/rehearse/lab/gentrace.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns made traces: files in the public layouts for tests and rehearsals where no real one is at hand. They tell
-// nothing of any real cluster.
+// This file holds the generator of synthetic traces: files in the public layouts, for tests and experiments where no
+// real trace is available. They say nothing about any real cluster.
 
 import (
 	"bufio"
@@ -13,10 +13,11 @@
 	"ivybank/internal/rng"
 )
 
-// MadeLayouts are those that a trace can be made in.
+// MadeLayouts lists the layouts that MakeTrace can write.
 var MadeLayouts = []string{"alibaba-2018-batch-task", "azure-2021-invocations", "google-2011-task-events"}
 
-// MakeTrace writes a trace of so many arrivals, drawn by seed: a rate that swings by the minute, work with a long tail.
+// MakeTrace writes a trace with the given number of rows, drawn by seed. The rate, in arrivals per second, varies with
+// a period of a minute, and the work has a long-tailed distribution.
 func MakeTrace(to io.Writer, layout string, rows int, rate float64, seed uint64) error {
 	if !slices.Contains(MadeLayouts, layout) {
 		return fmt.Errorf("layout %q: expected one of %v", layout, MadeLayouts)
@@ -37,13 +38,13 @@
 		at, work = math.Round(at*1e6)/1e6, math.Round(work*1e6)/1e6
 		switch layout {
 		case "azure-2021-invocations":
-			// What arrives in order ends in none, so the file is written by arrival, as the reader wants it.
+			// The rows are in order of arrival, which is what the reader expects; their end times are in no order.
 			fmt.Fprintf(w, "app%d,func%d,%.6f,%.6f\n", tenant, key, at+work, work)
 		case "alibaba-2018-batch-task":
 			fmt.Fprintf(w, "M1,1,j_%d,%d,Terminated,%.0f,%.0f,100,0.3\n", key, tenant, math.Floor(at), math.Floor(at)+math.Ceil(work))
 		default:
 			fmt.Fprintf(w, "%.0f,,%d,0,%d,0,user%d,%d,9,%.4f,0.01,0.0001,0\n", at*1e6, key, key%40, tenant, tenant%4, work)
-			if dice.Next() < 0.3 { // its schedule event, which is no arrival
+			if dice.Next() < 0.3 { // a schedule event, which is not an arrival
 				fmt.Fprintf(w, "%.0f,,%d,0,%d,1,user%d,%d,9,%.4f,0.01,0.0001,0\n", at*1e6, key, key%40, tenant, tenant%4, work)
 			}
 		}
--- a/rehearse/lab/lab_test.go
+++ b/rehearse/lab/lab_test.go
@@ -17,7 +17,7 @@
 	"ivybank/rehearse/emu"
 )
 
-// text is a small experiment; with is written over it, line by line "from -> to".
+// text returns a small experiment file; each of with replaces one occurrence, as "from -> to".
 func text(with ...string) string {
 	s := `format = "ivybank/experiment/1"
 name = "small"
@@ -113,14 +113,15 @@
 
 func run(t *testing.T, e *Experiment, policy func(t balance.Config, now int64) emu.Policy) *Figures {
 	t.Helper()
-	f, err := virtual(e, e.Variants[0], 7, policy, &Problems{Tell: func(what string) { t.Log(what) }})
+	f, err := runVirtual(e, e.Variants[0], 7, policy, &Problems{Tell: func(what string) { t.Log(what) }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-// One seed decides all: the same twice, to the last decision, and another one differs.
+// The seed determines the whole run: two runs are equal up to the last decision, and another seed gives other
+// decisions.
 func TestRepeatable(t *testing.T) {
 	for _, policy := range Policies {
 		e := read(t, "policy = \"module\" -> policy = \""+policy+"\"")
@@ -129,7 +130,7 @@
 		if a, b := fmt.Sprintf("%+v", one), fmt.Sprintf("%+v", two); a != b {
 			t.Errorf("%s: got\n%s, then\n%s", policy, a, b)
 		}
-		other, err := virtual(e, e.Variants[0], 8, nil, &Problems{})
+		other, err := runVirtual(e, e.Variants[0], 8, nil, &Problems{})
 		if err != nil || other.Hash == one.Hash {
 			t.Errorf("%s: got the same decisions from another seed", policy)
 		}
@@ -139,7 +140,7 @@
 	}
 }
 
-// faulty is the module with one thing about it spoilt.
+// faulty is a policy whose decisions are changed by spoil.
 type faulty struct {
 	emu.Policy
 	spoil func(d balance.Decision) []balance.Decision
@@ -161,7 +162,7 @@
 	return d, true
 }
 
-// A planted breach of each rule is caught, by what servers and clients saw; the module alone has none.
+// A policy that breaks a rule on purpose is detected by what servers and clients saw; the unchanged module breaks none.
 func TestPlanted(t *testing.T) {
 	module := func(t balance.Config, now int64) emu.Policy { return balance.New(t, now) }
 	spoilt := func(spoil func(d balance.Decision) []balance.Decision) func(balance.Config, int64) emu.Policy {
@@ -198,7 +199,7 @@
 		}), 2},
 		"does not hear of drains": {[]string{"kind = \"crash\" -> kind = \"drain\"", "for = \"1s\" -> for = \"4s\""},
 			func(t balance.Config, now int64) emu.Policy { return &deaf{module(t, now)} }, 3},
-		// The module would hold itself back once answers are late, so chance is spoilt here.
+		// The module would reduce its dispatches once answers are late, so the random policy is changed here.
 		"floods a cold server": {[]string{"rate = 60.0 -> rate = 400.0"}, func(t balance.Config, now int64) emu.Policy {
 			return &faulty{Policy: newPolicy("random", nil)(t, now), spoil: as(func(d *balance.Decision) {
 				if d.Kind == balance.Dispatch {
@@ -221,7 +222,7 @@
 	}
 }
 
-// deaf hears of no change of the list.
+// deaf ignores all changes of the server list.
 type deaf struct{ emu.Policy }
 
 func (d *deaf) UpdateList(form balance.ListForm, entries []balance.Server, now int64) {
@@ -236,7 +237,7 @@
 		return run(t, e, nil).Service
 	}
 	if random, oracle := figure("random"), figure("oracle"); random >= oracle {
-		t.Errorf("got %.3f by chance and %.3f by the true state", random, oracle)
+		t.Errorf("got %.3f from the random policy and %.3f from the oracle", random, oracle)
 	}
 }
 
@@ -254,7 +255,7 @@
 			fmt.Sprintf("problems = %d\n", problems)+"[trace.rulesets]\nf1 = \"once\"\n\"*\" = \"again\"\n[[fault]]")
 		e.path = filepath.Join(folder, "small.toml")
 		var told []string
-		f, err := virtual(e, e.Variants[0], 1, nil, &Problems{Tell: func(what string) { told = append(told, what) }})
+		f, err := runVirtual(e, e.Variants[0], 1, nil, &Problems{Tell: func(what string) { told = append(told, what) }})
 		return f, told, err
 	}
 	one, told, err := play(rows, 0)
@@ -266,13 +267,13 @@
 	}
 	bad := strings.Replace(rows, "0.030\na1,", "never\na1,", 1)
 	if f, told, err := play(bad, 1); err != nil || f.Asks != 199 || f.Problems != 1 || len(told) != 1 || told[0] != `t.csv: line 2: duration="never" is no number` {
-		t.Errorf("got %+v, %q, %v, want one row told of and left out", f, told, err)
+		t.Errorf("got %+v, %q, %v, want one row reported and left out", f, told, err)
 	}
 	if _, _, err := play(bad, 0); !errors.Is(err, ErrProblems) {
 		t.Errorf("got %v, want the run stopped", err)
 	}
 	if f, told, err := play(rows[:len(rows)-5], 1); err != nil || f.Asks != 200 || len(told) != 1 || !strings.Contains(told[0], "cut") {
-		t.Errorf("got %+v, %q, %v, want a last line without its end told of", f, told, err)
+		t.Errorf("got %+v, %q, %v, want a last line without line end reported", f, told, err)
 	}
 }
 
@@ -336,7 +337,7 @@
 	}
 }
 
-// The load of a seed is one and the same whoever plays it, and is as much as was asked for.
+// The generated load has the configured rate, mean work and key skew, and is in time order.
 func TestLoad(t *testing.T) {
 	e := read(t, "length = \"6s\" -> length = \"100s\"")
 	g, n, work, keys := newGenerated(e, 3), 0, 0.0, map[string]int{}
@@ -360,7 +361,7 @@
 	}
 }
 
-// A machine that is late did not play the load; what it measured is marked.
+// A run in which the load generator was late is marked as unusable.
 func TestUnusable(t *testing.T) {
 	if unusable(1) != "" || !strings.Contains(unusable(40), "40 ms late") {
 		t.Errorf("got %q, %q", unusable(1), unusable(40))
--- a/rehearse/lab/limits.go
+++ b/rehearse/lab/limits.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the judge of limits that hold for a fleet: what the stand-ins' own count says of them. It
-// must never ask a proxy.
+// This file holds the check of fleet-wide limits against the requests that the emulated servers counted. It must never
+// use what a proxy reports.
 
 import (
 	"cmp"
@@ -13,27 +13,29 @@
 	"ivybank/conf"
 )
 
-// Arrival is the first dispatch of a req at a stand-in. Its proxy let it in at some moment between Asked and At.
+// Arrival is the first dispatch of a request at an emulated server. Its proxy admitted it at some time between Asked
+// and At.
 type Arrival struct {
 	Asked   int64 // when its client began to send it; ns of the rig's clock
-	At      int64 // when it came to the stand-in
+	At      int64 // when it reached the emulated server; ns
 	Proxy   int
 	RuleSet string
 	Tenant  string
 }
 
-// OverLimit is what came of a limit of a rate.
+// OverLimit is the result of checking one rate limit.
 type OverLimit struct {
 	Name    string
-	Let     int     // reqs
-	Used    float64 // part of the amount, after the warm-up
-	Over    float64 // reqs more than the amount and the burst of any stretch of time
-	Bound   float64 // reqs more than that which the file allows a second, by its floors
-	Breach  float64 // reqs more than with all floors in force all the time
-	Seconds []int   // let in each second
+	Let     int     // requests admitted
+	Used    float64 // fraction of the amount that was used after the warm-up
+	Over    float64 // most requests above amount and burst in any interval
+	Bound   float64 // requests per second above the amount that the file's floors allow
+	Breach  float64 // most requests above amount, burst and Bound in any interval
+	Seconds []int   // requests admitted in each second
 }
 
-// JudgeLimit holds arrivals against a limit, in a fleet of so many members; from is when the load began.
+// JudgeLimit checks arrivals against a rate limit in a fleet of the given number of members; from is when the load
+// began, in ns.
 func JudgeLimit(all []Arrival, l conf.Limit, members int, from int64) (x OverLimit) {
 	x.Name = l.Name
 	all = slices.DeleteFunc(slices.Clone(all), func(a Arrival) bool {
@@ -41,7 +43,7 @@
 	})
 	slices.SortFunc(all, func(x, y Arrival) int { return cmp.Compare(x.At, y.At) })
 	x.Bound = float64(members-1) * l.Floor
-	x.Let, x.Over, x.Breach = len(all), most(all, l.Amount, l.Burst), most(all, l.Amount+x.Bound, l.Burst)
+	x.Let, x.Over, x.Breach = len(all), maxExcess(all, l.Amount, l.Burst), maxExcess(all, l.Amount+x.Bound, l.Burst)
 	for _, a := range all {
 		i := int((a.At - from) / int64(time.Second))
 		for len(x.Seconds) <= max(0, i) {
@@ -52,11 +54,11 @@
 	return x
 }
 
-// most is by how many reqs at the most a rate and its burst were passed in any stretch of time, whenever each req was let in
-// between being asked for and arriving: what was asked for and came within a stretch was let in within it. So a req that
-// was long on its way, on a busy machine, counts against no stretch that it may not belong to, and one that was fast
-// against the shortest. all is in the order of arrival.
-func most(all []Arrival, rate float64, burst conf.Duration) (over float64) {
+// maxExcess returns the largest number of requests by which a rate and its burst were exceeded in any interval. A
+// request counts only in intervals that hold both its sending and its arrival, because it was admitted at an unknown
+// time between the two. So a request that was delayed on a busy machine counts in no interval in which it may not have
+// been admitted, and a fast one counts in the shortest. all is sorted by arrival.
+func maxExcess(all []Arrival, rate float64, burst conf.Duration) (over float64) {
 	size := rate * time.Duration(burst).Seconds()
 	for _, first := range all {
 		within := 0.0
@@ -72,19 +74,20 @@
 	return over
 }
 
-func (x *OverLimit) said() string {
+func (x *OverLimit) summary() string {
 	return fmt.Sprintf("limit %s: over by %.1f reqs, allowed %.0f a second (past that %.1f); used %.3f; by seconds %v", x.Name,
 		x.Over, x.Bound, x.Breach, x.Used, x.Seconds)
 }
 
-// judgeLimits holds what came to the stand-ins against the limits of the variant's file or, where it has none, of the experiment's.
+// judgeLimits checks the arrivals at the emulated servers against the limits in the variant's operator file or, if that
+// has none, in the experiment's.
 func (r *rig) judgeLimits(v Variant) (all []OverLimit, err error) {
 	if r.e.Limits == "" {
 		return nil, nil
 	}
-	o, err := conf.LoadOperator(r.e.beside(cmp.Or(v.Operator, r.e.Limits)))
+	o, err := conf.LoadOperator(r.e.resolvePath(cmp.Or(v.Operator, r.e.Limits)))
 	if err == nil && (o.Fleet == nil || o.Fleet.Limits == nil) {
-		o, err = conf.LoadOperator(r.e.beside(r.e.Limits))
+		o, err = conf.LoadOperator(r.e.resolvePath(r.e.Limits))
 	}
 	if err != nil {
 		return nil, err
@@ -97,7 +100,7 @@
 			continue
 		}
 		var x OverLimit
-		r.clock.Do(func() { x = JudgeLimit(r.met.firsts, l, len(r.procs), r.played) })
+		r.clock.Do(func() { x = JudgeLimit(r.observed.firsts, l, len(r.procs), r.loadStart) })
 		warm, end := int(time.Duration(r.e.Warm).Seconds()), int(time.Duration(r.e.Length).Seconds())
 		for i := warm; i < min(end, len(x.Seconds)); i++ {
 			x.Used += float64(x.Seconds[i]) / l.Amount / float64(end-warm)
@@ -107,7 +110,7 @@
 	return all, nil
 }
 
-// limitTable prints what came of limits, where there are any: the most over, the bound beside it, and what was used.
+// limitTable prints, for each variant with limits, the largest excess, the allowed bound and the used fraction.
 func (r *Result) limitTable(w io.Writer) {
 	for _, v := range r.Variants {
 		var over, breach, bound float64
@@ -126,24 +129,25 @@
 	}
 }
 
-// Limit is what the stand-ins have seen of a limit in the load that was played.
+// Limit checks the load that was played against a limit, by the arrivals at the emulated servers.
 func (x *Rehearsal) Limit(l conf.Limit) (o OverLimit) {
-	x.r.clock.Do(func() { o = JudgeLimit(x.r.met.firsts, l, len(x.r.procs), x.r.played) })
+	x.r.clock.Do(func() { o = JudgeLimit(x.r.observed.firsts, l, len(x.r.procs), x.r.loadStart) })
 	return o
 }
 
-// Struck is when in the play a kind of fault was struck last: on a busy machine that is later than its timetable says.
-func (x *Rehearsal) Struck(kind string) (at time.Duration) {
-	x.r.clock.Do(func() { at = time.Duration(x.r.met.struck[kind] - x.r.played) })
+// LastInjected returns when a kind of fault was last injected, from the start of the load: on a busy machine that is
+// later than the schedule says.
+func (x *Rehearsal) LastInjected(kind string) (at time.Duration) {
+	x.r.clock.Do(func() { at = time.Duration(x.r.observed.struck[kind] - x.r.loadStart) })
 	return at
 }
 
-// LetIn is how many reqs one proxy has surely let in between two times of the play: they were asked for after the first,
-// and came to a server before the second.
-func (x *Rehearsal) LetIn(proxy int, ruleSet string, from, to time.Duration) (n int) {
+// AdmittedBetween returns how many requests one proxy certainly admitted between two times, from the start of the load:
+// they were sent at or after the first and reached a server before the second.
+func (x *Rehearsal) AdmittedBetween(proxy int, ruleSet string, from, to time.Duration) (n int) {
 	x.r.clock.Do(func() {
-		for _, a := range x.r.met.firsts {
-			asked, at := time.Duration(a.Asked-x.r.played), time.Duration(a.At-x.r.played)
+		for _, a := range x.r.observed.firsts {
+			asked, at := time.Duration(a.Asked-x.r.loadStart), time.Duration(a.At-x.r.loadStart)
 			if a.Proxy == proxy && a.RuleSet == ruleSet && asked >= from && at < to {
 				n++
 			}
--- a/rehearse/lab/links.go
+++ b/rehearse/lab/links.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the links between proxies: a relay for each direction of each pair, on loopback. A datagram may be lost, late, doubled,
-// overtaken or garbled there, by seed. It must never make one up.
+// This file holds the links between proxies: a relay for each direction of each pair, on loopback. A relay may drop,
+// delay, duplicate, reorder or corrupt datagrams, by seed. It must never invent one.
 
 import (
 	"context"
@@ -15,29 +15,29 @@
 	"ivybank/rehearse/emu"
 )
 
-// links are those of all pairs.
+// links holds the relays of all pairs of proxies.
 type links struct {
-	n      int
-	listen []*net.UDPAddr   // where each proxy hears
-	conns  [][]*net.UDPConn // [i][j]: what i knows j by
-	mu     sync.Mutex
-	dice   rng.Source
-	cut    [][]int          // by faults, from i to j
-	rough  []emu.Impairment // all in force add up
-	sent   []PeerCount
+	n           int
+	listen      []*net.UDPAddr   // address at which each proxy receives
+	conns       [][]*net.UDPConn // [i][j]: the relay socket that i uses as the address of j
+	mu          sync.Mutex
+	random      rng.Source
+	cut         [][]int          // [i][j]: number of faults that cut the direction from i to j
+	impairments []emu.Impairment // those in force; their effects add up
+	sent        []PeerCount
 }
 
-// PeerCount is what one proxy has sent to others.
+// PeerCount counts what one proxy has sent to its peers.
 type PeerCount struct{ Datagrams, Bytes, Lost, Arrived int }
 
 func newLinks(ctx context.Context, wait *sync.WaitGroup, at string, n int, seed uint64) (*links, error) {
-	l := &links{n: n, dice: rng.Source{Seed: seed ^ 0x5eed}, sent: make([]PeerCount, n)}
+	l := &links{n: n, random: rng.Source{Seed: seed ^ 0x5eed}, sent: make([]PeerCount, n)}
 	for i := range n {
 		c, err := net.ListenPacket("udp4", at)
 		if err != nil {
 			return nil, err
 		}
-		defer c.Close() // held until all have theirs
+		defer c.Close() // stays open until all proxies have an address, so that no address is given twice
 		l.listen, l.cut = append(l.listen, c.LocalAddr().(*net.UDPAddr)), append(l.cut, make([]int, n))
 		row := make([]*net.UDPConn, n)
 		for j := range n {
@@ -66,8 +66,8 @@
 	return l, nil
 }
 
-// told is where a proxy hears its peers, and what it knows them by.
-func (l *links) told(i int) (listen string, peers []string) {
+// addresses returns the address at which proxy i receives, and the addresses that it uses for its peers.
+func (l *links) addresses(i int) (listen string, peers []string) {
 	for j := range l.n {
 		if i == j {
 			peers = append(peers, l.listen[i].String())
@@ -78,7 +78,7 @@
 	return l.listen[i].String(), peers
 }
 
-// relay passes on what i sends to j.
+// relay forwards the datagrams that i sends to j.
 func (l *links) relay(i, j int, c *net.UDPConn) {
 	from := netip.MustParseAddrPort(l.listen[i].String())
 	b := make([]byte, 1<<16)
@@ -90,7 +90,7 @@
 		if netip.AddrPortFrom(at.Addr().Unmap(), at.Port()) != from {
 			continue
 		}
-		for _, d := range l.way(i, j, b[:n]) {
+		for _, d := range l.impair(i, j, b[:n]) {
 			send := func() { _, _ = l.conns[j][i].WriteToUDP(d.text, l.listen[j]) }
 			if d.wait > 0 {
 				time.AfterFunc(d.wait, send)
@@ -101,43 +101,44 @@
 	}
 }
 
-type onTheWay struct {
+type delayedDatagram struct {
 	text []byte
 	wait time.Duration
 }
 
-// way is what becomes of one datagram.
-func (l *links) way(i, j int, b []byte) (out []onTheWay) {
+// impair applies the cuts and impairments in force to one datagram and returns the copies to deliver.
+func (l *links) impair(i, j int, b []byte) (out []delayedDatagram) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := &l.sent[i]
 	s.Datagrams++
 	s.Bytes += len(b)
 	var all emu.Impairment
-	for _, r := range l.rough {
+	for _, r := range l.impairments {
 		all.Add(r)
 	}
-	if l.cut[i][j] > 0 || l.dice.Next() < all.LossRatio {
+	if l.cut[i][j] > 0 || l.random.Next() < all.LossRatio {
 		s.Lost++
 		return nil
 	}
 	copies := 1
-	if l.dice.Next() < all.DuplicateRatio {
+	if l.random.Next() < all.DuplicateRatio {
 		copies = 2
 	}
 	for range copies {
 		text := slices.Clone(b)
-		if l.dice.Next() < all.CorruptRatio && len(text) > 0 {
-			text[int(l.dice.Next()*float64(len(text)))] ^= byte(1 + l.dice.Next()*254)
+		if l.random.Next() < all.CorruptRatio && len(text) > 0 {
+			text[int(l.random.Next()*float64(len(text)))] ^= byte(1 + l.random.Next()*254)
 		}
-		out = append(out, onTheWay{text, time.Duration(all.Delay + int64(l.dice.Next()*float64(all.Jitter)))})
+		out = append(out, delayedDatagram{text, time.Duration(all.Delay + int64(l.random.Next()*float64(all.Jitter)))})
 		s.Arrived++
 	}
 	return out
 }
 
-// split cuts what passes from one set of proxies to all others, to them, or both.
-func (l *links) split(group []int, way string, by int) {
+// partition adds by to the number of cuts between a group of proxies and all others: in the direction "out" of the
+// group, "in" to it, or both.
+func (l *links) partition(group []int, way string, by int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, i := range group {
@@ -155,16 +156,16 @@
 	}
 }
 
-// roughen has all links treat datagrams so until undone.
-func (l *links) roughen(r emu.Impairment) (undo func()) {
+// addImpairment applies an impairment to all links until undo is called.
+func (l *links) addImpairment(r emu.Impairment) (undo func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rough = append(l.rough, r)
+	l.impairments = append(l.impairments, r)
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if i := slices.Index(l.rough, r); i >= 0 {
-			l.rough = slices.Delete(l.rough, i, i+1)
+		if i := slices.Index(l.impairments, r); i >= 0 {
+			l.impairments = slices.Delete(l.impairments, i, i+1)
 		}
 	}
 }
--- a/rehearse/lab/load.go
+++ b/rehearse/lab/load.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the load: reqs drawn by seed, or rows of a trace, one after another in time order. The load of a seed is the
-// same for every variant. It must never look at what became of one.
+// This file holds the load: requests drawn by seed, or rows of a trace, in time order. The load of a seed is the same
+// for every variant. It must never depend on the outcome of a request.
 
 import (
 	"errors"
@@ -17,24 +17,24 @@
 	"ivybank/rehearse/trace"
 )
 
-// load gives asks in time order; io.EOF ends it.
+// load yields requests in time order, each with the index of its balancer; io.EOF ends it.
 type load interface {
 	next() (a emu.Request, balancer int, err error)
 	close()
 }
 
-// generated is an open-loop load: arrivals are a Poisson process that waits for nobody.
-type generated struct {
-	e       *Experiment
-	dice    rng.Source
-	at      float64
-	keys    []float64 // sums of the keys' shares
-	sets    []float64
-	tenants []float64
-	seats   [][]float64 // balancers' shares, by rule set
+// generatedLoad is an open-loop load: arrivals are a Poisson process that does not wait for answers.
+type generatedLoad struct {
+	e         *Experiment
+	random    rng.Source
+	at        float64
+	keys      []float64 // cumulative weights of the keys
+	ruleSets  []float64
+	tenants   []float64
+	balancers [][]float64 // cumulative weights of the balancers, by rule set
 }
 
-func sums(n int, share func(i int) float64) (all []float64) {
+func cumulativeWeights(n int, share func(i int) float64) (all []float64) {
 	total := 0.0
 	for i := range n {
 		total += share(i)
@@ -43,62 +43,63 @@
 	return all
 }
 
-// among draws by shares.
-func among(d *rng.Source, sums []float64) int {
+// pickWeighted draws an index by cumulative weights; -1 if there are none.
+func pickWeighted(d *rng.Source, sums []float64) int {
 	if len(sums) == 0 {
 		return -1
 	}
 	return min(len(sums)-1, sort.SearchFloat64s(sums, d.Next()*sums[len(sums)-1]))
 }
 
-func newGenerated(e *Experiment, seed uint64) *generated {
-	g := &generated{e: e}
-	g.dice.Seed = seed
-	g.keys = sums(e.Load.Keys, func(i int) float64 { return math.Pow(float64(i+1), -e.Load.Skew) })
-	g.sets = sums(len(e.RuleSets), func(i int) float64 { return e.RuleSets[i].Share })
+func newGenerated(e *Experiment, seed uint64) *generatedLoad {
+	g := &generatedLoad{e: e}
+	g.random.Seed = seed
+	g.keys = cumulativeWeights(e.Load.Keys, func(i int) float64 { return math.Pow(float64(i+1), -e.Load.Skew) })
+	g.ruleSets = cumulativeWeights(len(e.RuleSets), func(i int) float64 { return e.RuleSets[i].Share })
 	for _, r := range e.RuleSets {
-		g.seats = append(g.seats, sums(e.Fleet.Balancers, func(i int) float64 {
+		g.balancers = append(g.balancers, cumulativeWeights(e.Fleet.Balancers, func(i int) float64 {
 			if len(r.Proxies) > 0 && !slices.Contains(r.Proxies, i) {
 				return 0
 			}
 			return math.Pow(float64(i+1), -e.Load.Uneven)
 		}))
 	}
-	g.tenants = sums(len(e.Load.Tenants), func(i int) float64 { return e.Load.Tenants[i].Share })
+	g.tenants = cumulativeWeights(len(e.Load.Tenants), func(i int) float64 { return e.Load.Tenants[i].Share })
 	return g
 }
 
-func (g *generated) next() (emu.Request, int, error) {
-	times, only := g.e.surge(int64(g.at))
-	g.at += -math.Log(g.dice.Next()) / (g.e.Load.Rate * times) * 1e9
+func (g *generatedLoad) next() (emu.Request, int, error) {
+	times, only := g.e.loadAt(int64(g.at))
+	g.at += -math.Log(g.random.Next()) / (g.e.Load.Rate * times) * 1e9
 	if g.at >= float64(g.e.Length) {
 		return emu.Request{}, 0, io.EOF
 	}
-	set := among(&g.dice, g.sets)
+	set := pickWeighted(&g.random, g.ruleSets)
 	a := emu.Request{At: int64(g.at), RuleSet: g.e.RuleSets[set].Name}
-	if k := among(&g.dice, g.keys); k >= 0 {
+	if k := pickWeighted(&g.random, g.keys); k >= 0 {
 		a.Key = fmt.Sprint("k", k)
 	}
-	if k := among(&g.dice, g.tenants); k >= 0 {
+	if k := pickWeighted(&g.random, g.tenants); k >= 0 {
 		a.Tenant = g.e.Load.Tenants[k].Name
 	}
 	work := float64(g.e.Load.Work)
-	switch x := g.dice.Next(); g.e.Load.Spread {
+	switch x := g.random.Next(); g.e.Load.Spread {
 	case "exponential":
 		work *= -math.Log(x)
 	case "uniform":
 		work *= 2 * x
 	}
 	a.Work = max(1, int64(work))
-	at := among(&g.dice, g.seats[set])
+	at := pickWeighted(&g.random, g.balancers[set])
 	if len(only) > 0 {
 		at = only[at%len(only)]
 	}
 	return a, at, nil
 }
 
-// surge is by how much the load is raised at a time, and to which proxies all of it comes; none: to all.
-func (e *Experiment) surge(at int64) (times float64, only []int) {
+// loadAt returns the factor applied to the rate at a time, and the proxies that receive all of the load; none: all
+// proxies.
+func (e *Experiment) loadAt(at int64) (times float64, only []int) {
 	times = 1
 	if x := e.Load.Swing; x > 0 {
 		if times += x; at/int64(e.Load.Each)%2 == 1 {
@@ -119,31 +120,31 @@
 	return times, only
 }
 
-func (g *generated) close() {}
+func (g *generatedLoad) close() {}
 
-// traced is the load of a trace.
-type traced struct {
+// traceLoad is a load read from a trace file.
+type traceLoad struct {
 	e        *Experiment
 	file     *os.File
 	rows     *trace.Reader
 	dice     rng.Source
 	first    int64
-	begun    bool
+	started  bool
 	problems *Problems
 }
 
-// Problems are the bad rows of a trace.
+// Problems counts and reports the bad rows of a trace.
 type Problems struct {
 	Count int
 	Most  int
-	Tell  func(string) // of each
+	Tell  func(string) // called for each bad row
 }
 
-// ErrProblems ends a run that met too many bad rows.
+// ErrProblems is returned when a run met too many bad rows.
 var ErrProblems = errors.New("too many bad rows")
 
-func newTraced(e *Experiment, seed uint64, p *Problems) (*traced, error) {
-	f, err := os.Open(e.beside(e.Trace.File))
+func newTraced(e *Experiment, seed uint64, p *Problems) (*traceLoad, error) {
+	f, err := os.Open(e.resolvePath(e.Trace.File))
 	if err != nil {
 		return nil, err
 	}
@@ -152,19 +153,19 @@
 		_ = f.Close()
 		return nil, fmt.Errorf("%s: %w", e.Trace.File, err)
 	}
-	t := &traced{e: e, file: f, rows: r, problems: p}
+	t := &traceLoad{e: e, file: f, rows: r, problems: p}
 	t.dice.Seed = seed
 	return t, nil
 }
 
-func (t *traced) close() { _ = t.file.Close() }
+func (t *traceLoad) close() { _ = t.file.Close() }
 
-func (t *traced) next() (emu.Request, int, error) {
+func (t *traceLoad) next() (emu.Request, int, error) {
 	for {
 		row, err := t.rows.Next()
 		var bad *trace.RowError
 		if err == io.EOF && t.rows.Truncated() && t.problems.Count == 0 {
-			t.problems.Tell(t.e.Trace.File + ": the last line has no end: the file may have been cut")
+			t.problems.Tell(t.e.Trace.File + ": the last line has no line end: the file may have been cut")
 		}
 		if errors.As(err, &bad) {
 			t.problems.Count++
@@ -177,8 +178,8 @@
 		if err != nil {
 			return emu.Request{}, 0, err
 		}
-		if !t.begun {
-			t.begun, t.first = true, row.At
+		if !t.started {
+			t.started, t.first = true, row.At
 		}
 		drawn, balancer := t.dice.Next(), t.dice.Next()
 		if drawn >= t.e.Trace.Part {
--- a/rehearse/lab/measure_test.go
+++ b/rehearse/lab/measure_test.go
@@ -8,7 +8,7 @@
 	"ivybank/rehearse/emu"
 )
 
-// measured plays asks of worth 1 and 8, ten of each a second for 8 s; what becomes of each is the test's.
+// measured records requests of value 1 and 8, ten of each per second for 8 s; become decides the result of each.
 func measured(t *testing.T, become func(value float64, at int64) emu.ResultKind) *Figures {
 	t.Helper()
 	e := &Experiment{}
@@ -39,7 +39,8 @@
 	return f
 }
 
-// One who denies the valuable while lesser ones are served is caught; one who denies the least is not.
+// Denying requests of high value while those of lower value are served counts as inversion; denying those of the lowest
+// value does not.
 func TestInversions(t *testing.T) {
 	wrong := measured(t, func(value float64, _ int64) emu.ResultKind {
 		if value > 1 {
@@ -48,7 +49,7 @@
 		return emu.Done
 	})
 	if math.Abs(wrong.Inverted-0.5) > 1e-9 || wrong.Classes["high"] != 0 || wrong.Classes["low"] != 1 {
-		t.Errorf("%.2f inverted, classes %v, want each denied one counted", wrong.Inverted, wrong.Classes)
+		t.Errorf("%.2f inverted, classes %v, want each denied request counted", wrong.Inverted, wrong.Classes)
 	}
 	right := measured(t, func(value float64, _ int64) emu.ResultKind {
 		if value > 1 {
@@ -57,6 +58,6 @@
 		return emu.Denied
 	})
 	if right.Inverted != 0 {
-		t.Errorf("%.2f inverted by denying the least", right.Inverted)
+		t.Errorf("%.2f inverted by denying the lowest value", right.Inverted)
 	}
 }
--- a/rehearse/lab/mechanics.go
+++ b/rehearse/lab/mechanics.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the operators' part in experiments with plans: one hands a plan in, and mechanics restart what a proxy's door says is out.
-// What was out at once and how long it took is by their own count. They must never do more to a server than the plan has it out for.
+// This file holds the emulated operators: one submits a maintenance plan, and workers restart each server that a
+// proxy's administrative address reports as out. The figures come from the workers' own count. They must never do more
+// to a server than the plan has taken it out for.
 
 import (
 	"bytes"
@@ -18,48 +19,48 @@
 	"ivybank/rehearse/emu"
 )
 
-// maintenance is what an experiment has done to all servers, each once.
+// maintenance describes the work that an experiment does on every server once.
 type maintenance struct {
-	Plan   string        `toml:"plan"`    // a plan's file, beside the experiment's
-	At     conf.Duration `toml:"at"`      // of its handing in
-	Work   conf.Duration `toml:"work"`    // at each server
-	AtOnce int           `toml:"at_once"` // by timer: so many,
-	Each   conf.Duration `toml:"each"`    // and the next after so long
+	Plan   string        `toml:"plan"`    // path of a plan, relative to the experiment file
+	At     conf.Duration `toml:"at"`      // when the maintenance starts
+	Work   conf.Duration `toml:"work"`    // time that the work on each server takes
+	AtOnce int           `toml:"at_once"` // by timer: servers taken out together
+	Each   conf.Duration `toml:"each"`    // by timer: interval between groups
 }
 
 var maintenances = []string{"", "plan", "timer", "at once"}
 
 const (
-	planLook   = 50 * time.Millisecond
-	planSubmit = 250 * time.Millisecond
+	planPollInterval   = 50 * time.Millisecond
+	planSubmitInterval = 250 * time.Millisecond
 )
 
-// PlanFigures are what came of a plan, by the mechanics' count. Times are seconds.
+// PlanFigures are the results of a maintenance, by the workers' count. Times are in seconds.
 type PlanFigures struct {
-	Servers int     // worked on
-	Twice   int     // of them more than once
-	Most    int     // at once
-	Took    float64 // from the handing in to the last server's return to the list; -1: it did not end
+	Servers int     // number of servers worked on
+	Twice   int     // servers worked on more than once
+	Most    int     // most servers out at the same time
+	Took    float64 // from the submission to the last server's return to the list; -1: it did not end
 }
 
-// mechanics work on what is out.
-type mechanics struct {
+// maintenanceRun carries out one maintenance and counts its figures.
+type maintenanceRun struct {
 	r      *rig
 	work   time.Duration
 	mu     sync.Mutex
-	worked map[string]int   // times, by server
-	since  map[string]int64 // the agreed time of its latest going out
+	worked map[string]int   // number of times, by server
+	since  map[string]int64 // when each server last went out, as the fleet agreed
 	down   int
 	f      PlanFigures
 	done   sync.WaitGroup
 }
 
-func (r *rig) mechanics(work time.Duration) *mechanics {
-	return &mechanics{r: r, work: work, worked: map[string]int{}, since: map[string]int64{}}
+func (r *rig) mechanics(work time.Duration) *maintenanceRun {
+	return &maintenanceRun{r: r, work: work, worked: map[string]int{}, since: map[string]int64{}}
 }
 
-// take counts a server that goes out for its work; false where it is known to be out since then.
-func (m *mechanics) take(id string, since int64) bool {
+// beginWork counts a server that is taken out for its work; it returns false if it was already counted for that time.
+func (m *maintenanceRun) beginWork(id string, since int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if at, had := m.since[id]; had && at == since {
@@ -72,15 +73,15 @@
 	return true
 }
 
-// up counts one that is at work no more.
-func (m *mechanics) up() {
+// endWork counts a server whose work has ended.
+func (m *maintenanceRun) endWork() {
 	m.mu.Lock()
 	m.down--
 	m.mu.Unlock()
 }
 
-// mend takes a server down for its work, in which its process is not there, and up again, cold.
-func (m *mechanics) mend(id string) {
+// restartServer stops a server's process for the time of the work and starts it again with cold caches.
+func (m *maintenanceRun) restartServer(id string) {
 	var undo func()
 	m.r.clock.Do(func() { undo = m.r.fleet.Inject(emu.Fault{Kind: "crash", Servers: []string{id}}) })
 	select {
@@ -89,11 +90,11 @@
 	case <-time.After(m.work):
 	}
 	m.r.clock.Do(undo)
-	m.up()
+	m.endWork()
 }
 
-// figures sums up.
-func (m *mechanics) figures() *PlanFigures {
+// figures waits until all work has ended and returns the totals.
+func (m *maintenanceRun) figures() *PlanFigures {
 	m.done.Wait()
 	m.f.Servers = len(m.worked)
 	for _, n := range m.worked {
@@ -104,8 +105,8 @@
 	return &m.f
 }
 
-// settled has the proxies carry a plan through.
-func (m *mechanics) settled(path string, over chan bool) {
+// runPlan submits a plan to the proxies and works on the servers that they take out, until the plan has ended.
+func (m *maintenanceRun) runPlan(path string, over chan bool) {
 	m.f.Took = -1
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,18 +119,18 @@
 	begun := time.Now()
 	for taken := false; !taken; {
 		for i := range m.r.procs {
-			if taken = m.put(i, "/plans/"+p.ID, text); taken {
+			if taken = m.submitPlan(i, "/plans/"+p.ID, text); taken {
 				break
 			}
 		}
-		if m.over(over, planSubmit) {
+		if m.waitOrEnd(over, planSubmitInterval) {
 			return
 		}
 	}
-	for !m.over(over, planLook) {
+	for !m.waitOrEnd(over, planPollInterval) {
 		for _, x := range m.r.procs {
 			var all []planexec.Status
-			if !x.tells("/plans/"+p.ID, &all) || len(all) != 1 {
+			if !x.getJSON("/plans/"+p.ID, &all) || len(all) != 1 {
 				continue
 			}
 			if all[0].State == "ended" {
@@ -137,17 +138,17 @@
 				return
 			}
 			for _, s := range all[0].Steps {
-				if s.Phase == "out" && m.take(s.Server, s.At) {
-					m.done.Go(func() { m.mend(s.Server) })
+				if s.Phase == "out" && m.beginWork(s.Server, s.At) {
+					m.done.Go(func() { m.restartServer(s.Server) })
 				}
 			}
 		}
 	}
 }
 
-// timed drains servers by the list one after another, so many at a time, each for a stated time before it is worked on, whatever becomes
-// of service: a person's script.
-func (m *mechanics) timed(servers []string, atOnce int, each time.Duration, over chan bool) {
+// runOnTimer drains the servers in the order of the list, atOnce at a time at a fixed interval, and works on each after
+// its drain time, regardless of service: as an operator's script would.
+func (m *maintenanceRun) runOnTimer(servers []string, atOnce int, each time.Duration, over chan bool) {
 	begun := time.Now()
 	m.f.Took = -1
 	grace := time.Duration(m.r.e.Fleet.Told+m.r.e.Fleet.Grace) + 200*time.Millisecond
@@ -158,21 +159,21 @@
 				var undo func()
 				m.r.clock.Do(func() { undo = m.r.fleet.Inject(emu.Fault{Kind: "drain", Servers: []string{id}}) })
 				time.Sleep(grace)
-				m.take(id, 0)
+				m.beginWork(id, 0)
 				time.Sleep(m.work)
 				m.r.clock.Do(undo)
-				m.up()
+				m.endWork()
 			})
 		}
 		servers = servers[n:]
-		if m.over(over, each) {
+		if m.waitOrEnd(over, each) {
 			return
 		}
 	}
 	m.f.Took = time.Since(begun).Seconds()
 }
 
-func (m *mechanics) over(over chan bool, wait time.Duration) bool {
+func (m *maintenanceRun) waitOrEnd(over chan bool, wait time.Duration) bool {
 	select {
 	case <-over:
 		return true
@@ -183,9 +184,9 @@
 	}
 }
 
-// put makes a call at a proxy's door.
-func (m *mechanics) put(proxy int, path string, body []byte) bool {
-	q, err := http.NewRequest(http.MethodPut, "http://"+m.r.procs[proxy].door+path, bytes.NewReader(body))
+// submitPlan submits a plan at a proxy's administrative address; it returns false if it was not accepted.
+func (m *maintenanceRun) submitPlan(proxy int, path string, body []byte) bool {
+	q, err := http.NewRequest(http.MethodPut, "http://"+m.r.procs[proxy].adminAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
@@ -198,7 +199,7 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// maintain begins what a variant has done to the servers; what it gives ends that and tells what came of it.
+// maintain starts the maintenance of a variant. The function it returns stops it and returns its figures.
 func (r *rig) maintain(v Variant) func() *PlanFigures {
 	x := r.e.Maintenance
 	if x == nil || v.Maintenance == "" {
@@ -210,16 +211,16 @@
 		servers = append(servers, s.ID)
 	}
 	m.done.Go(func() {
-		if m.over(over, time.Duration(x.At)) {
+		if m.waitOrEnd(over, time.Duration(x.At)) {
 			return
 		}
 		switch v.Maintenance {
 		case "plan":
-			m.settled(r.e.beside(x.Plan), over)
+			m.runPlan(r.e.resolvePath(x.Plan), over)
 		case "timer":
-			m.timed(servers, x.AtOnce, time.Duration(x.Each), over)
+			m.runOnTimer(servers, x.AtOnce, time.Duration(x.Each), over)
 		case "at once":
-			m.timed(servers, len(servers), time.Duration(x.Each), over)
+			m.runOnTimer(servers, len(servers), time.Duration(x.Each), over)
 		}
 	})
 	return func() *PlanFigures {
@@ -228,7 +229,7 @@
 	}
 }
 
-// said is a line on what came of a plan.
-func (p *PlanFigures) said() string {
+// summary returns a line with the results.
+func (p *PlanFigures) summary() string {
 	return fmt.Sprintf("  %d servers worked on, %d twice, %d at once, in %.1f s", p.Servers, p.Twice, p.Most, p.Took)
 }
--- a/rehearse/lab/process.go
+++ b/rehearse/lab/process.go
@@ -1,6 +1,7 @@
 package lab
 
-// This file owns one client proxy as a process: its start, its end, its pauses. It must never end a process that it did not start.
+// This file holds the control of one client proxy as a process: start, end and pauses. It must never end a process that
+// it did not start.
 
 import (
 	"encoding/json"
@@ -20,48 +21,48 @@
 	"ivybank/fleet/warmstart"
 )
 
-// process is a client proxy that can be killed, started again and stopped for a while.
+// process is a client proxy that can be killed, restarted and paused.
 type process struct {
-	cmd    []string
-	env    []string
-	folder string
-	listen string
-	door   string
-	hurt   atomic.Int64 // counts each beginning and end of what keeps it from serving,
-	down   atomic.Int64 // and how much of that is in force
-	kills  atomic.Int64 // of the kills the latest alone starts it again
-	mu     sync.Mutex
-	now    *exec.Cmd
-	ended  chan bool // closed when it has; nil where it was never started
-	meant  bool      // it was ended from here
-	stops  int       // faults that keep it stopped
-	out    output
-}
-
-// output is the end of what a process has written.
+	cmd           []string
+	env           []string
+	folder        string
+	listen        string
+	adminAddr     string
+	outageChanges atomic.Int64 // number of starts and ends of outages
+	outages       atomic.Int64 // number of outages in force
+	kills         atomic.Int64 // number of kills; only the latest one restarts the process
+	mu            sync.Mutex
+	running       *exec.Cmd
+	ended         chan bool // closed when the process has ended; nil if it was never started
+	exitExpected  bool      // it was ended by this package
+	stops         int       // number of faults that keep it paused
+	out           output
+}
+
+// output keeps the last part of a process's output.
 type output struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-const mostOutput = 64 << 10
+const maxOutputBytes = 64 << 10
 
 func (o *output) Write(b []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.text = append(o.text, b...); len(o.text) > mostOutput {
-		o.text = o.text[len(o.text)-mostOutput/2:]
+	if o.text = append(o.text, b...); len(o.text) > maxOutputBytes {
+		o.text = o.text[len(o.text)-maxOutputBytes/2:]
 	}
 	return len(b), nil
 }
 
-func (x *process) said() string {
+func (x *process) outputTail() string {
 	x.out.mu.Lock()
 	defer x.out.mu.Unlock()
 	return strings.TrimSpace(string(x.out.text[max(0, len(x.out.text)-400):]))
 }
 
-// start begins the process.
+// start starts the process.
 func (x *process) start() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -71,10 +72,10 @@
 		return err
 	}
 	ended := make(chan bool)
-	x.now, x.ended, x.meant = cmd, ended, false
+	x.running, x.ended, x.exitExpected = cmd, ended, false
 	if x.stops > 0 {
 		x.stops = 0
-		x.fails(false)
+		x.recordOutage(false)
 	}
 	go func() {
 		_ = cmd.Wait()
@@ -83,72 +84,72 @@
 	return nil
 }
 
-// fails notes that something begins to keep it from serving, or no longer does.
-func (x *process) fails(on bool) {
-	x.hurt.Add(1)
+// recordOutage records the start or the end of an outage: something that keeps the proxy from serving.
+func (x *process) recordOutage(on bool) {
+	x.outageChanges.Add(1)
 	if on {
-		x.down.Add(1)
+		x.outages.Add(1)
 	} else {
-		x.down.Add(-1)
+		x.outages.Add(-1)
 	}
 }
 
-// signal sends one; false where there is no process. Within the lock.
+// signal sends a signal; it returns false if the process has ended. The caller holds mu.
 func (x *process) signal(s syscall.Signal) bool {
 	select {
 	case <-x.ended:
 		return false
 	default:
-		return x.now.Process.Signal(s) == nil
+		return x.running.Process.Signal(s) == nil
 	}
 }
 
-// strike ends it without waiting for that; what it gives is closed then.
-func (x *process) strike(s syscall.Signal) chan bool {
+// terminate sends a signal that ends the process, without waiting; the channel that it returns is closed at the end.
+func (x *process) terminate(s syscall.Signal) chan bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.meant = true
+	x.exitExpected = true
 	x.signal(s)
 	return x.ended
 }
 
-// kill ends it and waits until it has.
+// kill kills the process and waits until it has ended.
 func (x *process) kill() {
-	<-x.strike(syscall.SIGKILL)
+	<-x.terminate(syscall.SIGKILL)
 }
 
-// pause stops it, or lets it go on once no fault keeps it stopped.
-func (x *process) pause(stop bool) {
+// setPaused stops the process, or continues it once no fault keeps it paused.
+func (x *process) setPaused(stop bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if stop {
 		if x.stops++; x.stops == 1 {
-			x.fails(true)
+			x.recordOutage(true)
 			x.signal(syscall.SIGSTOP)
 		}
-	} else if x.stops > 0 { // else it has ended meanwhile
+	} else if x.stops > 0 { // otherwise it was restarted meanwhile
 		if x.stops--; x.stops == 0 {
 			x.signal(syscall.SIGCONT)
-			x.fails(false)
+			x.recordOutage(false)
 		}
 	}
 }
 
-// died says whether it ended without being told to.
-func (x *process) died() bool {
+// exitedUnexpectedly reports whether the process ended without being signalled by this package.
+func (x *process) exitedUnexpectedly() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	select {
 	case <-x.ended:
-		return !x.meant
+		return !x.exitExpected
 	default:
 		return false
 	}
 }
 
-// ready waits until it serves.
+// ready waits until the proxy serves; after readyWait it kills the process and returns an error.
 func (x *process) ready() error {
-	for end := time.Now().Add(readyWait); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if a, err := http.Get("http://" + x.listen + "/_health"); err == nil {
 			_ = a.Body.Close()
 			if a.StatusCode == http.StatusOK {
@@ -157,18 +158,18 @@
 		}
 	}
 	x.kill()
-	return fmt.Errorf("a proxy is not ready after %s: %s", readyWait, x.said())
+	return fmt.Errorf("proxy not ready after %s: %s", readyTimeout, x.outputTail())
 }
 
-// cpu is the processor time that it has used so far, in seconds; 0 where the kernel does not say.
+// cpu returns the processor time used so far, in seconds; 0 if the kernel does not report it.
 func (x *process) cpu() float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", x.now.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", x.running.Process.Pid))
 	if err != nil {
 		return 0
 	}
-	// The name may hold spaces; what comes after it does not. The 12th and 13th there are user and system time in hundredths.
+	// The name may hold spaces; the fields after it do not. The 12th and 13th of them are user and system time in 1/100 s.
 	rest := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	if len(rest) < 13 {
 		return 0
@@ -180,21 +181,21 @@
 
 var doorClient = http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// view is what a proxy tells of its fleet at its door.
+// view returns the proxy's view of its fleet from its administrative address; false if it does not answer.
 func (x *process) view() (v fleet.Status, ok bool) {
-	ok = x.tells("/fleet", &v)
+	ok = x.getJSON("/fleet", &v)
 	return v, ok
 }
 
-// returned is what it tells there of its coming back.
-func (x *process) returned() (v warmstart.Status, ok bool) {
-	ok = x.tells("/return", &v)
+// warmStartStatus returns the proxy's warm start status; false if it does not answer.
+func (x *process) warmStartStatus() (v warmstart.Status, ok bool) {
+	ok = x.getJSON("/return", &v)
 	return v, ok
 }
 
-// tells asks a proxy at its door; false where it says nothing.
-func (x *process) tells(path string, v any) bool {
-	a, err := doorClient.Get("http://" + x.door + path)
+// getJSON reads JSON from the proxy's administrative address into v; it returns false on any error.
+func (x *process) getJSON(path string, v any) bool {
+	a, err := doorClient.Get("http://" + x.adminAddr + path)
 	if err != nil {
 		return false
 	}
--- a/rehearse/lab/rehearsal.go
+++ b/rehearse/lab/rehearsal.go
@@ -1,6 +1,7 @@
 package lab
 
-// This file owns runs whose faults are chosen as they go: what a test starts, strikes and asks. It must never judge.
+// This file holds runs that a test controls step by step: it starts the proxies, injects faults and reads their state.
+// It must never judge a result.
 
 import (
 	"fmt"
@@ -13,7 +14,7 @@
 	"ivybank/rehearse/emu"
 )
 
-// Rehearsal is proxies as processes between stand-ins, with every link between two of them through the rig.
+// Rehearsal runs proxies as processes against emulated servers, with every link between two proxies relayed by the rig.
 type Rehearsal struct {
 	r    *rig
 	asks int
@@ -29,33 +30,36 @@
 	return &Rehearsal{r: r}, nil
 }
 
-// End ends all processes and stand-ins.
+// End stops all proxies and emulated servers.
 func (x *Rehearsal) End() { x.r.end() }
 
-// Strike does what a fault does, now; what it gives undoes it.
-func (x *Rehearsal) Strike(f emu.Fault) (undo func()) {
+// InjectFault injects a fault now; undo ends it.
+func (x *Rehearsal) InjectFault(f emu.Fault) (undo func()) {
 	var mend func()
 	x.r.clock.Do(func() { mend = x.r.fleet.Inject(f) })
 	return func() { x.r.clock.Do(mend) }
 }
 
-// View is what a proxy tells of its fleet at its door; false where it says nothing.
+// View returns a proxy's view of its fleet; false if the proxy does not answer.
 func (x *Rehearsal) View(proxy int) (fleet.Status, bool) { return x.r.procs[proxy].view() }
 
-// Returned is what a proxy tells of its coming back; false where it says nothing.
-func (x *Rehearsal) Returned(proxy int) (warmstart.Status, bool) { return x.r.procs[proxy].returned() }
+// Returned returns a proxy's warm start status; false if the proxy does not answer.
+func (x *Rehearsal) Returned(proxy int) (warmstart.Status, bool) {
+	return x.r.procs[proxy].warmStartStatus()
+}
 
-// Door is the address of a proxy's door.
-func (x *Rehearsal) Door(proxy int) string { return x.r.procs[proxy].door }
+// AdminAddr returns a proxy's administrative address.
+func (x *Rehearsal) AdminAddr(proxy int) string { return x.r.procs[proxy].adminAddr }
 
-// Folder is that in which a proxy runs, with its state folder.
+// Folder returns a proxy's working folder, which holds its state folder.
 func (x *Rehearsal) Folder(proxy int) string { return x.r.procs[proxy].folder }
 
-// ProxySentSince is how many dispatches of a proxy have come to a server from a time of the play on.
+// ProxySentSince returns how many dispatches of a proxy reached a server since a time, counted from the start of the
+// load.
 func (x *Rehearsal) ProxySentSince(proxy int, from time.Duration, server string) (n int) {
 	x.r.clock.Do(func() {
-		for _, at := range x.r.met.to[proxy][server] {
-			if at >= x.r.played+int64(from) {
+		for _, at := range x.r.observed.to[proxy][server] {
+			if at >= x.r.loadStart+int64(from) {
 				n++
 			}
 		}
@@ -63,7 +67,7 @@
 	return n
 }
 
-// SentSince is the same of all proxies.
+// SentSince is ProxySentSince summed over all proxies.
 func (x *Rehearsal) SentSince(from time.Duration, server string) (n int) {
 	for i := range x.r.procs {
 		n += x.ProxySentSince(i, from, server)
@@ -72,13 +76,14 @@
 }
 
 const (
-	askTimeout = 2 * time.Second        // that the client tells the proxy
-	askSlack   = 500 * time.Millisecond // for which it waits on top for the answer
+	askTimeout = 2 * time.Second        // the timeout that the client sends to the proxy
+	askSlack   = 500 * time.Millisecond // how much longer the client waits for the answer
 )
 
 var askClient = http.Client{Timeout: askTimeout + askSlack, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ask has a client ask a proxy once, with an idempotency key; it gives the answer's status and what it says of the key.
+// Ask sends one request with an idempotency key to a proxy; it returns the answer's status and Idempotency-Outcome
+// header, or 0 and the error's text.
 func (x *Rehearsal) Ask(proxy int, ruleSet, header, key string) (status int, outcome string) {
 	x.asks++
 	q, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/api?key=%s", x.r.procs[proxy].listen, key), nil)
@@ -94,23 +99,24 @@
 	return a.StatusCode, a.Header.Get("Idempotency-Outcome")
 }
 
-// Probes is how many probes have come to each server, by its id.
+// Probes returns the number of probes that reached each server, by server ID.
 func (x *Rehearsal) Probes() map[string]int {
 	all := map[string]int{}
 	x.r.clock.Do(func() {
-		for id, n := range x.r.met.probes {
+		for id, n := range x.r.observed.probes {
 			all[id] = n
 		}
 	})
 	return all
 }
 
-// Play plays the experiment's load with its timetable, and gives what came of it.
+// Play plays the experiment's load and fault schedule, and returns the figures.
 func (x *Rehearsal) Play() (*Figures, error) { return x.r.figures(Variant{}, 1, &Problems{}) }
 
-// Pose ends a proxy and takes its place among the others: what is written to peers comes from its address. End closes it.
-func (x *Rehearsal) Pose(proxy int) (as *net.UDPConn, peers []*net.UDPAddr, err error) {
-	x.r.procs[proxy].fails(true)
+// Impersonate kills a proxy and takes over its peer address: what the caller writes to peers comes from that address.
+// The caller closes the connection.
+func (x *Rehearsal) Impersonate(proxy int) (as *net.UDPConn, peers []*net.UDPAddr, err error) {
+	x.r.procs[proxy].recordOutage(true)
 	x.r.procs[proxy].kill()
 	l := x.r.links
 	if as, err = net.ListenUDP("udp4", l.listen[proxy]); err != nil {
--- a/rehearse/lab/report.go
+++ b/rehearse/lab/report.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns what is kept of an experiment: tables and a chart, each with the commit, the seeds and the experiment that it
-// is from. It must never leave a run out, nor average one that is unusable.
+// This file holds the reports of an experiment: tables and a chart, each with the commit, the seeds and the experiment
+// that it is from. A report must never leave a run out, nor include an unusable run in an average.
 
 import (
 	"encoding/csv"
@@ -19,7 +19,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Result is an experiment and what came of it.
+// Result holds an experiment's runs and what they are of.
 type Result struct {
 	Experiment string
 	About      string
@@ -27,16 +27,16 @@
 	Commit     string
 	Variants   []string
 	Runs       []*Figures
-	Faults     []Span // of the timetable, marked in the chart
+	Faults     []Span // the fault schedule, marked in the chart
 }
 
-// Span is a fault in seconds of a run.
+// Span is the time of a fault, in seconds from the start of the load.
 type Span struct {
 	Kind     string
 	From, To float64
 }
 
-// NewResult names what the runs are of.
+// NewResult returns the result of an experiment's runs.
 func NewResult(e *Experiment, commit string, runs []*Figures) *Result {
 	r := &Result{Experiment: e.Name, About: e.About, Mode: e.Mode, Commit: commit, Runs: runs}
 	for _, v := range e.Variants {
@@ -48,31 +48,31 @@
 	return r
 }
 
-// Summary is one variant over all seeds.
+// Summary is the summary of one variant over all seeds.
 type Summary struct {
 	Variant                           string
 	Runs, Unusable                    int
-	Median, Low, High, Mean, From, To float64 // of service; From and To hold the mean with a confidence of 95%
+	Median, Low, High, Mean, From, To float64 // of service; From to To is the 95% confidence interval of the mean
 	P50, P90, P99, Denied, Aborted    float64 // medians
 	Breaches                          [5]int
 	Best, Inverted, Recovered         float64 // medians
-	Micro                             float64 // microseconds of processor time for each try of a client
-	PerAsk, Further                   float64 // dispatches for each ask, and beyond the first of a try for each of these
+	Micro                             float64 // microseconds of processor time per client attempt
+	PerAsk, Further                   float64 // dispatches per request, and dispatches beyond the first per dispatched attempt
 	Crashes                           int
-	Return                            *ReturnSummary // nil: nobody was killed
+	Return                            *ReturnSummary // nil: no proxy was killed
 }
 
-// ReturnSummary is what became of mass restarts over all seeds. Full is in seconds from the kill.
+// ReturnSummary summarises mass restarts over all seeds. Full is in seconds from the kill.
 type ReturnSummary struct {
 	Before, After                            float64 // medians
 	Full, FullWorst                          float64 // of the fleet
 	EachMedian, EachWorst                    float64 // of single proxies
-	Never                                    int     // proxies, over all runs, whose service was not full again
-	Discovery, DiscoveryCalm, Conns, ConCalm float64 // the most in any run
+	Never                                    int     // proxies, over all runs, whose service did not recover
+	Discovery, DiscoveryCalm, Conns, ConCalm float64 // highest value of any run
 }
 
-// returns sums up those of several runs.
-func returns(runs []*Return) *ReturnSummary {
+// summarizeReturns summarises the mass restarts of several runs; nil if there are none.
+func summarizeReturns(runs []*Return) *ReturnSummary {
 	if len(runs) == 0 {
 		return nil
 	}
@@ -101,7 +101,7 @@
 	return s
 }
 
-// Summaries works out each variant's.
+// Summaries returns the summary of each variant.
 func (r *Result) Summaries() (all []Summary) {
 	for _, v := range r.Variants {
 		s := Summary{Variant: v}
@@ -139,7 +139,7 @@
 			s.Micro = median(micro)
 			s.PerAsk, s.Further = median(perAsk), median(further)
 		}
-		s.Return = returns(back)
+		s.Return = summarizeReturns(back)
 		all = append(all, s)
 	}
 	return all
@@ -150,7 +150,7 @@
 	return (x[(len(x)-1)/2] + x[len(x)/2]) / 2
 }
 
-// interval is the mean with its confidence interval by Student's t; of one run it is all there is.
+// interval returns the mean and its 95% confidence interval by Student's t; the interval is infinite for a single run.
 func interval(x []float64) (mean, from, to float64) {
 	mean = stat.Mean(x, nil)
 	if len(x) < 2 {
@@ -161,14 +161,14 @@
 	return mean, mean - half, mean + half
 }
 
-func num(x float64) string {
+func formatNumber(x float64) string {
 	if math.IsInf(x, 0) {
 		return ""
 	}
 	return strconv.FormatFloat(x, 'f', 4, 64)
 }
 
-// Write keeps a result in a folder: runs.csv, summary.csv, service.svg and result.json.
+// Write writes a result to a folder as runs.csv, summary.csv, service.svg and result.json.
 func (r *Result) Write(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// ReadResult reads one that was kept.
+// ReadResult reads a result that Write has written.
 func ReadResult(folder string) (*Result, error) {
 	text, err := os.ReadFile(filepath.Join(folder, "result.json"))
 	if err != nil {
@@ -225,30 +225,30 @@
 		"worked_on", "worked_twice", "out_most", "plan_s", "worst_5_s"}}
 	for _, f := range r.Runs {
 		rows = append(rows, []string{r.Experiment, r.Mode, r.Commit, strconv.FormatUint(f.Seed, 10), f.Variant, strconv.Itoa(f.Asks),
-			strconv.Itoa(f.Done), strconv.Itoa(f.Denied), strconv.Itoa(f.Aborted), strconv.Itoa(f.Unanswered), num(f.Service), num(f.P50),
-			num(f.P90), num(f.P99), num(f.Tries), strconv.Itoa(f.Begun), strconv.Itoa(f.Breaches[1]), strconv.Itoa(f.Breaches[2]),
-			strconv.Itoa(f.Breaches[3]), strconv.Itoa(f.Breaches[4]), num(f.Strain), f.Hash, num(f.Late), strconv.Itoa(f.Problems),
-			num(f.Best), num(f.Inverted), num(f.Recovered), strconv.Itoa(f.Sends), strconv.Itoa(f.Dispatched), strconv.Itoa(f.probesMost()),
+			strconv.Itoa(f.Done), strconv.Itoa(f.Denied), strconv.Itoa(f.Aborted), strconv.Itoa(f.Unanswered), formatNumber(f.Service), formatNumber(f.P50),
+			formatNumber(f.P90), formatNumber(f.P99), formatNumber(f.Tries), strconv.Itoa(f.Begun), strconv.Itoa(f.Breaches[1]), strconv.Itoa(f.Breaches[2]),
+			strconv.Itoa(f.Breaches[3]), strconv.Itoa(f.Breaches[4]), formatNumber(f.Strain), f.Hash, formatNumber(f.Late), strconv.Itoa(f.Problems),
+			formatNumber(f.Best), formatNumber(f.Inverted), formatNumber(f.Recovered), strconv.Itoa(f.Sends), strconv.Itoa(f.Dispatched), strconv.Itoa(f.probesMost()),
 			strconv.Itoa(f.peersMost(func(c PeerCount) int { return c.Datagrams })), strconv.Itoa(f.peersMost(func(c PeerCount) int { return c.Bytes })),
 			strconv.Itoa(f.Crashes), f.Unusable})
 		if x := f.Return; x != nil {
-			one := returns([]*Return{x})
+			one := summarizeReturns([]*Return{x})
 			for _, y := range []float64{x.Before, x.After, x.Full, one.EachMedian, one.EachWorst, x.Discovery, x.Conns, x.ConnsCalm} {
-				rows[len(rows)-1] = append(rows[len(rows)-1], num(y))
+				rows[len(rows)-1] = append(rows[len(rows)-1], formatNumber(y))
 			}
 		} else {
 			rows[len(rows)-1] = append(rows[len(rows)-1], make([]string, 8)...)
 		}
 		if x := f.Plan; x != nil {
-			rows[len(rows)-1] = append(rows[len(rows)-1], strconv.Itoa(x.Servers), strconv.Itoa(x.Twice), strconv.Itoa(x.Most), num(x.Took), num(f.Worst))
+			rows[len(rows)-1] = append(rows[len(rows)-1], strconv.Itoa(x.Servers), strconv.Itoa(x.Twice), strconv.Itoa(x.Most), formatNumber(x.Took), formatNumber(f.Worst))
 		} else {
-			rows[len(rows)-1] = append(rows[len(rows)-1], "", "", "", "", num(f.Worst))
+			rows[len(rows)-1] = append(rows[len(rows)-1], "", "", "", "", formatNumber(f.Worst))
 		}
 	}
 	return table(w, rows)
 }
 
-// probesMost is how many probes came to the server that got most.
+// probesMost returns the number of probes at the server that received the most.
 func (f *Figures) probesMost() (most int) {
 	for _, n := range f.Probes {
 		most = max(most, n)
@@ -256,7 +256,7 @@
 	return most
 }
 
-// peersMost is the most that one proxy has sent to others.
+// peersMost returns the highest value of a count over all proxies.
 func (f *Figures) peersMost(of func(PeerCount) int) (most int) {
 	for _, c := range f.Peers {
 		most = max(most, of(c))
@@ -271,7 +271,7 @@
 	for _, s := range r.Summaries() {
 		row := []string{r.Experiment, r.Mode, r.Commit, s.Variant, strconv.Itoa(s.Runs), strconv.Itoa(s.Unusable)}
 		for _, x := range []float64{s.Median, s.Low, s.High, s.Mean, s.From, s.To, s.P50, s.P90, s.P99, s.Denied, s.Aborted, s.Best, s.Inverted, s.Recovered, s.PerAsk, s.Further} {
-			row = append(row, num(x))
+			row = append(row, formatNumber(x))
 		}
 		row = append(row, strconv.Itoa(s.Crashes))
 		for _, n := range s.Breaches[1:] {
@@ -330,7 +330,7 @@
 	return all
 }
 
-// Table prints the summary for people.
+// Table prints the summary as text.
 func (r *Result) Table(w io.Writer) {
 	fmt.Fprintf(w, "%s (%s, commit %s)\n", r.Experiment, r.Mode, r.Commit)
 	fmt.Fprintf(w, "%-14s %5s  %-7s %-17s %-17s %8s %8s  %7s %8s  %s\n", "variant", "runs", "service", "spread", "mean, 95%", "p50 ms", "p99 ms",
@@ -358,7 +358,7 @@
 	}
 }
 
-// returnTable prints what became of mass restarts, where there were any.
+// returnTable prints the figures of mass restarts, if there were any.
 func (r *Result) returnTable(w io.Writer) {
 	for i, s := range r.Summaries() {
 		x := s.Return
--- a/rehearse/lab/run.go
+++ b/rehearse/lab/run.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the playing of an experiment in virtual time: each seed with each variant in turn, and what is measured. It must
-// never let one run look at another.
+// This file holds the execution of an experiment: each seed with each variant in turn, the runs in virtual time, and
+// the figures measured. No run may depend on another.
 
 import (
 	"cmp"
@@ -20,72 +20,72 @@
 	"ivybank/rehearse/emu"
 )
 
-// Figures are what came of one run.
+// Figures are the results of one run.
 type Figures struct {
 	Seed    uint64
 	Variant string
 
 	Asks, Done, Denied, Aborted, Unanswered int
-	Service                                 float64 // value answered within the response target, of the value asked for
-	P50, P90, P99                           float64 // milliseconds, of those done
-	Tries                                   float64 // of an ask, its client's retries included
+	Service                                 float64 // value answered within the response target, as a fraction of the value requested
+	P50, P90, P99                           float64 // latency in milliseconds of the requests that were done
+	Tries                                   float64 // mean attempts per request, including the client's retries
 	Begun                                   int     // executions at servers
-	Breaches                                [5]int  // of each rule, by the servers' and clients' evidence
-	Strain                                  float64 // the most offered to a cold server, of what pushes it over
+	Breaches                                [5]int  // violations of each rule, as seen by servers and clients
+	Strain                                  float64 // highest load offered to a cold server, as a fraction of what overloads it
 	Notes                                   []string
-	Hash                                    string // of all decisions; sockets: none
+	Hash                                    string // hash of all decisions; empty in the sockets and processes modes
 	Line                                    []float64
-	Events                                  int           // of the virtual clock
-	Wall                                    time.Duration // that it took
-	Late                                    float64       // milliseconds: how late the load generator was, 99 in 100; 0 in virtual time
-	Unusable                                string        // why the machine could not keep up, empty where it could
+	Events                                  int           // events of the virtual clock
+	Wall                                    time.Duration // real time that the run took
+	Late                                    float64       // 99th percentile of the load generator's delay in milliseconds; 0 in virtual time
+	Unusable                                string        // why the run does not count; empty if the machine kept up
 	Problems                                int           // bad rows of a trace
 
-	Sends      int            // dispatches that came to servers
-	Dispatched int            // reqs, each try of a client one, of which a dispatch came
-	Best       float64        // service of the best cut, by what the servers can do
-	Inverted   float64        // part of asks that were denied while a lesser one that came in the same 100 ms was done
+	Sends      int            // dispatches that reached servers
+	Dispatched int            // client attempts of which a dispatch reached a server
+	Best       float64        // service of ideal load shedding, by the servers' capacity
+	Inverted   float64        // fraction of requests denied while one of lower value that came in the same 100 ms was done
 	Recovered  float64        // seconds from the end of the last surge to 0.95 of the service before the first; 0: no surge; -1: never
 	Probes     map[string]int // by server
-	Peers      []PeerCount    // datagrams by proxy
+	Peers      []PeerCount    // datagrams sent, by proxy
 	Views      []View
-	Processor  float64            // seconds that all proxies used, where none was started again
-	Crashes    int                // proxies that have ended by themselves
+	Processor  float64            // processor seconds that all proxies used; valid if none was restarted
+	Crashes    int                // proxies that ended by themselves
 	Quarters   []float64          // service by quarters of a second
-	Return     *Return            // nil: nobody was killed
-	Worst      float64            // service of the worst 5 s after the warm-up
-	Plan       *PlanFigures       // nil: nothing was done to servers
+	Return     *Return            // nil: no proxy was killed
+	Worst      float64            // lowest service in any 5 s after the warm-up
+	Plan       *PlanFigures       // nil: no maintenance
 	Classes    map[string]float64 // service by rule set
-	Limits     []OverLimit        // of the fleet, of a rate
+	Limits     []OverLimit        // results of the fleet's rate limits
 }
 
-// measure gathers results into figures.
+// measure collects results into figures.
 type measure struct {
 	e           *Experiment
 	figures     *Figures
-	took        *hdrhistogram.Histogram
+	latencies   *hdrhistogram.Histogram
 	good, asked float64
 	tries       int
-	line        [][2]float64 // value answered in time and asked for, by second
-	quarters    worth        // the same by quarters of a second,
-	seats       []worth      // and by proxy
-	windows     []window     // by 100 ms
+	perSecond   [][2]float64    // value answered in time and value requested, by second
+	quarters    serviceSeries   // the same by quarter of a second
+	byBalancer  []serviceSeries // the same by quarter of a second, for each balancer
+	windows     []window        // by 100 ms
 	classes     map[string][2]float64
 }
 
-// window is what came in one tenth of a second.
+// window holds the requests that came in one tenth of a second.
 type window struct {
-	done   float64   // least value that was done
-	any    bool      // one was done
-	denied []float64 // values that were denied
+	done   float64   // lowest value of the requests that were done
+	any    bool      // at least one was done
+	denied []float64 // values of the requests that were denied
 	asked  []float64
 }
 
 func newMeasure(e *Experiment, f *Figures) *measure {
-	return &measure{e: e, figures: f, took: hdrhistogram.New(1, 600e6, 3), classes: map[string][2]float64{}, seats: make([]worth, max(1, e.Fleet.Balancers))}
+	return &measure{e: e, figures: f, latencies: hdrhistogram.New(1, 600e6, 3), classes: map[string][2]float64{}, byBalancer: make([]serviceSeries, max(1, e.Fleet.Balancers))}
 }
 
-// add takes what became of one ask.
+// add records the result of one request.
 func (m *measure) add(r emu.Result) {
 	value, target := 1.0, int64(0)
 	for _, x := range m.e.RuleSets {
@@ -98,15 +98,15 @@
 		intime = value
 	}
 	second := int(r.At / 1e9)
-	for len(m.line) <= second {
-		m.line = append(m.line, [2]float64{})
+	for len(m.perSecond) <= second {
+		m.perSecond = append(m.perSecond, [2]float64{})
 	}
 	tenth := int(r.At / 100e6)
 	for len(m.windows) <= tenth {
 		m.windows = append(m.windows, window{})
 	}
 	m.quarters.add(r.At, intime, value)
-	m.seats[r.Balancer%len(m.seats)].add(r.At, intime, value)
+	m.byBalancer[r.Balancer%len(m.byBalancer)].add(r.At, intime, value)
 	w := &m.windows[tenth]
 	w.asked = append(w.asked, value)
 	switch {
@@ -115,8 +115,8 @@
 	case r.Kind == emu.Done && (!w.any || value < w.done):
 		w.any, w.done = true, value
 	}
-	m.line[second][0] += intime
-	m.line[second][1] += value
+	m.perSecond[second][0] += intime
+	m.perSecond[second][1] += value
 	if r.At < int64(m.e.Warm) {
 		return
 	}
@@ -129,7 +129,7 @@
 	switch r.Kind {
 	case emu.Done:
 		f.Done++
-		_ = m.took.RecordValue(max(1, r.Latency/1e3))
+		_ = m.latencies.RecordValue(max(1, r.Latency/1e3))
 	case emu.Denied:
 		f.Denied++
 	case emu.Aborted:
@@ -139,7 +139,7 @@
 	}
 }
 
-// close works the figures out.
+// close computes the figures.
 func (m *measure) close(j *emu.Checker) {
 	f := m.figures
 	if m.asked > 0 {
@@ -152,9 +152,9 @@
 		to *float64
 		at float64
 	}{{&f.P50, 50}, {&f.P90, 90}, {&f.P99, 99}} {
-		*x.to = float64(m.took.ValueAtPercentile(x.at)) / 1e3
+		*x.to = float64(m.latencies.ValueAtPercentile(x.at)) / 1e3
 	}
-	for _, x := range m.line {
+	for _, x := range m.perSecond {
 		part := 0.0
 		if x[1] > 0 {
 			part = x[0] / x[1]
@@ -165,21 +165,21 @@
 		f.Quarters = append(f.Quarters, x[0]/max(1e-9, x[1]))
 	}
 	m.inversions()
-	f.Best = m.best()
+	f.Best = m.bestService()
 	f.Classes = map[string]float64{}
 	for name, x := range m.classes {
 		f.Classes[name] = x[0] / max(1e-9, x[1])
 	}
 	f.Recovered = m.recovered()
-	f.Return = m.returned()
+	f.Return = m.restartFigures()
 	f.Worst = 1
-	for q := int(int64(m.e.Warm) / quarter); q+20 <= len(m.quarters); q++ {
+	for q := int(int64(m.e.Warm) / quarterNs); q+20 <= len(m.quarters); q++ {
 		f.Worst = min(f.Worst, m.quarters.mean(q, q+20))
 	}
 	f.Breaches, f.Strain, f.Notes, f.Begun = j.Violations, j.MaxOverload, j.Notes, j.ExecutionCount
 }
 
-// inversions counts who was denied while a lesser one was done.
+// inversions counts the requests that were denied while one of lower value was done.
 func (m *measure) inversions() {
 	inverted, asks := 0, 0
 	for _, w := range m.windows {
@@ -193,10 +193,11 @@
 	m.figures.Inverted = float64(inverted) / float64(max(1, asks))
 }
 
-// best is what a cut would serve that knows what comes in each second and what the servers can do: the most worth first. Without a
-// cache of keys, as that makes what they can do depend on who asks.
-func (m *measure) best() float64 {
-	can := 0.0 // reqs a second
+// bestService returns the service of ideal load shedding, which knows the requests of each second and the capacity of
+// the servers and serves the highest values first. It ignores the key cache, which makes capacity depend on the keys
+// requested.
+func (m *measure) bestService() float64 {
+	can := 0.0 // capacity in requests per second
 	for _, x := range m.e.Fleet.Machines {
 		can += float64(x.Count*x.Cores) * x.Speed * 1e9 / max(1, float64(m.e.Load.Work))
 	}
@@ -219,7 +220,8 @@
 	return good / max(1e-9, all)
 }
 
-// recovered is how long after the last surge the service of a second is again 0.95 of that before the first one.
+// recovered returns how many seconds after the last surge the service over a second is again 0.95 of that before the
+// first surge; 0 without a surge, -1 if it never recovers.
 func (m *measure) recovered() float64 {
 	first, last := int64(math.MaxInt64), int64(0)
 	for _, x := range m.e.Faults {
@@ -240,11 +242,11 @@
 	return -1
 }
 
-// virtual plays one run in virtual time.
-func virtual(e *Experiment, v Variant, seed uint64, policy func(t balance.Config, now int64) emu.Policy, p *Problems) (*Figures, error) {
+// runVirtual executes one run in virtual time.
+func runVirtual(e *Experiment, v Variant, seed uint64, policy func(t balance.Config, now int64) emu.Policy, p *Problems) (*Figures, error) {
 	begun := time.Now()
 	clock := emu.NewVirtualClock(1e12)
-	fleet := emu.NewFleet(clock, seed, e.nature(), e.wire(), e.machines(), int64(e.Fleet.Grace))
+	fleet := emu.NewFleet(clock, seed, e.serverParams(), e.network(), e.machines(), int64(e.Fleet.Grace))
 	if policy == nil {
 		policy = newPolicy(v.Policy, fleet)
 	}
@@ -254,8 +256,8 @@
 	for i := range zones {
 		zones[i] = e.zone(i)
 	}
-	seats := emu.NewBalancers(fleet, clock, zones, e.terms(), e.clients(), seed, policy, m.add)
-	peers, err := e.meet(v, seats, seed)
+	seats := emu.NewBalancers(fleet, clock, zones, e.balanceConfig(), e.clientConfig(), seed, policy, m.add)
+	peers, err := e.connectBalancers(v, seats, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -280,24 +282,24 @@
 		clock.Run(end)
 		seats.Arrive(at, a)
 	}
-	// Those that came last have their time, with all their clients' retries.
+	// Let the last requests finish, with all their clients' retries.
 	clock.Run(end + int64(e.Load.Timeout)*int64(2+e.Load.Retries) + 1e9)
 	fleet.Checker.CountUnanswered()
 	m.close(fleet.Checker)
 	f.Sends, f.Dispatched = seats.Dispatches, seats.DispatchedTries
 	if peers != nil {
-		f.Peers, f.Views = tell(peers, e.Fleet.Balancers, clock.Now())
+		f.Peers, f.Views = peerFigures(peers, e.Fleet.Balancers, clock.Now())
 	}
 	f.Hash, f.Events, f.Wall, f.Problems = seats.Hash(), clock.Events, time.Since(begun), p.Count
 	return f, nil
 }
 
-// meet has the balancers of a variant hear one another and keep what they learn, as its operator file says.
-func (e *Experiment) meet(v Variant, s *emu.Balancers, seed uint64) (*emu.Peers, error) {
+// connectBalancers connects the balancers of a variant as peers and enables their snapshots, as its operator file says.
+func (e *Experiment) connectBalancers(v Variant, s *emu.Balancers, seed uint64) (*emu.Peers, error) {
 	if v.Operator == "" {
 		return nil, nil
 	}
-	o, err := conf.LoadOperator(e.beside(v.Operator))
+	o, err := conf.LoadOperator(e.resolvePath(v.Operator))
 	if err != nil {
 		return nil, err
 	}
@@ -308,7 +310,7 @@
 		return nil, nil
 	}
 	if o.Fleet.Limits != nil {
-		return nil, fmt.Errorf("%s: fleet.limits: played in mode processes alone", v.Operator)
+		return nil, fmt.Errorf("%s: fleet.limits: supported in mode processes only", v.Operator)
 	}
 	return s.ConnectPeers(seed, func(me, of int) fleet.Config {
 		t := o.Fleet.MemberConfig(me, of, true)
@@ -317,8 +319,8 @@
 	}), nil
 }
 
-// tell gives what members have sent and what they see at the end.
-func tell(p *emu.Peers, n int, now int64) (counts []PeerCount, views []View) {
+// peerFigures returns what the fleet's members have sent and their views at the end.
+func peerFigures(p *emu.Peers, n int, now int64) (counts []PeerCount, views []View) {
 	for i := range n {
 		sent, bytes := p.SentTotals(i)
 		counts = append(counts, PeerCount{Datagrams: sent, Bytes: bytes})
@@ -335,23 +337,24 @@
 	return newTraced(e, seed, p)
 }
 
-// Run plays all seeds with all variants in turn, so that what changes on the machine meanwhile meets all variants alike.
+// Run executes all seeds with all variants in turn, so that changes on the machine during the experiment affect all
+// variants alike.
 func Run(e *Experiment, say func(format string, a ...any)) ([]*Figures, error) {
 	var all []*Figures
 	for n, seed := range e.Seeds {
 		for i := range e.Variants {
-			v := e.Variants[(i+n)%len(e.Variants)] // no variant is always the first
+			v := e.Variants[(i+n)%len(e.Variants)] // rotate, so that no variant is always the first
 			p := &Problems{Tell: func(what string) {
-				if n == 0 && i == 0 { // the rows are the same each time
+				if n == 0 && i == 0 { // the bad rows are the same in every run
 					say("%s", what)
 				}
 			}}
 			var f *Figures
 			var err error
 			if e.Mode != "virtual" {
-				f, err = sockets(e, v, seed, p)
+				f, err = runOnSockets(e, v, seed, p)
 			} else {
-				f, err = virtual(e, v, seed, nil, p)
+				f, err = runVirtual(e, v, seed, nil, p)
 			}
 			if err != nil {
 				return all, fmt.Errorf("%s, seed %d, %s: %w", e.Name, seed, v.Name, err)
@@ -363,10 +366,10 @@
 				say("  %s", note)
 			}
 			for _, x := range f.Limits {
-				say("  %s", x.said())
+				say("  %s", x.summary())
 			}
 			if f.Plan != nil {
-				say("%s", f.Plan.said())
+				say("%s", f.Plan.summary())
 			}
 		}
 	}
--- a/rehearse/lab/sockets.go
+++ b/rehearse/lab/sockets.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the sockets and processes modes: one run of proxies as processes between stand-ins and clients, and what each proxy
-// is told. It must never send anywhere but to loopback.
+// This file holds the sockets and processes modes: one run of proxies as processes between clients and emulated
+// servers, and the configuration of each proxy. It must never send anywhere but to loopback.
 
 import (
 	"context"
@@ -20,56 +20,56 @@
 )
 
 const (
-	readyWait = 10 * time.Second
-	mostLate  = 25e3            // microseconds: a load generator later than this, 99 in 100, did not play the load that was asked for
-	blankFor  = 2 * time.Second // discovery sends an empty line so often
+	readyTimeout        = 10 * time.Second
+	maxLateMicroseconds = 25e3            // above this 99th percentile of its delay, the load generator did not play the load as requested
+	emptyLineInterval   = 2 * time.Second // discovery sends an empty line after this long without a change
 )
 
-// rig is one run on sockets.
+// rig is one run of the sockets or processes mode.
 type rig struct {
-	e             *Experiment
-	number        int64 // of the rigs of this process
-	terms         balance.Config
-	clock         *emu.WallClock
-	fleet         *emu.Fleet
-	ctx           context.Context
-	cancel        context.CancelFunc
-	played        int64 // when the load began; within the clock's lock
-	wait          sync.WaitGroup
-	addrs         [][]string // by proxy and server
-	mu            sync.Mutex
-	open          map[net.Conn]string // connections to stand-ins, with the server's id; emptied as they end
-	bad           atomic.Int64        // calls that no client made
-	procs         []*process
-	fronts, doors []held // by proxy
-	links         *links // nil: proxies do not hear one another
-	fails         fails
-	met           met
-	asked         map[string]int64 // emptied with the run: when clients began to send each try, by its id; within the clock's lock
-	drops         []chan bool      // by proxy: watches to end
-	dice          rng.Source
+	e                        *Experiment
+	number                   int64 // sequence number among the rigs of this process
+	balanceConfig            balance.Config
+	clock                    *emu.WallClock
+	fleet                    *emu.Fleet
+	ctx                      context.Context
+	cancel                   context.CancelFunc
+	loadStart                int64 // when the load began, in ns; guarded by the clock's lock
+	wait                     sync.WaitGroup
+	addrs                    [][]string // addresses of the emulated servers, by proxy and server
+	mu                       sync.Mutex
+	open                     map[net.Conn]string // open connections to emulated servers, with server ID and proxy; removed as they end
+	unidentifiedCalls        atomic.Int64        // requests without an ID, which no client sent
+	procs                    []*process
+	serviceAddrs, adminAddrs []reservedAddr // by proxy
+	links                    *links         // nil: the proxies are not connected to each other
+	cuts                     linkCuts
+	observed                 observations
+	requestTimes             map[string]int64 // send time of each client attempt by ID, kept until the run ends; guarded by the clock's lock
+	watchDrops               []chan bool      // by proxy: signals to end its open discovery watch
+	random                   rng.Source
 }
 
-// fails is which links of a proxy are cut, by how many faults; within the clock's lock.
-type fails struct {
+// linkCuts counts the faults that cut each link of a proxy; guarded by the clock's lock.
+type linkCuts struct {
 	discovery []int            // by proxy
-	servers   []map[string]int // by proxy: the servers that it cannot reach
+	servers   []map[string]int // by proxy: faults that cut its link to each server, by server ID
 }
 
-// met is what the stand-ins have met, for the figures; within the clock's lock.
-type met struct {
+// observations records what the emulated servers and discovery received; guarded by the clock's lock.
+type observations struct {
 	sends  int              // dispatches
-	reqs   map[string]bool  // ids that came; emptied with the run
-	firsts []Arrival        // the first dispatch of each of them
+	reqs   map[string]bool  // request IDs that arrived; kept until the run ends
+	firsts []Arrival        // the first dispatch of each request
 	probes map[string]int   // by server
-	struck map[string]int64 // when each kind of fault was struck last
-	to     []arrivals       // dispatches by proxy, and server
-	calls  arrivals         // at discovery, all in one
+	struck map[string]int64 // when each kind of fault was last injected
+	to     []arrivals       // dispatches by proxy and server
+	calls  arrivals         // calls at discovery, under one empty place name
 	conns  arrivals         // new connections, by server
 }
 
-func newMet(proxies int) met {
-	m := met{reqs: map[string]bool{}, struck: map[string]int64{}, probes: map[string]int{}, calls: arrivals{}, conns: arrivals{}}
+func newMet(proxies int) observations {
+	m := observations{reqs: map[string]bool{}, struck: map[string]int64{}, probes: map[string]int{}, calls: arrivals{}, conns: arrivals{}}
 	for range proxies {
 		m.to = append(m.to, arrivals{})
 	}
@@ -78,29 +78,29 @@
 
 func newRig(e *Experiment, seed uint64) *rig {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{e: e, number: nets.Add(1), terms: e.terms(), clock: emu.NewWallClock(), ctx: ctx, cancel: cancel, open: map[net.Conn]string{},
-		asked: map[string]int64{}, met: newMet(e.Fleet.Balancers)}
-	r.fails.discovery, r.fails.servers = make([]int, e.Fleet.Balancers), make([]map[string]int, e.Fleet.Balancers)
-	r.dice.Seed = seed ^ 0xfa17
-	for i := range r.fails.servers {
-		r.drops = append(r.drops, make(chan bool, 1))
-		r.fails.servers[i] = map[string]int{}
+	r := &rig{e: e, number: rigCount.Add(1), balanceConfig: e.balanceConfig(), clock: emu.NewWallClock(), ctx: ctx, cancel: cancel, open: map[net.Conn]string{},
+		requestTimes: map[string]int64{}, observed: newMet(e.Fleet.Balancers)}
+	r.cuts.discovery, r.cuts.servers = make([]int, e.Fleet.Balancers), make([]map[string]int, e.Fleet.Balancers)
+	r.random.Seed = seed ^ 0xfa17
+	for i := range r.cuts.servers {
+		r.watchDrops = append(r.watchDrops, make(chan bool, 1))
+		r.cuts.servers[i] = map[string]int{}
 	}
 	r.clock.Do(func() {
-		r.fleet = emu.NewFleet(r.clock, seed, e.nature(), e.wire(), e.machines(), int64(e.Fleet.Grace))
-		r.fleet.InjectProxyFault = r.strike
+		r.fleet = emu.NewFleet(r.clock, seed, e.serverParams(), e.network(), e.machines(), int64(e.Fleet.Grace))
+		r.fleet.InjectProxyFault = r.injectFault
 	})
 	return r
 }
 
-// end ends all that the run started.
+// end stops everything that the run started.
 func (r *rig) end() {
 	r.cancel()
 	r.wait.Wait()
 	r.clock.Stop()
 }
 
-func sockets(e *Experiment, v Variant, seed uint64, p *Problems) (*Figures, error) {
+func runOnSockets(e *Experiment, v Variant, seed uint64, p *Problems) (*Figures, error) {
 	r := newRig(e, seed)
 	defer r.end()
 	if err := r.begin(v, seed); err != nil {
@@ -109,7 +109,7 @@
 	return r.figures(v, seed, p)
 }
 
-// figures plays the load and the timetable.
+// figures plays the load and the fault schedule, and returns the figures.
 func (r *rig) figures(v Variant, seed uint64, p *Problems) (*Figures, error) {
 	begun := time.Now()
 	f := &Figures{Seed: seed, Variant: v.Name}
@@ -120,8 +120,8 @@
 	}
 	defer l.close()
 	r.clock.Do(func() {
-		r.met = newMet(r.e.Fleet.Balancers)
-		r.played = r.clock.Now()
+		r.observed = newMet(r.e.Fleet.Balancers)
+		r.loadStart = r.clock.Now()
 		err = r.fleet.Schedule(r.e.faults())
 	})
 	if err != nil {
@@ -140,18 +140,18 @@
 	r.clock.Do(func() {
 		r.fleet.Checker.CountUnanswered()
 		m.close(r.fleet.Checker)
-		f.Sends, f.Dispatched, f.Probes = r.met.sends, len(r.met.reqs), r.met.probes
-		f.Return.peaks(r.e, r.met, r.played)
+		f.Sends, f.Dispatched, f.Probes = r.observed.sends, len(r.observed.reqs), r.observed.probes
+		f.Return.peaks(r.e, r.observed, r.loadStart)
 	})
 	if r.links != nil {
 		f.Peers = r.links.counts()
 	}
-	if n := r.bad.Load(); n > 0 {
-		f.Notes = append(f.Notes, fmt.Sprintf("%d calls at the stand-ins carried no id", n))
+	if n := r.unidentifiedCalls.Load(); n > 0 {
+		f.Notes = append(f.Notes, fmt.Sprintf("%d requests at the emulated servers had no ID", n))
 	}
 	for i, x := range r.procs {
-		if x.died() {
-			f.Notes = append(f.Notes, fmt.Sprintf("proxy %d has ended by itself: %s", i, x.said()))
+		if x.exitedUnexpectedly() {
+			f.Notes = append(f.Notes, fmt.Sprintf("proxy %d ended unexpectedly: %s", i, x.outputTail()))
 			f.Crashes++
 		}
 	}
@@ -159,7 +159,7 @@
 	return f, nil
 }
 
-// cpu is the processor time of all proxies, in seconds.
+// cpu returns the processor time of all proxies, in seconds.
 func (r *rig) cpu() (sum float64) {
 	for _, x := range r.procs {
 		sum += x.cpu()
@@ -167,12 +167,12 @@
 	return sum
 }
 
-// begin starts stand-ins and proxies, and waits until all are ready.
+// begin starts the emulated servers and the proxies, and waits until all are ready.
 func (r *rig) begin(v Variant, seed uint64) (err error) {
 	for i := range r.e.Fleet.Balancers {
 		var addrs []string
 		for _, s := range r.fleet.Servers {
-			addr, err := r.standIn(i, s)
+			addr, err := r.startServer(i, s)
 			if err != nil {
 				return err
 			}
@@ -181,14 +181,14 @@
 		r.addrs = append(r.addrs, addrs)
 	}
 	if r.e.Mode == "processes" {
-		if r.links, err = newLinks(r.ctx, &r.wait, r.net(peerNet), r.e.Fleet.Balancers, seed); err != nil {
+		if r.links, err = newLinks(r.ctx, &r.wait, r.listenAddr(peerNet), r.e.Fleet.Balancers, seed); err != nil {
 			return err
 		}
 	}
-	if r.fronts, err = r.reserve(r.e.Fleet.Balancers); err != nil {
+	if r.serviceAddrs, err = r.reserve(r.e.Fleet.Balancers); err != nil {
 		return err
 	}
-	if r.doors, err = r.reserve(r.e.Fleet.Balancers); err != nil {
+	if r.adminAddrs, err = r.reserve(r.e.Fleet.Balancers); err != nil {
 		return err
 	}
 	for i := range r.e.Fleet.Balancers {
@@ -208,10 +208,10 @@
 	return nil
 }
 
-// configuration is what a proxy is told, as the platform would tell it.
+// configuration returns a proxy's configuration in the format of the platform.
 func (r *rig) configuration(listen, discovery string, seed uint64, proxy int) ([]byte, error) {
 	x := r.e
-	t := r.terms
+	t := r.balanceConfig
 	kinds := map[balance.Effect]string{balance.Replayable: "retryable", balance.Deduplicated: "dedup", balance.NonReplayable: "fragile"}
 	sets, tenants := []any{}, []any{}
 	for _, s := range x.RuleSets {
@@ -230,7 +230,7 @@
 	r.clock.Do(func() { servers, version = r.fleet.List() })
 	told := map[string]any{"name": fmt.Sprint("n", proxy), "listen": listen, "discovery": discovery,
 		"seed": fmt.Sprintf("%x", emu.BalancerSeed(seed, proxy)), "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-		"known": json.RawMessage(r.line(proxy, true, version, servers)),
+		"known": json.RawMessage(r.listLine(proxy, true, version, servers)),
 		"settings": map[string]any{"FleetSize": t.FleetSize, "Me": proxy, "Zone": r.e.zone(proxy), "TickNs": t.Tick, "Discovery": "on_request",
 			"Ceilings": map[string]any{"MaxDispatches": t.MaxDispatches, "ParallelTries": t.AllowParallel, "Cancel": t.CanCancel, "RetryAfter": true,
 				"MaxRetryAfterNs": t.MaxRetryAfter, "DialTimeoutNs": int64(250e6), "ConnIdleNs": int64(60e9), "MayTell": r.links != nil, "Probes": true},
@@ -238,50 +238,50 @@
 				"OverloadFactor": t.OverloadFactor, "FallNs": t.OverloadTime},
 			"Prices": map[string]any{"CrossZone": t.CrossZonePrice, "Waste": t.WastePrice}, "RuleSets": sets, "Tenants": tenants}}
 	if r.links != nil {
-		told["peer_listen"], told["peers"] = r.links.told(proxy)
+		told["peer_listen"], told["peers"] = r.links.addresses(proxy)
 	}
 	return json.Marshal(told)
 }
 
-// held is an address at which nobody listens, kept so until it is given up right before its process starts. It is this rig's own: no
-// connection goes out from it, and a rig beside this one has another.
-type held struct {
-	addr string
-	give func()
+// reservedAddr is an address that is reserved by an idle listener until right before its process starts. It belongs to
+// this rig alone: no connection goes out from it, and other rigs use other addresses.
+type reservedAddr struct {
+	addr    string
+	release func()
 }
 
-// nets counts the rigs of this process.
-var nets atomic.Int64
+// rigCount counts the rigs of this process.
+var rigCount atomic.Int64
 
-// net is an address of this rig's own, for one kind of its parts: what a crashed server or a killed proxy gives up must not become another
-// rig's, whose proxies go on dialling it.
-func (r *rig) net(kind int) string {
+// listenAddr returns a loopback address that only this rig uses, for one kind of its parts: an address released by a
+// crashed server or a killed proxy must not be reused by another rig, because proxies go on dialling it.
+func (r *rig) listenAddr(kind int) string {
 	pid := int64(os.Getpid())
 	return fmt.Sprintf("127.%d.%d.%d:0", 16+pid%200, (pid/200*31+r.number)%250, kind)
 }
 
-// kinds of part that have an address
+// Kinds of parts that have an address; the value is the last byte of the address.
 const (
 	hostNet = 2 + iota
 	frontNet
 	peerNet
 )
 
-// reserve takes so many. All are taken before the first is given up, which else could be taken again.
-func (r *rig) reserve(n int) (all []held, err error) {
+// reserve reserves n addresses. All are taken before the first is released, which otherwise could be taken again.
+func (r *rig) reserve(n int) (all []reservedAddr, err error) {
 	for range n {
-		l, err := net.Listen("tcp", r.net(frontNet))
+		l, err := net.Listen("tcp", r.listenAddr(frontNet))
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, held{l.Addr().String(), func() { _ = l.Close() }})
+		all = append(all, reservedAddr{l.Addr().String(), func() { _ = l.Close() }})
 	}
 	return all, nil
 }
 
 // proxy starts one client proxy.
 func (r *rig) proxy(v Variant, seed uint64, i int, discovery string) error {
-	listen, door := r.fronts[i], r.doors[i]
+	listen, door := r.serviceAddrs[i], r.adminAddrs[i]
 	folder, err := os.MkdirTemp("", "ivybank-lab")
 	if err != nil {
 		return err
@@ -294,10 +294,10 @@
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		return err
 	}
-	if n := len(v.Others); n > 0 && i >= r.e.Fleet.Balancers-v.OthersCount { // two builds or operator files side by side
+	if n := len(v.Others); n > 0 && i >= r.e.Fleet.Balancers-v.OthersCount { // mixed fleet: two builds or operator files
 		v.Build, v.Operator = v.Others[0], v.Others[min(n-1, 1)]
 	}
-	build := r.e.beside(v.Build)
+	build := r.e.resolvePath(v.Build)
 	if v.Build == "" {
 		if build, err = os.Executable(); err != nil {
 			return err
@@ -305,12 +305,12 @@
 	}
 	args := []string{"serve"}
 	if v.Operator != "" {
-		args = append(args, "--operator", r.e.beside(v.Operator))
+		args = append(args, "--operator", r.e.resolvePath(v.Operator))
 	}
-	x := &process{cmd: append([]string{build}, args...), folder: folder, listen: listen.addr, door: door.addr,
+	x := &process{cmd: append([]string{build}, args...), folder: folder, listen: listen.addr, adminAddr: door.addr,
 		env: append(os.Environ(), "GW_CONFIG="+config, "TMPDIR="+folder, "GW_ADMIN_ADDR="+door.addr, "GW_SOCKET_FD=")}
-	listen.give()
-	door.give()
+	listen.release()
+	door.release()
 	if err := x.start(); err != nil {
 		return err
 	}
--- a/rehearse/lab/standins.go
+++ b/rehearse/lab/standins.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the stand-ins: servers and discovery on loopback that speak the proxy's protocol. They share the model of virtual
-// time; all of it is called with the clock's lock held. Every proxy has listeners of its own, so that each link can fail alone.
+// This file holds the emulated servers and discovery on loopback, which speak the proxy's protocol. They use the same
+// server model as virtual time; the model is always called with the clock's lock held. Every proxy has listeners of its
+// own, so that each link can fail alone.
 
 import (
 	"bufio"
@@ -16,9 +17,9 @@
 	"ivybank/rehearse/emu"
 )
 
-// standIn listens for one proxy as one server. While the server's process is gone it does not listen.
-func (r *rig) standIn(proxy int, s *emu.Server) (string, error) {
-	l, err := net.Listen("tcp", r.net(hostNet))
+// startServer listens as one server for one proxy. While the server's process is gone it does not listen.
+func (r *rig) startServer(proxy int, s *emu.Server) (string, error) {
+	l, err := net.Listen("tcp", r.listenAddr(hostNet))
 	if err != nil {
 		return "", err
 	}
@@ -26,7 +27,7 @@
 	r.wait.Go(func() {
 		for {
 			r.accept(proxy, s, l)
-			for up := false; !up; { // gone: wait for its start
+			for up := false; !up; { // the process is gone: wait until it starts
 				select {
 				case <-r.ctx.Done():
 					return
@@ -42,7 +43,7 @@
 	return addr, nil
 }
 
-// accept takes connections until the server's process has gone, and resets them then.
+// accept accepts connections until the server's process is gone, and then resets them.
 func (r *rig) accept(proxy int, s *emu.Server, l net.Listener) {
 	ended := make(chan bool)
 	r.wait.Go(func() {
@@ -73,7 +74,7 @@
 		r.mu.Lock()
 		r.open[c] = fmt.Sprint(s.ID, " ", proxy)
 		r.mu.Unlock()
-		r.clock.Do(func() { r.met.conns[s.ID] = append(r.met.conns[s.ID], r.clock.Now()) })
+		r.clock.Do(func() { r.observed.conns[s.ID] = append(r.observed.conns[s.ID], r.clock.Now()) })
 		r.wait.Go(func() {
 			r.serve(proxy, s, c)
 			r.mu.Lock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// reset ends all connections of a server's process.
+// reset resets all connections between a server and a proxy.
 func (r *rig) reset(id string, proxy int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// serve answers the calls of one connection by the model.
+// serve answers the requests of one connection by the server model.
 func (r *rig) serve(proxy int, s *emu.Server, c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
@@ -111,8 +112,8 @@
 		if _, err := io.Copy(io.Discard, q.Body); err != nil {
 			return
 		}
-		if q.URL.Path == pingPath {
-			if !r.ping(proxy, s, c) {
+		if q.URL.Path == probePath {
+			if !r.answerProbe(proxy, s, c) {
 				_, _ = in.Peek(1)
 				return
 			}
@@ -120,51 +121,51 @@
 		}
 		id := q.Header.Get("Request-Id")
 		if id == "" {
-			r.bad.Add(1)
+			r.unidentifiedCalls.Add(1)
 			return
 		}
 		if key := q.Header.Get(r.e.Load.Key); r.e.Load.Key != "" && key != "" {
-			id = key // executions count by what the client asked for, however often it asked
+			id = key // count executions by idempotency key, over all attempts of the client
 		}
 		outcome := make(chan balance.Outcome, 1)
-		job := &emu.Job{RequestID: id, Balancer: proxy, SentAt: sent, Key: q.Header.Get("Affinity-Key"), RuleSet: r.rules(q.Header.Get("Request-Class")),
+		job := &emu.Job{RequestID: id, Balancer: proxy, SentAt: sent, Key: q.Header.Get("Affinity-Key"), RuleSet: r.ruleSet(q.Header.Get("Request-Class")),
 			Done: func(o balance.Outcome) { outcome <- o }}
 		_, _ = fmt.Sscanf(q.Header.Get("Request-Info"), "CostGuessNs=%d", &job.Work)
 		var load emu.LoadReport
 		r.clock.Do(func() {
-			if r.fails.servers[proxy][s.ID] > 0 {
+			if r.cuts.servers[proxy][s.ID] > 0 {
 				return
 			}
 			r.fleet.Checker.AttemptSent(proxy, s.ID, id)
-			r.met.sends++
-			r.met.to[proxy][s.ID] = append(r.met.to[proxy][s.ID], sent)
-			if !r.met.reqs[id] {
-				asked, known := r.asked[q.Header.Get("Request-Id")]
+			r.observed.sends++
+			r.observed.to[proxy][s.ID] = append(r.observed.to[proxy][s.ID], sent)
+			if !r.observed.reqs[id] {
+				asked, known := r.requestTimes[q.Header.Get("Request-Id")]
 				if !known {
-					asked = sent // no client of the load sent it
+					asked = sent // not sent by a client of the load
 				}
-				r.met.firsts = append(r.met.firsts, Arrival{Asked: asked, At: sent, Proxy: proxy,
+				r.observed.firsts = append(r.observed.firsts, Arrival{Asked: asked, At: sent, Proxy: proxy,
 					RuleSet: q.Header.Get("Request-Class"), Tenant: q.Header.Get("Tenant")})
 			}
-			r.met.reqs[id] = true
+			r.observed.reqs[id] = true
 			if _, arrives := r.fleet.Delivery(r.e.zone(proxy), s); arrives {
 				s.Offer(job)
 			}
 		})
 		left := make(chan bool)
-		r.wait.Go(func() { // the proxy gives up by closing, and sends nothing ahead
+		r.wait.Go(func() { // the proxy cancels by closing the connection; it does not pipeline
 			_, _ = in.Peek(1)
 			close(left)
 		})
 		select {
 		case o := <-outcome:
 			cut := false
-			r.clock.Do(func() { load, cut = s.Report(), r.fails.servers[proxy][s.ID] > 0 })
+			r.clock.Do(func() { load, cut = s.Report(), r.cuts.servers[proxy][s.ID] > 0 })
 			if cut {
 				<-left
 				return
 			}
-			if !r.say(c, o, id, load) {
+			if !r.writeOutcome(c, o, id, load) {
 				return
 			}
 			<-left
@@ -175,17 +176,17 @@
 	}
 }
 
-// pingPath is where probes go.
-const pingPath = "/ping"
+// probePath is the path of probes.
+const probePath = "/ping"
 
-// ping answers a probe; false where it says nothing.
-func (r *rig) ping(proxy int, s *emu.Server, c net.Conn) bool {
+// answerProbe answers a probe; it returns false if no answer was sent.
+func (r *rig) answerProbe(proxy int, s *emu.Server, c net.Conn) bool {
 	says := false
 	r.clock.Do(func() {
-		if r.fails.servers[proxy][s.ID] > 0 {
+		if r.cuts.servers[proxy][s.ID] > 0 {
 			return
 		}
-		r.met.probes[s.ID]++
+		r.observed.probes[s.ID]++
 		says = s.Healthy()
 	})
 	if !says {
@@ -195,16 +196,16 @@
 	return err == nil
 }
 
-// dropWatches ends what a proxy has open at discovery.
+// dropWatches ends the proxy's open watch at discovery.
 func (r *rig) dropWatches(proxy int) {
 	select {
-	case r.drops[proxy] <- true:
+	case r.watchDrops[proxy] <- true:
 	default:
 	}
 }
 
-// say writes an outcome; false where the connection ends with it.
-func (r *rig) say(c net.Conn, o balance.Outcome, id string, load emu.LoadReport) bool {
+// writeOutcome writes the response to an outcome; it returns false if the connection ends.
+func (r *rig) writeOutcome(c net.Conn, o balance.Outcome, id string, load emu.LoadReport) bool {
 	status, more, body := "200 OK", "", id
 	switch o {
 	case balance.Served:
@@ -221,8 +222,8 @@
 	return err == nil
 }
 
-func (r *rig) rules(name string) balance.RuleSet {
-	if x := r.terms.RuleSet(name); x != nil {
+func (r *rig) ruleSet(name string) balance.RuleSet {
+	if x := r.balanceConfig.RuleSet(name); x != nil {
 		return *x
 	}
 	return balance.RuleSet{Name: name, Effect: balance.NonReplayable}
@@ -230,8 +231,8 @@
 
 var states = map[balance.State]string{balance.Running: "ready", balance.Draining: "draining", balance.Gone: "gone"}
 
-// line is one line of the list for a proxy.
-func (r *rig) line(proxy int, reset bool, version int64, servers []balance.Server) []byte {
+// listLine encodes one line of the server list, with the addresses that a proxy uses.
+func (r *rig) listLine(proxy int, reset bool, version int64, servers []balance.Server) []byte {
 	type entry map[string]any
 	list := []entry{}
 	for _, s := range servers {
@@ -246,14 +247,15 @@
 	}
 	text, err := json.Marshal(map[string]any{"generation": version, "reset": reset, "instances": list})
 	if err != nil {
-		panic(err) // strings and numbers always print
+		panic(err) // strings and numbers always encode
 	}
 	return text
 }
 
-// discovery tells one proxy of the list and its changes.
+// discovery starts the discovery service of one proxy, which streams the server list and its changes, and returns its
+// address.
 func (r *rig) discovery(proxy int) (string, error) {
-	l, err := net.Listen("tcp", r.net(hostNet))
+	l, err := net.Listen("tcp", r.listenAddr(hostNet))
 	if err != nil {
 		return "", err
 	}
@@ -262,23 +264,23 @@
 		ended := make(chan bool)
 		down, gone := false, false
 		r.clock.Do(func() {
-			r.met.calls[""] = append(r.met.calls[""], r.clock.Now())
-			if down = r.fleet.DiscoveryDown() || r.fails.discovery[proxy] > 0; down {
+			r.observed.calls[""] = append(r.observed.calls[""], r.clock.Now())
+			if down = r.fleet.DiscoveryDown() || r.cuts.discovery[proxy] > 0; down {
 				return
 			}
 			servers, version := r.fleet.List()
-			lines <- r.line(proxy, true, version, servers)
+			lines <- r.listLine(proxy, true, version, servers)
 			for _, s := range servers {
 				r.fleet.Checker.StateAnnounced(proxy, s.ID, s.State)
 			}
 			r.fleet.Watch(func(e emu.ListChange) {
-				if gone { // its connection has ended: it is told nothing
+				if gone { // the connection has ended: send nothing
 					return
 				}
 				select {
-				case lines <- r.line(proxy, false, e.Version, []balance.Server{e.Server}):
+				case lines <- r.listLine(proxy, false, e.Version, []balance.Server{e.Server}):
 					r.fleet.Checker.StateAnnounced(proxy, e.Server.ID, e.Server.State)
-				default: // a proxy that does not read is told nothing
+				default: // the proxy does not read: drop the change
 				}
 			}, func() { close(ended) })
 		})
@@ -291,10 +293,10 @@
 			var line []byte
 			select {
 			case line = <-lines:
-			case <-time.After(blankFor):
+			case <-time.After(emptyLineInterval):
 			case <-ended:
 				return
-			case <-r.drops[proxy]:
+			case <-r.watchDrops[proxy]:
 				return
 			case <-q.Context().Done():
 				return
--- a/rehearse/lab/state.go
+++ b/rehearse/lab/state.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns what befalls the state folders of proxies: emptied, cut short, a bit turned, full, put back from an older copy. It must
-// never touch a folder that a rig has not made.
+// This file holds the faults of the proxies' state folders: deleted, truncated, a bit flipped, not writable, restored
+// from an older copy. It must never touch a folder that a rig has not made.
 
 import (
 	"os"
@@ -13,17 +13,18 @@
 )
 
 const (
-	stateFolder = "state"               // that an experiment's operator files name: in the folder that a proxy runs in
-	savedFolder = "state.saved"         // the copy
-	blockName   = "memory.snap.new"     // where a snapshot is written; a folder in its place stops that
-	endWait     = 50 * time.Millisecond // so long a process that was just killed may take to end
+	stateFolder      = "state"               // the folder that an experiment's operator files name, relative to the proxy's working folder
+	savedFolder      = "state.saved"         // the older copy
+	snapshotTempName = "memory.snap.new"     // the file that a snapshot is written to; a folder in its place makes writing fail
+	endWait          = 50 * time.Millisecond // how long a process that was just killed may take to end
 )
 
 func (x *process) state() string { return filepath.Join(x.folder, stateFolder) }
 
-// harm does what befalls a proxy's state. One that was killed in the same instant has ended before.
-func (r *rig) harm(p *process, x emu.Fault) {
-	luck := r.dice.Next()
+// damageState applies a state fault to a proxy's folder. It first waits up to endWait, so that a proxy killed at the
+// same time has ended before.
+func (r *rig) damageState(p *process, x emu.Fault) {
+	luck := r.random.Next()
 	r.wait.Go(func() {
 		select {
 		case <-p.ended:
@@ -40,8 +41,8 @@
 			_ = os.RemoveAll(state)
 			copyFolder(saved, state)
 		case "state_full":
-			_ = os.RemoveAll(filepath.Join(state, blockName))
-			_ = os.MkdirAll(filepath.Join(state, blockName, "full"), 0o700)
+			_ = os.RemoveAll(filepath.Join(state, snapshotTempName))
+			_ = os.MkdirAll(filepath.Join(state, snapshotTempName, "full"), 0o700)
 		case "state_cut", "state_flip":
 			for _, f := range files(state) {
 				b, err := os.ReadFile(f)
@@ -60,7 +61,7 @@
 	})
 }
 
-// files are those of a folder, in order.
+// files returns the paths of the regular files in a folder, sorted.
 func files(folder string) (all []string) {
 	entries, _ := os.ReadDir(folder)
 	for _, e := range entries {
--- a/rehearse/lab/views.go
+++ b/rehearse/lab/views.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns what is kept of the proxies' own views while a run is played. It is shown beside the evidence; nothing is judged by
-// it.
+// This file records the proxies' own views of their fleet during a run. They are shown beside the measurements; no
+// check may depend on them.
 
 import (
 	"sync"
@@ -10,31 +10,32 @@
 	"ivybank/fleet"
 )
 
-const viewEvery = 500 * time.Millisecond
+const viewInterval = 500 * time.Millisecond
 
-// View is one proxy's view of its fleet at a time of a run.
+// View is one proxy's view of its fleet at one time of a run.
 type View struct {
 	At      float64 // seconds
 	Proxy   int
 	Alive   int
-	Dead    []int // members that it holds to be dead
+	Dead    []int // members that it considers dead
 	Counted int
-	On      bool    // a cut is in force
-	Part    float64 // let in
+	On      bool    // load shedding is active
+	Part    float64 // fraction of the load admitted
 	Limit   float64
-	Calm    float64 // seconds that answers take without a cut,
-	Took    float64 // and of late
+	Calm    float64 // baseline latency in seconds, without load shedding
+	Took    float64 // recent latency in seconds
 	Offered float64
 	Served  float64
 	Lacked  float64
-	Left    int // further dispatches
-	Shed    int // so far
+	Left    int // retry budget available, in dispatches
+	Shed    int // requests shed so far
 	Moves   int
-	Probes  int // so far
-	Sent    int // datagrams so far
+	Probes  int // probes so far
+	Sent    int // datagrams sent so far
 }
 
-// watchViews asks all proxies for their views until the function that it gives is called. A proxy that does not answer has none.
+// watchViews polls the views of all proxies until the function that it returns is called. A proxy that does not answer
+// is skipped.
 func (r *rig) watchViews() func() []View {
 	if r.links == nil {
 		return func() []View { return nil }
@@ -44,7 +45,7 @@
 	start, over := time.Now(), make(chan bool)
 	var asks sync.WaitGroup
 	asks.Go(func() {
-		tick := time.NewTicker(viewEvery)
+		tick := time.NewTicker(viewInterval)
 		defer tick.Stop()
 		for {
 			select {
