--- a/rehearse/lab/clients.go
+++ b/rehearse/lab/clients.go
@@ -27,8 +27,8 @@
 	late := hdrhistogram.New(1, 600e6, 3)
 	results := make(chan emu.Result, 1024)
 	var asks sync.WaitGroup
-	var gathered sync.WaitGroup
-	gathered.Go(func() {
+	var collector sync.WaitGroup
+	collector.Go(func() {
 		for x := range results {
 			m.add(x)
 		}
@@ -58,7 +58,7 @@
 	}
 	asks.Wait()
 	close(results)
-	gathered.Wait()
+	collector.Wait()
 	f.Late = float64(late.ValueAtPercentile(99)) / 1e3
 	f.Unusable = unusable(f.Late)
 	if errors.Is(err, io.EOF) {
@@ -146,7 +146,7 @@
 		q.Header.Set(r.e.Load.Key, key)
 		want = key
 	}
-	hurt := p.outageChanges.Load()
+	outageChangesBefore := p.outageChanges.Load()
 	r.clock.Do(func() {
 		r.requestTimes[id] = r.clock.Now()
 		r.fleet.Checker.RequestAccepted(id, r.requestTimes[id]+x.Timeout+50e6)
@@ -159,13 +159,13 @@
 	}
 	if err != nil {
 		// Requests held by a killed proxy are for the client to retry, and a paused proxy could not answer.
-		if p.outageChanges.Load() != hurt || p.outages.Load() > 0 {
+		if p.outageChanges.Load() != outageChangesBefore || p.outages.Load() > 0 {
 			r.clock.Do(func() { r.fleet.Checker.ClientLeft(id) })
 		}
 		return attemptResult{kind: emu.Unanswered, connectionRefused: p.outages.Load() > 0 && errors.Is(err, syscall.ECONNREFUSED)}
 	}
 	r.clock.Do(func() {
-		if p.outageChanges.Load() != hurt || p.outages.Load() > 0 { // the answer may be late by as long as its proxy was paused
+		if p.outageChanges.Load() != outageChangesBefore || p.outages.Load() > 0 { // the answer may be late by as long as its proxy was paused
 			r.fleet.Checker.ClientLeft(id)
 			return
 		}
--- a/rehearse/lab/gentrace.go
+++ b/rehearse/lab/gentrace.go
@@ -26,15 +26,15 @@
 		return fmt.Errorf("rows %d, rate %g: expected numbers above 0", rows, rate)
 	}
 	w := bufio.NewWriter(to)
-	dice := rng.Source{Seed: seed}
+	random := rng.Source{Seed: seed}
 	if layout == "azure-2021-invocations" {
 		fmt.Fprintln(w, "app,func,end_timestamp,duration")
 	}
 	at := 600.0
 	for range rows {
-		at += -math.Log(dice.Next()) / (rate * (1 + 0.5*math.Sin(at/60*2*math.Pi)))
-		work := 0.02 * math.Exp(0.8*math.Sqrt(-2*math.Log(dice.Next()))*math.Cos(2*math.Pi*dice.Next()))
-		key, tenant := int(math.Pow(dice.Next(), 2)*500), int(dice.Next()*5)
+		at += -math.Log(random.Next()) / (rate * (1 + 0.5*math.Sin(at/60*2*math.Pi)))
+		work := 0.02 * math.Exp(0.8*math.Sqrt(-2*math.Log(random.Next()))*math.Cos(2*math.Pi*random.Next()))
+		key, tenant := int(math.Pow(random.Next(), 2)*500), int(random.Next()*5)
 		at, work = math.Round(at*1e6)/1e6, math.Round(work*1e6)/1e6
 		switch layout {
 		case "azure-2021-invocations":
@@ -44,7 +44,7 @@
 			fmt.Fprintf(w, "M1,1,j_%d,%d,Terminated,%.0f,%.0f,100,0.3\n", key, tenant, math.Floor(at), math.Floor(at)+math.Ceil(work))
 		default:
 			fmt.Fprintf(w, "%.0f,,%d,0,%d,0,user%d,%d,9,%.4f,0.01,0.0001,0\n", at*1e6, key, key%40, tenant, tenant%4, work)
-			if dice.Next() < 0.3 { // a schedule event, which is not an arrival
+			if random.Next() < 0.3 { // a schedule event, which is not an arrival
 				fmt.Fprintf(w, "%.0f,,%d,0,%d,1,user%d,%d,9,%.4f,0.01,0.0001,0\n", at*1e6, key, key%40, tenant, tenant%4, work)
 			}
 		}
--- a/rehearse/lab/lab_test.go
+++ b/rehearse/lab/lab_test.go
@@ -340,7 +340,7 @@
 // The generated load has the configured rate, mean work and key skew, and is in time order.
 func TestLoad(t *testing.T) {
 	e := read(t, "length = \"6s\" -> length = \"100s\"")
-	g, n, work, keys := newGenerated(e, 3), 0, 0.0, map[string]int{}
+	g, n, work, keys := newGeneratedLoad(e, 3), 0, 0.0, map[string]int{}
 	for last := int64(0); ; n++ {
 		a, at, err := g.next()
 		if err == io.EOF {
--- a/rehearse/lab/limits.go
+++ b/rehearse/lab/limits.go
@@ -79,9 +79,9 @@
 		x.Over, x.Bound, x.Breach, x.Used, x.Seconds)
 }
 
-// judgeLimits checks the arrivals at the emulated servers against the limits in the variant's operator file or, if that
+// checkLimits checks the arrivals at the emulated servers against the limits in the variant's operator file or, if that
 // has none, in the experiment's.
-func (r *rig) judgeLimits(v Variant) (all []OverLimit, err error) {
+func (r *rig) checkLimits(v Variant) (all []OverLimit, err error) {
 	if r.e.Limits == "" {
 		return nil, nil
 	}
@@ -138,7 +138,7 @@
 // LastInjected returns when a kind of fault was last injected, from the start of the load: on a busy machine that is
 // later than the schedule says.
 func (x *Rehearsal) LastInjected(kind string) (at time.Duration) {
-	x.r.clock.Do(func() { at = time.Duration(x.r.observed.struck[kind] - x.r.loadStart) })
+	x.r.clock.Do(func() { at = time.Duration(x.r.observed.injectedAt[kind] - x.r.loadStart) })
 	return at
 }
 
--- a/rehearse/lab/load.go
+++ b/rehearse/lab/load.go
@@ -51,7 +51,7 @@
 	return min(len(sums)-1, sort.SearchFloat64s(sums, d.Next()*sums[len(sums)-1]))
 }
 
-func newGenerated(e *Experiment, seed uint64) *generatedLoad {
+func newGeneratedLoad(e *Experiment, seed uint64) *generatedLoad {
 	g := &generatedLoad{e: e}
 	g.random.Seed = seed
 	g.keys = cumulativeWeights(e.Load.Keys, func(i int) float64 { return math.Pow(float64(i+1), -e.Load.Skew) })
@@ -143,7 +143,7 @@
 // ErrProblems is returned when a run met too many bad rows.
 var ErrProblems = errors.New("too many bad rows")
 
-func newTraced(e *Experiment, seed uint64, p *Problems) (*traceLoad, error) {
+func newTraceLoad(e *Experiment, seed uint64, p *Problems) (*traceLoad, error) {
 	f, err := os.Open(e.resolvePath(e.Trace.File))
 	if err != nil {
 		return nil, err
--- a/rehearse/lab/mechanics.go
+++ b/rehearse/lab/mechanics.go
@@ -55,7 +55,7 @@
 	done   sync.WaitGroup
 }
 
-func (r *rig) mechanics(work time.Duration) *maintenanceRun {
+func (r *rig) newMaintenanceRun(work time.Duration) *maintenanceRun {
 	return &maintenanceRun{r: r, work: work, worked: map[string]int{}, since: map[string]int64{}}
 }
 
@@ -117,9 +117,9 @@
 		return
 	}
 	begun := time.Now()
-	for taken := false; !taken; {
+	for accepted := false; !accepted; {
 		for i := range m.r.procs {
-			if taken = m.submitPlan(i, "/plans/"+p.ID, text); taken {
+			if accepted = m.submitPlan(i, "/plans/"+p.ID, text); accepted {
 				break
 			}
 		}
@@ -205,7 +205,7 @@
 	if x == nil || v.Maintenance == "" {
 		return func() *PlanFigures { return nil }
 	}
-	m, over := r.mechanics(time.Duration(x.Work)), make(chan bool)
+	m, over := r.newMaintenanceRun(time.Duration(x.Work)), make(chan bool)
 	var servers []string
 	for _, s := range r.fleet.Servers {
 		servers = append(servers, s.ID)
--- a/rehearse/lab/rehearsal.go
+++ b/rehearse/lab/rehearsal.go
@@ -58,7 +58,7 @@
 // load.
 func (x *Rehearsal) ProxySentSince(proxy int, from time.Duration, server string) (n int) {
 	x.r.clock.Do(func() {
-		for _, at := range x.r.observed.to[proxy][server] {
+		for _, at := range x.r.observed.dispatches[proxy][server] {
 			if at >= x.r.loadStart+int64(from) {
 				n++
 			}
--- a/rehearse/lab/run.go
+++ b/rehearse/lab/run.go
@@ -256,8 +256,8 @@
 	for i := range zones {
 		zones[i] = e.zone(i)
 	}
-	seats := emu.NewBalancers(fleet, clock, zones, e.balanceConfig(), e.clientConfig(), seed, policy, m.add)
-	peers, err := e.connectBalancers(v, seats, seed)
+	balancers := emu.NewBalancers(fleet, clock, zones, e.balanceConfig(), e.clientConfig(), seed, policy, m.add)
+	peers, err := e.connectBalancers(v, balancers, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -280,17 +280,17 @@
 		}
 		end = start + a.At
 		clock.Run(end)
-		seats.Arrive(at, a)
+		balancers.Arrive(at, a)
 	}
 	// Let the last requests finish, with all their clients' retries.
 	clock.Run(end + int64(e.Load.Timeout)*int64(2+e.Load.Retries) + 1e9)
 	fleet.Checker.CountUnanswered()
 	m.close(fleet.Checker)
-	f.Sends, f.Dispatched = seats.Dispatches, seats.DispatchedTries
+	f.Sends, f.Dispatched = balancers.Dispatches, balancers.DispatchedTries
 	if peers != nil {
 		f.Peers, f.Views = peerFigures(peers, e.Fleet.Balancers, clock.Now())
 	}
-	f.Hash, f.Events, f.Wall, f.Problems = seats.Hash(), clock.Events, time.Since(begun), p.Count
+	f.Hash, f.Events, f.Wall, f.Problems = balancers.Hash(), clock.Events, time.Since(begun), p.Count
 	return f, nil
 }
 
@@ -331,10 +331,10 @@
 
 func (e *Experiment) load(seed uint64, p *Problems) (load, error) {
 	if e.Trace == nil {
-		return newGenerated(e, seed), nil
+		return newGeneratedLoad(e, seed), nil
 	}
 	p.Most = e.Trace.Problems
-	return newTraced(e, seed, p)
+	return newTraceLoad(e, seed, p)
 }
 
 // Run executes all seeds with all variants in turn, so that changes on the machine during the experiment affect all
--- a/rehearse/lab/sockets.go
+++ b/rehearse/lab/sockets.go
@@ -58,20 +58,20 @@
 
 // observations records what the emulated servers and discovery received; guarded by the clock's lock.
 type observations struct {
-	sends  int              // dispatches
-	reqs   map[string]bool  // request IDs that arrived; kept until the run ends
-	firsts []Arrival        // the first dispatch of each request
-	probes map[string]int   // by server
-	struck map[string]int64 // when each kind of fault was last injected
-	to     []arrivals       // dispatches by proxy and server
-	calls  arrivals         // calls at discovery, under one empty place name
-	conns  arrivals         // new connections, by server
+	sends      int              // dispatches
+	reqs       map[string]bool  // request IDs that arrived; kept until the run ends
+	firsts     []Arrival        // the first dispatch of each request
+	probes     map[string]int   // by server
+	injectedAt map[string]int64 // when each kind of fault was last injected
+	dispatches []arrivals       // dispatches by proxy and server
+	calls      arrivals         // calls at discovery, under one empty place name
+	conns      arrivals         // new connections, by server
 }
 
-func newMet(proxies int) observations {
-	m := observations{reqs: map[string]bool{}, struck: map[string]int64{}, probes: map[string]int{}, calls: arrivals{}, conns: arrivals{}}
+func newObservations(proxies int) observations {
+	m := observations{reqs: map[string]bool{}, injectedAt: map[string]int64{}, probes: map[string]int{}, calls: arrivals{}, conns: arrivals{}}
 	for range proxies {
-		m.to = append(m.to, arrivals{})
+		m.dispatches = append(m.dispatches, arrivals{})
 	}
 	return m
 }
@@ -79,7 +79,7 @@
 func newRig(e *Experiment, seed uint64) *rig {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &rig{e: e, number: rigCount.Add(1), balanceConfig: e.balanceConfig(), clock: emu.NewWallClock(), ctx: ctx, cancel: cancel, open: map[net.Conn]string{},
-		requestTimes: map[string]int64{}, observed: newMet(e.Fleet.Balancers)}
+		requestTimes: map[string]int64{}, observed: newObservations(e.Fleet.Balancers)}
 	r.cuts.discovery, r.cuts.servers = make([]int, e.Fleet.Balancers), make([]map[string]int, e.Fleet.Balancers)
 	r.random.Seed = seed ^ 0xfa17
 	for i := range r.cuts.servers {
@@ -120,7 +120,7 @@
 	}
 	defer l.close()
 	r.clock.Do(func() {
-		r.observed = newMet(r.e.Fleet.Balancers)
+		r.observed = newObservations(r.e.Fleet.Balancers)
 		r.loadStart = r.clock.Now()
 		err = r.fleet.Schedule(r.e.faults())
 	})
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	f.Views, f.Plan = views(), maintained()
-	if f.Limits, err = r.judgeLimits(v); err != nil {
+	if f.Limits, err = r.checkLimits(v); err != nil {
 		return nil, err
 	}
 	f.Processor = r.cpu() - before
--- a/rehearse/lab/standins.go
+++ b/rehearse/lab/standins.go
@@ -138,7 +138,7 @@
 			}
 			r.fleet.Checker.AttemptSent(proxy, s.ID, id)
 			r.observed.sends++
-			r.observed.to[proxy][s.ID] = append(r.observed.to[proxy][s.ID], sent)
+			r.observed.dispatches[proxy][s.ID] = append(r.observed.dispatches[proxy][s.ID], sent)
 			if !r.observed.reqs[id] {
 				asked, known := r.requestTimes[q.Header.Get("Request-Id")]
 				if !known {
--- a/rehearse/lab/state.go
+++ b/rehearse/lab/state.go
@@ -24,7 +24,7 @@
 // damageState applies a state fault to a proxy's folder. It first waits up to endWait, so that a proxy killed at the
 // same time has ended before.
 func (r *rig) damageState(p *process, x emu.Fault) {
-	luck := r.random.Next()
+	position := r.random.Next()
 	r.wait.Go(func() {
 		select {
 		case <-p.ended:
@@ -52,7 +52,7 @@
 				if x.Kind == "state_cut" {
 					b = b[:int(x.Magnitude*float64(len(b)))]
 				} else {
-					at := int(luck * float64(8*len(b)))
+					at := int(position * float64(8*len(b)))
 					b[at/8] ^= 1 << (at % 8)
 				}
 				_ = os.WriteFile(f, b, 0o600)
--- a/rehearse/lab/timetable.go
+++ b/rehearse/lab/timetable.go
@@ -25,7 +25,7 @@
 
 func (r *rig) injectFault(x emu.Fault) (undo func()) {
 	hit := r.proxies(x)
-	r.observed.struck[x.Kind] = r.clock.Now()
+	r.observed.injectedAt[x.Kind] = r.clock.Now()
 	switch x.Kind {
 	case "proxy_kill":
 		r.kill(hit, x)
@@ -123,7 +123,7 @@
 
 // starve pauses a proxy for a fraction of each period.
 func (r *rig) starve(p *process, part float64, over chan bool) {
-	dice := rng.Source{Seed: 1}
+	random := rng.Source{Seed: 1}
 	for {
 		stop := time.Duration(float64(starvePeriod) * part)
 		p.setPaused(true)
@@ -134,7 +134,7 @@
 			return
 		case <-r.ctx.Done():
 			return
-		case <-time.After(starvePeriod - stop + time.Duration(dice.Next()*5e6)):
+		case <-time.After(starvePeriod - stop + time.Duration(random.Next()*5e6)):
 		}
 	}
 }
